--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -12,7 +12,17 @@
 
 from benchmarks.scale.__main__ import SCALE_FILE, SOCKETS_FILE, Results
 from benchmarks.scale.fits import Measurement, power_law
-from benchmarks.scale.fleet import CONTROLLERS, ENDPOINTS, FAN_OUT, PILOTS, REGIONS, SERVICES, SERVICES_CALLED, ZONES, Fleet
+from benchmarks.scale.fleet import (
+    CONTROLLERS,
+    ENDPOINTS,
+    FAN_OUT,
+    PILOTS,
+    REGIONS,
+    SERVICES,
+    SERVICES_CALLED,
+    ZONES,
+    Fleet,
+)
 from ravenshelf.distribution.decisions.tree import levels
 
 PAGE = Path(__file__).resolve().parent.parent / "docs" / "CAPACITY.md"
@@ -45,14 +55,17 @@
         "ours",
     ),
     Assumption(
-        f"{CHANGES_A_DAY:,} changes of configuration a day, each of one service, in force everywhere within 4 s", "operators"
+        f"{CHANGES_A_DAY:,} changes of configuration a day, each of one service, in force everywhere within 4 s",
+        "operators",
     ),
     Assumption(
         f"a pilot spends at most {CORE_BUDGET:.1%} of a core, {MEMORY_BUDGET_MB:.0f} MB and {BYTES_BUDGET / 1000:.0f} KB a second for control; "
         f"{CONTROLLERS} machines for control",
         "operators",
     ),
-    Assumption(f"{FAILURES_A_DAY} machines fail and {RESTARTS_A_DAY:,} are restarted or replaced a day", "operators"),
+    Assumption(
+        f"{FAILURES_A_DAY} machines fail and {RESTARTS_A_DAY:,} are restarted or replaced a day", "operators"
+    ),
     Assumption(f"a pilot's proxies call {SERVICES_CALLED} services", "ours"),
     Assumption(
         f"a service has endpoints and subscribers in {ZONES_A_SERVICE} of {ZONES} zones; a zone's table holds {LINES_A_DELTA} lines",
@@ -156,7 +169,10 @@
     """What a pilot that lists, hears and solves all would cost."""
     memory = (
         BASE_MB
-        + (book.marginal("pilot memory by endpoints", ENDPOINTS) + book.marginal("pilot memory by proxies", PROXIES_A_PILOT))
+        + (
+            book.marginal("pilot memory by endpoints", ENDPOINTS)
+            + book.marginal("pilot memory by proxies", PROXIES_A_PILOT)
+        )
         / 1e6
     )
     core = book.at("pilot CPU by endpoints", ENDPOINTS)
@@ -229,7 +245,8 @@
     """A controller decides its share of the services, and publishes them."""
     services = SERVICES / CONTROLLERS
     planner = services * max(
-        book.at("planner CPU by zones", ZONES_A_SERVICE), book.at("planner CPU by endpoints", ENDPOINTS_A_SERVICE)
+        book.at("planner CPU by zones", ZONES_A_SERVICE),
+        book.at("planner CPU by endpoints", ENDPOINTS_A_SERVICE),
     )
     memory = BASE_MB + services * book.by_name["planner memory"].slope / 1e6
     return [
@@ -253,7 +270,8 @@
         "relay on sockets, CPU of a delivered delta", children
     )
     memory = (
-        book.near("relay on sockets, memory", children) + book.marginal("relay memory", children * SERVICES_CALLED) / 1e6
+        book.near("relay on sockets, memory", children)
+        + book.marginal("relay memory", children * SERVICES_CALLED) / 1e6
     )
     return [
         "relay (a process, measured on sockets)",
@@ -309,8 +327,22 @@
 
 def roles(book: Book) -> list[str]:
     """Each role with the distribution."""
-    headings = ["role", "state", "messages and bytes", "processor", "worst minute", "against the budget", "mechanism"]
-    rows = [_pilot_row(book), _controller_row(book), _relay_row(book), _collector_row(book), *_other_rows(book)]
+    headings = [
+        "role",
+        "state",
+        "messages and bytes",
+        "processor",
+        "worst minute",
+        "against the budget",
+        "mechanism",
+    ]
+    rows = [
+        _pilot_row(book),
+        _controller_row(book),
+        _relay_row(book),
+        _collector_row(book),
+        *_other_rows(book),
+    ]
     return [
         "## Each role with the distribution",
         "",
@@ -333,11 +365,23 @@
 
 MINUTES = [
     Minute(
-        "a zone returns: each service's list and tables change in three beats", "zone_returns", "zone_p99", "", "zone_bytes"
+        "a zone returns: each service's list and tables change in three beats",
+        "zone_returns",
+        "zone_p99",
+        "",
+        "zone_bytes",
+    ),
+    Minute(
+        "a configuration change for all: every service at once",
+        "change_for_all",
+        "all_p99",
+        "all_last",
+        "all_bytes",
     ),
-    Minute("a configuration change for all: every service at once", "change_for_all", "all_p99", "all_last", "all_bytes"),
     Minute("mass restart: 2,800 pilots an hour", "mass_restart", "", "", "restart_bytes"),
-    Minute("a region parted, an hour's changes, healed (from the heal)", "region_parted", "", "parted_last", ""),
+    Minute(
+        "a region parted, an hour's changes, healed (from the heal)", "region_parted", "", "parted_last", ""
+    ),
     Minute(
         "all relays next to the owners dead for 5 s, services changing (from the change)",
         "level_killed",
@@ -362,7 +406,15 @@
         "## The worst minutes",
         "",
         *_table(
-            ["what", "hollow pilots", "runs", "99 in 100 subscriptions", "the last one", "bytes a second and pilot"], rows
+            [
+                "what",
+                "hollow pilots",
+                "runs",
+                "99 in 100 subscriptions",
+                "the last one",
+                "bytes a second and pilot",
+            ],
+            rows,
         ),
         "Each at the largest fleet that played it; least and most of the runs. The aim is 4 s, the budget 7,000 bytes. In the part with the dead relays a pilot "
         f"has no way round them: the five seconds until they are back count in full. Subscriptions that lacked something at the end of a part: {behind} at the most.",
@@ -436,7 +488,15 @@
         "Against everybody watching all, the same run and changes (every service once in ten seconds); bytes a second:",
         "",
         *_table(
-            ["pilots", "run", "a pilot that watches all", "its source", "a pilot that subscribes", "its relays"], compared
+            [
+                "pilots",
+                "run",
+                "a pilot that watches all",
+                "its source",
+                "a pilot that subscribes",
+                "its relays",
+            ],
+            compared,
         ),
     ]
 
@@ -445,8 +505,12 @@
     schedules, agreement = book.results.schedules, book.results.agreement
     if schedules is None or agreement is None:
         return []
-    found = "; ".join(f"{name} in {count} of {schedules.breaks_played}" for name, count in schedules.found.items())
-    cases = ", ".join(f"{case.endpoints} endpoints {case.bytes[0]} and {case.bytes[1]} bytes" for case in agreement.cases)
+    found = "; ".join(
+        f"{name} in {count} of {schedules.breaks_played}" for name, count in schedules.found.items()
+    )
+    cases = ", ".join(
+        f"{case.endpoints} endpoints {case.bytes[0]} and {case.bytes[1]} bytes" for case in agreement.cases
+    )
     return [
         "## Checked",
         "",
@@ -523,7 +587,9 @@
 
 
 def main(check: bool) -> int:
-    results, on_sockets = (msgspec.json.decode(file.read_bytes(), type=Results) for file in (SCALE_FILE, SOCKETS_FILE))
+    results, on_sockets = (
+        msgspec.json.decode(file.read_bytes(), type=Results) for file in (SCALE_FILE, SOCKETS_FILE)
+    )
     text = page(results, on_sockets)
     if check:
         return 0 if PAGE.read_text() == text else 1
@@ -533,6 +599,8 @@
 
 if __name__ == "__main__":
     options = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    options.add_argument("--check", action="store_true", help="end with 1 where the page is not what the results say")
+    options.add_argument(
+        "--check", action="store_true", help="end with 1 where the page is not what the results say"
+    )
     given = options.parse_args()
     sys.exit(main(given.check))
--- a/benchmarks/graphite.py
+++ b/benchmarks/graphite.py
@@ -5,6 +5,7 @@
 line at each proxy. The naive sender (a task a receiver, drain awaited, all formatted in one go) stands below as the
 baseline.
 """
+
 import argparse
 import asyncio
 import contextlib
@@ -34,7 +35,9 @@
     async def start(self, stack: contextlib.AsyncExitStack, operator: str) -> None:
         self.discovery = await Discovery([entry(f"s-{n}", "north") for n in range(ENDPOINTS)]).start()
         said = configuration("", ["north"], PROXIES, **{"lines-per-s": 100_000, "most-waiting": 100_000})
-        self.address = await stack.enter_async_context(pilot(self.discovery.address, ["--operator", operator], said, True))
+        self.address = await stack.enter_async_context(
+            pilot(self.discovery.address, ["--operator", operator], said, True)
+        )
         self.running = [asyncio.create_task(p.run()) for p in self.proxies]
         while not all(p.lines() for p in self.proxies):
             await asyncio.sleep(0.05)
@@ -68,16 +71,18 @@
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         for name, side in sides.items():
             file = folder / f"{name}.toml"
-            file.write_text(f'[graphite]\nreceivers = ["{receivers[name]}"]\nevery_s = 1\nbuffer_points = 5000\n')
+            file.write_text(
+                f'[graphite]\nreceivers = ["{receivers[name]}"]\nevery_s = 1\nbuffer_points = 5000\n'
+            )
             await side.start(stack, str(file))
         began, memory, chance, n = time.monotonic(), [], random.Random(7), 0
         while time.monotonic() - began < seconds:
             order = list(sides.values())
-            chance.shuffle(order)       # who is first must not matter
+            chance.shuffle(order)  # who is first must not matter
             uid = f"s-{n % ENDPOINTS}"
             for side in order:
                 await side.change(uid)
-                await asyncio.sleep(BETWEEN * chance.uniform(0.5, 1.5))     # in step with nothing
+                await asyncio.sleep(BETWEEN * chance.uniform(0.5, 1.5))  # in step with nothing
             for side in order:
                 await side.discovery.change(uid, "SERVING")
             await asyncio.sleep(BETWEEN)
@@ -89,24 +94,31 @@
                 task.cancel()
         out = {name: quantiles(side.took) | {"unanswered": len(side.awaited)} for name, side in sides.items()}
     await carbon.stop()
-    half = memory[len(memory) // 2:]
-    return {**out, "p99_ratio": round(out["hanging"]["p99"] / max(1e-9, out["absent"]["p99"]), 3),
-            "late_ms": round(out["hanging"]["max"] - out["absent"]["max"], 2),
-            "growth_mb": round(max(half) - half[0], 2) if half else 0.0, "seconds": seconds,
-            "carbon_connections": carbon.connections}
+    half = memory[len(memory) // 2 :]
+    return {
+        **out,
+        "p99_ratio": round(out["hanging"]["p99"] / max(1e-9, out["absent"]["p99"]), 3),
+        "late_ms": round(out["hanging"]["max"] - out["absent"]["max"], 2),
+        "growth_mb": round(max(half) - half[0], 2) if half else 0.0,
+        "seconds": seconds,
+        "carbon_connections": carbon.connections,
+    }
 
 
 def _pilots_memory() -> float:
     """Of this process's children."""
     import os
+
     children = Path(f"/proc/self/task/{os.getpid()}/children").read_text().split()
     return sum(memory_mb(int(pid)) for pid in children)
 
 
 # --- what figures and packets cost on one core ---
 
+
 def formatting(points: int) -> dict:
     from ravenshelf.graphite.formats import slices
+
     made = [(f"ravenshelf.toy.endpoint.s-{n}.tries_per_s", n * 1.1) for n in range(points)]
     out = {}
     for protocol in ("plaintext", "pickle"):
@@ -114,7 +126,10 @@
         for _ in slices(protocol, 1_700_000_000, made):
             longest, last = max(longest, time.perf_counter() - last), time.perf_counter()
         took = time.perf_counter() - began
-        out[protocol] = {"figures_a_second": round(points / took), "longest_slice_ms": round(longest * 1000, 3)}
+        out[protocol] = {
+            "figures_a_second": round(points / took),
+            "longest_slice_ms": round(longest * 1000, 3),
+        }
     return out
 
 
@@ -123,12 +138,16 @@
 
     from ravenshelf.collectd import types, wire
     from ravenshelf.collectd.decisions import Signals
+
     out = {}
     for security in ("none", "sign", "encrypt"):
         hosts = [sender.Host(f"h-{n}") for n in range(20)]
         plain = [hosts[n % 20].packet(1_700_000_000 + 10 * (n // 20)) for n in range(count)]
-        sealed = {"none": lambda p: p, "sign": lambda p: sender.signed(p, "u", "pw"),
-                  "encrypt": lambda p: sender.sealed(p, "u", "pw", bytes(16))}[security]
+        sealed = {
+            "none": lambda p: p,
+            "sign": lambda p: sender.signed(p, "u", "pw"),
+            "encrypt": lambda p: sender.sealed(p, "u", "pw", bytes(16)),
+        }[security]
         made = [sealed(p) for p in plain]
         signals = Signals(lambda host: (int(host[2:]),), types.read(types.OWN), Counter())
         began = time.perf_counter()
@@ -136,12 +155,16 @@
             body, vouched = wire.opened(packet, lambda user: [b"pw"], security)
             signals.take((1_700_000_000 + 10 * (n // 20)) * 1_000_000, wire.value_lists(body), False)
         took = time.perf_counter() - began
-        out[security] = {"packets_a_second": round(count / took), "microseconds_each": round(took / count * 1e6, 1)}
+        out[security] = {
+            "packets_a_second": round(count / took),
+            "microseconds_each": round(took / count * 1e6, 1),
+        }
     return out
 
 
 # --- the baseline: a task a receiver, drain awaited ---
 
+
 class Naive:
     """Formats all of a measurement at once and has a queue without bound for each receiver."""
 
@@ -175,6 +198,7 @@
     from ravenshelf.memory.counters import Counters
     from ravenshelf.operating.tables import Graphite as Table
     from ravenshelf.process.clock import Clock
+
     carbon = await Carbon([Stall()], buffer=2048).start()
     made = [(f"ravenshelf.toy.endpoint.s-{n}.tries_per_s", n * 1.1) for n in range(points)]
     loop, clock, out = asyncio.get_running_loop(), Clock(), {}
@@ -202,7 +226,10 @@
 
     worst = await longest(timed)
     waits = sum(sum(len(x) for x in q._queue) for q in naive.queues)
-    out["naive"] = {"longest_hold_ms": round(max(worst, max(steps) * 1000), 2), "waiting_mb": round(waits / 1e6, 2)}
+    out["naive"] = {
+        "longest_hold_ms": round(max(worst, max(steps) * 1000), 2),
+        "waiting_mb": round(waits / 1e6, 2),
+    }
     for task in naive.tasks:
         task.cancel()
 
@@ -213,20 +240,30 @@
 
     background = Background(Agenda(256, 2000, 200_000, 5_000_000), clock, wake, lambda: False, counters)
     table = Table(receivers=[carbon.address], buffer_points=3 * points)
-    service = Graphite(table, random.Random(1), loop=loop, clock=clock, background=background,
-                       again=lambda r, at: loop.call_later(max(0, at - clock()) / 1e6, lambda: service.turn(r)))
+    service = Graphite(
+        table,
+        random.Random(1),
+        loop=loop,
+        clock=clock,
+        background=background,
+        again=lambda r, at: loop.call_later(max(0, at - clock()) / 1e6, lambda: service.turn(r)),
+    )
 
     def give(n: int):
         def work():
             yield
             service.take(1_700_000_000 + n, 1, made)
+
         background.offer("figures", PRESENT, 1_000_000, work())
 
     worst = await longest(give)
     outlet = service.outlets[carbon.address]
-    out["ours"] = {"longest_hold_ms": round(max(worst, counters["background_slice_most_us"] / 1000), 2),
-                   "waiting_points": outlet.backlog.size, "bound": table.buffer_points,
-                   "dropped_points": outlet.backlog.dropped}
+    out["ours"] = {
+        "longest_hold_ms": round(max(worst, counters["background_slice_most_us"] / 1000), 2),
+        "waiting_points": outlet.backlog.size,
+        "bound": table.buffer_points,
+        "dropped_points": outlet.backlog.dropped,
+    }
     out["hold_ratio"] = round(out["ours"]["longest_hold_ms"] / out["naive"]["longest_hold_ms"], 3)
     service.close()
     await carbon.stop()
@@ -240,10 +277,20 @@
     figures["held"] = await held(20_000, 8 if short else 30)
     seen = figures["lines"]
     late = quantile([seen["late_ms"]], 1.0)
-    held_ = (seen["hanging"]["n"] > 500 and seen["p99_ratio"] <= AIM_RATIO and late <= AIM_LATE_MS and seen["growth_mb"] <= AIM_GROWTH_MB
-             and seen["hanging"]["unanswered"] == 0)
-    close("graphite", figures, f"p99 ratio <= {AIM_RATIO}, worst line <= {AIM_LATE_MS} ms later, memory growth in the "
-          f"second half <= {AIM_GROWTH_MB} MB, no line missing", held_)
+    held_ = (
+        seen["hanging"]["n"] > 500
+        and seen["p99_ratio"] <= AIM_RATIO
+        and late <= AIM_LATE_MS
+        and seen["growth_mb"] <= AIM_GROWTH_MB
+        and seen["hanging"]["unanswered"] == 0
+    )
+    close(
+        "graphite",
+        figures,
+        f"p99 ratio <= {AIM_RATIO}, worst line <= {AIM_LATE_MS} ms later, memory growth in the "
+        f"second half <= {AIM_GROWTH_MB} MB, no line missing",
+        held_,
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -3,6 +3,7 @@
 `model`: two candidates X and Y for one shard, three voters, real time, clocks that run apart; z3 looks for times at
 which X still believes in its lease after Y's first order. `schedules`: seeded days of faults in simulated time.
 """
+
 import argparse
 import time
 from multiprocessing import Pool
@@ -32,18 +33,27 @@
     rate_x, rate = rates[0], rates[1:]
     ask, renewal, order_x, order_y = z3.Reals("ask renewal order_x order_y")
     solver.add(ask >= 0, renewal >= ask)
-    granted, renewed, restarted, granted_y = ([z3.Bool(f"{what}_{v}") for v in range(VOTERS)]
-                                              for what in ("granted", "renewed", "restarted", "granted_y"))
-    at, at_renewed, at_start, at_y = ([z3.Real(f"at_{what}_{v}") for v in range(VOTERS)]
-                                      for what in ("granted", "renewed", "start", "y"))
+    granted, renewed, restarted, granted_y = (
+        [z3.Bool(f"{what}_{v}") for v in range(VOTERS)]
+        for what in ("granted", "renewed", "restarted", "granted_y")
+    )
+    at, at_renewed, at_start, at_y = (
+        [z3.Real(f"at_{what}_{v}") for v in range(VOTERS)] for what in ("granted", "renewed", "start", "y")
+    )
     for v in range(VOTERS):
-        solver.add(at[v] >= ask, at_renewed[v] >= renewal, at_renewed[v] >= at[v], z3.Implies(renewed[v], granted[v]))
+        solver.add(
+            at[v] >= ask, at_renewed[v] >= renewal, at_renewed[v] >= at[v], z3.Implies(renewed[v], granted[v])
+        )
         # it grants Y only when, by its own clock, what it granted X is over; after a start, when it has been quiet
         forgot = z3.And(restarted[v], at_start[v] <= at_y[v])
         knows_grant = z3.And(granted[v], at[v] <= at_y[v], z3.Not(z3.And(forgot, at_start[v] > at[v])))
-        knows_renewal = z3.And(renewed[v], at_renewed[v] <= at_y[v], z3.Not(z3.And(forgot, at_start[v] > at_renewed[v])))
+        knows_renewal = z3.And(
+            renewed[v], at_renewed[v] <= at_y[v], z3.Not(z3.And(forgot, at_start[v] > at_renewed[v]))
+        )
         solver.add(z3.Implies(z3.And(granted_y[v], knows_grant), rate[v] * (at_y[v] - at[v]) >= lease))
-        solver.add(z3.Implies(z3.And(granted_y[v], knows_renewal), rate[v] * (at_y[v] - at_renewed[v]) >= lease))
+        solver.add(
+            z3.Implies(z3.And(granted_y[v], knows_renewal), rate[v] * (at_y[v] - at_renewed[v]) >= lease)
+        )
         solver.add(z3.Implies(z3.And(granted_y[v], forgot), rate[v] * (at_y[v] - at_start[v]) >= quiet))
         # once it has promised Y's later term it neither grants nor renews for X
         solver.add(z3.Implies(z3.And(granted_y[v], granted[v]), at[v] <= at_y[v]))
@@ -52,10 +62,15 @@
 
     def count(these) -> z3.ArithRef:
         return z3.Sum([z3.If(one_of, 1, 0) for one_of in these])
-    by_grant = z3.And(count([z3.And(granted[v], at[v] <= order_x) for v in range(VOTERS)]) >= majority,
-                      rate_x * (order_x - ask) < safe)
-    by_renewal = z3.And(count([z3.And(renewed[v], at_renewed[v] <= order_x) for v in range(VOTERS)]) >= majority,
-                        rate_x * (order_x - renewal) < safe)
+
+    by_grant = z3.And(
+        count([z3.And(granted[v], at[v] <= order_x) for v in range(VOTERS)]) >= majority,
+        rate_x * (order_x - ask) < safe,
+    )
+    by_renewal = z3.And(
+        count([z3.And(renewed[v], at_renewed[v] <= order_x) for v in range(VOTERS)]) >= majority,
+        rate_x * (order_x - renewal) < safe,
+    )
     solver.add(z3.Or(by_grant, by_renewal), count(granted_y) >= majority, order_x > order_y)
     began = time.perf_counter()
     found = solver.check()
@@ -79,22 +94,42 @@
     with Pool() as pool:
         for count, days in sizes:
             began, broken, took = time.perf_counter(), {}, []
-            for seed, rules, times in pool.imap_unordered(day, [(seed, count, "") for seed in range(days)], 16):
+            for seed, rules, times in pool.imap_unordered(
+                day, [(seed, count, "") for seed in range(days)], 16
+            ):
                 took += times
                 if rules:
                     broken[seed] = rules[0]
-            figures[f"of_{count}"] = {"days": days, "broken": broken, "seconds": round(time.perf_counter() - began, 1),
-                                      "takeovers": len(took), "takeover_s_p50": round(quantile(took, 0.5), 2)}
+            figures[f"of_{count}"] = {
+                "days": days,
+                "broken": broken,
+                "seconds": round(time.perf_counter() - began, 1),
+                "takeovers": len(took),
+                "takeover_s_p50": round(quantile(took, 0.5), 2),
+            }
         first = {}
         for name in BREAKS:
             most = 600
-            first[name] = next((seed for seed, rules, _ in pool.imap(day, [(s, 3, name) for s in range(most)], 8) if rules), None)
+            first[name] = next(
+                (seed for seed, rules, _ in pool.imap(day, [(s, 3, name) for s in range(most)], 8) if rules),
+                None,
+            )
         figures["first_day_of_each_break"] = first
     sound = figures["model"]["none"]["found"] == "unsat" and all(
-        figures["model"][name]["found"] == "sat" for name in MODEL_BREAKS[1:])
-    held = sound and not any(figures[f"of_{count}"]["broken"] for count, _ in sizes) and None not in first.values()
-    close("leases", figures, "no schedule breaks a rule; the model has no counterexample, and one for each break; the "
-          "checker sees each break", held)
+        figures["model"][name]["found"] == "sat" for name in MODEL_BREAKS[1:]
+    )
+    held = (
+        sound
+        and not any(figures[f"of_{count}"]["broken"] for count, _ in sizes)
+        and None not in first.values()
+    )
+    close(
+        "leases",
+        figures,
+        "no schedule breaks a rule; the model has no counterexample, and one for each break; the "
+        "checker sees each break",
+        held,
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/measuring.py
+++ b/benchmarks/measuring.py
@@ -1,4 +1,5 @@
 """What all benchmarks share: quantiles, memory of a process, the closing line."""
+
 import json
 import sys
 from typing import NoReturn, Sequence
@@ -11,8 +12,13 @@
 
 
 def quantiles(values: Sequence[float]) -> dict[str, float]:
-    return {"n": len(values), **{name: round(quantile(values, part), 3)
-                                 for name, part in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999), ("max", 1.0))}}
+    return {
+        "n": len(values),
+        **{
+            name: round(quantile(values, part), 3)
+            for name, part in (("p50", 0.5), ("p99", 0.99), ("p999", 0.999), ("max", 1.0))
+        },
+    }
 
 
 def memory_mb(pid: int) -> float:
--- a/benchmarks/neighbour.py
+++ b/benchmarks/neighbour.py
@@ -4,6 +4,7 @@
 twelve endpoints shares its machine with a job that begins at a known time. From then on the machine reads as busy,
 while what the job slows is at first little and grows as it takes over the caches and cores; sums of it come late.
 """
+
 import argparse
 import random
 
@@ -11,12 +12,12 @@
 from ravenshelf.rules import SECOND, Controller
 
 ENDPOINTS, PROXIES, BEGINS, ENDS = 12, 24, 60, 120
-HURT = 0                    # the endpoint with the neighbour
-GROWS = 12.0                # seconds in which the slowing grows to its full
-SLOWED = 2.0                # latency at the full, times the usual
-SUMS_EVERY, SUMS_LATE = 5, 2        # seconds
-READ_EVERY, READ_LATE = 5, 0.5      # of collectd
-LOST = 0.85                 # of its weight before
+HURT = 0  # the endpoint with the neighbour
+GROWS = 12.0  # seconds in which the slowing grows to its full
+SLOWED = 2.0  # latency at the full, times the usual
+SUMS_EVERY, SUMS_LATE = 5, 2  # seconds
+READ_EVERY, READ_LATE = 5, 0.5  # of collectd
+LOST = 0.85  # of its weight before
 
 
 class Tables:
@@ -43,10 +44,20 @@
 
 
 def settings() -> dict:
-    return {"zones": ["a"], "traffic_groups": [{"name": "read", "utility": 1.0, "latency_budget_us": SECOND}],
-            "rules": {}, "discovery": "pushed", "telemetry": {"columns": []},
-            "service": {"lines_per_s": 2000.0, "envelope": 3.0, "most_waiting": 2000, "proxy_count": PROXIES,
-                        "by_zone": True}}
+    return {
+        "zones": ["a"],
+        "traffic_groups": [{"name": "read", "utility": 1.0, "latency_budget_us": SECOND}],
+        "rules": {},
+        "discovery": "pushed",
+        "telemetry": {"columns": []},
+        "service": {
+            "lines_per_s": 2000.0,
+            "envelope": 3.0,
+            "most_waiting": 2000,
+            "proxy_count": PROXIES,
+            "by_zone": True,
+        },
+    }
 
 
 def play(seed: int, signal: bool, lying: bool = False) -> dict:
@@ -54,8 +65,14 @@
     chance, kept = random.Random(seed), Tables()
     pilot, now = Controller(settings(), seed), 1000 * SECOND
     start = now
-    pilot.round(now, [("listed", ("restored", tuple((i, 0, 0, 0, "ready", 4.0, 0) for i in range(ENDPOINTS)))),
-                      *(("joined", (p, 0, 20.0, True)) for p in range(PROXIES))], kept)
+    pilot.round(
+        now,
+        [
+            ("listed", ("restored", tuple((i, 0, 0, 0, "ready", 4.0, 0) for i in range(ENDPOINTS)))),
+            *(("joined", (p, 0, 20.0, True)) for p in range(PROXIES)),
+        ],
+        kept,
+    )
     waiting, before, fell, least = [], None, None, 1.0
     for quarter in range(4 * ENDS):
         second = quarter / 4
@@ -64,12 +81,18 @@
             for e in range(ENDPOINTS):
                 slow = 1 + (SLOWED - 1) * hurt if e == HURT and not lying else 1.0
                 mean = 80_000 * slow * chance.uniform(0.93, 1.07)
-                waiting.append((second + SUMS_LATE, ("heard", (0, e, 100, 0, round(mean), SUMS_EVERY * SECOND, ()))))
-            waiting += [(second + SUMS_LATE, ("asked", (p, 0, 100, 0, SUMS_EVERY * SECOND))) for p in range(PROXIES)]
+                waiting.append(
+                    (second + SUMS_LATE, ("heard", (0, e, 100, 0, round(mean), SUMS_EVERY * SECOND, ())))
+                )
+            waiting += [
+                (second + SUMS_LATE, ("asked", (p, 0, 100, 0, SUMS_EVERY * SECOND))) for p in range(PROXIES)
+            ]
         if signal and quarter % (4 * READ_EVERY) == 0:
             for e in range(ENDPOINTS):
                 busy = 0.95 if e == HURT and second > BEGINS else chance.uniform(0.35, 0.5)
-                waiting.append((second + READ_LATE, ("noticed", (e, busy, round((READ_LATE + READ_EVERY / 2) * SECOND)))))
+                waiting.append(
+                    (second + READ_LATE, ("noticed", (e, busy, round((READ_LATE + READ_EVERY / 2) * SECOND))))
+                )
         news = [what for at, what in waiting if at <= second]
         waiting = [(at, what) for at, what in waiting if at > second]
         now = start + quarter * SECOND // 4
@@ -86,15 +109,30 @@
 
 def main(short: bool) -> None:
     days = 10 if short else 60
-    runs = {name: [play(seed, **how) for seed in range(days)] for name, how in
-            {"sums": {"signal": False}, "both": {"signal": True}, "lying": {"signal": True, "lying": True}}.items()}
-    figures = {name: {"fell_after_s_p50": quantile([r["fell_after"] for r in found], 0.5),
-                      "fell_after_s_max": max(r["fell_after"] for r in found),
-                      "least_part_of_weight": round(min(r["least"] for r in found), 3)} for name, found in runs.items()}
+    runs = {
+        name: [play(seed, **how) for seed in range(days)]
+        for name, how in {
+            "sums": {"signal": False},
+            "both": {"signal": True},
+            "lying": {"signal": True, "lying": True},
+        }.items()
+    }
+    figures = {
+        name: {
+            "fell_after_s_p50": quantile([r["fell_after"] for r in found], 0.5),
+            "fell_after_s_max": max(r["fell_after"] for r in found),
+            "least_part_of_weight": round(min(r["least"] for r in found), 3),
+        }
+        for name, found in runs.items()
+    }
     gain = figures["sums"]["fell_after_s_p50"] - figures["both"]["fell_after_s_p50"]
     figures |= {"days": days, "sooner_s": gain, "simulated": True}
-    close("neighbour", figures, "sooner by 3 s or more; where the signal lies, no less than 0.4 of the weight",
-          gain >= 3 and figures["lying"]["least_part_of_weight"] >= 0.4)
+    close(
+        "neighbour",
+        figures,
+        "sooner by 3 s or more; where the signal lies, no less than 0.4 of the weight",
+        gain >= 3 and figures["lying"]["least_part_of_weight"] >= 0.4,
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -24,7 +24,10 @@
 SCALE_FILE, SOCKETS_FILE = RESULTS / "scale.json", RESULTS / "sockets.json"
 FLEET, SOCKETS = "fleet", "sockets"  # roles that are more than a choice of measurements
 FLEETS, SHORT_FLEETS = (563, 1_125, 2_250, 4_500), (30, 60, 120, 240)
-LARGEST_FLEET, LARGEST_PARTS = 18_000, (3, 4)  # parts of the day: up to single changes, and up to a change for all
+LARGEST_FLEET, LARGEST_PARTS = (
+    18_000,
+    (3, 4),
+)  # parts of the day: up to single changes, and up to a change for all
 BASELINES, BASELINE_SERVICES = (15, 30, 60, 120), 1_200
 SHORT_BASELINES, SHORT_BASELINE_SERVICES = (8, 16, 32, 64), 60
 SCHEDULES, SHORT_SCHEDULES, BREAK_SCHEDULES = 2_000, 60, 200
@@ -101,13 +104,17 @@
         played = pool.map(play, [Schedule(seed) for seed in range(count)], chunksize=8)
         broken = {seed: violations[0].rule for seed, violations in enumerate(played) if violations}
         found = {
-            name: sum(map(bool, pool.map(play, [Schedule(seed, name) for seed in range(breaks)], chunksize=8)))
+            name: sum(
+                map(bool, pool.map(play, [Schedule(seed, name) for seed in range(breaks)], chunksize=8))
+            )
             for name in BREAKS
         }
     return Schedules(count, broken, breaks, found)
 
 
-def measured(kinds: Iterable[Callable[[bool], Iterable[Measurement]]], short: bool, role: str) -> list[Measurement]:
+def measured(
+    kinds: Iterable[Callable[[bool], Iterable[Measurement]]], short: bool, role: str
+) -> list[Measurement]:
     return [one for kind in kinds for one in kind(short) if not role or role in one.role]
 
 
@@ -123,7 +130,9 @@
         for one in results.fleets
     )
     baseline_holds = all(one.subscribed_bytes < one.watched_bytes for one in results.baselines)
-    checked = results.schedules is None or (not results.schedules.broken and all(results.schedules.found.values()))
+    checked = results.schedules is None or (
+        not results.schedules.broken and all(results.schedules.found.values())
+    )
     agreed = results.agreement is None or results.agreement.agrees
     return fleets_hold and baseline_holds and checked and agreed
 
@@ -172,7 +181,9 @@
     options = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     options.add_argument("--short", action="store_true", help="smaller sizes, one run, under a minute")
     options.add_argument(
-        "--role", default="", help="only this role; fleet: hollow fleets and the checker; sockets: a relay as a process"
+        "--role",
+        default="",
+        help="only this role; fleet: hollow fleets and the checker; sockets: a relay as a process",
     )
     given = options.parse_args()
     main(given.short, given.role)
--- a/benchmarks/scale/agreement.py
+++ b/benchmarks/scale/agreement.py
@@ -69,7 +69,9 @@
         try:
             await _until(lambda: discovery.watches > 0)
             await asyncio.sleep(QUIET)  # the list is known before the proxy joins, as in the hollow pilot
-            proxy = Proxy(lambda: address, 0, ZONE, USUAL, lambda _, line: said.append(line.rstrip("\r\n").encode()))
+            proxy = Proxy(
+                lambda: address, 0, ZONE, USUAL, lambda _, line: said.append(line.rstrip("\r\n").encode())
+            )
             running = asyncio.create_task(proxy.run())
             await _quiet(said, 1)
             for uid, state in script.changes:
@@ -125,5 +127,12 @@
     cases = []
     for endpoints in sizes:
         real, hollow = asyncio.run(_real(Script(endpoints))), _hollow(Script(endpoints))
-        cases.append(Case(endpoints, [len(real), len(hollow)], [sum(map(len, real)), sum(map(len, hollow))], real == hollow))
+        cases.append(
+            Case(
+                endpoints,
+                [len(real), len(hollow)],
+                [sum(map(len, real)), sum(map(len, hollow))],
+                real == hollow,
+            )
+        )
     return Agreement(cases, all(case.same for case in cases))
--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -12,7 +12,13 @@
 from ravenshelf.distribution.decisions.aggregation import Aggregator
 from ravenshelf.distribution.decisions.client import SubscriptionClient
 from ravenshelf.distribution.decisions.distributor import Distributor, DistributorLimits
-from ravenshelf.distribution.decisions.planner import ENDPOINT, LINE, ServicePlanner, service_topic, zone_topic
+from ravenshelf.distribution.decisions.planner import (
+    ENDPOINT,
+    LINE,
+    ServicePlanner,
+    service_topic,
+    zone_topic,
+)
 from ravenshelf.distribution.decisions.publication import Publication
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.messages import (
@@ -177,7 +183,10 @@
     for second in range(begin, begin + seconds):
         for zone in range(zones):
             local = [name for name in names if made.endpoints[name].zone == zone] or names[:2]
-            sums = {name: EndpointSums(100, chance.randint(0, 2), 100 * chance.randint(150_000, 250_000)) for name in local}
+            sums = {
+                name: EndpointSums(100, chance.randint(0, 2), 100 * chance.randint(150_000, 250_000))
+                for name in local
+            }
             made.report(
                 Report(
                     "service-1",
@@ -275,10 +284,24 @@
         runs,
     )
     yield measure(
-        "subscriber CPU of a delta", "pilot", "seconds", "lines changed", (1, 3, 10, 30), delta_cpu, "12 services", runs
+        "subscriber CPU of a delta",
+        "pilot",
+        "seconds",
+        "lines changed",
+        (1, 3, 10, 30),
+        delta_cpu,
+        "12 services",
+        runs,
     )
     yield measure(
-        "subscriber CPU of a heartbeat", "pilot", "seconds", "services called", (12, 48, 192, 768), heartbeat_cpu, "", runs
+        "subscriber CPU of a heartbeat",
+        "pilot",
+        "seconds",
+        "services called",
+        (12, 48, 192, 768),
+        heartbeat_cpu,
+        "",
+        runs,
     )
     yield measure(
         "relay CPU of a delta",
@@ -340,7 +363,9 @@
         "30 endpoints, demand and latency vary by a tenth and a quarter",
         runs,
     )
-    yield measure("report bytes", "collector", "bytes", "endpoints met", (3, 10, 30, 60), report_bytes, "", runs)
+    yield measure(
+        "report bytes", "collector", "bytes", "endpoints met", (3, 10, 30, 60), report_bytes, "", runs
+    )
     yield measure(
         "aggregation CPU",
         "collector",
--- a/benchmarks/scale/fits.py
+++ b/benchmarks/scale/fits.py
@@ -46,7 +46,10 @@
     """The line through the points by least squares."""
     mean_size, mean_value = sum(sizes) / len(sizes), sum(values) / len(values)
     spread = sum((size - mean_size) ** 2 for size in sizes)
-    slope = sum((size - mean_size) * (value - mean_value) for size, value in zip(sizes, values, strict=True)) / spread
+    slope = (
+        sum((size - mean_size) * (value - mean_value) for size, value in zip(sizes, values, strict=True))
+        / spread
+    )
     return Line(slope, mean_value - slope * mean_size)
 
 
@@ -80,7 +83,9 @@
     return summarize(name, role, unit, count, points, fixed)
 
 
-def summarize(name: str, role: str, unit: str, count: str, points: list[Point], fixed: str = "") -> Measurement:
+def summarize(
+    name: str, role: str, unit: str, count: str, points: list[Point], fixed: str = ""
+) -> Measurement:
     """The fits of points that were measured already."""
     sizes = [point.size for point in points]
     means = [sum(point.values) / len(point.values) for point in points]
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -23,7 +23,16 @@
 FAN_OUT = 128
 SERVICES_CALLED = 12
 SHARDS = 256
-DAY = ("start", "calm", "changes", "change_for_all", "zone_returns", "level_killed", "mass_restart", "region_parted")
+DAY = (
+    "start",
+    "calm",
+    "changes",
+    "change_for_all",
+    "zone_returns",
+    "level_killed",
+    "mass_restart",
+    "region_parted",
+)
 HOUR_OF_CHANGES = 13_000 // 24
 RESTARTS_A_MINUTE = 2_800 / 60
 LINES_REWRITTEN = 10
@@ -127,7 +136,11 @@
         return dict.fromkeys(services, self.world.events.now)
 
     def unstarted(self) -> int:
-        return sum(version == NEVER for pilot in self.world.pilots for version in pilot.client.held.versions().values())
+        return sum(
+            version == NEVER
+            for pilot in self.world.pilots
+            for version in pilot.client.held.versions().values()
+        )
 
     # --- parts ---
 
@@ -188,9 +201,16 @@
     def _rewrite(self, service: str, beat: int) -> None:
         names = [f"{service}-{n}" for n in range(self.world.size.endpoints)]
         back = EndpointEntry(0, True, 1.0, self.world.events.now)
-        self.world.configuration[service] = {**self.world.configuration[service], ENDPOINT + names[beat]: back}
+        self.world.configuration[service] = {
+            **self.world.configuration[service],
+            ENDPOINT + names[beat]: back,
+        }
         self.world.write_table(
-            service, {LINE + name: TableLine(round(self.chance.uniform(10, 100), 2)) for name in names[:LINES_REWRITTEN]}
+            service,
+            {
+                LINE + name: TableLine(round(self.chance.uniform(10, 100), 2))
+                for name in names[:LINES_REWRITTEN]
+            },
         )
 
     def level_killed(self) -> None:
@@ -228,7 +248,8 @@
         self.world.network.cut_off(region)
         self.world.run(8)
         services = [
-            self.chance.choice(self.world.services) for _ in range(max(5, HOUR_OF_CHANGES * self.fleet.pilots // PILOTS))
+            self.chance.choice(self.world.services)
+            for _ in range(max(5, HOUR_OF_CHANGES * self.fleet.pilots // PILOTS))
         ]
         for service in services:
             self.world.change(service, "hourly", str(self.chance.random()))
@@ -283,7 +304,10 @@
             checked=False,
         )
         world.run(20)
-        before = sum(pilot.bytes_in for pilot in world.pilots), sum(relay.bytes_out for relay in world.levels[-1])
+        before = (
+            sum(pilot.bytes_in for pilot in world.pilots),
+            sum(relay.bytes_out for relay in world.levels[-1]),
+        )
         for service in world.services:
             world.change(service)
             world.run(10 / services)
--- a/benchmarks/scale/pilots.py
+++ b/benchmarks/scale/pilots.py
@@ -30,7 +30,9 @@
         "discovery": "pushed",
         "weights": "rough",
         "tick-ms": 4.0,
-        "classes": [{"name": "read", "importance": 1, "objective-ms": 800, "deadline-ms": 3000, "idempotency": "pure"}],
+        "classes": [
+            {"name": "read", "importance": 1, "objective-ms": 800, "deadline-ms": 3000, "idempotency": "pure"}
+        ],
         "family-info": {
             "lines-per-s": 1_000_000,
             "most-waiting": 2_000_000,
@@ -63,7 +65,9 @@
             for n in range(endpoints)
         ]
         self.endpoints = [entry[0] for entry in entries]
-        addresses = {index: f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}:8080" for index in self.endpoints}
+        addresses = {
+            index: f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}:8080" for index in self.endpoints
+        }
         self.listing.take("replace", 1, entries, addresses)
         self.rounds.begin()
         for number in range(proxies):
@@ -112,7 +116,8 @@
     def change_list(self, count: int) -> None:
         """So many endpoints start again, as an update of the list tells it."""
         entries = [
-            (index, index % self.zones, 0, 0, "ready", 4.0, self.now) for index in self.chance.sample(self.endpoints, count)
+            (index, index % self.zones, 0, 0, "ready", 4.0, self.now)
+            for index in self.chance.sample(self.endpoints, count)
         ]
         self.rounds.hear("listed", self.listing.take("update", self.listing.rev + 1, entries, {}))
 
--- a/benchmarks/scale/sockets.py
+++ b/benchmarks/scale/sockets.py
@@ -57,7 +57,9 @@
         self.told: dict[str, int] = {}  # by topic: when it was changed
         self.delays: list[float] = []  # milliseconds from a change to a subscriber
         limits = DistributorLimits(64)
-        self.owner = OwnerService(self.loop, clock, "bench", "owner-0", 1, 8, self.content, {}, random.Random(1), limits)
+        self.owner = OwnerService(
+            self.loop, clock, "bench", "owner-0", 1, 8, self.content, {}, random.Random(1), limits
+        )
         self.subscribers: list[SubscriptionService] = []
 
     @staticmethod
@@ -85,7 +87,9 @@
         )
         for number in range(self.count):
             self.subscribers.append(self._subscriber(number, relay_at))
-        topics = [topic for service in self.services for topic in (service_topic(service), zone_topic(service, 0))]
+        topics = [
+            topic for service in self.services for topic in (service_topic(service), zone_topic(service, 0))
+        ]
         for subscriber in self.subscribers:
             subscriber.start(topics)
         async with asyncio.timeout(WAIT):
@@ -98,7 +102,14 @@
                 self.delays.append((clock() - self.told[topic.name]) / 1000)
 
         return SubscriptionService(
-            self.loop, clock, "bench", f"pilot-{number}", ["relay-0"], {"relay-0": relay_at}, random.Random(number), changed
+            self.loop,
+            clock,
+            "bench",
+            f"pilot-{number}",
+            ["relay-0"],
+            {"relay-0": relay_at},
+            random.Random(number),
+            changed,
         )
 
     async def play(self) -> tuple[float, float, float, float]:
@@ -140,7 +151,9 @@
     """Four figures of the same plays, by subscribers."""
     sizes, runs = (SHORT_SIZES, 1) if short else (SIZES, 3)
     played = [[uvloop.run(_stage(size)) for size in sizes] for _ in range(runs)]
-    fixed = f"{SERVICES} services each, tables of {TABLE_LINES} lines, a change each {CHANGE_EVERY * 1000:.0f} ms"
+    fixed = (
+        f"{SERVICES} services each, tables of {TABLE_LINES} lines, a change each {CHANGE_EVERY * 1000:.0f} ms"
+    )
     named = (
         ("relay on sockets, CPU of a delivered delta", "seconds"),
         ("relay on sockets, CPU of heartbeats", "core"),
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -2,6 +2,7 @@
 
 Records a second alone and in groups, time to open again with many entries, and bytes on disk.
 """
+
 import argparse
 import sqlite3
 import tempfile
@@ -36,7 +37,9 @@
 
     def append(self, changes: list) -> None:
         self.base.execute("BEGIN")
-        self.base.executemany("INSERT INTO state VALUES (?, ?) ON CONFLICT (key) DO UPDATE SET value = excluded.value", changes)
+        self.base.executemany(
+            "INSERT INTO state VALUES (?, ?) ON CONFLICT (key) DO UPDATE SET value = excluded.value", changes
+        )
         self.base.execute("COMMIT")
 
     def close(self) -> int:
@@ -58,23 +61,32 @@
         size = sum(p.stat().st_size for p in folder.iterdir())
         at = time.perf_counter()
         entries = kind(folder).close()
-        return {"records_a_second": round(count / took), "wait_ms_p50": round(quantile(waits, 0.5) * 1000, 3),
-                "wait_ms_p99": round(quantile(waits, 0.99) * 1000, 3), "open_ms": round((time.perf_counter() - at) * 1000, 1),
-                "entries": entries, "mb": round(size / 1e6, 2)}
+        return {
+            "records_a_second": round(count / took),
+            "wait_ms_p50": round(quantile(waits, 0.5) * 1000, 3),
+            "wait_ms_p99": round(quantile(waits, 0.99) * 1000, 3),
+            "open_ms": round((time.perf_counter() - at) * 1000, 1),
+            "entries": entries,
+            "mb": round(size / 1e6, 2),
+        }
 
 
 def main(short: bool) -> None:
     count = 4_000 if short else 100_000
     figures: dict = {}
     for group in (1, 64):
-        for turn in range(2):       # by turns in one run
+        for turn in range(2):  # by turns in one run
             for name, kind in (("ours", Ours), ("sqlite", Sqlite)):
                 found = measure(kind, group, count if group > 1 else count // 4, 20_000)
                 had = figures.get(f"{name}_{group}")
                 if had is None or found["records_a_second"] > had["records_a_second"]:
                     figures[f"{name}_{group}"] = found
-    ratio = {group: round(figures[f"ours_{group}"]["records_a_second"] / figures[f"sqlite_{group}"]["records_a_second"], 2)
-             for group in (1, 64)}
+    ratio = {
+        group: round(
+            figures[f"ours_{group}"]["records_a_second"] / figures[f"sqlite_{group}"]["records_a_second"], 2
+        )
+        for group in (1, 64)
+    }
     figures["ratio"] = ratio
     close("store", figures, "no slower than sqlite3 alone or in groups of 64", min(ratio.values()) >= 1)
 
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -4,6 +4,7 @@
 obey the highest term. Beside it the cost of what is on record before an order leaves: writes with a sync, in groups as
 the store makes them, against each alone.
 """
+
 import argparse
 import asyncio
 import signal
@@ -28,7 +29,9 @@
     else:
         installation.signal(name, signal.SIGSTOP)
     proxies = [installation.proxies[n] for n in had]
-    await installation.until(lambda: all(p.term > had[p.number] and p.whole_at > began for p in proxies), BOUND + 5)
+    await installation.until(
+        lambda: all(p.term > had[p.number] and p.whole_at > began for p in proxies), BOUND + 5
+    )
     took = [p.whole_at - began for p in proxies]
     refused = sum(p.refused for p in installation.proxies)
     if how == "kill":
@@ -41,7 +44,9 @@
 
 async def takeovers(controllers: int, proxies: int, losses: list[str]) -> dict:
     with tempfile.TemporaryDirectory() as folder:
-        installation = await Installation(Path(folder), controllers, proxies, lease_ms=int(LEASE * 1000)).start()
+        installation = await Installation(
+            Path(folder), controllers, proxies, lease_ms=int(LEASE * 1000)
+        ).start()
         try:
             share = proxies // controllers // 2
             first = await installation.until(lambda: installation.settled(share), 40)
@@ -52,9 +57,14 @@
                 took.setdefault(how, []).extend(lost["took"])
                 if n < len(losses) - 1:
                     await installation.until(lambda: installation.settled(share), 40)
-            return {"controllers": controllers, "proxies": proxies, "first_s": round(first, 2),
-                    **{how: quantiles(values) for how, values in took.items()},
-                    "losses": losses, "refused_of_older_terms": sum(p.refused for p in installation.proxies)}
+            return {
+                "controllers": controllers,
+                "proxies": proxies,
+                "first_s": round(first, 2),
+                **{how: quantiles(values) for how, values in took.items()},
+                "losses": losses,
+                "refused_of_older_terms": sum(p.refused for p in installation.proxies),
+            }
         finally:
             await installation.stop()
 
@@ -65,6 +75,7 @@
 
     from ravenshelf.store.committer import Committer
     from ravenshelf.store.journal import Journal
+
     out = {}
     body = b"x" * 400
     for name, together in (("alone", False), ("grouped", True)):
@@ -81,11 +92,12 @@
                         waits.append(time.perf_counter() - at)
                         if len(waits) == count:
                             done.set()
+
                     committer.commit([(n % 64, body)], answered)
 
                 for n in range(count):
                     commit(n)
-                    if n % 64 == 63:    # a turn's worth of orders at a time, as rounds bring them
+                    if n % 64 == 63:  # a turn's worth of orders at a time, as rounds bring them
                         while len(waits) < n - 128:
                             time.sleep(0.0002)
                 done.wait(30)
@@ -96,23 +108,41 @@
                     journal.append([(n % 64, body)])
                     waits.append(time.perf_counter() - at)
             took = time.perf_counter() - began
-            out[name] = {"records_a_second": round(len(waits) / took),
-                         "wait_ms_p50": round(quantile(waits, 0.5) * 1000, 3), "wait_ms_p99": round(quantile(waits, 0.99) * 1000, 3)}
+            out[name] = {
+                "records_a_second": round(len(waits) / took),
+                "wait_ms_p50": round(quantile(waits, 0.5) * 1000, 3),
+                "wait_ms_p99": round(quantile(waits, 0.99) * 1000, 3),
+            }
             journal.close()
     out["ratio"] = round(out["grouped"]["records_a_second"] / out["alone"]["records_a_second"], 2)
     return out
 
 
 async def main(short: bool) -> None:
-    plans = [(3, 500, ["kill", "pause"])] if short else [
-        (3, 500, ["kill", "pause"] * 5), (5, 500, ["kill", "pause"] * 5), (3, 2000, ["kill", "pause"] * 3),
-        (5, 2000, ["kill", "pause"] * 3)]
+    plans = (
+        [(3, 500, ["kill", "pause"])]
+        if short
+        else [
+            (3, 500, ["kill", "pause"] * 5),
+            (5, 500, ["kill", "pause"] * 5),
+            (3, 2000, ["kill", "pause"] * 3),
+            (5, 2000, ["kill", "pause"] * 3),
+        ]
+    )
     runs = [await takeovers(*plan) for plan in plans]
     figures = {"runs": runs, "lease_s": LEASE, "record": record_cost(4000 if short else 40_000)}
-    held = all(run["kill"]["p99"] <= AIM_KILL and run["pause"]["p99"] <= AIM_KILL + LEASE
-               and max(run["kill"]["max"], run["pause"]["max"]) <= BOUND for run in runs)
-    close("takeover", figures, f"last proxies of a kill within {AIM_KILL} s at p99, of a pause one lease later; none over "
-          f"{BOUND} s", held)
+    held = all(
+        run["kill"]["p99"] <= AIM_KILL
+        and run["pause"]["p99"] <= AIM_KILL + LEASE
+        and max(run["kill"]["max"], run["pause"]["max"]) <= BOUND
+        for run in runs
+    )
+    close(
+        "takeover",
+        figures,
+        f"last proxies of a kill within {AIM_KILL} s at p99, of a pause one lease later; none over {BOUND} s",
+        held,
+    )
 
 
 if __name__ == "__main__":
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -5,6 +5,7 @@
     python -m ravenshelf serve --config examples/config.json
 
 Every 20 s one endpoint is drained, removed, and comes back; one endpoint is slow. Ctrl-C ends it, and the pilot."""
+
 import argparse
 import asyncio
 import contextlib
@@ -19,7 +20,7 @@
 from standins.world import Collector, Discovery, Proxy, endpoint, entry
 
 NAMES = [f"s-{n}" for n in range(4)]
-TIMES = {"s-0": 0.02, "s-1": 0.08, "s-2": 0.02, "s-3": 0.02}      # seconds that an endpoint takes to answer
+TIMES = {"s-0": 0.02, "s-1": 0.08, "s-2": 0.02, "s-3": 0.02}  # seconds that an endpoint takes to answer
 ROOT = Path(__file__).resolve().parent.parent
 
 
@@ -28,15 +29,25 @@
         self.pilot, self.first_port, self.troubles_every = pilot, first_port, troubles_every
         self.met: dict[str, list] = {}
         self.flows = 0
-        self.proxy = Proxy(lambda: self.pilot, 0, "north", heard=lambda proxy, line: print("<-", line.strip()[:150]))
+        self.proxy = Proxy(
+            lambda: self.pilot, 0, "north", heard=lambda proxy, line: print("<-", line.strip()[:150])
+        )
         self.collector = Collector(lambda: self.pilot, "north", self.sums)
 
     async def start(self, discovery_port: int) -> None:
-        servers = [await endpoint(lambda uid=uid: random.expovariate(1 / TIMES[uid]), self.first_port and self.first_port + n)
-                   for n, uid in enumerate(NAMES)]
+        servers = [
+            await endpoint(
+                lambda uid=uid: random.expovariate(1 / TIMES[uid]), self.first_port and self.first_port + n
+            )
+            for n, uid in enumerate(NAMES)
+        ]
         ports = [server.sockets[0].getsockname()[1] for server in servers]
-        self.discovery = await Discovery([entry(uid, "north" if n < 2 else "south", port)
-                                          for n, (uid, port) in enumerate(zip(NAMES, ports))]).start(discovery_port)
+        self.discovery = await Discovery(
+            [
+                entry(uid, "north" if n < 2 else "south", port)
+                for n, (uid, port) in enumerate(zip(NAMES, ports))
+            ]
+        ).start(discovery_port)
 
     async def run(self) -> None:
         await asyncio.gather(self.troubles(), self.proxy.run(), self.send_flows(), self.collector.run())
@@ -92,8 +103,17 @@
         json.dump(said, file)
         file.flush()
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "ravenshelf", "serve", "--config", file.name, *extra, cwd=ROOT,
-            stderr=asyncio.subprocess.PIPE, start_new_session=True)     # Ctrl-C is for us; we end it in good order
+            sys.executable,
+            "-m",
+            "ravenshelf",
+            "serve",
+            "--config",
+            file.name,
+            *extra,
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            start_new_session=True,
+        )  # Ctrl-C is for us; we end it in good order
         where: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
         async def log() -> None:
@@ -138,5 +158,11 @@
     said.add_argument("--troubles-every", type=float, default=20, help="seconds between drains")
     said.add_argument("--operator", help="the pilot's operator file")
     options = said.parse_args()
-    asyncio.run(main(options.with_pilot, options.seconds, options.troubles_every,
-                     ["--operator", options.operator] if options.operator else []))
+    asyncio.run(
+        main(
+            options.with_pilot,
+            options.seconds,
+            options.troubles_every,
+            ["--operator", options.operator] if options.operator else [],
+        )
+    )
--- a/ravenshelf/__main__.py
+++ b/ravenshelf/__main__.py
@@ -1,4 +1,5 @@
 """ravenshelf: `serve` starts at once, without the libraries of the command line; all else is in `commands`."""
+
 import os
 import signal
 import sys
@@ -10,6 +11,7 @@
         signal.signal(number, lambda *_: os._exit(0))
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from ravenshelf.process import serving
+
     return serving.main(arguments)
 
 
@@ -17,6 +19,7 @@
     if sys.argv[1:2] == ["serve"]:
         sys.exit(serve(sys.argv[2:]))
     from ravenshelf.commands import app
+
     app()
 
 
--- a/ravenshelf/background/decisions.py
+++ b/ravenshelf/background/decisions.py
@@ -2,19 +2,21 @@
 
 Table lines are no job: whoever runs these asks first whether a round is due. Times are microseconds.
 """
+
 from dataclasses import dataclass
 from typing import Any
 
-SIGNAL, PRESENT, BACKFILL, UPKEEP = range(4)    # priorities, the most urgent first
+SIGNAL, PRESENT, BACKFILL, UPKEEP = range(4)  # priorities, the most urgent first
 PRIORITIES = ("signal", "present", "backfill", "upkeep")
 SECOND = 1_000_000
-LEARNT = 0.2            # part of a new slice in what a job's slices are believed to take
-LEAST_PART = 0.5        # of a turn must be in the budget before a turn begins: many short ones cost more
+LEARNT = 0.2  # part of a new slice in what a job's slices are believed to take
+LEAST_PART = 0.5  # of a turn must be in the budget before a turn begins: many short ones cost more
 
 
 @dataclass(slots=True, eq=False)
 class Job:
     """`work` is the scheduler's; a perishable job is of no use after its deadline."""
+
     name: str
     priority: int
     deadline: int
@@ -31,7 +33,7 @@
     def __init__(self, most: int, turn: int, a_second: int, ageing: int):
         self.most, self.turn, self.a_second, self.ageing = most, turn, a_second, ageing
         self.jobs: list[Job] = []
-        self.slice: dict[str, float] = {}       # by name: what a slice is believed to take
+        self.slice: dict[str, float] = {}  # by name: what a slice is believed to take
         self.left, self.at, self.number = float(turn), None, 0
 
     def __len__(self) -> int:
@@ -41,8 +43,10 @@
 
     def _refill(self, now: int) -> None:
         if self.at is not None and now > self.at:
-            self.left = min(float(max(self.turn, self.a_second // 4)),
-                            self.left + self.a_second * (now - self.at) / SECOND)
+            self.left = min(
+                float(max(self.turn, self.a_second // 4)),
+                self.left + self.a_second * (now - self.at) / SECOND,
+            )
         self.at = now if self.at is None else max(now, self.at)
 
     def allowed(self, now: int) -> int:
--- a/ravenshelf/background/scheduler.py
+++ b/ravenshelf/background/scheduler.py
@@ -1,4 +1,5 @@
 """Gives background jobs their turns on the loop, slice by slice, behind the rounds of table lines."""
+
 import time
 from typing import Callable, Iterator
 
@@ -6,19 +7,32 @@
 from ravenshelf.background.decisions import PRIORITIES, Agenda, Job
 from ravenshelf.memory.counters import Counters
 
-AFTER_ROUND = 500       # a turn that gave way to a round looks again so much later
+AFTER_ROUND = 500  # a turn that gave way to a round looks again so much later
 
 
 class Background:
     """`wake(at)` has `turn` called then; `round_due()` says whether table lines wait."""
 
-    def __init__(self, agenda: Agenda, clock: Callable[[], int], wake: Callable[[int], None],
-                 round_due: Callable[[], bool], counters: Counters):
+    def __init__(
+        self,
+        agenda: Agenda,
+        clock: Callable[[], int],
+        wake: Callable[[int], None],
+        round_due: Callable[[], bool],
+        counters: Counters,
+    ):
         self.agenda, self.clock, self.wake, self.round_due = agenda, clock, wake, round_due
         self.counters = counters
 
-    def offer(self, name: str, priority: int, within: int, slices: Iterator[None],
-              dropped: Callable[[], None] | None = None, perishable: bool = False) -> None:
+    def offer(
+        self,
+        name: str,
+        priority: int,
+        within: int,
+        slices: Iterator[None],
+        dropped: Callable[[], None] | None = None,
+        perishable: bool = False,
+    ) -> None:
         """`slices` is run to its end, a step at a time; `dropped` is told where it never will be."""
         now = self.clock()
         for job in self.agenda.offer(Job(name, priority, now + within, (slices, dropped), perishable), now):
@@ -62,7 +76,7 @@
             next(job.work[0])
         except StopIteration:
             done = True
-        except Exception as why:        # one job that fails must not end the others
+        except Exception as why:  # one job that fails must not end the others
             done = True
             self.counters["background_failed"] += 1
             events.BACKGROUND_FAILED.raised(why, job=job.name)
--- a/ravenshelf/collectd/decisions.py
+++ b/ravenshelf/collectd/decisions.py
@@ -18,6 +18,7 @@
 
 Memory: at most `most_series` a host, and only for hosts that are listed. Times are microseconds.
 """
+
 from collections import OrderedDict
 from dataclasses import dataclass, field
 from typing import Callable, Iterable, Sequence
@@ -26,13 +27,13 @@
 from ravenshelf.collectd.wire import ABSOLUTE, DERIVE, GAUGE, ValueList
 
 SECOND = 1_000_000
-JUMP, JUMPS = 30 * SECOND, 3        # so much older than its offset allows, so often in a row: the clock was set
-OFFSET_SPAN = 300 * SECOND          # over which the least is taken: clocks drift
-GAP = 3                             # intervals
-USUAL_INTERVAL = 10 * SECOND        # where the sender tells none
-FRESH = 2.5                         # intervals for which a processor's state counts as present
-REPLAYED, MOST_SEEN = 600 * SECOND, 65536      # packets of known users are taken once within this time
-VOUCHED_SKEW = 600 * SECOND         # a vouched packet from further off is an old one, not a clock that is off
+JUMP, JUMPS = 30 * SECOND, 3  # so much older than its offset allows, so often in a row: the clock was set
+OFFSET_SPAN = 300 * SECOND  # over which the least is taken: clocks drift
+GAP = 3  # intervals
+USUAL_INTERVAL = 10 * SECOND  # where the sender tells none
+FRESH = 2.5  # intervals for which a processor's state counts as present
+REPLAYED, MOST_SEEN = 600 * SECOND, 65536  # packets of known users are taken once within this time
+VOUCHED_SKEW = 600 * SECOND  # a vouched packet from further off is an old one, not a clock that is off
 IDLE_STATES = ("idle", "wait")
 
 
@@ -57,9 +58,9 @@
 
     def __init__(self):
         self.offset: int | None = None
-        self.recent: int | None = None      # the least of the present span, which becomes the offset at its end
+        self.recent: int | None = None  # the least of the present span, which becomes the offset at its end
         self.until, self.jumps = 0, 0
-        self.told = 0               # the offset that was last told of
+        self.told = 0  # the offset that was last told of
 
     def age(self, came: int, said: int) -> int:
         """Microseconds since it was read, at least; never under 0."""
@@ -86,6 +87,7 @@
 @dataclass(slots=True)
 class Series:
     """The newest value of one source and its time."""
+
     time: int
     value: float
 
@@ -115,14 +117,17 @@
 @dataclass(slots=True)
 class Machine:
     """What is known of one listed host."""
+
     clock: HostClock = field(default_factory=HostClock)
     series: dict[tuple, Series] = field(default_factory=dict)
-    states: dict[tuple[str, str], tuple[int, float]] = field(default_factory=dict)   # (processor, state): time, rate
+    states: dict[tuple[str, str], tuple[int, float]] = field(
+        default_factory=dict
+    )  # (processor, state): time, rate
     percents: dict[tuple[str, str], tuple[int, float]] = field(default_factory=dict)
-    load: tuple[int, float] | None = None       # time, runnable processes
-    newest: int = 0         # by its own clock
-    came: int = 0           # when the newest came, less its age: when it was read, by ours
-    told: int = 0           # newest when a signal was last given
+    load: tuple[int, float] | None = None  # time, runnable processes
+    newest: int = 0  # by its own clock
+    came: int = 0  # when the newest came, less its age: when it was read, by ours
+    told: int = 0  # newest when a signal was last given
     interval: int = USUAL_INTERVAL
 
     def busy(self) -> float | None:
@@ -149,8 +154,13 @@
 
     `endpoints(host)` gives the listed endpoints on a host, none for a stranger. `counts` is any mapping of counters."""
 
-    def __init__(self, endpoints: Callable[[str], Sequence[int]], types: dict[str, tuple[Source, ...]],
-                 counts, most_series: int = 4096):
+    def __init__(
+        self,
+        endpoints: Callable[[str], Sequence[int]],
+        types: dict[str, tuple[Source, ...]],
+        counts,
+        most_series: int = 4096,
+    ):
         self.endpoints, self.types, self.counts, self.most_series = endpoints, types, counts, most_series
         self.machines: dict[str, Machine] = {}
 
@@ -164,7 +174,9 @@
                 self.counts["collectd_not_of_type"] += 1
                 continue
             if vouched and abs(now - one.time) > VOUCHED_SKEW:
-                self.counts["collectd_too_old"] += 1    # a user's packet of long ago, sent by someone who kept it
+                self.counts["collectd_too_old"] += (
+                    1  # a user's packet of long ago, sent by someone who kept it
+                )
                 continue
             self._take(now, one, sources)
 
@@ -177,9 +189,15 @@
             return
         used = False
         for (name, _, least, most), (kind, value) in zip(sources, one.values):
-            rate = self._rate(machine, (one.plugin, one.plugin_instance, one.type, one.type_instance, name), kind,
-                              value, one.time, interval)
-            if rate is None or not least <= rate <= most:       # also what is not a number
+            rate = self._rate(
+                machine,
+                (one.plugin, one.plugin_instance, one.type, one.type_instance, name),
+                kind,
+                value,
+                one.time,
+                interval,
+            )
+            if rate is None or not least <= rate <= most:  # also what is not a number
                 continue
             used = self._use(machine, one, name, rate) or used
         if used:
@@ -187,11 +205,13 @@
             if one.time > machine.newest:
                 machine.newest, machine.came, machine.interval = one.time, now - age, interval
 
-    def _rate(self, machine: Machine, key: tuple, kind: int, value: float, time: int, interval: int) -> float | None:
+    def _rate(
+        self, machine: Machine, key: tuple, kind: int, value: float, time: int, interval: int
+    ) -> float | None:
         series = machine.series.get(key)
         if series is not None:
             if time <= series.time:
-                if time < series.time - 2 * JUMP and machine.clock.jumps == 0:      # its clock was set back
+                if time < series.time - 2 * JUMP and machine.clock.jumps == 0:  # its clock was set back
                     series.time, series.value = time, value
                     machine.newest = machine.told = 0
                 else:
--- a/ravenshelf/collectd/listener.py
+++ b/ravenshelf/collectd/listener.py
@@ -1,4 +1,5 @@
 """Takes collectd's datagrams, and has them decoded by background work: a flood costs a bounded queue, no table line."""
+
 import asyncio
 from collections import deque
 from typing import Callable, Iterator
@@ -14,15 +15,23 @@
 from ravenshelf.collectd.wire import MOST_PACKET, Refused
 from ravenshelf.memory.counters import Counters
 
-MOST_WAITING = 1024         # packets; beyond it the newest are dropped: what waits is the older half of one read
-A_SLICE = 8                 # packets
+MOST_WAITING = 1024  # packets; beyond it the newest are dropped: what waits is the older half of one read
+A_SLICE = 8  # packets
 WITHIN = 500_000
-SAID_EVERY = 10_000_000     # refusals of one reason
+SAID_EVERY = 10_000_000  # refusals of one reason
 
 
 class Listener(asyncio.DatagramProtocol):
-    def __init__(self, table, users: Users, signals: Signals, background: Background, counters: Counters,
-                 clock: Callable[[], int], news: Callable[[str, tuple], None]):
+    def __init__(
+        self,
+        table,
+        users: Users,
+        signals: Signals,
+        background: Background,
+        counters: Counters,
+        clock: Callable[[], int],
+        news: Callable[[str, tuple], None],
+    ):
         self.table, self.users, self.signals, self.background = table, users, signals, background
         self.counters, self.clock, self.news = counters, clock, news
         self.replays = Replays()
@@ -42,7 +51,9 @@
         self.waiting.append((self.clock(), sender[0], data))
         if not self.queued:
             self.queued = True
-            self.background.offer("collectd.decode", SIGNAL, WITHIN, self._decode(), dropped=self._not_decoded)
+            self.background.offer(
+                "collectd.decode", SIGNAL, WITHIN, self._decode(), dropped=self._not_decoded
+            )
 
     def error_received(self, why: Exception) -> None:
         pass
@@ -65,7 +76,9 @@
     def take(self, came: int, sender: str, data: bytes) -> None:
         """One packet: opened, decoded, its values told to the decisions."""
         try:
-            body, vouched = wire.opened(data, lambda user: self.users.passwords(user, came), self.table.security)
+            body, vouched = wire.opened(
+                data, lambda user: self.users.passwords(user, came), self.table.security
+            )
             if vouched and self.replays.again(xxhash.xxh64_intdigest(data), came):
                 raise Refused("replayed", "a packet that was taken before")
             lists = wire.value_lists(body, lambda host, plugin: plugin in self.plugins)
--- a/ravenshelf/collectd/types.py
+++ b/ravenshelf/collectd/types.py
@@ -1,4 +1,5 @@
 """types.db: what values a type has, of which kind, and between what bounds. Parsing is pure."""
+
 from ravenshelf.collectd.wire import KINDS
 
 # what the signal is made of; an installation with types of its own names its file in the operator file
@@ -13,7 +14,7 @@
     """A line of types.db that is none; the text names line, what was found, what was expected."""
 
 
-Source = tuple[str, int, float, float]      # name, kind, least, most
+Source = tuple[str, int, float, float]  # name, kind, least, most
 
 
 def read(text: str, file: str = "types.db") -> dict[str, tuple[Source, ...]]:
@@ -34,8 +35,14 @@
     words = part.split(":")
     try:
         name, kind, least, most = words
-        return (name, KINDS.index(kind.upper()), -float("inf") if least == "U" else float(least),
-                float("inf") if most == "U" else float(most))
+        return (
+            name,
+            KINDS.index(kind.upper()),
+            -float("inf") if least == "U" else float(least),
+            float("inf") if most == "U" else float(most),
+        )
     except ValueError:
-        raise Wrong(f"{file}:{number}: expected name:KIND:least:most with a KIND of {', '.join(KINDS)} and U for "
-                    f"no bound, not {part[:60]!r}") from None
+        raise Wrong(
+            f"{file}:{number}: expected name:KIND:least:most with a KIND of {', '.join(KINDS)} and U for "
+            f"no bound, not {part[:60]!r}"
+        ) from None
--- a/ravenshelf/collectd/users.py
+++ b/ravenshelf/collectd/users.py
@@ -1,5 +1,6 @@
 """Users of collectd and their passwords: `user: password` a line, as collectd's own file has it. Pure but for `load`."""
-OVERLAP = 60_000_000        # a password that was changed is taken so long beside the new one
+
+OVERLAP = 60_000_000  # a password that was changed is taken so long beside the new one
 
 
 class Wrong(Exception):
@@ -14,7 +15,9 @@
         name, colon, password = line.partition(":")
         name, password = name.strip(), password.strip()
         if not colon or not name or not password:
-            raise Wrong(f"{file}:{number}: expected `user: password`, found {'no colon' if not colon else 'half of it'}")
+            raise Wrong(
+                f"{file}:{number}: expected `user: password`, found {'no colon' if not colon else 'half of it'}"
+            )
         if name in out:
             raise Wrong(f"{file}:{number}: expected each user once, found {name!r} again")
         out[name] = password.encode()
@@ -35,7 +38,7 @@
     """Who is known now. A change of a password in service refuses nobody who has yet to learn of it."""
 
     def __init__(self, known: dict[str, bytes]):
-        self.known, self.former = known, {}     # former: user -> (password, until)
+        self.known, self.former = known, {}  # former: user -> (password, until)
 
     def renew(self, known: dict[str, bytes], now: int) -> None:
         """A user who is gone is gone at once: that is how one is shut out."""
--- a/ravenshelf/collectd/wire.py
+++ b/ravenshelf/collectd/wire.py
@@ -5,6 +5,7 @@
 encrypted one is a single part. It is taken whole or not at all: where a length is wrong, nothing after it is sure,
 and what stood before may be of a packet that someone cut.
 """
+
 import hashlib
 import hmac
 import struct
@@ -12,14 +13,21 @@
 from typing import Callable, Iterable, Sequence
 
 HOST, TIME, PLUGIN, PLUGIN_INSTANCE, TYPE, TYPE_INSTANCE, VALUES, INTERVAL = range(8)
-TIME_HR, INTERVAL_HR, MESSAGE, SEVERITY, SIGNATURE, ENCRYPTION = 0x0008, 0x0009, 0x0100, 0x0101, 0x0200, 0x0210
+TIME_HR, INTERVAL_HR, MESSAGE, SEVERITY, SIGNATURE, ENCRYPTION = (
+    0x0008,
+    0x0009,
+    0x0100,
+    0x0101,
+    0x0200,
+    0x0210,
+)
 COUNTER, GAUGE, DERIVE, ABSOLUTE = range(4)
 KINDS = ("COUNTER", "GAUGE", "DERIVE", "ABSOLUTE")
 WORDS = {HOST: 0, PLUGIN: 1, PLUGIN_INSTANCE: 2, TYPE: 3, TYPE_INSTANCE: 4}
 MOST_PACKET, MOST_WORD, MOST_VALUES = 65535, 128, 64
 SECURITY = ("none", "sign", "encrypt")
 PART, U64, I64, DOUBLE = struct.Struct("!HH"), struct.Struct("!Q"), struct.Struct("!q"), struct.Struct("<d")
-_FORMS = (U64, DOUBLE, I64, U64)    # of a value by kind; gauges alone are little-endian
+_FORMS = (U64, DOUBLE, I64, U64)  # of a value by kind; gauges alone are little-endian
 
 
 class Refused(Exception):
@@ -33,6 +41,7 @@
 @dataclass(slots=True)
 class ValueList:
     """Values read at one moment by one plugin; `time` and `interval` in microseconds by the sender's clock."""
+
     host: str
     plugin: str
     plugin_instance: str
@@ -40,7 +49,7 @@
     type_instance: str
     time: int
     interval: int
-    values: tuple[tuple[int, float], ...]       # (kind, value)
+    values: tuple[tuple[int, float], ...]  # (kind, value)
 
 
 def high_resolution(ticks: int) -> int:
@@ -55,14 +64,18 @@
             raise Refused("malformed", f"{len(data) - at} octets at {at}, a part's head has {PART.size}")
         kind, size = PART.unpack_from(data, at)
         if size < PART.size or at + size > len(data):
-            raise Refused("malformed", f"part {kind:#06x} at {at} says {size} octets, {len(data) - at} are left")
-        yield kind, data[at + PART.size:at + size]
+            raise Refused(
+                "malformed", f"part {kind:#06x} at {at} says {size} octets, {len(data) - at} are left"
+            )
+        yield kind, data[at + PART.size : at + size]
         at += size
 
 
 def _word(kind: int, body: bytes) -> str:
     if not body or body[-1] or 0 in body[:-1] or len(body) > MOST_WORD:
-        raise Refused("malformed", f"part {kind:#06x}: expected up to {MOST_WORD - 1} octets and one that is 0")
+        raise Refused(
+            "malformed", f"part {kind:#06x}: expected up to {MOST_WORD - 1} octets and one that is 0"
+        )
     try:
         return body[:-1].decode("utf-8")
     except UnicodeDecodeError:
@@ -79,13 +92,15 @@
     count = int.from_bytes(body[:2], "big")
     if len(body) != 2 + 9 * count or not 0 < count <= MOST_VALUES:
         raise Refused("malformed", f"{len(body)} octets of {count} values")
-    kinds = body[2:2 + count]
+    kinds = body[2 : 2 + count]
     if max(kinds) > ABSOLUTE:
         raise Refused("malformed", f"a value of kind {max(kinds)}")
     return tuple((kind, _FORMS[kind].unpack_from(body, 2 + count + 8 * n)[0]) for n, kind in enumerate(kinds))
 
 
-def value_lists(data: bytes, wanted: Callable[[str, str], bool] = lambda host, plugin: True) -> list[ValueList]:
+def value_lists(
+    data: bytes, wanted: Callable[[str, str], bool] = lambda host, plugin: True
+) -> list[ValueList]:
     """The value lists of a packet that is open; those that are not wanted are read past."""
     words, time, interval, out = ["", "", "", "", ""], 0, 0, []
     for kind, body in parts(data):
@@ -123,16 +138,16 @@
     if kind == ENCRYPTION:
         if size != len(data):
             raise Refused("malformed", f"an encrypted part of {size} octets in a packet of {len(data)}")
-        return _decrypted(data[PART.size:], passwords), True
+        return _decrypted(data[PART.size :], passwords), True
     if least == "encrypt":
         raise Refused("unencrypted", "expected an encrypted packet")
     if kind == SIGNATURE:
         if not PART.size + 32 < size <= len(data):
             raise Refused("malformed", f"a signature of {size} octets in a packet of {len(data)}")
-        said, user = data[PART.size:PART.size + 32], data[PART.size + 32:size]
-        covered = data[PART.size + 32:]
+        said, user = data[PART.size : PART.size + 32], data[PART.size + 32 : size]
+        covered = data[PART.size + 32 :]
         known = _known(user, passwords)
-        if not known and least == "none":       # as the description has it: who keeps no users takes all alike
+        if not known and least == "none":  # as the description has it: who keeps no users takes all alike
             return data[size:], False
         if not any(hmac.compare_digest(hmac.digest(word, covered, "sha256"), said) for word in known):
             raise Refused("wrong signature" if known else "unknown user", f"user {user[:40]!r}")
@@ -152,6 +167,7 @@
 def cipher(password: bytes, start: bytes):
     """AES-256 in output feedback, keyed by the password's SHA-256; loaded only where a packet is encrypted."""
     from cryptography.hazmat.primitives.ciphers import Cipher, algorithms
+
     try:
         from cryptography.hazmat.decrepit.ciphers.modes import OFB
     except ImportError:
@@ -163,7 +179,7 @@
     size = int.from_bytes(body[:2], "big")
     if len(body) < 2 + size + 16 + 20:
         raise Refused("malformed", f"an encrypted part of {len(body)} octets with a name of {size}")
-    user, start, sealed = body[2:2 + size], body[2 + size:18 + size], body[18 + size:]
+    user, start, sealed = body[2 : 2 + size], body[2 + size : 18 + size], body[18 + size :]
     known = _known(user, passwords)
     for word in known:
         plain = cipher(word, start).decryptor().update(sealed)
--- a/ravenshelf/commands.py
+++ b/ravenshelf/commands.py
@@ -1,4 +1,5 @@
 """The command line: check, figures, events, settings, controllers, store, version; serve is in process/serving.py."""
+
 import json
 from pathlib import Path
 from typing import Annotated, Optional
@@ -8,8 +9,12 @@
 from ravenshelf import __version__
 from ravenshelf.process import configuration, serving
 
-app = typer.Typer(help="ravenshelf tells forwarders where work goes.", no_args_is_help=True, add_completion=False)
-Config = Annotated[Optional[Path], typer.Option("--config", "-c", help="The configuration; else RELAY_CONFIG names it.")]
+app = typer.Typer(
+    help="ravenshelf tells forwarders where work goes.", no_args_is_help=True, add_completion=False
+)
+Config = Annotated[
+    Optional[Path], typer.Option("--config", "-c", help="The configuration; else RELAY_CONFIG names it.")
+]
 OperatorFile = Annotated[Optional[Path], typer.Option("--operator", "-o", help="The operator file (TOML).")]
 Form = Annotated[str, typer.Option("--form", help="table, markdown or json.")]
 
@@ -30,13 +35,16 @@
     if file is None:
         return None
     from ravenshelf.operating import reading
+
     try:
         return reading.read(file)
     except reading.Wrong as why:
         raise refuse(why) from None
 
 
-@app.command(add_help_option=False, context_settings={"ignore_unknown_options": True, "allow_extra_args": True})
+@app.command(
+    add_help_option=False, context_settings={"ignore_unknown_options": True, "allow_extra_args": True}
+)
 def serve(context: typer.Context):
     """Run one pilot until SIGTERM; `serve --help` lists its options."""
     raise typer.Exit(serving.main(context.args))
@@ -46,7 +54,7 @@
 def check(config: Config = None, operator: OperatorFile = None):
     """Check a configuration, and an operator file with it, and say what they hold."""
     wrong, said, tables = 0, None, None
-    try:        # what is wrong with both is told at once
+    try:  # what is wrong with both is told at once
         said = read(config)
     except typer.Exit:
         wrong = 2
@@ -59,11 +67,13 @@
     print(configuration.summary(said))
     if tables is not None:
         from ravenshelf.operating.reading import summary
+
         print(summary(tables))
 
 
 def show(headings, rows, form: str, title: str) -> None:
     from ravenshelf import printing
+
     if form not in printing.FORMS:
         raise typer.BadParameter(f"expected one of {', '.join(printing.FORMS)}", param_hint="--form")
     printing.show(headings, rows, form, title)
@@ -73,6 +83,7 @@
 def figures(form: Form = "table"):
     """Every figure that is sent to Graphite."""
     from ravenshelf.graphite.figures import rows
+
     show(("path", "unit", "importance", "source", "meaning", "formed"), rows(), form, "Below PREFIX.PILOT")
 
 
@@ -80,7 +91,11 @@
 def events(form: Form = "table"):
     """Every event of the log."""
     from ravenshelf.events import CATALOGUE
-    rows = [(e.name, e.level, e.meaning, "; ".join(f"{n}: {u}" for n, u in e.fields.items())) for e in CATALOGUE.values()]
+
+    rows = [
+        (e.name, e.level, e.meaning, "; ".join(f"{n}: {u}" for n, u in e.fields.items()))
+        for e in CATALOGUE.values()
+    ]
     show(("event", "level", "meaning", "fields"), rows, form, "Events")
 
 
@@ -88,17 +103,23 @@
 def settings(form: Form = "table"):
     """Every key of the operator file."""
     from ravenshelf.operating.reading import rows
+
     show(("table", "key", "default", "expected"), rows(), form, "The operator file")
 
 
-controllers = typer.Typer(help="Controllers that share a fleet: what one of them says and does.", no_args_is_help=True)
+controllers = typer.Typer(
+    help="Controllers that share a fleet: what one of them says and does.", no_args_is_help=True
+)
 app.add_typer(controllers, name="controllers")
-Admin = Annotated[Path, typer.Option("--admin", "-a", help="The Unix socket: admin in [leadership] or [distribution].")]
+Admin = Annotated[
+    Path, typer.Option("--admin", "-a", help="The Unix socket: admin in [leadership] or [distribution].")
+]
 AsJson = Annotated[bool, typer.Option("--json", help="One JSON object instead of a table.")]
 
 
 def asked(admin: Path, question: dict) -> dict:
     from ravenshelf.leadership.admin import ask
+
     try:
         told = ask(str(admin), question)
     except (OSError, ValueError) as why:
@@ -112,18 +133,27 @@
 def status(admin: Admin, as_json: AsJson = False):
     """Members, and the shards that this controller owns or asks for."""
     from ravenshelf import printing
+
     said = asked(admin, {"ask": "status"})["status"]
     if as_json:
         print(json.dumps(said, indent=1))
         return
     words = [word for word in ("recovering", "alone", "draining") if said[word]]
-    print(f"{said['name']} of {said['cluster']}, incarnation {said['incarnation']}"
-          f"{', ' + ', '.join(words) if words else ''}: {said['proxies']} proxies with a stream, "
-          f"{said['held_orders']} orders held, loop late by {said['late_ms']} ms")
-    printing.show(("member", "met", "incarnation", "weight", "shards"),
-                  [tuple(m.values()) for m in said["members"]], title="Members")
-    printing.show(("shard", "state", "term", "record", "lease ms", "proxies"),
-                  [tuple(s.values()) for s in said["shards"]], title="Shards")
+    print(
+        f"{said['name']} of {said['cluster']}, incarnation {said['incarnation']}"
+        f"{', ' + ', '.join(words) if words else ''}: {said['proxies']} proxies with a stream, "
+        f"{said['held_orders']} orders held, loop late by {said['late_ms']} ms"
+    )
+    printing.show(
+        ("member", "met", "incarnation", "weight", "shards"),
+        [tuple(m.values()) for m in said["members"]],
+        title="Members",
+    )
+    printing.show(
+        ("shard", "state", "term", "record", "lease ms", "proxies"),
+        [tuple(s.values()) for s in said["shards"]],
+        title="Shards",
+    )
 
 
 @controllers.command()
@@ -134,8 +164,11 @@
 
 
 @controllers.command()
-def handover(admin: Admin, to: Annotated[Optional[str], typer.Option(help="Who is to have them first.")] = None,
-             shard: Annotated[Optional[list[int]], typer.Option(help="Which; without it all.")] = None):
+def handover(
+    admin: Admin,
+    to: Annotated[Optional[str], typer.Option(help="Who is to have them first.")] = None,
+    shard: Annotated[Optional[list[int]], typer.Option(help="Which; without it all.")] = None,
+):
     """Give shards up at once, all or some."""
     given = asked(admin, {"ask": "handover", "to": to, "shards": shard or None})["given"]
     print(f"gave up {len(given)} shards{f': {given}' if given else ''}")
@@ -150,19 +183,29 @@
     """Run one relay, as [distribution] of the operator file says, until SIGTERM."""
     tables = read_operator(operator)
     if tables is None or not tables.distribution.listen:
-        raise refuse(f"{operator or '--operator'}: [distribution] listen: found nothing, expected host:port for subscribers")
+        raise refuse(
+            f"{operator or '--operator'}: [distribution] listen: found nothing, expected host:port for subscribers"
+        )
     from ravenshelf.process import relay
+
     raise typer.Exit(relay.run(tables, level.upper()))
 
 
 @distribution.command("controller")
-def run_controller(config: Config = None, operator: OperatorFile = None, level: Annotated[str, typer.Option("--log-level")] = "INFO"):
+def run_controller(
+    config: Config = None,
+    operator: OperatorFile = None,
+    level: Annotated[str, typer.Option("--log-level")] = "INFO",
+):
     """Run one controller, as [distribution] and [leadership] of the operator file say, until SIGTERM."""
     said, tables = read(config), read_operator(operator)
     if tables is None or not tables.distribution.services:
-        raise refuse(f"{operator or '--operator'}: [distribution] services: found nothing, expected the path of a file of services")
+        raise refuse(
+            f"{operator or '--operator'}: [distribution] services: found nothing, expected the path of a file of services"
+        )
     from ravenshelf.distribution.services_file import ServicesFileError
     from ravenshelf.process import controller
+
     try:
         raise typer.Exit(controller.run(said, tables, level.upper()))
     except ServicesFileError as why:
@@ -173,23 +216,32 @@
 def distribution_status(admin: Admin, as_json: AsJson = False):
     """Topics, subscribers and upstreams of a running relay."""
     from ravenshelf import printing
+
     said = asked(admin, {"ask": "status"})["status"]
     if as_json:
         print(json.dumps(said, indent=1))
         return
-    print(f"{said['name']} of {said['cluster']}: {said['topics']} topics, {said['wanted']} wanted, {said['subscribers']} of "
-          f"{said['subscribers_most']} subscribers, {said['refused']} refused, {said['snapshot_bytes']} octets of snapshots")
-    printing.show(("upstream", "state", "parent", "topics", "gaps"), [tuple(one.values()) for one in said["upstreams"]],
-                  title="Upstreams")
+    print(
+        f"{said['name']} of {said['cluster']}: {said['topics']} topics, {said['wanted']} wanted, {said['subscribers']} of "
+        f"{said['subscribers_most']} subscribers, {said['refused']} refused, {said['snapshot_bytes']} octets of snapshots"
+    )
+    printing.show(
+        ("upstream", "state", "parent", "topics", "gaps"),
+        [tuple(one.values()) for one in said["upstreams"]],
+        title="Upstreams",
+    )
 
 
 @distribution.command("watch")
-def watch_topics(parent: Annotated[str, typer.Argument(help="host:port of a relay.")],
-                 topic: Annotated[list[str], typer.Argument(help="Topics: SERVICE@ or SERVICE@ZONE.")],
-                 cluster: Annotated[str, typer.Option(help="As in [distribution].")] = "",
-                 count: Annotated[int, typer.Option(help="End after so many versions; 0: never.")] = 0):
+def watch_topics(
+    parent: Annotated[str, typer.Argument(help="host:port of a relay.")],
+    topic: Annotated[list[str], typer.Argument(help="Topics: SERVICE@ or SERVICE@ZONE.")],
+    cluster: Annotated[str, typer.Option(help="As in [distribution].")] = "",
+    count: Annotated[int, typer.Option(help="End after so many versions; 0: never.")] = 0,
+):
     """Subscribe to topics as a pilot does, and print each new version as a line of JSON."""
     from ravenshelf.process import relay
+
     raise typer.Exit(relay.watch(parent, cluster, topic, count))
 
 
@@ -201,6 +253,7 @@
 def opened(folder: Path, readonly: bool):
     from ravenshelf.store.journal import Journal
     from ravenshelf.store.segments import Damaged
+
     try:
         if not any(folder.glob("*.segment")):
             raise Damaged(f"{folder}: expected a folder with segments")
@@ -213,8 +266,13 @@
 def verify(folder: Folder, as_json: AsJson = False):
     """Read all of it; exit code 2 names what is damaged."""
     journal = opened(folder, True)
-    said = {"identity": journal.identity, "entries": len(journal.map), "segments": len(journal.segments.sizes),
-            "octets": sum(journal.segments.sizes.values()), "torn_tail": journal.cut}
+    said = {
+        "identity": journal.identity,
+        "entries": len(journal.map),
+        "segments": len(journal.segments.sizes),
+        "octets": sum(journal.segments.sizes.values()),
+        "torn_tail": journal.cut,
+    }
     if as_json:
         print(json.dumps(said))
     else:
@@ -225,7 +283,11 @@
 def dump(folder: Folder):
     """Every entry, one JSON object a line."""
     for key, value in opened(folder, True).map.items():
-        print(json.dumps({"key": key, "value": value}, default=lambda v: v.hex() if isinstance(v, bytes) else str(v)))
+        print(
+            json.dumps(
+                {"key": key, "value": value}, default=lambda v: v.hex() if isinstance(v, bytes) else str(v)
+            )
+        )
 
 
 @store.command()
@@ -242,4 +304,3 @@
 def version():
     """Print the version."""
     print(f"ravenshelf {__version__}")
-
--- a/ravenshelf/distribution/decisions/aggregation.py
+++ b/ravenshelf/distribution/decisions/aggregation.py
@@ -29,7 +29,9 @@
 
 def add_endpoint(one: EndpointSums, other: EndpointSums) -> EndpointSums:
     """The sums of both together."""
-    return EndpointSums(one.tries + other.tries, one.failures + other.failures, one.latency_sum + other.latency_sum)
+    return EndpointSums(
+        one.tries + other.tries, one.failures + other.failures, one.latency_sum + other.latency_sum
+    )
 
 
 def add_group(one: GroupSums, other: GroupSums) -> GroupSums:
@@ -72,7 +74,15 @@
             pending = self._pending.pop((service, zone))
             self._sequence += 1
             reports.append(
-                Report(service, zone, pending.window, self.name, self._sequence, pending.endpoints, pending.groups)
+                Report(
+                    service,
+                    zone,
+                    pending.window,
+                    self.name,
+                    self._sequence,
+                    pending.endpoints,
+                    pending.groups,
+                )
             )
         self._forget(window)
         return reports
@@ -80,4 +90,6 @@
     def _forget(self, window: int) -> None:
         before = window - REPORTERS_FORGOTTEN_AFTER
         if window % REPORTERS_FORGOTTEN_AFTER == 0:
-            self._reporters = {name: known for name, known in self._reporters.items() if known.window >= before}
+            self._reporters = {
+                name: known for name, known in self._reporters.items() if known.window >= before
+            }
--- a/ravenshelf/distribution/decisions/client.py
+++ b/ravenshelf/distribution/decisions/client.py
@@ -8,7 +8,16 @@
 from ravenshelf.distribution.decisions.backoff import SECOND, Backoff
 from ravenshelf.distribution.decisions.digests import Digest
 from ravenshelf.distribution.decisions.topics import Outcome, Topic
-from ravenshelf.distribution.messages import Delta, Heartbeat, Message, Resync, Snapshot, Subscribe, TopicLive, Unsubscribe
+from ravenshelf.distribution.messages import (
+    Delta,
+    Heartbeat,
+    Message,
+    Resync,
+    Snapshot,
+    Subscribe,
+    TopicLive,
+    Unsubscribe,
+)
 
 SILENCE = 3 * SECOND  # without a heartbeat for so long the parent counts as lost
 DIAL_TIMEOUT = 3 * SECOND
@@ -64,7 +73,13 @@
 class SubscriptionClient:
     """Keeps `topics` up to date from one of several parents, the preferred one first."""
 
-    def __init__(self, parents: Sequence[str], topics: MutableMapping[str, Topic], chance: random.Random, started: int = 0):
+    def __init__(
+        self,
+        parents: Sequence[str],
+        topics: MutableMapping[str, Topic],
+        chance: random.Random,
+        started: int = 0,
+    ):
         if not parents:
             raise ValueError("expected at least one parent")
         self.parents, self.topics, self.chance = list(parents), topics, chance
--- a/ravenshelf/distribution/decisions/deciding.py
+++ b/ravenshelf/distribution/decisions/deciding.py
@@ -11,7 +11,14 @@
 from ravenshelf.distribution.decisions.backoff import SECOND
 from ravenshelf.distribution.decisions.claims import service_of
 from ravenshelf.distribution.decisions.owner import Owner
-from ravenshelf.distribution.decisions.planner import LINE, ServicePlanner, endpoints_of, service_topic, table_of, zone_topic
+from ravenshelf.distribution.decisions.planner import (
+    LINE,
+    ServicePlanner,
+    endpoints_of,
+    service_topic,
+    table_of,
+    zone_topic,
+)
 from ravenshelf.distribution.messages import EndpointEntry, Entry, Report, TableLine
 
 ROUND_EVERY = SECOND // 4
@@ -32,7 +39,9 @@
     planner: ServicePlanner
     begun: int
     first_sums: int | None = None
-    former: dict[int, dict[str, Entry]] = field(default_factory=dict)  # by zone: the table of the owner before
+    former: dict[int, dict[str, Entry]] = field(
+        default_factory=dict
+    )  # by zone: the table of the owner before
     listed: Service | None = None
 
     def is_warm(self, now: int) -> bool:
@@ -109,7 +118,9 @@
     def _planned(self, now: int, service: str) -> _Planned:
         planned = self.planned.get(service)
         if planned is None:
-            planned = self.planned[service] = _Planned(ServicePlanner(service, self.provisioning, self.seed), now)
+            planned = self.planned[service] = _Planned(
+                ServicePlanner(service, self.provisioning, self.seed), now
+            )
         listed = self.listed(service)
         if listed != planned.listed:
             planned.listed = listed
@@ -158,4 +169,8 @@
             for name, entry in endpoints_of(planned.planner.service_entries()).items()
             if entry.ready and planned.planner.is_warm(name)
         }
-        return {key: entry for key, entry in former.items() if not isinstance(entry, TableLine) or key[len(LINE) :] in ready}
+        return {
+            key: entry
+            for key, entry in former.items()
+            if not isinstance(entry, TableLine) or key[len(LINE) :] in ready
+        }
--- a/ravenshelf/distribution/decisions/distributor.py
+++ b/ravenshelf/distribution/decisions/distributor.py
@@ -48,7 +48,9 @@
 @dataclass
 class _Encoded:
     version: Version
-    updates: dict[Version, list[Outgoing]] = field(default_factory=dict)  # by the version that a subscriber holds
+    updates: dict[Version, list[Outgoing]] = field(
+        default_factory=dict
+    )  # by the version that a subscriber holds
 
 
 @dataclass
--- a/ravenshelf/distribution/decisions/fallback.py
+++ b/ravenshelf/distribution/decisions/fallback.py
@@ -4,7 +4,9 @@
 
 from ravenshelf.distribution.decisions.backoff import SECOND
 
-HOLD_FOR = 10 * SECOND  # without an owner: four beats of the solver, then the last table is older than its evidence
+HOLD_FOR = (
+    10 * SECOND
+)  # without an owner: four beats of the solver, then the last table is older than its evidence
 
 
 class Source(Enum):
--- a/ravenshelf/distribution/decisions/owner.py
+++ b/ravenshelf/distribution/decisions/owner.py
@@ -19,7 +19,9 @@
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.messages import Entry, Message, Resync, Subscribe, Unsubscribe
 
-Content = Callable[[str], Mapping[str, Entry] | None]  # what a topic of an owned service says; None: not known yet
+Content = Callable[
+    [str], Mapping[str, Entry] | None
+]  # what a topic of an owned service says; None: not known yet
 
 
 class Owner:
--- a/ravenshelf/distribution/decisions/pilot_controller.py
+++ b/ravenshelf/distribution/decisions/pilot_controller.py
@@ -33,7 +33,9 @@
         super().__init__(provisioning, seed, channel)
         self.owners_table, self.index_of = owners_table, index_of
 
-    def wanted(self, zone: int, strengths: list[dict[int, float]], needs: list[float]) -> list[dict[int, float]]:
+    def wanted(
+        self, zone: int, strengths: list[dict[int, float]], needs: list[float]
+    ) -> list[dict[int, float]]:
         """The lines of a zone's tables: the owner's for all of them, or the own where it has none that can be used."""
         own = super().wanted(zone, strengths, needs)
         source, table = self.owners_table(self.now, zone)
@@ -44,7 +46,9 @@
         """The owner's table over the endpoints that are open here; empty where it can't carry all requests."""
         indices = {name: self.index_of(name) for name in table}
         closed = [
-            name for name, index in indices.items() if index not in self.endpoints or not self.open(self.endpoints[index])
+            name
+            for name, index in indices.items()
+            if index not in self.endpoints or not self.open(self.endpoints[index])
         ]
         received = shares(table, closed)
         if sum(received.values()) < ALL:
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -113,14 +113,24 @@
 
     # --- what comes in ---
 
-    def configure(self, endpoints: Mapping[str, EndpointEntry], settings: Mapping[str, str] | None = None) -> None:
+    def configure(
+        self, endpoints: Mapping[str, EndpointEntry], settings: Mapping[str, str] | None = None
+    ) -> None:
         """The service's whole list and settings."""
         self.settings = dict(settings or self.settings)
         for name in [name for name in self.endpoints if name not in endpoints]:
             self.endpoints.pop(name)
         self.endpoints.update(endpoints)
         entries = tuple(
-            (self._index(name), entry.zone, 0, 0, "ready" if entry.ready else "draining", entry.weight, entry.started)
+            (
+                self._index(name),
+                entry.zone,
+                0,
+                0,
+                "ready" if entry.ready else "draining",
+                entry.weight,
+                entry.started,
+            )
             for name, entry in self.endpoints.items()
         )
         self._news.append(("listed", ("replace", entries)))
@@ -150,7 +160,18 @@
             if index is not None:
                 answered = max(1, sums.tries - sums.failures)
                 self._news.append(
-                    ("heard", (report.zone, index, sums.tries, sums.failures, sums.latency_sum // answered, window, ()))
+                    (
+                        "heard",
+                        (
+                            report.zone,
+                            index,
+                            sums.tries,
+                            sums.failures,
+                            sums.latency_sum // answered,
+                            window,
+                            (),
+                        ),
+                    )
                 )
         if report.zone in self.zones:
             for group, asked in report.groups.items():
--- a/ravenshelf/distribution/decisions/relay.py
+++ b/ravenshelf/distribution/decisions/relay.py
@@ -11,7 +11,14 @@
 from ravenshelf.distribution.decisions.aggregation import WINDOW, Aggregator
 from ravenshelf.distribution.decisions.backoff import SECOND
 from ravenshelf.distribution.decisions.claims import claims_topic, read_claims, service_of
-from ravenshelf.distribution.decisions.client import Action, LivenessChanged, Send, State, SubscriptionClient, TopicChanged
+from ravenshelf.distribution.decisions.client import (
+    Action,
+    LivenessChanged,
+    Send,
+    State,
+    SubscriptionClient,
+    TopicChanged,
+)
 from ravenshelf.distribution.decisions.distributor import Distributor, DistributorLimits
 from ravenshelf.distribution.decisions.ownership import OwnershipView
 from ravenshelf.distribution.decisions.topics import Topic
@@ -44,7 +51,9 @@
         """`name`: its own. `upstreams`: for each its parents, the preferred first. `owners`: they are controllers, named
         as they are."""
         self.topics: dict[str, Topic] = {}
-        self.clients = {name: SubscriptionClient(parents, self.topics, chance, now) for name, parents in upstreams.items()}
+        self.clients = {
+            name: SubscriptionClient(parents, self.topics, chance, now) for name, parents in upstreams.items()
+        }
         self.distributor = Distributor(self.topics, limits)
         self.ownership = OwnershipView()
         self._owners = owners
--- a/ravenshelf/distribution/decisions/topics.py
+++ b/ravenshelf/distribution/decisions/topics.py
@@ -6,7 +6,9 @@
 
 from ravenshelf.distribution.messages import NEVER, Changes, Delta, Entry, Snapshot, Version
 
-PART_ENTRIES = 128  # entries in one part of a snapshot, some 5 KB: a reader of 7 KB/s hears something each second
+PART_ENTRIES = (
+    128  # entries in one part of a snapshot, some 5 KB: a reader of 7 KB/s hears something each second
+)
 
 
 class Outcome(Enum):
@@ -62,7 +64,9 @@
         partial.entries[part.part] = part.entries
         if len(partial.entries) < partial.parts:
             return Outcome.INCOMPLETE
-        entries = {key: entry for number in sorted(partial.entries) for key, entry in partial.entries[number].items()}
+        entries = {
+            key: entry for number in sorted(partial.entries) for key, entry in partial.entries[number].items()
+        }
         self.replace(part.version, entries)
         return Outcome.APPLIED
 
@@ -85,7 +89,9 @@
 
     def _covers(self, delta: Delta) -> bool:
         """Whether the delta holds all that happened since the version held."""
-        if delta.version.epoch != self.version.epoch:  # a handover starts from exactly what the successor knew
+        if (
+            delta.version.epoch != self.version.epoch
+        ):  # a handover starts from exactly what the successor knew
             return delta.since == self.version
         return delta.since <= self.version and delta.since.epoch == self.version.epoch
 
--- a/ravenshelf/distribution/decisions/tree.py
+++ b/ravenshelf/distribution/decisions/tree.py
@@ -27,7 +27,10 @@
         counts.append(below)
         if planned == 1:
             break
-    return [Level(tuple(f"{prefix}-{depth}-{n}" for n in range(count))) for depth, count in enumerate(reversed(counts), 1)]
+    return [
+        Level(tuple(f"{prefix}-{depth}-{n}" for n in range(count)))
+        for depth, count in enumerate(reversed(counts), 1)
+    ]
 
 
 def preferred_parents(place: int, nodes: int, level: Level) -> list[str]:
--- a/ravenshelf/distribution/owner_service.py
+++ b/ravenshelf/distribution/owner_service.py
@@ -79,7 +79,9 @@
         _, to_pull = self.owner.publish(now)
         self.subscribers.pump(to_pull)
         pending = self.owner.due_at(now)
-        dues = [client.due_at() for client in self.clients.values()] + ([pending] if pending is not None else [])
+        dues = [client.due_at() for client in self.clients.values()] + (
+            [pending] if pending is not None else []
+        )
         self.tick_at(min(dues, default=now + LOOK_AGAIN))
 
     # --- the other controllers ---
--- a/ravenshelf/distribution/pilot_service.py
+++ b/ravenshelf/distribution/pilot_service.py
@@ -57,7 +57,9 @@
 
     def start(self) -> None:
         """Dials the first parent."""
-        self.subscription.start([service_topic(self.service), *(zone_topic(self.service, zone) for zone in self.zones)])
+        self.subscription.start(
+            [service_topic(self.service), *(zone_topic(self.service, zone) for zone in self.zones)]
+        )
         self._timers.set(REPORT, self.clock() + WINDOW)
 
     def stop(self) -> None:
--- a/ravenshelf/distribution/services_file.py
+++ b/ravenshelf/distribution/services_file.py
@@ -56,5 +56,8 @@
 
 
 def _service(service: _Service) -> Service:
-    endpoints = {uid: EndpointEntry(one.zone, one.ready, one.weight, one.started) for uid, one in service.endpoints.items()}
+    endpoints = {
+        uid: EndpointEntry(one.zone, one.ready, one.weight, one.started)
+        for uid, one in service.endpoints.items()
+    }
     return Service(endpoints, service.settings)
--- a/ravenshelf/distribution/subscribers.py
+++ b/ravenshelf/distribution/subscribers.py
@@ -55,7 +55,9 @@
     async def start(self, listen: str) -> str:
         """Listens; gives host:port, with the port that the system gave for 0."""
         host, port = address(listen)
-        self._server = await self.loop.create_server(lambda: MessageConnection(self.buffers, self), host, port)
+        self._server = await self.loop.create_server(
+            lambda: MessageConnection(self.buffers, self), host, port
+        )
         host, port = self._server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
--- a/ravenshelf/distribution/subscription_service.py
+++ b/ravenshelf/distribution/subscription_service.py
@@ -4,7 +4,14 @@
 import random
 from collections.abc import Callable, Iterable, Mapping, Sequence
 
-from ravenshelf.distribution.decisions.client import Action, LivenessChanged, Send, State, SubscriptionClient, TopicChanged
+from ravenshelf.distribution.decisions.client import (
+    Action,
+    LivenessChanged,
+    Send,
+    State,
+    SubscriptionClient,
+    TopicChanged,
+)
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.messages import Message, Report
 from ravenshelf.distribution.timers import Timers
--- a/ravenshelf/distribution/timers.py
+++ b/ravenshelf/distribution/timers.py
@@ -11,7 +11,9 @@
 class Timers:
     """Calls `due` with each key when its deadline has come."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, clock: Callable[[], int], due: Callable[[Hashable], None]):
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, clock: Callable[[], int], due: Callable[[Hashable], None]
+    ):
         self.loop, self.clock, self.due = loop, clock, due
         self._deadlines = Deadlines()
         self._handle: asyncio.TimerHandle | None = None
--- a/ravenshelf/graphite/decisions.py
+++ b/ravenshelf/graphite/decisions.py
@@ -3,6 +3,7 @@
 No I/O; the clock is passed in, times are microseconds. A point is (path, value); a batch is one measurement's
 points of one importance, whose time all of them carry however late they are sent.
 """
+
 import random
 from collections import deque
 from dataclasses import dataclass, field
@@ -13,13 +14,13 @@
 
 SECOND = 1_000_000
 DIAL_BY = 3 * SECOND
-STALLED_AFTER, GIVEN_UP_AFTER = 5 * SECOND, 15 * SECOND     # of a batch that the system does not take off us
-REST_LEAST, REST_MOST = SECOND // 2, 60 * SECOND            # between dials: full jitter up to a doubling bound
-DIALS, DIALS_OVER = 10, 60 * SECOND                         # no more dials than so many in such a time
-LOST_AFTER, SETTLED_AFTER = 10 * SECOND, 20 * SECOND        # until a share moves, and until it moves back
-DOUBT_SPAN = 10 * SECOND                                    # after which what the system took counts as received
+STALLED_AFTER, GIVEN_UP_AFTER = 5 * SECOND, 15 * SECOND  # of a batch that the system does not take off us
+REST_LEAST, REST_MOST = SECOND // 2, 60 * SECOND  # between dials: full jitter up to a doubling bound
+DIALS, DIALS_OVER = 10, 60 * SECOND  # no more dials than so many in such a time
+LOST_AFTER, SETTLED_AFTER = 10 * SECOND, 20 * SECOND  # until a share moves, and until it moves back
+DOUBT_SPAN = 10 * SECOND  # after which what the system took counts as received
 RESTING, DIALLING, SENDING, STALLED = "resting", "dialling", "sending", "stalled"
-IMPORTANCES = ("essential", "useful", "detail")             # of a figure; what goes first is the last of these
+IMPORTANCES = ("essential", "useful", "detail")  # of a figure; what goes first is the last of these
 
 
 class Receiver:
@@ -29,8 +30,8 @@
         self.chance = chance
         self.state, self.until, self.failures = RESTING, now, 0
         self.dials: deque[int] = deque(maxlen=DIALS)
-        self.since = now            # of the present state
-        self.given: int | None = None       # when the oldest batch that is still with us was handed over
+        self.since = now  # of the present state
+        self.given: int | None = None  # when the oldest batch that is still with us was handed over
         self.good, self.away = now, False
 
     def next(self) -> int | None:
@@ -40,7 +41,7 @@
         return self.until
 
     def due(self, now: int) -> str | None:
-        """"dial", "hang up", "stalled" or nothing."""
+        """ "dial", "hang up", "stalled" or nothing."""
         at = self.next()
         if at is None or now < at:
             return None
@@ -76,7 +77,7 @@
     def failed(self, now: int) -> None:
         """The connection is gone, or none came: rests, the longer the more often it failed in a row."""
         if self.state == SENDING and now - self.since >= SETTLED_AFTER:
-            self.failures = 0       # not at once when dialled: one that accepts and resets would be stormed
+            self.failures = 0  # not at once when dialled: one that accepts and resets would be stormed
         self._become(RESTING, now)
         bound = min(REST_MOST, REST_LEAST << min(self.failures, 20))
         self.until = now + REST_LEAST // 2 + round(self.chance.random() * bound)
@@ -96,6 +97,7 @@
 
 # --- whose a figure is ---
 
+
 class Shares:
     """Rendezvous hashing: each figure ranks the receivers; the first that holds its share has it. When one is
     lost only its figures move, and the same move back."""
@@ -122,14 +124,15 @@
 
 # --- what waits ---
 
+
 @dataclass(slots=True, eq=False)
 class Batch:
-    time: int           # seconds, aligned to the interval
-    importance: int     # index in IMPORTANCES
+    time: int  # seconds, aligned to the interval
+    importance: int  # index in IMPORTANCES
     points: list[tuple[str, float]]
-    text: list[bytes] = field(default_factory=list)     # formatted, where that is done; shared by receivers
-    tried: bool = False     # may have been taken in part: it is sent again whole, to the same receiver alone
-    taken: int | None = None        # when the system took the last of it
+    text: list[bytes] = field(default_factory=list)  # formatted, where that is done; shared by receivers
+    tried: bool = False  # may have been taken in part: it is sent again whole, to the same receiver alone
+    taken: int | None = None  # when the system took the last of it
 
     def __len__(self) -> int:
         return len(self.points)
@@ -143,10 +146,11 @@
     after hours does not crowd out what is measured now. After a broken connection what the system took within
     DOUBT_SPAN is sent again whole: carbon drops a line or frame that is cut, and writes the same point twice over
     itself, so twice is harmless and not at all is a gap."""
+
     most: int
     pace: int
     waiting: list[deque[Batch]] = field(default_factory=lambda: [deque() for _ in IMPORTANCES])
-    doubt: deque[Batch] = field(default_factory=deque)      # handed over, in this order
+    doubt: deque[Batch] = field(default_factory=deque)  # handed over, in this order
     size: int = 0
     room: float = 0.0
     at: int | None = None
@@ -162,7 +166,7 @@
         out = []
         while self.size > self.most:
             line = next((w for w in reversed(self.waiting) if w), None)
-            if line is None:        # only what is in doubt is left: its oldest is let go
+            if line is None:  # only what is in doubt is left: its oldest is let go
                 batch = self.doubt.popleft()
             else:
                 batch = line.popleft()
@@ -237,7 +241,9 @@
 
     def old(self, present: int, most: int, may: Callable[[Batch], bool] = lambda batch: True) -> list[Batch]:
         """Takes out up to so many batches from before `present` that `may` go to the spool, oldest first."""
-        found = sorted((b for line in self.waiting for b in line if b.time < present and may(b)), key=lambda b: b.time)
+        found = sorted(
+            (b for line in self.waiting for b in line if b.time < present and may(b)), key=lambda b: b.time
+        )
         out = list(islice(found, most))
         for batch in out:
             self.waiting[batch.importance].remove(batch)
@@ -247,6 +253,7 @@
 
 # --- a new set of receivers ---
 
+
 def moves(old: Sequence[str], new: Sequence[str], route: str) -> dict[str, list[str]]:
     """Where the waiting figures of a receiver that is named no more go: {old: [new, ...]}. Pure.
 
--- a/ravenshelf/graphite/gather.py
+++ b/ravenshelf/graphite/gather.py
@@ -4,6 +4,7 @@
 interval and judges nothing. Times are microseconds; `points` is a generator, so that a large fleet's figures are
 made in slices of background work. No I/O: what the system says of the process is passed in.
 """
+
 from collections import defaultdict
 from math import exp
 from typing import Callable, Iterator, Mapping
@@ -15,11 +16,17 @@
 from ravenshelf.graphite.formats import word
 
 SECOND = 1_000_000
-LONGEST = 600 * SECOND      # of a distribution's values; two digits: 1% and some KB each
-SLICE = 64                  # endpoints or zones to a slice of background work
+LONGEST = 600 * SECOND  # of a distribution's values; two digits: 1% and some KB each
+SLICE = 64  # endpoints or zones to a slice of background work
 Point = tuple[str, float]
-SPREADS = (figures.DRAINS_TOOK, figures.SUMS_AGE, figures.SUMS_GAP, figures.MARKS, figures.ROUND_TOOK,
-           figures.ROUND_LATE)
+SPREADS = (
+    figures.DRAINS_TOOK,
+    figures.SUMS_AGE,
+    figures.SUMS_GAP,
+    figures.MARKS,
+    figures.ROUND_TOOK,
+    figures.ROUND_LATE,
+)
 
 
 class Interval:
@@ -27,9 +34,9 @@
 
     def __init__(self, began: int, spreads: dict[Figure, HdrHistogram]):
         self.began, self.spreads = began, spreads
-        self.group: dict[tuple[int, int], list[float]] = {}     # (zone, group): came, dropped, blocked
-        self.zone: dict[int, list[float]] = {}                  # of endpoints: tries, failed, delivered x latency
-        self.within: dict[int, list[float]] = {}                # of proxies: delivered, then within budget by group
+        self.group: dict[tuple[int, int], list[float]] = {}  # (zone, group): came, dropped, blocked
+        self.zone: dict[int, list[float]] = {}  # of endpoints: tries, failed, delivered x latency
+        self.within: dict[int, list[float]] = {}  # of proxies: delivered, then within budget by group
         self.endpoint: dict[int, float] = {}
         self.sums = self.drains = 0
 
@@ -38,7 +45,9 @@
     """From the list's change to the answer of the last proxy that was told."""
 
     def __init__(self):
-        self.open: dict[int, list] = {}     # endpoint: began, marks awaited {(proxy, mark)}, whether any was told
+        self.open: dict[
+            int, list
+        ] = {}  # endpoint: began, marks awaited {(proxy, mark)}, whether any was told
 
     def began(self, endpoint: int, now: int) -> bool:
         if endpoint in self.open:
@@ -79,9 +88,9 @@
         self.fraction = provisioning.get("service", {}).get("level_kind") == "fraction"
         self.most_waiting = provisioning.get("service", {}).get("most_waiting") or 0
         self.prefix = prefix
-        self.place: dict[int, tuple[int, str]] = {}         # endpoint: zone, state
-        self.proxies: dict[int, int] = {}                   # proxy: zone
-        self.last_sum: dict[int, int] = {}                  # zone: when its last sum came
+        self.place: dict[int, tuple[int, str]] = {}  # endpoint: zone, state
+        self.proxies: dict[int, int] = {}  # proxy: zone
+        self.last_sum: dict[int, int] = {}  # zone: when its last sum came
         self.level_of: Callable[[int, int], float | None] = lambda proxy, group: None
         self.name_of: Callable[[int], str] = str
         self.drains, self.spare = Drains(), {}
@@ -137,7 +146,9 @@
             self._took(figures.SUMS_GAP, now - self.last_sum[zone])
         self.last_sum[zone] = now
 
-    def _heard(self, now: int, zone: int, endpoint: int, tries: int, failed: int, mean: int, window: int, _) -> None:
+    def _heard(
+        self, now: int, zone: int, endpoint: int, tries: int, failed: int, mean: int, window: int, _
+    ) -> None:
         self._sum(now, zone, window)
         delivered = tries - failed
         here = self.now.zone.setdefault(self.place.get(endpoint, (zone,))[0], [0.0, 0.0, 0.0])
@@ -175,8 +186,9 @@
 
     # --- the figures ---
 
-    def points(self, now: int, controller, counts: Mapping[str, float],
-               take: Callable[[int, list[Point]], None]) -> Iterator[None]:
+    def points(
+        self, now: int, controller, counts: Mapping[str, float], take: Callable[[int, list[Point]], None]
+    ) -> Iterator[None]:
         """Closes the interval at once, then makes its figures in slices; `take(importance, points)` gets them.
 
         `counts` holds what others have counted, by a figure's path and, behind a bar, its receiver."""
--- a/ravenshelf/graphite/link.py
+++ b/ravenshelf/graphite/link.py
@@ -1,4 +1,5 @@
 """One connection to a carbon receiver: written to by whole lines or frames, told when the system has taken them."""
+
 import socket
 from typing import Callable
 
@@ -22,7 +23,7 @@
         if self.end is not None:
             transport.abort()
             return
-        transport.set_write_buffer_limits(high=0, low=0)       # told of every octet that the system did not take
+        transport.set_write_buffer_limits(high=0, low=0)  # told of every octet that the system did not take
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, UNREAD)
         self.opened(self)
 
@@ -43,7 +44,7 @@
         return not self.full and self.transport.get_write_buffer_size() == 0
 
     def received(self, data: bytes) -> None:
-        pass        # carbon says nothing; what is said is not ours to judge
+        pass  # carbon says nothing; what is said is not ours to judge
 
     def ended(self) -> None:
         self.over(self)
--- a/ravenshelf/graphite/outlet.py
+++ b/ravenshelf/graphite/outlet.py
@@ -1,4 +1,5 @@
 """One receiver of figures at the edge: does what its `Receiver` decides, and keeps its backlog moving."""
+
 import asyncio
 import socket
 from typing import Callable, Iterator
@@ -7,36 +8,56 @@
 from ravenshelf.background.decisions import BACKFILL, PRESENT
 from ravenshelf.background.scheduler import Background
 from ravenshelf.graphite import formats
-from ravenshelf.graphite.decisions import DIAL_BY, DIALLING, IMPORTANCES, SECOND, SENDING, Backlog, Batch, Receiver
+from ravenshelf.graphite.decisions import (
+    DIAL_BY,
+    DIALLING,
+    IMPORTANCES,
+    SECOND,
+    SENDING,
+    Backlog,
+    Batch,
+    Receiver,
+)
 from ravenshelf.graphite.link import Link
 from ravenshelf.graphite.spool import Spool
 from ravenshelf.memory.buffers import Buffers
 from ravenshelf.net.datagrams import address
 from ravenshelf.net.ends import End
 
-SPOOL_RESTS = 60 * SECOND       # after the disk failed
-SOON = 1000             # what waits for room is looked at no sooner than so
-SPOOL_AT_ONCE = 64              # batches written at a time
+SPOOL_RESTS = 60 * SECOND  # after the disk failed
+SOON = 1000  # what waits for room is looked at no sooner than so
+SPOOL_AT_ONCE = 64  # batches written at a time
 WITHIN = {PRESENT: 5 * SECOND, BACKFILL: 60 * SECOND}
 
 
 class Outlet:
     """`again(at)` has `turn` called then. `resolve(host, port)` gives socket addresses without holding the loop."""
 
-    def __init__(self, receiver: str, protocol: str, decisions: Receiver, backlog: Backlog, spool: Spool | None, *,
-                 loop: asyncio.AbstractEventLoop, clock: Callable[[], int], again: Callable[[int], None],
-                 background: Background, resolve: Callable | None = None):
+    def __init__(
+        self,
+        receiver: str,
+        protocol: str,
+        decisions: Receiver,
+        backlog: Backlog,
+        spool: Spool | None,
+        *,
+        loop: asyncio.AbstractEventLoop,
+        clock: Callable[[], int],
+        again: Callable[[int], None],
+        background: Background,
+        resolve: Callable | None = None,
+    ):
         self.receiver, self.protocol, self.decisions, self.backlog = receiver, protocol, decisions, backlog
         self.spool, self.loop, self.clock, self.again, self.background = spool, loop, clock, again, background
         self.resolve = resolve or self._resolve
         self.buffers = Buffers()
         self.link: Link | None = None
         self.dialing: asyncio.Task | None = None
-        self.present = 0                # seconds: the time of the newest measurement
-        self.sending = False            # a background job of ours is queued or at work
+        self.present = 0  # seconds: the time of the newest measurement
+        self.sending = False  # a background job of ours is queued or at work
         self.spool_rests_until = 0
         self.spool_busy = False
-        self.from_spool: dict[int, int] = {}    # segment: batches of it that are not received yet
+        self.from_spool: dict[int, int] = {}  # segment: batches of it that are not received yet
         self.origin: dict[Batch, int] = {}
         self.closed = False
 
@@ -86,8 +107,10 @@
             start = dial % len(found) if found else 0
             for place in found[start:] + found[:start]:
                 try:
-                    await asyncio.wait_for(self.loop.create_connection(lambda: link, place[0], place[1]),
-                                           DIAL_BY / SECOND / len(found))
+                    await asyncio.wait_for(
+                        self.loop.create_connection(lambda: link, place[0], place[1]),
+                        DIAL_BY / SECOND / len(found),
+                    )
                     return
                 except (OSError, asyncio.TimeoutError):
                     if link.end is not None:
@@ -119,7 +142,9 @@
         self.backlog.broken()
         self.decisions.failed(now)
         if link.end is not End.STOPPING:
-            events.RECEIVER_LOST(receiver=self.receiver, end=link.end.value, rest=(self.decisions.until - now) / SECOND)
+            events.RECEIVER_LOST(
+                receiver=self.receiver, end=link.end.value, rest=(self.decisions.until - now) / SECOND
+            )
             self._next()
 
     # --- figures ---
@@ -135,7 +160,9 @@
 
     def _gone(self, batches: list[Batch]) -> None:
         for batch in batches:
-            events.POINTS_DROPPED(points=len(batch), receiver=self.receiver, importance=IMPORTANCES[batch.importance])
+            events.POINTS_DROPPED(
+                points=len(batch), receiver=self.receiver, importance=IMPORTANCES[batch.importance]
+            )
         self._done(batches)
 
     def send(self) -> None:
@@ -144,11 +171,18 @@
             return
         if self.backlog.next(self.clock()) is None:
             self._refill()
-        priority = PRESENT if any(w and w[-1].time >= self.present for w in self.backlog.waiting) else BACKFILL
+        priority = (
+            PRESENT if any(w and w[-1].time >= self.present for w in self.backlog.waiting) else BACKFILL
+        )
         if any(self.backlog.waiting):
             self.sending = True
-            self.background.offer(f"graphite.send.{priority}", priority, WITHIN[priority], self._write(self.link),
-                                  dropped=self._not_sent)
+            self.background.offer(
+                f"graphite.send.{priority}",
+                priority,
+                WITHIN[priority],
+                self._write(self.link),
+                dropped=self._not_sent,
+            )
 
     def _not_sent(self) -> None:
         self.sending = False
@@ -168,12 +202,12 @@
                 kept.append(piece)
                 yield
             else:
-                batch.text[:] = kept    # another receiver of the same batch need not format it again
+                batch.text[:] = kept  # another receiver of the same batch need not format it again
         self.sending = False
         if link is self.link and link.end is None and batch is not None and link.idle():
             self._drained(link)
         else:
-            self._next()        # what is not taken must be found stalled in time
+            self._next()  # what is not taken must be found stalled in time
 
     def _drained(self, link: Link) -> None:
         if link is not self.link or self.sending:
@@ -192,7 +226,12 @@
     def _spill(self) -> None:
         """While nothing is taken, what is older than the present goes to disk."""
         now = self.clock()
-        if self.spool is None or self.spool_busy or now < self.spool_rests_until or self.decisions.state == SENDING:
+        if (
+            self.spool is None
+            or self.spool_busy
+            or now < self.spool_rests_until
+            or self.decisions.state == SENDING
+        ):
             return
         batches = self.backlog.old(self.present, SPOOL_AT_ONCE, lambda b: b not in self.origin)
         if not batches:
@@ -202,7 +241,7 @@
             self.spool_busy = False
             if isinstance(outcome, Exception):
                 self._spool_failed(outcome)
-                for batch in batches:       # back to where they were: memory's bound holds
+                for batch in batches:  # back to where they were: memory's bound holds
                     self._gone(self.backlog.add(batch))
 
         self.spool_busy = True
@@ -220,13 +259,15 @@
         def told(outcome) -> None:
             self.spool_busy = False
             if outcome is None:
-                self.spool_rests_until = self.clock() + SECOND      # empty: asked again with the next figures
+                self.spool_rests_until = self.clock() + SECOND  # empty: asked again with the next figures
                 return
             if isinstance(outcome, Exception):
                 return self._spool_failed(outcome)
             number, batches, skipped = outcome
             for lost in skipped:
-                events.SPOOL_DAMAGED(receiver=self.receiver, octets=lost.octets, file=f"{lost.file} from {lost.offset}")
+                events.SPOOL_DAMAGED(
+                    receiver=self.receiver, octets=lost.octets, file=f"{lost.file} from {lost.offset}"
+                )
             self.from_spool[number] = len(batches)
             self.origin.update(dict.fromkeys(batches, number))
             for batch in batches:
@@ -257,7 +298,10 @@
     def _forget(self, number: int) -> None:
         self.from_spool.pop(number, None)
         if number:
-            self.spool.drop(number, lambda outcome: self._spool_failed(outcome) if isinstance(outcome, Exception) else None)
+            self.spool.drop(
+                number,
+                lambda outcome: self._spool_failed(outcome) if isinstance(outcome, Exception) else None,
+            )
 
     def close(self) -> None:
         """What the system has not taken is lost with the process, but for what is spooled."""
--- a/ravenshelf/graphite/service.py
+++ b/ravenshelf/graphite/service.py
@@ -1,4 +1,5 @@
 """All receivers of figures, and the measurement that goes to them at each interval."""
+
 import asyncio
 import random
 from concurrent.futures import ThreadPoolExecutor
@@ -17,8 +18,17 @@
 class Graphite:
     """`table` is the operator file's `[graphite]`; `again(receiver, at)` has `turn(receiver)` called then."""
 
-    def __init__(self, table, chance: random.Random, *, loop: asyncio.AbstractEventLoop, clock: Callable[[], int],
-                 again: Callable[[str, int], None], background: Background, resolve: Callable | None = None):
+    def __init__(
+        self,
+        table,
+        chance: random.Random,
+        *,
+        loop: asyncio.AbstractEventLoop,
+        clock: Callable[[], int],
+        again: Callable[[str, int], None],
+        background: Background,
+        resolve: Callable | None = None,
+    ):
         self.chance, self.loop, self.clock, self.again = chance, loop, clock, again
         self.background, self.resolve = background, resolve
         self.thread: ThreadPoolExecutor | None = None
@@ -30,9 +40,18 @@
 
     def _open(self, receiver: str) -> Outlet:
         backlog = Backlog(self.table.buffer_points, self.table.backfill_points_s)
-        made = Outlet(receiver, self.table.protocol, Receiver(self.clock(), self.chance), backlog,
-                      self._spool(receiver), loop=self.loop, clock=self.clock, background=self.background,
-                      again=lambda at: self.again(receiver, at), resolve=self.resolve)
+        made = Outlet(
+            receiver,
+            self.table.protocol,
+            Receiver(self.clock(), self.chance),
+            backlog,
+            self._spool(receiver),
+            loop=self.loop,
+            clock=self.clock,
+            background=self.background,
+            again=lambda at: self.again(receiver, at),
+            resolve=self.resolve,
+        )
         self.outlets[receiver], self.holding[receiver] = made, True
         self.again(receiver, self.clock())
         return made
@@ -41,14 +60,15 @@
         if not self.table.spool_mb:
             return None
         self.thread = self.thread or ThreadPoolExecutor(1, "spool")
-        return Spool(Path(self.table.spool_dir), receiver, int(self.table.spool_mb * 1e6), self.thread,
-                     self._back)
+        return Spool(
+            Path(self.table.spool_dir), receiver, int(self.table.spool_mb * 1e6), self.thread, self._back
+        )
 
     def _back(self, call: Callable) -> None:
         try:
             self.loop.call_soon_threadsafe(call)
         except RuntimeError:
-            pass        # the loop has ended; what was on its way to disk is there or is not
+            pass  # the loop has ended; what was on its way to disk is there or is not
 
     def turn(self, receiver: str) -> None:
         if receiver in self.outlets:
@@ -59,7 +79,7 @@
     def take(self, time: int, importance: int, points: list[Point]) -> None:
         """A measurement's points of one importance: to all receivers, or to each its share."""
         if self.table.route == "all":
-            text: list[bytes] = []      # formatted once for all
+            text: list[bytes] = []  # formatted once for all
             for outlet in self.outlets.values():
                 outlet.measured([Batch(time, importance, points, text)])
             return
@@ -95,7 +115,9 @@
     def renew(self, table) -> None:
         """Receivers that stay keep their connection and what waits; what waits for one that went is handed on."""
         old, self.table = self.table, table
-        if old.protocol != table.protocol:      # what is formatted is of no use any more, connections speak the old one
+        if (
+            old.protocol != table.protocol
+        ):  # what is formatted is of no use any more, connections speak the old one
             stays = []
         else:
             stays = [r for r in old.receivers if r in table.receivers]
@@ -116,7 +138,7 @@
             # figures, the new one has none of them
             batches = outlet.give_up(tried=table.route == "all")
             outlet.close()
-            if receiver in table.receivers:     # the same receiver by another protocol
+            if receiver in table.receivers:  # the same receiver by another protocol
                 self.outlets[receiver].measured([Batch(b.time, b.importance, b.points) for b in batches])
             elif table.route == "hash":
                 self._deal(batches)
@@ -128,6 +150,7 @@
         """Of each receiver, by the paths of `figures`."""
         from ravenshelf.graphite import figures
         from ravenshelf.graphite.formats import word
+
         out = {}
         for receiver, outlet in self.outlets.items():
             out[f"{figures.WAITING.path}|{word(receiver)}"] = outlet.backlog.size
--- a/ravenshelf/graphite/spool.py
+++ b/ravenshelf/graphite/spool.py
@@ -3,6 +3,7 @@
 What a batch is on disk: msgpack of (version, time, importance, [(path, value), ...]). A segment goes when all of its
 batches were received, so a kill in between sends some twice; carbon writes the same point over itself.
 """
+
 import hashlib
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
@@ -25,7 +26,8 @@
     """None for what is no batch of this version: a later program's."""
     try:
         version, time, importance, points = msgspec.msgpack.decode(
-            body, type=tuple[int, int, int, list[tuple[str, float]]])
+            body, type=tuple[int, int, int, list[tuple[str, float]]]
+        )
     except (msgspec.DecodeError, ValueError):
         return None
     return Batch(time, importance, points) if version == VERSION and 0 <= importance <= 2 else None
@@ -34,9 +36,16 @@
 class Spool:
     """Of one receiver. Each call is done on the thread; `told` brings its outcome back to the loop."""
 
-    def __init__(self, folder: Path, receiver: str, most: int, thread: ThreadPoolExecutor,
-                 back: Callable[[Callable], None], files: Files | None = None):
-        name = hashlib.sha256(receiver.encode()).hexdigest()[:16]      # a receiver is known by its address
+    def __init__(
+        self,
+        folder: Path,
+        receiver: str,
+        most: int,
+        thread: ThreadPoolExecutor,
+        back: Callable[[Callable], None],
+        files: Files | None = None,
+    ):
+        name = hashlib.sha256(receiver.encode()).hexdigest()[:16]  # a receiver is known by its address
         self.folder, self.most, self.files = folder / name, most, files
         self.thread, self.back = thread, back
         self.segments: Segments | None = None
@@ -47,7 +56,7 @@
                 outcome = work()
             except (OSError, Damaged) as why:
                 outcome = why
-            except Exception as why:        # a defect is told like a failing disk: the figures go on in memory
+            except Exception as why:  # a defect is told like a failing disk: the figures go on in memory
                 outcome = OSError(0, repr(why))
             self.back(lambda: told(outcome))
 
@@ -55,11 +64,14 @@
 
     def _open(self) -> Segments:
         if self.segments is None:
-            self.segments = Segments(self.folder, self.most, min(SEGMENT, max(4096, self.most // 8)), self.files)
+            self.segments = Segments(
+                self.folder, self.most, min(SEGMENT, max(4096, self.most // 8)), self.files
+            )
         return self.segments
 
     def write(self, batches: list[Batch], told: Callable[[Exception | int], None]) -> None:
         """`told` gets the records that wait on disk, or why they could not be written."""
+
         def work() -> int:
             segments = self._open()
             segments.append([pack(batch) for batch in batches])
@@ -69,6 +81,7 @@
 
     def read(self, told: Callable) -> None:
         """The oldest segment: `told` gets (number, batches, skipped stretches), None where there is none, or why not."""
+
         def work() -> tuple[int, list[Batch], list[Skipped]] | None:
             segments = self._open()
             skipped, segments.skipped = segments.skipped, []
--- a/ravenshelf/interface.py
+++ b/ravenshelf/interface.py
@@ -21,6 +21,7 @@
 | granted, stored | slices: (slice, on), (slice, endpoint, weight) |
 | slice_asked | slice, traffic group, flows, unanswered, window |
 """
+
 from typing import Protocol
 
 STATES = ("ready", "draining", "gone")
--- a/ravenshelf/leadership/adapter.py
+++ b/ravenshelf/leadership/adapter.py
@@ -1,5 +1,6 @@
 """Between the pilot and its leadership: the decisions see only proxies of owned shards, and no order leaves without
 its right. The judging is `ShardGate`'s, `Inherited`'s and `Member`'s; here their answers meet the streams."""
+
 from typing import Callable, Iterable
 
 from ravenshelf.leadership.decisions import GRANTING, KEEPING, Member
@@ -22,17 +23,28 @@
     """`news` tells the pilot's rounds, `write(proxy, message, mark)` its streams; `names` gives an endpoint's name and
     `version` the list's. `put(shard, record)` gives a record to the voters: its number, or None."""
 
-    def __init__(self, member: Member, clock: Callable[[], int], groups: list[str], counters: Counters, *,
-                 news: Callable[[str, tuple], None], write: Callable[[int, bytes, int | None, int], None],
-                 put: Callable[[int, bytes], int | None], names: Callable[[int], str], version: Callable[[], int],
-                 index: Callable[[str], int | None], ramps: Callable[[], dict[str, int]],
-                 warm: Callable[[dict[str, int]], None]):
+    def __init__(
+        self,
+        member: Member,
+        clock: Callable[[], int],
+        groups: list[str],
+        counters: Counters,
+        *,
+        news: Callable[[str, tuple], None],
+        write: Callable[[int, bytes, int | None, int], None],
+        put: Callable[[int, bytes], int | None],
+        names: Callable[[int], str],
+        version: Callable[[], int],
+        index: Callable[[str], int | None],
+        ramps: Callable[[], dict[str, int]],
+        warm: Callable[[dict[str, int]], None],
+    ):
         self.member, self.clock, self.groups, self.counters = member, clock, groups, counters
         self.news, self.write, self.put, self.names = news, write, put, names
         self.version, self.index, self.ramps, self.warm = version, index, ramps, warm
         self.shards = member.ways.shards
-        self.present: dict[int, tuple] = {}         # every proxy with a stream here
-        self.bound: set[int] = set()                # those that the decisions know
+        self.present: dict[int, tuple] = {}  # every proxy with a stream here
+        self.bound: set[int] = set()  # those that the decisions know
         self.owned: dict[int, Owned] = {}
 
     # --- news on their way to the decisions ---
@@ -66,7 +78,7 @@
         except Unreadable:
             self.counters["records_unreadable"] += 1
             record = Record()
-        if shard in self.owned:     # ours all the time, now in a later term: what waits goes out under that
+        if shard in self.owned:  # ours all the time, now in a later term: what waits goes out under that
             self.owned[shard].term = term
             if self.owned[shard].gate.renew(record):
                 self._grow(shard, self.owned[shard])
@@ -102,7 +114,7 @@
             if part.level is not None:
                 level = min(inherited.level(now, g, part.level[0]) for g in groups)
                 part.level = (level, part.level[1])
-        for part in [p for p in parts if p.whole and p.level is None]:      # a whole table forgets levels
+        for part in [p for p in parts if p.whole and p.level is None]:  # a whole table forgets levels
             for g in part.groups or range(len(self.groups)):
                 had = inherited.record.levels.get(self.groups[g])
                 level = inherited.level(now, self.groups[g], float("inf"))
@@ -121,8 +133,11 @@
             if part.level is not None:
                 for g in part.groups or range(len(self.groups)):
                     needs.levels.append((self.groups[g], *part.level))
-            needs.drains += [(self.names(e), self.version()) for e in part.out
-                             if not owned.inherited.drained(self.names(e))]
+            needs.drains += [
+                (self.names(e), self.version())
+                for e in part.out
+                if not owned.inherited.drained(self.names(e))
+            ]
         if owned.gate.offer(proxy, (message, mark), needs):
             self._grow(shard, owned)
         self.release(shard)
@@ -151,7 +166,7 @@
         for held in left:
             message, mark = held.message
             if self.member.may_order(self.clock(), shard, held.seq) is None:
-                self.counters["orders_without_right"] += 1      # stood still since it was looked at
+                self.counters["orders_without_right"] += 1  # stood still since it was looked at
                 owned.gate.crowded.add(held.proxy)
                 continue
             self.counters["orders_fenced"] += 1
@@ -164,7 +179,7 @@
         for proxy in list(owned.gate.crowded):
             owned.gate.crowded.discard(proxy)
             owned.gate.waiting.pop(proxy, None)
-            if proxy in self.bound:     # the decisions believe in an order that never left: it is bound anew
+            if proxy in self.bound:  # the decisions believe in an order that never left: it is bound anew
                 self.news("left", (proxy, True))
                 self.news("joined", (*self.present[proxy][:3], False))
 
--- a/ravenshelf/leadership/admin.py
+++ b/ravenshelf/leadership/admin.py
@@ -1,4 +1,5 @@
 """What an operator asks a running controller by its Unix socket: one JSON object each way, a line each."""
+
 import asyncio
 import json
 import os
@@ -23,9 +24,11 @@
                 return {"error": f"to: found {heir!r}, expected one of {others}"}
             wanted = leadership.member.owned() if shards is None else shards
             if not all(isinstance(s, int) and 0 <= s < leadership.ways.shards for s in wanted):
-                return {"error": f"shards: found {str(wanted)[:60]}, expected numbers below {leadership.ways.shards}"}
+                return {
+                    "error": f"shards: found {str(wanted)[:60]}, expected numbers below {leadership.ways.shards}"
+                }
             return {"given": leadership.handover(wanted, heir)}
-    except Exception as why:        # an operator's slip must not end a controller
+    except Exception as why:  # an operator's slip must not end a controller
         return {"error": repr(why)}
     return {"error": f"ask: found {word!r}, expected one of {', '.join(WORDS)}"}
 
@@ -36,6 +39,7 @@
 
 async def serve_answers(answer_to: Callable[[dict], dict], path: str) -> asyncio.Server:
     """Answers questions at a Unix socket, one JSON object a line each way."""
+
     async def came(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             line = await asyncio.wait_for(reader.readline(), 5)
--- a/ravenshelf/leadership/decisions.py
+++ b/ravenshelf/leadership/decisions.py
@@ -13,6 +13,7 @@
 
 Times are microseconds of a clock that counts suspension. Members are numbers from 0.
 """
+
 import random
 from collections import deque
 from dataclasses import dataclass, field
@@ -21,23 +22,24 @@
 from ravenshelf.leadership.dividing import capacity, divide
 
 SECOND = 1_000_000
-TERMS = 4096                # members at most: a term is a round times this and the member, so no two share one
+TERMS = 4096  # members at most: a term is a round times this and the member, so no two share one
 NONE, PROBING, ASKING, SETTLING, OWNER, LAPSED = "none", "probing", "asking", "settling", "owner", "lapsed"
-GRANTING, KEEPING = "granting", "keeping"       # what may be ordered: all, or only what repeats what is known
+GRANTING, KEEPING = "granting", "keeping"  # what may be ordered: all, or only what repeats what is known
 
 
 @dataclass(frozen=True)
 class Ways:
     """What all members of one cluster must agree on (checked when they meet), and paces."""
+
     shards: int = 64
     lease: int = 1_500_000
-    drift: float = 0.05             # part by which two clocks may run apart, each way
+    drift: float = 0.05  # part by which two clocks may run apart, each way
     renew_every: int = 300_000
-    ask_again: int = 150_000        # after an answer that did not come, or a refusal, and as much more by chance
-    moves_a_second: float = 24.0    # shards handed over for balance
-    takes_a_second: float = 400.0   # shards of a lost one taken over
-    settle: int = 3_000_000         # a member must be there for so long before it is dealt what others have
-    late_most: int = 150_000        # a loop later than this counts as behind
+    ask_again: int = 150_000  # after an answer that did not come, or a refusal, and as much more by chance
+    moves_a_second: float = 24.0  # shards handed over for balance
+    takes_a_second: float = 400.0  # shards of a lost one taken over
+    settle: int = 3_000_000  # a member must be there for so long before it is dealt what others have
+    late_most: int = 150_000  # a loop later than this counts as behind
 
     def safe(self) -> int:
         """What of the lease an owner may count on, by its own clock."""
@@ -52,7 +54,7 @@
     """Where decisions go. What is sent in a step goes out only after what was kept in it is on disk."""
 
     def keep(self, shard: int, promised: int, term: int, seq: int, record: Any) -> None: ...
-    def votes(self) -> None: ...        # kept too: it votes from now on, also after its next start
+    def votes(self) -> None: ...  # kept too: it votes from now on, also after its next start
     def send(self, member: int, message: tuple) -> None: ...
     def changed(self, shard: int, state: str, term: int, record: Any) -> None: ...
 
@@ -60,38 +62,40 @@
 @dataclass(slots=True)
 class Vote:
     """A voter's part of one shard."""
+
     promised: int = 0
-    term: int = 0           # of the accepted record
+    term: int = 0  # of the accepted record
     seq: int = 0
     record: Any = None
     owner: int | None = None
-    until: int = 0          # of the lease, by our clock
+    until: int = 0  # of the lease, by our clock
 
 
 @dataclass(slots=True)
 class Claim:
     """An owner's part of one shard."""
+
     state: str = NONE
     term: int = 0
-    asked: int = 0          # when it asked in this term: the lease counts from here
-    good: int = 0           # until when the lease is good, by our clock
-    again: int = 0          # when to ask (again)
-    free: set[int] = field(default_factory=set)             # voters that would grant
+    asked: int = 0  # when it asked in this term: the lease counts from here
+    good: int = 0  # until when the lease is good, by our clock
+    again: int = 0  # when to ask (again)
+    free: set[int] = field(default_factory=set)  # voters that would grant
     grants: dict[int, tuple] = field(default_factory=dict)  # voter: (term, seq, record) that it had accepted
-    renewed: dict[int, set[int]] = field(default_factory=dict)      # number of a renewal: voters that took it
-    seq: int = 0            # of the newest record
-    safe: int = 0           # the newest that a majority has
+    renewed: dict[int, set[int]] = field(default_factory=dict)  # number of a renewal: voters that took it
+    seq: int = 0  # of the newest record
+    safe: int = 0  # the newest that a majority has
     record: Any = None
-    written: dict[int, int] = field(default_factory=dict)       # member: newest seq it has
-    wrote: int = 0          # when the newest was last sent
-    above: int = 0          # the greatest promise that a voter has told of
-    step_up: int = 0        # when to ask in a later term, for a voter's sake that has promised one (0: no need)
+    written: dict[int, int] = field(default_factory=dict)  # member: newest seq it has
+    wrote: int = 0  # when the newest was last sent
+    above: int = 0  # the greatest promise that a voter has told of
+    step_up: int = 0  # when to ask in a later term, for a voter's sake that has promised one (0: no need)
 
 
 @dataclass(slots=True)
 class Peer:
     heard: int | None = None
-    since: int = 0              # when it came (back)
+    since: int = 0  # when it came (back)
     capacity: float = 1.0
     draining: bool = False
     late: int = 0
@@ -116,8 +120,17 @@
     `votes`, being empty or of a start that never came so far: it votes for nothing until it has read a majority of
     the others."""
 
-    def __init__(self, me: int, members: int, ways: Ways, kept: dict[int, tuple], now: int, chance: random.Random,
-                 recovering: bool = False, capacity: float = 1.0):
+    def __init__(
+        self,
+        me: int,
+        members: int,
+        ways: Ways,
+        kept: dict[int, tuple],
+        now: int,
+        chance: random.Random,
+        recovering: bool = False,
+        capacity: float = 1.0,
+    ):
         self.me, self.members, self.ways, self.chance = me, members, ways, chance
         self.majority = members // 2 + 1
         self.votes = [Vote() for _ in range(ways.shards)]
@@ -129,15 +142,17 @@
         self.started = now
         self.quiet_until = now + ways.quiet()
         self.recovering = recovering
-        self.read: dict[int, tuple] = {}        # while recovering: whole states of others
+        self.read: dict[int, tuple] = {}  # while recovering: whole states of others
         self.number = 0
         self.renewals: deque[tuple[int, int, dict[int, int], set[int]]] = deque(maxlen=12)
         self.renew_at, self.divide_at = now, now + ways.renew_every
         self.moves, self.takes = Pace(ways.moves_a_second), Pace(ways.takes_a_second)
-        self.lonely_since: int | None = now     # since when no majority was heard
+        self.lonely_since: int | None = now  # since when no majority was heard
         self.ticked = now
-        self.heirs: dict[int, tuple[int, int]] = {}     # shard: (who is to have it, until when it is left to them)
-        self.orphans: dict[int, int] = {}               # shard: since when nobody has it, as far as we know
+        self.heirs: dict[
+            int, tuple[int, int]
+        ] = {}  # shard: (who is to have it, until when it is left to them)
+        self.orphans: dict[int, int] = {}  # shard: since when nobody has it, as far as we know
 
     # --- what may be ordered ---
 
@@ -149,7 +164,11 @@
         claim = self.claims[shard]
         if claim.state == OWNER and now < claim.good and claim.safe >= seq:
             return GRANTING
-        if claim.state in (OWNER, LAPSED) and self.alone(now) and max(self.votes[shard].promised, claim.above) <= claim.term:
+        if (
+            claim.state in (OWNER, LAPSED)
+            and self.alone(now)
+            and max(self.votes[shard].promised, claim.above) <= claim.term
+        ):
             return KEEPING
         return None
 
@@ -173,7 +192,9 @@
         self._send_record(now, shard, claim, out)
         return claim.seq
 
-    def _send_record(self, now: int, shard: int, claim: Claim, out: Out, only: Iterable[int] | None = None) -> None:
+    def _send_record(
+        self, now: int, shard: int, claim: Claim, out: Out, only: Iterable[int] | None = None
+    ) -> None:
         claim.wrote = now
         for member in range(self.members) if only is None else only:
             out.send(member, ("write", [(shard, claim.term, claim.seq, claim.record)]))
@@ -198,7 +219,7 @@
     def tick(self, now: int, out: Out) -> int:
         """Does what is due; gives when to be called again at the latest."""
         if now - self.ticked > self.ways.lease and self.lonely_since is not None:
-            self.lonely_since = now     # we stood still: what went unanswered meanwhile says nothing
+            self.lonely_since = now  # we stood still: what went unanswered meanwhile says nothing
         self.ticked = now
         if self.recovering:
             if now >= self.renew_at:
@@ -219,9 +240,18 @@
                 claim.again = now + self.chance.randrange(self.ways.ask_again)
             if claim.state == OWNER and claim.step_up and now >= claim.step_up:
                 self._ask(now, [shard], out)
-            if claim.state in (SETTLING, OWNER) and claim.safe < claim.seq and now - claim.wrote >= self.ways.ask_again:
-                self._send_record(now, shard, claim, out,
-                                  [m for m in range(self.members) if claim.written.get(m, 0) < claim.seq])
+            if (
+                claim.state in (SETTLING, OWNER)
+                and claim.safe < claim.seq
+                and now - claim.wrote >= self.ways.ask_again
+            ):
+                self._send_record(
+                    now,
+                    shard,
+                    claim,
+                    out,
+                    [m for m in range(self.members) if claim.written.get(m, 0) < claim.seq],
+                )
             if claim.state in (PROBING, ASKING, SETTLING):
                 again.append(claim.again)
             elif claim.state == OWNER:
@@ -230,16 +260,18 @@
 
     def _lapse(self, now: int, out: Out) -> None:
         words = sorted((p.heard if p.heard is not None else -1 for p in self.peers.values()), reverse=True)
-        word = now if self.majority < 2 else words[self.majority - 2]       # since then no majority was heard
+        word = now if self.majority < 2 else words[self.majority - 2]  # since then no majority was heard
         if now - word <= self.ways.lease and word >= 0:
             self.lonely_since = None
         elif self.lonely_since is None:
-            self.lonely_since = now     # from here on, not from the last word: we may have been the one that stood still
+            self.lonely_since = (
+                now  # from here on, not from the last word: we may have been the one that stood still
+            )
         for shard, claim in enumerate(self.claims):
             if claim.state == OWNER and now >= claim.good:
                 self._become(shard, LAPSED, out)
             elif claim.state == LAPSED and word > claim.good:
-                self._become(shard, NONE, out)      # a majority is there: asked anew, under a later term
+                self._become(shard, NONE, out)  # a majority is there: asked anew, under a later term
 
     def _become(self, shard: int, state: str, out: Out) -> None:
         claim = self.claims[shard]
@@ -275,7 +307,9 @@
         vote = self.votes[shard]
         if self.claims[shard].state in (OWNER, SETTLING):
             return self.me
-        return vote.owner if vote.owner not in (None, self.me) and now < vote.until else None     # ours may be a try that failed
+        return (
+            vote.owner if vote.owner not in (None, self.me) and now < vote.until else None
+        )  # ours may be a try that failed
 
     def _divide(self, now: int, out: Out) -> None:
         if now < self.quiet_until or self.lonely_since is not None:
@@ -284,16 +318,26 @@
         wanted = divide(owners, self.there(now))
         self.orphans = {s: self.orphans.get(s, now) for s, m in enumerate(owners) if m is None}
         # members may know of different owners and each leave an orphan to another: after a while whoever sees it asks
-        asks = [s for s, since in self.orphans.items()
-                if (wanted[s] == self.me or now - since > 2 * self.ways.lease) and self.claims[s].state == NONE
-                and now >= self.claims[s].again and self._left_to_us(now, s) and not self.draining]
-        self._probe(now, asks[:self.takes.take(now, len(asks))], out)
+        asks = [
+            s
+            for s, since in self.orphans.items()
+            if (wanted[s] == self.me or now - since > 2 * self.ways.lease)
+            and self.claims[s].state == NONE
+            and now >= self.claims[s].again
+            and self._left_to_us(now, s)
+            and not self.draining
+        ]
+        self._probe(now, asks[: self.takes.take(now, len(asks))], out)
         gives: dict[int, list[int]] = {}
         for shard, member in enumerate(wanted):
-            if member not in (None, self.me) and self.claims[shard].state == OWNER and self._settled(now, member):
+            if (
+                member not in (None, self.me)
+                and self.claims[shard].state == OWNER
+                and self._settled(now, member)
+            ):
                 gives.setdefault(member, []).append(shard)
         for member, shards in gives.items():
-            self.give(now, shards[:self.moves.take(now, len(shards))], member, out)
+            self.give(now, shards[: self.moves.take(now, len(shards))], member, out)
 
     def _left_to_us(self, now: int, shard: int) -> bool:
         heir, until = self.heirs.get(shard, (self.me, 0))
@@ -317,8 +361,12 @@
                 out.send(member, ("probe", list(shards)))
 
     def _on_probe(self, now: int, member: int, shards: list, out: Out) -> None:
-        free = [s for s in shards if now >= self.quiet_until
-                and (self.votes[s].owner in (None, member) or now >= self.votes[s].until)]
+        free = [
+            s
+            for s in shards
+            if now >= self.quiet_until
+            and (self.votes[s].owner in (None, member) or now >= self.votes[s].until)
+        ]
         out.send(member, ("probed", free))
 
     def _on_probed(self, now: int, member: int, free: list, out: Out) -> None:
@@ -339,7 +387,14 @@
             above = max(claim.term, claim.above, vote.promised) // TERMS + 1
             claim.term, claim.asked, claim.good = above * TERMS + self.me, now, 0
             claim.again = now + self.ways.ask_again + self.chance.randrange(self.ways.ask_again)
-            claim.grants, claim.renewed, claim.written, claim.seq, claim.safe, claim.step_up = {}, {}, {}, 0, 0, 0
+            claim.grants, claim.renewed, claim.written, claim.seq, claim.safe, claim.step_up = (
+                {},
+                {},
+                {},
+                0,
+                0,
+                0,
+            )
             self._become(shard, ASKING, out)
             terms.append((shard, claim.term))
         for member in range(self.members):
@@ -383,7 +438,7 @@
                 self._settle(now, shard, claim, out)
         for shard, promised in refused:
             claim = self.claims[shard]
-            claim.above = max(claim.above, promised)        # the next is above it
+            claim.above = max(claim.above, promised)  # the next is above it
 
     def _settle(self, now: int, shard: int, claim: Claim, out: Out) -> None:
         """A majority has granted: what any of them has accepted is written again under our term, before any order."""
@@ -402,7 +457,9 @@
                 continue
             if (term, seq) > (vote.term, vote.seq):
                 vote.promised, vote.term, vote.seq, vote.record = term, term, seq, record
-                if vote.owner != member:        # a promise that this voter has not heard of: as if it had been asked
+                if (
+                    vote.owner != member
+                ):  # a promise that this voter has not heard of: as if it had been asked
                     vote.owner, vote.until = member, max(vote.until, now + self.ways.lease)
                 out.keep(shard, vote.promised, vote.term, vote.seq, vote.record)
                 self._superseded(shard, out)
@@ -431,7 +488,9 @@
         for shard, term in terms:
             vote = self.votes[shard]
             if term > vote.promised and (vote.owner in (None, member) or now >= vote.until):
-                vote.promised = term        # a majority has granted it while this voter was away: it would else know nothing
+                vote.promised = (
+                    term  # a majority has granted it while this voter was away: it would else know nothing
+                )
                 out.keep(shard, vote.promised, vote.term, vote.seq, vote.record)
                 self._superseded(shard, out)
             if term == vote.promised and (vote.owner in (None, member) or now >= vote.until):
@@ -492,9 +551,16 @@
 
     def _on_read(self, now: int, member: int, out: Out) -> None:
         """The whole state, for one that has lost its own. One that is recovering itself says that it has none."""
-        state = None if self.recovering else [(s, v.promised, v.term, v.seq, v.record) for s, v in enumerate(self.votes)
-                                              if v.promised or v.seq]
-        out.send(member, ("state", state))      # None: nothing is known here either
+        state = (
+            None
+            if self.recovering
+            else [
+                (s, v.promised, v.term, v.seq, v.record)
+                for s, v in enumerate(self.votes)
+                if v.promised or v.seq
+            ]
+        )
+        out.send(member, ("state", state))  # None: nothing is known here either
 
     def _on_state(self, now: int, member: int, state: list | None, out: Out) -> None:
         """Votes again once a majority of the others was read: any majority that accepted something without us has a
--- a/ravenshelf/leadership/dividing.py
+++ b/ravenshelf/leadership/dividing.py
@@ -4,13 +4,14 @@
 hashing among those with room. So when one is lost only its shards move, and what comes back is dealt in small
 steps by whoever has too much.
 """
+
 from math import ceil, log
 from typing import Mapping, Sequence
 
 import xxhash
 
-SLACK = 1.15        # a member may have so much over its due before it gives away
-BEHIND = 0.5        # of its capacity, for one whose loop is late: it gives away before its leases lapse
+SLACK = 1.15  # a member may have so much over its due before it gives away
+BEHIND = 0.5  # of its capacity, for one whose loop is late: it gives away before its leases lapse
 
 
 def capacity(told: float, draining: bool, late: int, late_most: int) -> float:
@@ -22,8 +23,8 @@
 
 def score(shard: int, member: int, weight: float) -> float:
     """Weighted rendezvous: the greatest has the shard; a member's change moves only its own share."""
-    drawn = (xxhash.xxh64_intdigest(b"%d/%d" % (shard, member)) + 1) / 2.0 ** 64
-    return -weight / log(min(drawn, 1 - 2.0 ** -53))
+    drawn = (xxhash.xxh64_intdigest(b"%d/%d" % (shard, member)) + 1) / 2.0**64
+    return -weight / log(min(drawn, 1 - 2.0**-53))
 
 
 def rank(shard: int, weights: Mapping[int, float]) -> list[int]:
@@ -41,7 +42,7 @@
     shards, most = len(owners), bounds(len(owners), weights)
     wanted: list[int | None] = [m if m is not None and weights.get(m, 0) > 0 else None for m in owners]
     held = {m: [s for s in range(shards) if wanted[s] == m] for m in weights}
-    for member, own in held.items():        # over its bound: those go that would be another's by rank
+    for member, own in held.items():  # over its bound: those go that would be another's by rank
         over = len(own) - most[member]
         if over > 0:
             for shard in sorted(own, key=lambda s: score(s, member, weights[member]))[:over]:
--- a/ravenshelf/leadership/gate.py
+++ b/ravenshelf/leadership/gate.py
@@ -4,25 +4,28 @@
 endpoint likewise, so that a successor with an older list does not let it back. All other orders leave at once, but
 none to a proxy before those that were ordered to it earlier: a table must not overtake its level.
 """
+
 from collections import deque
 from dataclasses import dataclass, field
 from typing import Callable, Iterable
 
 from ravenshelf.leadership.record import Record
 
-MOST_HELD = 64      # messages to one proxy; beyond it the proxy is bound anew when it may be
+MOST_HELD = 64  # messages to one proxy; beyond it the proxy is bound anew when it may be
 
 
 @dataclass(slots=True)
 class Needs:
     """What a message stands on: (group, level, tries) and (endpoint, list version) that must be on record."""
+
     levels: list[tuple[str, float, int]] = field(default_factory=list)
     drains: list[tuple[str, int]] = field(default_factory=list)
     back: list[str] = field(default_factory=list)
 
     def met_by(self, record: Record) -> bool:
-        return (all(record.covers(*level) for level in self.levels)
-                and all(record.drains.get(e, -1) >= version for e, version in self.drains))
+        return all(record.covers(*level) for level in self.levels) and all(
+            record.drains.get(e, -1) >= version for e, version in self.drains
+        )
 
 
 @dataclass(slots=True)
@@ -30,17 +33,17 @@
     proxy: int
     message: object
     needs: Needs
-    seq: int        # of the record that it waits for; 0: only for those before it
+    seq: int  # of the record that it waits for; 0: only for those before it
 
 
 class ShardGate:
     """Of one owned shard."""
 
     def __init__(self, record: Record):
-        self.record = record        # as last put before the voters
+        self.record = record  # as last put before the voters
         self.seq = self.safe = 0
         self.waiting: dict[int, deque[Held]] = {}
-        self.crowded: set[int] = set()      # proxies whose messages were too many to hold
+        self.crowded: set[int] = set()  # proxies whose messages were too many to hold
 
     def offer(self, proxy: int, message, needs: Needs) -> bool:
         """Takes an order in. True: the record has to grow first (`grow`, then `wrote`)."""
@@ -49,7 +52,9 @@
             self.crowded.add(proxy)
             return False
         grows = not needs.met_by(self.record)
-        line.append(Held(proxy, message, needs, -1 if grows else (self.seq if needs.levels or needs.drains else 0)))
+        line.append(
+            Held(proxy, message, needs, -1 if grows else (self.seq if needs.levels or needs.drains else 0))
+        )
         return grows
 
     def grow(self, ramps: dict[str, int]) -> Record:
--- a/ravenshelf/leadership/inheritance.py
+++ b/ravenshelf/leadership/inheritance.py
@@ -4,24 +4,26 @@
 an endpoint that was cold ramps from its recorded start, and what was refused is let in step by step. Times are
 microseconds.
 """
+
 from dataclasses import dataclass, field
 from typing import Iterable
 
 from ravenshelf.leadership.record import Record
 
 SECOND = 1_000_000
-OPENS = 1.25            # a refused group is let in so much more
+OPENS = 1.25  # a refused group is let in so much more
 OPENS_EVERY = 2 * SECOND
-OPEN = 1e5              # a level that refuses nobody
-LEARNS = 60 * SECOND    # after which our own decisions stand alone
+OPEN = 1e5  # a level that refuses nobody
+LEARNS = 60 * SECOND  # after which our own decisions stand alone
 
 
 @dataclass(slots=True)
 class Inherited:
     """Of one shard, from its takeover on."""
+
     since: int
     record: Record
-    version: int        # of the list that we had then
+    version: int  # of the list that we had then
     drains: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self):
@@ -34,7 +36,7 @@
         if had is None or had[0] >= OPEN or now - self.since > LEARNS:
             return level
         steps = max(0, now - self.since) // OPENS_EVERY
-        return min(level, had[0] * OPENS ** steps)
+        return min(level, had[0] * OPENS**steps)
 
     def over(self, now: int) -> bool:
         return now - self.since > LEARNS and not self.drains
--- a/ravenshelf/leadership/link.py
+++ b/ravenshelf/leadership/link.py
@@ -4,6 +4,7 @@
 side is `hello`: version of this protocol, cluster, name, incarnation, and what all members must agree on. Each pair
 keeps one connection: the lower number dials. A newer incarnation of a name takes the older one's place.
 """
+
 import asyncio
 import ssl
 from typing import Any, Callable
@@ -16,7 +17,7 @@
 from ravenshelf.net.reading import Reading
 
 VERSION, OLDEST = 1, 1
-MOST_UNSENT = 4 * 1024 * 1024       # a member that reads so little is not there
+MOST_UNSENT = 4 * 1024 * 1024  # a member that reads so little is not there
 
 
 def frame(message: Any) -> bytes:
@@ -29,7 +30,9 @@
     def feed(self, data: bytes) -> list:
         """Raises ValueError or msgspec.DecodeError where a frame holds no message."""
         messages = [msgspec.msgpack.decode(body) for body in super().feed(data)]
-        if not all(isinstance(message, list) and message and isinstance(message[0], str) for message in messages):
+        if not all(
+            isinstance(message, list) and message and isinstance(message[0], str) for message in messages
+        ):
             raise ValueError("no message")
         return messages
 
@@ -78,7 +81,10 @@
         certificate = self.transport.get_extra_info("peercert") if self.transport is not None else None
         if not certificate:
             return None
-        return next((value for part in certificate.get("subject", ()) for key, value in part if key == "commonName"), "")
+        return next(
+            (value for part in certificate.get("subject", ()) for key, value in part if key == "commonName"),
+            "",
+        )
 
     def ended(self) -> None:
         self.owner.over(self)
@@ -91,14 +97,23 @@
         context = ssl.create_default_context(purpose, cafile=authority)
         context.load_cert_chain(certificate, key)
         context.verify_mode = ssl.CERT_REQUIRED
-        context.check_hostname = False      # members are known by their certificate's name, not by their address
+        context.check_hostname = False  # members are known by their certificate's name, not by their address
         context.minimum_version = ssl.TLSVersion.TLSv1_3
         out.append(context)
     return out[0], out[1]
 
 
-async def dial(loop: asyncio.AbstractEventLoop, address: tuple[str, int], make: Callable[[], Link],
-               context: ssl.SSLContext | None, by: float) -> None:
+async def dial(
+    loop: asyncio.AbstractEventLoop,
+    address: tuple[str, int],
+    make: Callable[[], Link],
+    context: ssl.SSLContext | None,
+    by: float,
+) -> None:
     """Raises OSError or TimeoutError where nobody is met."""
-    await asyncio.wait_for(loop.create_connection(make, *address, ssl=context,
-                                                  server_hostname="" if context is not None else None), by)
+    await asyncio.wait_for(
+        loop.create_connection(
+            make, *address, ssl=context, server_hostname="" if context is not None else None
+        ),
+        by,
+    )
--- a/ravenshelf/leadership/record.py
+++ b/ravenshelf/leadership/record.py
@@ -4,6 +4,7 @@
 does not know and writes them back with its own, so that two versions can serve in one cluster. Its size is bounded:
 by groups, by listed endpoints, and `tries` by what is still within its hold.
 """
+
 import msgspec
 
 VERSION = 2
@@ -40,8 +41,13 @@
         return isinstance(other, Record) and self.pack() == other.pack()
 
     def pack(self) -> bytes:
-        said = {"v": max(self.version, VERSION), "tries": self.tries, "levels": self.levels, "drains": self.drains,
-                "ramps": self.ramps} | self.rest
+        said = {
+            "v": max(self.version, VERSION),
+            "tries": self.tries,
+            "levels": self.levels,
+            "drains": self.drains,
+            "ramps": self.ramps,
+        } | self.rest
         return msgspec.msgpack.encode(said, order="sorted")
 
     @classmethod
--- a/ravenshelf/leadership/service.py
+++ b/ravenshelf/leadership/service.py
@@ -1,4 +1,5 @@
 """A controller among others at the edge: links, disk, timers, and the pilot's shards as they come and go."""
+
 import asyncio
 import random
 import time
@@ -18,7 +19,7 @@
 from ravenshelf.store.journal import Journal
 
 DIAL_EVERY, DIAL_BY = 300_000, 1.0
-MEET_BY = 2 * SECOND        # whoever has not said hello by then is shut out
+MEET_BY = 2 * SECOND  # whoever has not said hello by then is shut out
 MOST_UNMET = 32
 
 
@@ -31,8 +32,15 @@
     """`table` is the operator file's `[leadership]`, `folder` its `[store]`'s. `ended(why)` is called where this
     controller can't go on."""
 
-    def __init__(self, table, folder: str, loop: asyncio.AbstractEventLoop, counters: Counters, chance: random.Random,
-                 ended: Callable[[str], None]):
+    def __init__(
+        self,
+        table,
+        folder: str,
+        loop: asyncio.AbstractEventLoop,
+        counters: Counters,
+        chance: random.Random,
+        ended: Callable[[str], None],
+    ):
         self.table, self.loop, self.counters, self.ended = table, loop, counters, ended
         self.names = sorted(table.members)
         self.me = self.names.index(table.name)
@@ -42,11 +50,14 @@
         recovers = len(self.names) > 1 and "votes" not in self.journal.map
         self.journal.append([("incarnation", self.incarnation)])
         self.committer = Committer(self.journal, self._back)
-        ways = Ways(shards=table.shards, lease=round(table.lease_ms * 1000), renew_every=round(table.lease_ms * 200),
-                    ask_again=round(table.lease_ms * 100))
+        ways = Ways(
+            shards=table.shards,
+            lease=round(table.lease_ms * 1000),
+            renew_every=round(table.lease_ms * 200),
+            ask_again=round(table.lease_ms * 100),
+        )
         self.ways = ways
-        self.member = Member(self.me, len(self.names), ways, kept, clock(), chance, recovers,
-                             table.capacity)
+        self.member = Member(self.me, len(self.names), ways, kept, clock(), chance, recovers, table.capacity)
         self.adapter: Adapter | None = None
         self.buffers = Buffers()
         self.links: dict[int, Link] = {}
@@ -60,7 +71,7 @@
         self.sends: list[tuple[int, tuple]] = []
         self.committing = 0
         self.stepping = False
-        self.queue: list[tuple[int, list]] = []     # messages to ourselves
+        self.queue: list[tuple[int, list]] = []  # messages to ourselves
         self.late = 0.0
         self.closed = False
         self.alone = False
@@ -90,7 +101,7 @@
 
     def step(self, do: Callable[[], Any]) -> Any:
         """Runs the machine; what it kept goes to disk before anything that it sent with it or later leaves."""
-        if self.stepping:       # called from within, by an order that needs a record: it is part of that step
+        if self.stepping:  # called from within, by an order that needs a record: it is part of that step
             return do()
         self.stepping = True
         try:
@@ -110,7 +121,7 @@
             self._carry(sends)
         elif writes or sends:
             self.committing += 1
-            newest = dict(writes)       # of a shard only the last state counts
+            newest = dict(writes)  # of a shard only the last state counts
             self.committer.commit(list(newest.items()), lambda why: self._kept(sends, why))
 
     def _kept(self, sends: list, why: Exception | None) -> None:
@@ -178,16 +189,31 @@
         self.server = await self.loop.create_server(self._link, host, port, ssl=self.takes)
         if self.table.admin:
             from ravenshelf.leadership.admin import serve
+
             self.admin = await serve(self, self.table.admin)
         for member in range(self.me + 1, len(self.names)):
             self.dialing[member] = self.loop.create_task(self._keep_dialling(member))
-        events.CONTROLLER_STARTS(name=self.table.name, incarnation=self.incarnation, members=len(self.names),
-                                 state="recovers" if self.member.recovering else "votes")
+        events.CONTROLLER_STARTS(
+            name=self.table.name,
+            incarnation=self.incarnation,
+            members=len(self.names),
+            state="recovers" if self.member.recovering else "votes",
+        )
         self.turn()
 
     def _link(self) -> Link:
-        link = Link(self.buffers, self, ["hello", links.VERSION, self.table.cluster, self.table.name, self.incarnation,
-                                         [self.ways.shards, self.ways.lease, len(self.names)]])
+        link = Link(
+            self.buffers,
+            self,
+            [
+                "hello",
+                links.VERSION,
+                self.table.cluster,
+                self.table.name,
+                self.incarnation,
+                [self.ways.shards, self.ways.lease, len(self.names)],
+            ],
+        )
         self.unmet[link] = clock()
         if len(self.unmet) > MOST_UNMET:
             next(iter(self.unmet)).close(End.CROWDED)
@@ -197,8 +223,13 @@
         while not self.closed:
             if member not in self.links:
                 try:
-                    await links.dial(self.loop, address(self.table.members[self.names[member]]), self._link, self.dials,
-                                     DIAL_BY)
+                    await links.dial(
+                        self.loop,
+                        address(self.table.members[self.names[member]]),
+                        self._link,
+                        self.dials,
+                        DIAL_BY,
+                    )
                 except (OSError, ValueError, asyncio.TimeoutError):
                     pass
             await asyncio.sleep(DIAL_EVERY / SECOND)
@@ -243,7 +274,9 @@
             self.step(lambda: self.member.hear(clock(), link.member, tuple(message), self))
         except (AttributeError, IndexError, KeyError, TypeError, ValueError) as why:
             self.counters["member_messages_unreadable"] += 1
-            events.MEMBER_REFUSED(peer=self.names[link.member], why=f"expected a message, not {str(message)[:60]} ({why})")
+            events.MEMBER_REFUSED(
+                peer=self.names[link.member], why=f"expected a message, not {str(message)[:60]} ({why})"
+            )
             link.close(End.UNREADABLE)
             return
         if message[0] == "written":
@@ -260,30 +293,58 @@
         try:
             self.loop.call_soon_threadsafe(call)
         except RuntimeError:
-            pass        # the loop has ended
+            pass  # the loop has ended
 
     # --- by hand, and the end ---
 
     def status(self) -> dict:
         now, member = clock(), self.member
         weights = member.there(now)
-        return {"name": self.table.name, "incarnation": self.incarnation, "cluster": self.table.cluster,
-                "recovering": member.recovering, "alone": member.alone(now), "draining": member.draining,
-                "late_ms": round(self.late / 1000, 1), "proxies": len(self.adapter.present),
-                "held_orders": sum(len(o.gate) for o in self.adapter.owned.values()),
-                "members": [{"name": name, "met": n == self.me or n in self.links,
-                             "incarnation": self.incarnation if n == self.me else self.incarnations.get(n, 0),
-                             "weight": round(weights.get(n, 0.0), 2),
-                             "shards": sum(member.holder(now, s) == n for s in range(self.ways.shards))}
-                            for n, name in enumerate(self.names)],
-                "unowned": [{"shard": s, "promised": v.promised, "granted": self.names[v.owner] if v.owner is not None else "",
-                             "lease_ms": max(0, (v.until - now) // 1000), "state": member.claims[s].state,
-                             "heir": member.heirs.get(s, (None, 0))}
-                            for s, v in enumerate(member.votes) if member.holder(now, s) is None],
-                "shards": [{"shard": s, "state": c.state, "term": c.term, "record": c.seq,
-                            "lease_ms": max(0, (c.good - now) // 1000) if c.state == OWNER else 0,
-                            "proxies": self.adapter.proxies([s])}
-                           for s, c in enumerate(member.claims) if c.state != NONE]}
+        return {
+            "name": self.table.name,
+            "incarnation": self.incarnation,
+            "cluster": self.table.cluster,
+            "recovering": member.recovering,
+            "alone": member.alone(now),
+            "draining": member.draining,
+            "late_ms": round(self.late / 1000, 1),
+            "proxies": len(self.adapter.present),
+            "held_orders": sum(len(o.gate) for o in self.adapter.owned.values()),
+            "members": [
+                {
+                    "name": name,
+                    "met": n == self.me or n in self.links,
+                    "incarnation": self.incarnation if n == self.me else self.incarnations.get(n, 0),
+                    "weight": round(weights.get(n, 0.0), 2),
+                    "shards": sum(member.holder(now, s) == n for s in range(self.ways.shards)),
+                }
+                for n, name in enumerate(self.names)
+            ],
+            "unowned": [
+                {
+                    "shard": s,
+                    "promised": v.promised,
+                    "granted": self.names[v.owner] if v.owner is not None else "",
+                    "lease_ms": max(0, (v.until - now) // 1000),
+                    "state": member.claims[s].state,
+                    "heir": member.heirs.get(s, (None, 0)),
+                }
+                for s, v in enumerate(member.votes)
+                if member.holder(now, s) is None
+            ],
+            "shards": [
+                {
+                    "shard": s,
+                    "state": c.state,
+                    "term": c.term,
+                    "record": c.seq,
+                    "lease_ms": max(0, (c.good - now) // 1000) if c.state == OWNER else 0,
+                    "proxies": self.adapter.proxies([s]),
+                }
+                for s, c in enumerate(member.claims)
+                if c.state != NONE
+            ],
+        }
 
     def drain(self, on: bool = True) -> int:
         """Counts for nothing from now on: shards go to the others at the pace of balancing."""
--- a/ravenshelf/memory/buffers.py
+++ b/ravenshelf/memory/buffers.py
@@ -1,6 +1,7 @@
 """Read buffers of one size, used again."""
+
 SIZE = 16 * 1024
-KEPT = 64       # more than are ever lent at a time: one is lent from a read's start to its end
+KEPT = 64  # more than are ever lent at a time: one is lent from a read's start to its end
 
 
 class Buffers:
--- a/ravenshelf/memory/counters.py
+++ b/ravenshelf/memory/counters.py
@@ -1,4 +1,5 @@
 """Counters of what was taken in, sent and answered."""
+
 from collections import Counter
 
 
--- a/ravenshelf/memory/deadlines.py
+++ b/ravenshelf/memory/deadlines.py
@@ -1,4 +1,5 @@
 """The one ordered structure in which all deadlines hang."""
+
 import heapq
 from typing import Hashable, Iterator
 
@@ -14,7 +15,7 @@
         self.number += 1
         self.at[key] = (at, self.number)
         heapq.heappush(self.heap, (at, self.number, key))
-        if len(self.heap) > 64 + 4 * len(self.at):      # against deadlines that are moved more often than met
+        if len(self.heap) > 64 + 4 * len(self.at):  # against deadlines that are moved more often than met
             self.heap = [(at, number, key) for key, (at, number) in self.at.items()]
             heapq.heapify(self.heap)
 
--- a/ravenshelf/memory/listing.py
+++ b/ravenshelf/memory/listing.py
@@ -1,22 +1,29 @@
 """The list of endpoints as this pilot holds it; ids become small indices here, and stay so over restarts."""
+
 from typing import Callable
 
-REST = 600_000_000      # an index is given to another endpoint no sooner after its own has gone: evidence has faded
-FORMER = 65_536         # names remembered of those whose index is another's
+REST = (
+    600_000_000  # an index is given to another endpoint no sooner after its own has gone: evidence has faded
+)
+FORMER = 65_536  # names remembered of those whose index is another's
 
 
 class Listing:
-    def __init__(self, clock: Callable[[], int], in_use: Callable[[int], bool],
-                 given_away: Callable[[int], None] = lambda index: None,
-                 returned: Callable[[int], None] = lambda index: None):
+    def __init__(
+        self,
+        clock: Callable[[], int],
+        in_use: Callable[[int], bool],
+        given_away: Callable[[int], None] = lambda index: None,
+        returned: Callable[[int], None] = lambda index: None,
+    ):
         """`given_away(index)`: it is another endpoint's from now on. `returned(index)`: one came back whose index was."""
         self.clock, self.in_use, self.given_away, self.returned = clock, in_use, given_away, returned
-        self.former: dict[str, None] = {}       # names whose index is another's, oldest first
-        self.taken = clock()                    # when a list or a change was last taken
+        self.former: dict[str, None] = {}  # names whose index is another's, oldest first
+        self.taken = clock()  # when a list or a change was last taken
         self.rev, self.names, self.index = 0, [], {}
-        self.entries: dict[int, tuple] = {}     # what the module was last told of each listed endpoint
+        self.entries: dict[int, tuple] = {}  # what the module was last told of each listed endpoint
         self.addresses: dict[int, str] = {}
-        self.left: dict[int, int] = {}          # when an index that is not listed any more left, oldest first
+        self.left: dict[int, int] = {}  # when an index that is not listed any more left, oldest first
 
     def endpoint(self, name: str) -> int:
         """The endpoint's index. A new name gets one whose endpoint has long gone, so that they don't grow with time."""
@@ -48,7 +55,9 @@
                 return index
         return None
 
-    def take(self, how: str, rev: int, entries: list[tuple], addresses: dict[int, str], after: int | None = None):
+    def take(
+        self, how: str, rev: int, entries: list[tuple], addresses: dict[int, str], after: int | None = None
+    ):
         """What of a list or of changes is news: (how, entries) for the module, or None.
 
         A list older than ours overwrites nothing. `after` is the version that changes start from: where it lies
--- a/ravenshelf/memory/sent.py
+++ b/ravenshelf/memory/sent.py
@@ -1,6 +1,7 @@
 """The writer that decisions go to, and what each proxy was sent.
 
 Tables, levels and withdrawals are kept once; the orders of a round become one message for each proxy concerned."""
+
 from dataclasses import dataclass, field
 from typing import Callable
 
@@ -10,6 +11,7 @@
 @dataclass
 class Part:
     """A part of a message, in our numbers: the groups meant (empty: all), and what changes for them."""
+
     groups: tuple[int, ...] = ()
     whole: bool = False
     lines: list[tuple[int, float]] = field(default_factory=list)
@@ -28,13 +30,13 @@
     """What one joined proxy was sent on its present stream, and what it may have kept from before."""
 
     def __init__(self, place: int, unknown: bool, past: set[int]):
-        self.place = place                  # in the order in which proxies joined
-        self.bound: dict[int, int] = {}     # traffic group: table
-        self.out: set[int] = set()          # written out on this stream and not back again
-        self.settled: set[int] = set()      # endpoints of which this stream has said out or back
+        self.place = place  # in the order in which proxies joined
+        self.bound: dict[int, int] = {}  # traffic group: table
+        self.out: set[int] = set()  # written out on this stream and not back again
+        self.settled: set[int] = set()  # endpoints of which this stream has said out or back
         self.unknown, self.past = unknown, past
         self.rebound: set[int] = set()
-        self.asked: set[int] = set()        # endpoints whose withdrawal this round has changed, or made sure of
+        self.asked: set[int] = set()  # endpoints whose withdrawal this round has changed, or made sure of
 
     def shuts_out(self, endpoint: int) -> bool:
         """Whether it shuts out an endpoint by an order of this pilot's, of this stream or of one before."""
@@ -45,9 +47,9 @@
     def __init__(self, groups: int, alone: bool):
         self.groups, self.alone = tuple(range(groups)), alone
         self.proxies: dict[int, Held] = {}
-        self.past: dict[int, set[int]] = {}     # by proxy: what this pilot ever wrote out to it
+        self.past: dict[int, set[int]] = {}  # by proxy: what this pilot ever wrote out to it
         self.places = 0
-        self.dirty: set[int] = set()            # proxies that an order of this round names
+        self.dirty: set[int] = set()  # proxies that an order of this round names
         self.forget()
 
     def forget(self) -> None:
@@ -55,9 +57,9 @@
         self.tables: dict[int, dict[int, float]] = {}
         self.levels: dict[int, dict[int, tuple[float, int]]] = {}
         self.benched: set[int] = set()
-        self.users: dict[int, set[int]] = {}    # by table: the proxies bound to it
-        self.loose = set(self.proxies)          # not bound for every traffic group
-        self.doubtful: set[int] = set()         # proxies that may hold withdrawals nobody here knows of
+        self.users: dict[int, set[int]] = {}  # by table: the proxies bound to it
+        self.loose = set(self.proxies)  # not bound for every traffic group
+        self.doubtful: set[int] = set()  # proxies that may hold withdrawals nobody here knows of
         for held in self.proxies.values():
             held.bound = {}
         self.drop()
@@ -111,9 +113,9 @@
 
     def bench(self, endpoint: int, out: bool) -> None:
         (self.benched.add if out else self.benched.discard)(endpoint)
-        if out:     # whoever is bound to it later in the round is told with the table
+        if out:  # whoever is bound to it later in the round is told with the table
             concerned = self._holders(endpoint)
-        else:       # a mere doubt is settled when the channel has room for it
+        else:  # a mere doubt is settled when the channel has room for it
             concerned = {proxy for proxy, held in self.proxies.items() if held.shuts_out(endpoint)}
             self.doubtful |= {p for p in self._holders(endpoint) if self.proxies[p].unknown}
         for proxy in concerned:
@@ -121,7 +123,9 @@
 
     def _holders(self, endpoint: int) -> set[int]:
         """Proxies whose tables hold it, and those of whom it is not known."""
-        return self.loose.union(*(self.users.get(t, ()) for t, lines in self.tables.items() if endpoint in lines))
+        return self.loose.union(
+            *(self.users.get(t, ()) for t, lines in self.tables.items() if endpoint in lines)
+        )
 
     def _ask(self, proxy: int, endpoints) -> None:
         self.proxies[proxy].asked.update(endpoints)
@@ -209,7 +213,7 @@
             doubts = self.doubts(proxy)
             if doubts:
                 found.append((proxy, doubts))
-            else:       # until its tables change, or a withdrawal ends
+            else:  # until its tables change, or a withdrawal ends
                 self.doubtful.discard(proxy)
         return found
 
@@ -274,7 +278,9 @@
             if fresh and table is not None:
                 parts.append(Part(self._named(fresh), True, list(lines.items())))
                 added.update(dict.fromkeys(lines))
-            changes = [(e, lines.get(e, 0.0)) for e in self.touched.get(table, ())] if table is not None else []
+            changes = (
+                [(e, lines.get(e, 0.0)) for e in self.touched.get(table, ())] if table is not None else []
+            )
             if known and changes:
                 parts.append(Part(self._named(known), False, changes))
                 added.update(dict.fromkeys(e for e, weight in changes if weight))
--- a/ravenshelf/memory/slots.py
+++ b/ravenshelf/memory/slots.py
@@ -1,4 +1,5 @@
 """Numbered slots for connections and requests: a number is given again only after it was given back."""
+
 import heapq
 
 
--- a/ravenshelf/net/accepted.py
+++ b/ravenshelf/net/accepted.py
@@ -1,4 +1,5 @@
 """A connection that came to the pilot's address: bytes in pieces into lines, messages out."""
+
 from typing import Callable, Protocol
 
 from ravenshelf.memory.buffers import SIZE, Buffers
@@ -6,8 +7,8 @@
 from ravenshelf.net.lines import MOST_LINE, may_begin
 from ravenshelf.net.reading import Reading
 
-MOST_UNSENT = 256 * 1024    # waiting beyond the socket before one more message; who lags by more is not reading
-MOST_UNKNOWN = 4 * 1024     # a stranger's line is a joining: many without end must not fill the memory
+MOST_UNSENT = 256 * 1024  # waiting beyond the socket before one more message; who lags by more is not reading
+MOST_UNKNOWN = 4 * 1024  # a stranger's line is a joining: many without end must not fill the memory
 
 
 class Owner(Protocol):
@@ -24,11 +25,11 @@
         self.owner, self.rest = owner, bytearray()
         self.slot: int | None = None
         self.purpose, self.proxy, self.zone, self.peer = STRANGER, None, None, ""
-        self.tickets: dict[int, int] = {}       # marks written on this stream and not yet answered, and when
-        self.fences = False         # a proxy that takes orders with terms
-        self.followed = False       # a newer connection has taken its place
-        self.spoke = True           # since the door last asked
-        self.since = 0              # when it connected
+        self.tickets: dict[int, int] = {}  # marks written on this stream and not yet answered, and when
+        self.fences = False  # a proxy that takes orders with terms
+        self.followed = False  # a newer connection has taken its place
+        self.spoke = True  # since the door last asked
+        self.since = 0  # when it connected
 
     def connection_made(self, transport) -> None:
         self.transport = transport
@@ -53,7 +54,7 @@
         self.rest += data
         while (end := self.rest.find(b"\n", looked)) >= 0:
             line = bytes(self.rest[:end]).removesuffix(b"\r")
-            del self.rest[:end + 1]
+            del self.rest[: end + 1]
             looked = 0
             if self._too_long(len(line)):
                 return
--- a/ravenshelf/net/catalog.py
+++ b/ravenshelf/net/catalog.py
@@ -1,9 +1,10 @@
 """Discovery's JSON into entries of the list."""
+
 import json
 from typing import Callable
 
 STATES = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
-NEVER_IN_A_NAME = set(" \t\r\n,:=")     # what no order on a stream could name
+NEVER_IN_A_NAME = set(" \t\r\n,:=")  # what no order on a stream could name
 
 
 class Unreadable(Exception):
@@ -11,7 +12,9 @@
 
 
 class Catalog:
-    def __init__(self, provisioning: dict, endpoint: Callable[[str], int], known: Callable[[str], int | None]):
+    def __init__(
+        self, provisioning: dict, endpoint: Callable[[str], int], known: Callable[[str], int | None]
+    ):
         """`endpoint` gives a listed name its index, `known` only that of a name that has one."""
         self.zones = {name: n for n, name in enumerate(provisioning.get("zones", []))}
         self.kinds = {name: n for n, name in enumerate(provisioning.get("kinds", []))}
@@ -20,7 +23,7 @@
     def read(self, text: bytes | str) -> dict:
         try:
             return self.check(json.loads(text))
-        except ValueError as why:       # bad JSON or bad UTF-8
+        except ValueError as why:  # bad JSON or bad UTF-8
             raise Unreadable(str(why)) from why
 
     @staticmethod
@@ -53,5 +56,11 @@
         weight, start = float(target.get("capacity_hint", 1.0)), float(target.get("boot_ms") or 0)
         if not 0 <= weight < float("inf") or not 0 <= start < 1e15:
             raise ValueError(f"capacity_hint {weight}, boot_ms {start}")
-        return (self.zones[target["az"]], self.kinds.get(target.get("model"), 0),
-                int(target.get("pod_group") or 0), STATES[target["state"]], weight, round(start * 1000))
+        return (
+            self.zones[target["az"]],
+            self.kinds.get(target.get("model"), 0),
+            int(target.get("pod_group") or 0),
+            STATES[target["state"]],
+            weight,
+            round(start * 1000),
+        )
--- a/ravenshelf/net/datagrams.py
+++ b/ravenshelf/net/datagrams.py
@@ -1,8 +1,9 @@
 """Datagrams between pilots: the sender's address tells which pilot spoke."""
+
 import asyncio
 from typing import Callable
 
-MOST = 256      # a longer one voids the run
+MOST = 256  # a longer one voids the run
 
 
 def address(text: str) -> tuple[str, int]:
@@ -25,7 +26,7 @@
         self.told(known, data)
 
     def error_received(self, why: Exception) -> None:
-        pass        # a peer that is down; datagrams promise nothing
+        pass  # a peer that is down; datagrams promise nothing
 
     def send(self, peer: int | None, data: bytes) -> bool:
         """To one pilot or, with None, to all; False where there is no such address or it is too long."""
--- a/ravenshelf/net/ends.py
+++ b/ravenshelf/net/ends.py
@@ -1,4 +1,5 @@
 """Every way in which a connection can end is one value of one type; here alone it becomes the module's outcome."""
+
 from enum import Enum
 
 
@@ -19,9 +20,21 @@
     STOPPING = "the pilot stops"
 
 
-STREAM, COLLECTOR, STRANGER, WATCH, FETCH, PROBE = "stream", "collector", "stranger", "watch", "fetch", "probe"
+STREAM, COLLECTOR, STRANGER, WATCH, FETCH, PROBE = (
+    "stream",
+    "collector",
+    "stranger",
+    "watch",
+    "fetch",
+    "probe",
+)
 
-OURS = (End.UNREAD, End.CROWDED, End.SILENT, End.FAILED)    # ends of a stream by the pilot, for a proxy that may be well
+OURS = (
+    End.UNREAD,
+    End.CROWDED,
+    End.SILENT,
+    End.FAILED,
+)  # ends of a stream by the pilot, for a proxy that may be well
 
 
 def outcome(purpose: str, end: End) -> str | None:
