--- a/ravenshelf/net/http.py
+++ b/ravenshelf/net/http.py
@@ -1,4 +1,5 @@
 """One HTTP/1.1 call: dial, ask, read the answer, whole or line by line."""
+
 import asyncio
 from typing import Callable
 
@@ -9,7 +10,7 @@
 from ravenshelf.net.reading import Reading
 
 MOST_BODY = 16 * 1024 * 1024
-MOST_HEAD = 64 * 1024       # before the status is known: a head without end must not fill the memory
+MOST_HEAD = 64 * 1024  # before the status is known: a head without end must not fill the memory
 
 
 class Call(Reading):
@@ -39,8 +40,10 @@
         if self.end is not None:
             transport.abort()
             return
-        transport.write(f"GET {self.path} HTTP/1.1\r\nHost: {self.host}\r\nAccept: */*\r\n"
-                        "Connection: close\r\n\r\n".encode())
+        transport.write(
+            f"GET {self.path} HTTP/1.1\r\nHost: {self.host}\r\nAccept: */*\r\n"
+            "Connection: close\r\n\r\n".encode()
+        )
 
     def close(self, end: End) -> None:
         if self.dialing is not None and self.transport is None and end is not End.REFUSED:
@@ -50,7 +53,7 @@
         super().close(end)
 
     def eof_received(self) -> bool:
-        if self.status and not self.sized:      # a body without a length ends with its connection
+        if self.status and not self.sized:  # a body without a length ends with its connection
             self.complete = True
             self.close(End.ANSWERED if self.status == 200 else End.DECLINED)
         return False
@@ -64,7 +67,7 @@
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if not self.complete:       # what comes behind the answer is none of it
+            if not self.complete:  # what comes behind the answer is none of it
                 self.close(End.UNREADABLE)
         if self.complete:
             self.close(End.ANSWERED if self.status == 200 else End.DECLINED)
@@ -95,7 +98,7 @@
             self.close(End.TOO_LONG)
 
     def on_message_complete(self) -> None:
-        if 100 <= self.status < 200 and self.status != 101:     # the answer is still to come
+        if 100 <= self.status < 200 and self.status != 101:  # the answer is still to come
             self.status, self.size, self.chunks, self.sized = 0, 0, [], False
         else:
             self.complete = True
--- a/ravenshelf/net/lines.py
+++ b/ravenshelf/net/lines.py
@@ -1,15 +1,16 @@
 """Lines of the streams: what proxies and collectors say into the module's calls, messages into lines."""
+
 from typing import Callable, Iterable
 
 from ravenshelf.provisioning import LOAD_WORDS
 
-MOST_LINE = 1024 * 1024     # a message holds no more
+MOST_LINE = 1024 * 1024  # a message holds no more
 MOST_PARTS = 64
-MOST_FIGURE = 2.0 ** 32     # beyond any count or time that is meant
-MOST_SPAN = 600_000.0       # ms: beyond any window that a report is counted over
-NOISE = 4                   # a reported mean may lie so far over what is true
+MOST_FIGURE = 2.0**32  # beyond any count or time that is meant
+MOST_SPAN = 600_000.0  # ms: beyond any window that a report is counted over
+NOISE = 4  # a reported mean may lie so far over what is true
 PING, PONG = "PING", b"PONG\r\n"
-KINDS = ("SUBSCRIBE", "SOURCE", "LOAD", "RATE", "ACK", PING)      # what comes to a pilot
+KINDS = ("SUBSCRIBE", "SOURCE", "LOAD", "RATE", "ACK", PING)  # what comes to a pilot
 
 
 class Malformed(Exception):
@@ -64,7 +65,9 @@
 def whole(said: dict[str, str], name: str, beyond: int | None = None) -> int:
     value = number(said, name)
     if value != int(value) or (beyond is not None and value >= beyond):
-        raise Malformed(f"expected a whole number{f' below {beyond}' if beyond else ''} as {name}, not {value:g}")
+        raise Malformed(
+            f"expected a whole number{f' below {beyond}' if beyond else ''} as {name}, not {value:g}"
+        )
     return int(value)
 
 
@@ -113,7 +116,7 @@
         self.groups = {g.get("name"): n for n, g in enumerate(provisioning.get("traffic_groups", []))}
         self.proxies = int(provisioning.get("service", {}).get("proxy_count") or 65536)
         longest = max([g.get("expiry_us", 0) for g in provisioning.get("traffic_groups", [])], default=0)
-        self.longest = NOISE * longest / 1000 or MOST_SPAN      # no try outlasts the longest expiry
+        self.longest = NOISE * longest / 1000 or MOST_SPAN  # no try outlasts the longest expiry
         self.columns = provisioning.get("telemetry", {}).get("columns", [])
         self.endpoint = endpoint
 
@@ -131,7 +134,12 @@
 
     def joined(self, said: dict[str, str]) -> tuple[int, int, float, bool]:
         """A proxy of which no usual rate is known may say none."""
-        return self.proxy(said), self.zone(said), number({"weight": "0"} | said, "weight"), flag(said, "fresh")
+        return (
+            self.proxy(said),
+            self.zone(said),
+            number({"weight": "0"} | said, "weight"),
+            flag(said, "fresh"),
+        )
 
     def applied(self, said: dict[str, str]) -> tuple[int, int, int]:
         return self.proxy(said), whole(said, "mark", 65536), micros(said, "took_ms")
@@ -142,7 +150,7 @@
     def heard(self, said: dict[str, str]) -> tuple | None:
         """None where the endpoint was never listed: that says nothing against the line."""
         zone, (tries, failed, span) = self.zone(said), counted(said)
-        if failed > tries:      # of RATE it may be so: what failed may have come in the window before
+        if failed > tries:  # of RATE it may be so: what failed may have come in the window before
             raise Malformed(f"expected failed up to tries={tries}, not {failed}")
         mean = micros({"mean_ms": "0"} | said if failed == tries else said, "mean_ms", self.longest)
         if failed < tries and not mean:
--- a/ravenshelf/net/reading.py
+++ b/ravenshelf/net/reading.py
@@ -1,4 +1,5 @@
 """Reads into buffers of the pool; what speaks lines or HTTP stands on this protocol."""
+
 import asyncio
 
 from ravenshelf.memory.buffers import Buffers
@@ -35,7 +36,7 @@
         self._give_back()
         if why is None:
             self.close(End.CLOSED)
-        else:       # the loop ends the connection of a call that failed, too
+        else:  # the loop ends the connection of a call that failed, too
             self.close(End.RESET if isinstance(why, OSError) else End.FAILED)
 
     def close(self, end: End) -> None:
@@ -49,7 +50,7 @@
 
     def close_transport(self, end: End) -> None:
         if end is End.STOPPING:
-            self.transport.close()      # what is ready goes out
+            self.transport.close()  # what is ready goes out
         else:
             self.transport.abort()
 
--- a/ravenshelf/printing.py
+++ b/ravenshelf/printing.py
@@ -1,4 +1,5 @@
 """The one way to print a table: for a terminal, for a page, for a program."""
+
 import json
 import sys
 from typing import Sequence
@@ -15,6 +16,7 @@
     else:
         from rich.console import Console
         from rich.table import Table
+
         table = Table(*headings, title=title or None, title_justify="left")
         for row in rows:
             table.add_row(*(str(cell) for cell in row))
--- a/ravenshelf/process/clock.py
+++ b/ravenshelf/process/clock.py
@@ -1,4 +1,5 @@
 """The one clock: whole microseconds of Unix time, read once at the start and never going back after it."""
+
 import time
 
 
--- a/ravenshelf/process/configuration.py
+++ b/ravenshelf/process/configuration.py
@@ -1,4 +1,5 @@
 """What a pilot is told at its start: read once and checked, with a complaint that names the field."""
+
 import json
 import os
 from typing import Any, Mapping
@@ -94,13 +95,17 @@
     for name, of in (("azs", str), ("classes", lambda each: str(each["name"]))):
         ours, theirs = ([of(each) for each in said["settings"][name]] for said in (old, new))
         if not set(ours) <= set(theirs):
-            raise Wrong(f"settings.{name}: expected those that this pilot serves, {', '.join(ours)}, not {', '.join(theirs)}; "
-                        "this is another deployment's configuration, nothing of it is taken")
+            raise Wrong(
+                f"settings.{name}: expected those that this pilot serves, {', '.join(ours)}, not {', '.join(theirs)}; "
+                "this is another deployment's configuration, nothing of it is taken"
+            )
     waiting = []
     for name in sorted((set(old) | set(new)) - {"discovery", "known", "seed"}):
         had, has = old.get(name), new.get(name)
         if isinstance(had, dict) and isinstance(has, dict):
-            waiting += [f"{name}.{part}" for part in sorted(set(had) | set(has)) if had.get(part) != has.get(part)]
+            waiting += [
+                f"{name}.{part}" for part in sorted(set(had) | set(has)) if had.get(part) != has.get(part)
+            ]
         elif had != has:
             waiting.append(name)
     return old | {"discovery": new["discovery"]}, waiting
@@ -109,7 +114,9 @@
 def summary(said: dict) -> str:
     settings = said["settings"]
     known = said.get("known") or {"targets": []}
-    return (f"{said.get('name', 'a pilot')}: listens at {said['listen']}, discovery at {said['discovery']} "
-            f"({settings.get('discovery', 'on_request')}); zones {len(settings['azs'])}, classes "
-            f"{len(settings['classes'])}, peers {len(said.get('peers') or [])}, known endpoints "
-            f"{len(known['targets'])}")
+    return (
+        f"{said.get('name', 'a pilot')}: listens at {said['listen']}, discovery at {said['discovery']} "
+        f"({settings.get('discovery', 'on_request')}); zones {len(settings['azs'])}, classes "
+        f"{len(settings['classes'])}, peers {len(said.get('peers') or [])}, known endpoints "
+        f"{len(known['targets'])}"
+    )
--- a/ravenshelf/process/controller.py
+++ b/ravenshelf/process/controller.py
@@ -35,7 +35,9 @@
         self.loop, self.listen = loop, table.listen
         self.ended = loop.create_future()
         chance = random.Random()
-        self.leadership = Leadership(operator.leadership, operator.store.folder, loop, Counters(), chance, self._end)
+        self.leadership = Leadership(
+            operator.leadership, operator.store.folder, loop, Counters(), chance, self._end
+        )
         self.leases = self.leadership.adapter = LeasedServices(
             self.leadership.member, self.leadership.names, clock, operator.leadership.shards
         )
@@ -103,7 +105,9 @@
         loop.add_signal_handler(number, controller.stop)
     loop.add_signal_handler(signal.SIGHUP, controller.reload)
     address = await controller.start()
-    events.CONTROLLER_READY(name=operator.distribution.name, address=address, services=len(controller.services))
+    events.CONTROLLER_READY(
+        name=operator.distribution.name, address=address, services=len(controller.services)
+    )
     why = await controller.ended
     controller.close()
     await asyncio.sleep(0.1)  # what was given up is told
--- a/ravenshelf/process/discovery.py
+++ b/ravenshelf/process/discovery.py
@@ -1,4 +1,5 @@
 """Discovery as the pilot asks it: one answer for each call, changes while a watch lasts, its end told once."""
+
 import random
 from typing import Callable
 
@@ -10,24 +11,36 @@
 from ravenshelf.net.http import Call
 
 LIST = "/catalog/members"
-CALL_TIMEOUT = 5_000_000    # a call that is not answered by then has failed
-IDLE_TIMEOUT = 5_000_000    # an open watch says something every 2 s
-RESTORED = 30_000_000       # what is told is told within 6 s: versions lower than ours for so long are the service's own
-RETRY_DELAY = 1_000_000     # within this a watch that the module does not ask for is begun anew, not by all at one time
+CALL_TIMEOUT = 5_000_000  # a call that is not answered by then has failed
+IDLE_TIMEOUT = 5_000_000  # an open watch says something every 2 s
+RESTORED = (
+    30_000_000  # what is told is told within 6 s: versions lower than ours for so long are the service's own
+)
+RETRY_DELAY = (
+    1_000_000  # within this a watch that the module does not ask for is begun anew, not by all at one time
+)
 
 
 class Discovery:
     """`open_call(purpose, path, done, piece, by)` dials; `news(name, values)` tells the module."""
 
-    def __init__(self, listing: Listing, catalog: Catalog, counters: Counters, open_call: Callable,
-                 news: Callable, pushed: bool, chance: random.Random):
+    def __init__(
+        self,
+        listing: Listing,
+        catalog: Catalog,
+        counters: Counters,
+        open_call: Callable,
+        news: Callable,
+        pushed: bool,
+        chance: random.Random,
+    ):
         self.listing, self.catalog, self.counters = listing, catalog, counters
         self.open_call, self.news, self.pushed, self.chance = open_call, news, pushed, chance
-        self.wanted = pushed                # whether there is to be a watch
+        self.wanted = pushed  # whether there is to be a watch
         self.watch: Call | None = None
-        self.former: Call | None = None     # at the address left behind, heard until the new one answers
+        self.former: Call | None = None  # at the address left behind, heard until the new one answers
         self.moves = 0
-        self.moved = False                  # whether the address is new: its versions may be others
+        self.moved = False  # whether the address is new: its versions may be others
         self.answered, self.after = False, 0
         self.extend: Callable = lambda call, time: None
         self.schedule: Callable = lambda time: None
@@ -49,7 +62,7 @@
         """Discovery has another address. The watch that speaks is heard until one at the new address answers."""
         self.moved, self.moves = True, self.moves + 1
         if self.watch is not None and self.former is not None and not self.answered:
-            self._end_watch()       # at an address between, that never spoke
+            self._end_watch()  # at an address between, that never spoke
         elif self.watch is not None:
             self._leave_former()
             self.former, self.watch = self.watch, None
@@ -94,7 +107,9 @@
         if call is not self.watch and call is not self.former:
             return
         self.extend(call, IDLE_TIMEOUT)
-        if not line:        # nothing has changed since the version we hold, or at a new address: its list is to come
+        if (
+            not line
+        ):  # nothing has changed since the version we hold, or at a new address: its list is to come
             if not self.moved:
                 self._answers(call)
             return
@@ -110,8 +125,8 @@
         restored = lower and self.listing.clock() - self.listing.taken > RESTORED
         if call is self.watch and (self.moved or restored):
             self.moved = changes and lower
-            self.listing.rev = self.after = 0       # versions of its own, which only by chance are as high as ours
-            if self.moved:      # only its whole list tells where it stands
+            self.listing.rev = self.after = 0  # versions of its own, which only by chance are as high as ours
+            if self.moved:  # only its whole list tells where it stands
                 call.close(End.UNREADABLE)
                 return
         taken = self._take(said, "update" if changes else "replace", self.after if changes else None)
@@ -137,13 +152,13 @@
         if call is not self.watch:
             return
         self.watch = None
-        end = End.CLOSED if call.end is End.ANSWERED else call.end     # a watch is never over by itself
+        end = End.CLOSED if call.end is End.ANSWERED else call.end  # a watch is never over by itself
         self._failed(WATCH, end, call)
         if call.end is not End.STOPPING and (self.pushed or self.former is not None):
             self._schedule_watch()
 
     def _fetched(self, call: Call, moves: int) -> None:
-        if call.end is not End.ANSWERED or moves != self.moves:     # the versions of an address that we left
+        if call.end is not End.ANSWERED or moves != self.moves:  # the versions of an address that we left
             self._failed(FETCH, End.DECLINED if call.end is End.ANSWERED else call.end, call)
             return
         try:
@@ -161,7 +176,9 @@
         if name is None:
             return
         self.counters[f"discovery_{end.name.lower()}"] += 1
-        events.DISCOVERY_ENDED(purpose=purpose, end=end.value, status=f" ({call.status})" if call.status else "")
+        events.DISCOVERY_ENDED(
+            purpose=purpose, end=end.value, status=f" ({call.status})" if call.status else ""
+        )
         if not self.pushed:
             self.news(name, ())
 
@@ -170,7 +187,7 @@
         for index, why in broken:
             self.counters["list_entries_broken"] += 1
             events.ENTRY_BROKEN(why=why)
-            if how == "replace" and index in self.listing.entries:      # kept as it was: a slip is no removal
+            if how == "replace" and index in self.listing.entries:  # kept as it was: a slip is no removal
                 entries.append(self.listing.entries[index])
         if how == "replace" and any(index is None for index, _ in broken):
             had = {entry[0] for entry in entries}
--- a/ravenshelf/process/door.py
+++ b/ravenshelf/process/door.py
@@ -1,4 +1,5 @@
 """Who comes to the pilot's address: strangers, collectors, and the streams of proxies."""
+
 from typing import Callable
 
 from ravenshelf import events
@@ -10,29 +11,43 @@
 from ravenshelf.net.ends import COLLECTOR, OURS, STRANGER, STREAM, End, outcome
 from ravenshelf.net.lines import Malformed, Reader, Unreadable
 
-JOIN_TIMEOUT = 1_500_000    # whoever has not joined so long after connecting is shut out, whatever was said
-MAY_STAY = 1_000_000        # for so long at least nobody is shut out for want of room, but at the very limit
-IDLE_TIMEOUT = 30_000_000   # a connection that was followed by a newer one, and says nothing for so long
-LATE = 1_000_000            # a mark can't have taken longer than since it was written, but for the clocks
+JOIN_TIMEOUT = 1_500_000  # whoever has not joined so long after connecting is shut out, whatever was said
+MAY_STAY = 1_000_000  # for so long at least nobody is shut out for want of room, but at the very limit
+IDLE_TIMEOUT = 30_000_000  # a connection that was followed by a newer one, and says nothing for so long
+LATE = 1_000_000  # a mark can't have taken longer than since it was written, but for the clocks
 
 
 class Door:
-    def __init__(self, reader: Reader, slots: Slots, reserve: int, deadlines: Deadlines, counters: Counters,
-                 set_deadline: Callable, clock: Callable[[], int], news: Callable[[str, tuple], None],
-                 next_turn: Callable[[Callable], None]):
+    def __init__(
+        self,
+        reader: Reader,
+        slots: Slots,
+        reserve: int,
+        deadlines: Deadlines,
+        counters: Counters,
+        set_deadline: Callable,
+        clock: Callable[[], int],
+        news: Callable[[str, tuple], None],
+        next_turn: Callable[[Callable], None],
+    ):
         self.reader, self.slots, self.reserve, self.deadlines = reader, slots, reserve, deadlines
         self.counters, self.clock, self.news = counters, clock, news
         self.set_deadline, self.next_turn = set_deadline, next_turn
         self.streams: dict[int, Accepted] = {}
-        self.collectors: dict[int, Accepted] = {}       # the newest of each zone
-        self.strangers: dict[Accepted, None] = {}       # in the order in which they connected
-        self.followed: dict[Accepted, None] = {}        # the one longest silent first
-        self.idle: list[Accepted] = []         # streams that said nothing between two looks, the likeliest gone last
+        self.collectors: dict[int, Accepted] = {}  # the newest of each zone
+        self.strangers: dict[Accepted, None] = {}  # in the order in which they connected
+        self.followed: dict[Accepted, None] = {}  # the one longest silent first
+        self.idle: list[Accepted] = []  # streams that said nothing between two looks, the likeliest gone last
         self.swept = 0
-        self.lingering: set[Accepted] = set()     # at the stop: those that still get what was written
-        self.all_closed: Callable[[], None] | None = None     # told once they have it, from the stop on
-        self.kinds = {"SUBSCRIBE": self._subscribe, "SOURCE": self._source, "LOAD": self._load,
-                      "RATE": self._rate, "ACK": self._ack}
+        self.lingering: set[Accepted] = set()  # at the stop: those that still get what was written
+        self.all_closed: Callable[[], None] | None = None  # told once they have it, from the stop on
+        self.kinds = {
+            "SUBSCRIBE": self._subscribe,
+            "SOURCE": self._source,
+            "LOAD": self._load,
+            "RATE": self._rate,
+            "ACK": self._ack,
+        }
 
     # --- connections ---
 
@@ -107,7 +122,7 @@
         if connection.purpose == STREAM and self.streams.get(connection.proxy) is connection:
             del self.streams[connection.proxy]
             name = outcome(STREAM, connection.end)
-            if name is not None:        # what waits for a stream that the pilot ended goes on counting
+            if name is not None:  # what waits for a stream that the pilot ended goes on counting
                 self.news(name, (connection.proxy, True) if connection.end in OURS else (connection.proxy,))
 
     def stop(self, all_closed: Callable[[], None]) -> None:
@@ -158,11 +173,13 @@
                 self.kinds[kind](connection, lines.named(said))
             self.counters[f"took_{kind.lower()}"] += 1
         except Malformed as why:
-            events.SPOILT(purpose=connection.purpose, peer=connection.peer, line=repr(line[:120]), why=str(why))
+            events.SPOILT(
+                purpose=connection.purpose, peer=connection.peer, line=repr(line[:120]), why=str(why)
+            )
             if isinstance(why, Unreadable) or connection.purpose == STRANGER:
                 self.counters["unreadable"] += 1
                 connection.close(End.UNREADABLE)
-            else:       # a slip in one message says nothing against those around it
+            else:  # a slip in one message says nothing against those around it
                 self.counters[f"spoilt_{kind.lower()}"] += 1
 
     def _subscribe(self, connection: Accepted, said: dict) -> None:
@@ -172,15 +189,17 @@
             raise Unreadable("expected one proxy to a stream")
         old = self.streams.get(proxy)
         if connection.proxy is not None and old is not connection:
-            self.counters["stale"] += 1     # this stream was followed by a newer one
+            self.counters["stale"] += 1  # this stream was followed by a newer one
             return
-        if old is connection:   # the stream has not broken: what was written to it is still on its way and answered for
+        if (
+            old is connection
+        ):  # the stream has not broken: what was written to it is still on its way and answered for
             self.news("left", (proxy, True))
         self.streams[proxy] = connection
         connection.proxy, connection.fences = proxy, said.get("term") == "1"
         self._known(connection, STREAM)
         if old is not None and old is not connection:
-            self._followed(old)         # its end, late as it may come, changes nothing any more
+            self._followed(old)  # its end, late as it may come, changes nothing any more
         self.news("joined", values)
 
     def _source(self, connection: Accepted, said: dict) -> None:
--- a/ravenshelf/process/logs.py
+++ b/ravenshelf/process/logs.py
@@ -1,4 +1,5 @@
 """Log lines on standard error: bounded in rate, written by a thread so that a full pipe never blocks the loop."""
+
 import json
 import queue
 import sys
@@ -13,7 +14,9 @@
 
 __all__ = ["LEVELS", "Sink", "start"]
 A_SECOND, BURST, WAITING = 20, 200, 1000
-FLUSH_TIMEOUT = 0.15    # seconds for the last lines; with the 0.25 that streams may take, well within the 0.7 until SIGKILL
+FLUSH_TIMEOUT = (
+    0.15  # seconds for the last lines; with the 0.25 that streams may take, well within the 0.7 until SIGKILL
+)
 
 
 class Sink:
@@ -49,7 +52,7 @@
             try:
                 self.out(text)
             except (OSError, ValueError):
-                pass        # nobody reads; the pilot goes on
+                pass  # nobody reads; the pilot goes on
 
     def finish(self, seconds: float) -> None:
         """Writes what waits, for so long at most."""
@@ -63,10 +66,16 @@
 
 def as_json(record: dict, lost: int = 0) -> str:
     """One object: when, level, the event's stable name, its fields, its words."""
-    said = {"at": record["time"].astimezone(timezone.utc).isoformat(timespec="milliseconds"),
-            "level": record["level"].name, "event": "", **record["extra"], "message": record["message"]}
+    said = {
+        "at": record["time"].astimezone(timezone.utc).isoformat(timespec="milliseconds"),
+        "level": record["level"].name,
+        "event": "",
+        **record["extra"],
+        "message": record["message"],
+    }
     if record["exception"] is not None:
         from traceback import format_exception
+
         why = record["exception"]
         said["trace"] = "".join(format_exception(why.type, why.value, why.traceback))
     if lost:
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -3,6 +3,7 @@
 Nothing of it is imported where the file leaves it off, and nothing of it can hold up a round: its deadlines are met
 after the rounds', its work is done in slices that give way to them.
 """
+
 import os
 import random
 import resource
@@ -14,7 +15,7 @@
 from ravenshelf.operating.tables import Operator
 
 SECOND = 1_000_000
-USERS_EVERY = 10 * SECOND       # the file of collectd's users is looked at so often
+USERS_EVERY = 10 * SECOND  # the file of collectd's users is looked at so often
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
@@ -26,28 +27,36 @@
 
 
 class Operations:
-    KEYS = ("background", "figures", "graphite", "users")       # the deadlines that are met here
+    KEYS = ("background", "figures", "graphite", "users")  # the deadlines that are met here
 
     def __init__(self, operator: Operator, pilot, chance: random.Random):
         self.operator, self.pilot, self.chance = operator, pilot, chance
         self.counters, self.clock = pilot.counters, pilot.clock
-        self.background = Background(self._agenda(operator.background), pilot.clock,
-                                     lambda at: pilot.set_deadline(("background",), at), pilot.round_due,
-                                     pilot.counters)
+        self.background = Background(
+            self._agenda(operator.background),
+            pilot.clock,
+            lambda at: pilot.set_deadline(("background",), at),
+            pilot.round_due,
+            pilot.counters,
+        )
         self.graphite = self.gatherer = self.listener = self.leadership = None
-        self.places: tuple[int, dict] = (-1, {})        # the list's version, endpoints by host
+        self.places: tuple[int, dict] = (-1, {})  # the list's version, endpoints by host
         self.before: dict[str, float] = {}
         self.users_seen: float = 0.0
         self.distribution = None
         if operator.distribution.service:
-            self._subscribe()   # before the first round: its controller takes the owner's tables
+            self._subscribe()  # before the first round: its controller takes the owner's tables
         if operator.leadership.name:
-            self._lead()        # before anyone is accepted: what joins is owned or not from the first
+            self._lead()  # before anyone is accepted: what joins is owned or not from the first
 
     @staticmethod
     def _agenda(table) -> Agenda:
-        return Agenda(table.jobs, round(table.turn_ms * 1000), round(table.a_second_ms * 1000),
-                      round(table.ageing_s * SECOND))
+        return Agenda(
+            table.jobs,
+            round(table.turn_ms * 1000),
+            round(table.a_second_ms * 1000),
+            round(table.ageing_s * SECOND),
+        )
 
     async def start(self) -> None:
         if self.leadership is not None:
@@ -64,10 +73,19 @@
     def _subscribe(self) -> None:
         from ravenshelf.distribution.pilot_service import PilotDistribution
         from ravenshelf.leadership.service import clock
+
         pilot, table = self.pilot, self.operator.distribution
         self.distribution = pilot.sums = PilotDistribution(
-            table.service, table.cluster, table.name, table.parents, pilot.loop, clock, self.chance,
-            name_of=lambda index: pilot.listing.names[index], index_of=pilot.listing.index.get)
+            table.service,
+            table.cluster,
+            table.name,
+            table.parents,
+            pilot.loop,
+            clock,
+            self.chance,
+            name_of=lambda index: pilot.listing.names[index],
+            index_of=pilot.listing.index.get,
+        )
         pilot.rounds.decide_with(self.distribution.controller)
 
     # --- other controllers ---
@@ -75,6 +93,7 @@
     def _lead(self) -> None:
         from ravenshelf.leadership.adapter import Adapter, fenced
         from ravenshelf.leadership.service import Leadership, clock
+
         pilot, table = self.pilot, self.operator.leadership
 
         def ended(why: str) -> None:
@@ -84,17 +103,32 @@
         def write(proxy: int, message: bytes, mark: int | None, term: int) -> None:
             pilot.door.write(proxy, fenced(message, term) if pilot.door.fences(proxy) else message, mark)
 
-        self.leadership = Leadership(table, self.operator.store.folder, pilot.loop, self.counters, self.chance, ended)
+        self.leadership = Leadership(
+            table, self.operator.store.folder, pilot.loop, self.counters, self.chance, ended
+        )
         self.leadership.adapter = pilot.gate = pilot.rounds.gate = Adapter(
-            self.leadership.member, clock, pilot.rounds.names, self.counters, news=pilot.tell, write=write,
-            put=self.leadership.put, names=lambda n: pilot.listing.names[n], version=lambda: pilot.listing.rev,
-            index=pilot.listing.index.get, ramps=self._ramps, warm=self._warm)
+            self.leadership.member,
+            clock,
+            pilot.rounds.names,
+            self.counters,
+            news=pilot.tell,
+            write=write,
+            put=self.leadership.put,
+            names=lambda n: pilot.listing.names[n],
+            version=lambda: pilot.listing.rev,
+            index=pilot.listing.index.get,
+            ramps=self._ramps,
+            warm=self._warm,
+        )
 
     def _ramps(self) -> dict[str, int]:
         """Endpoints that have started of late, with their starts."""
         since = self.clock() - 60 * SECOND
-        return {self.pilot.listing.names[index]: entry[6] for index, entry in self.pilot.listing.entries.items()
-                if entry[6] > since}
+        return {
+            self.pilot.listing.names[index]: entry[6]
+            for index, entry in self.pilot.listing.entries.items()
+            if entry[6] > since
+        }
 
     def _warm(self, starts: dict[str, int]) -> None:
         """Tells the decisions of starts that another controller knew and our list does not."""
@@ -111,19 +145,27 @@
     def _start_graphite(self) -> None:
         from ravenshelf.graphite.gather import Gatherer
         from ravenshelf.graphite.service import Graphite
+
         pilot, table = self.pilot, self.operator.graphite
         self.gatherer = Gatherer(pilot.rounds.provisioning, self._prefix(table), self.clock())
         self.gatherer.level_of, self.gatherer.name_of = pilot.sent.level_of, lambda n: pilot.listing.names[n]
         self.gatherer.heard("listed", ("restored", pilot.listing.whole()), self.clock())
         for values in pilot.rounds.joined.values():
             self.gatherer.heard("joined", values, self.clock())
-        self.graphite = Graphite(table, self.chance, loop=pilot.loop, clock=self.clock, background=self.background,
-                                 again=lambda receiver, at: pilot.set_deadline(("graphite", receiver), at))
+        self.graphite = Graphite(
+            table,
+            self.chance,
+            loop=pilot.loop,
+            clock=self.clock,
+            background=self.background,
+            again=lambda receiver, at: pilot.set_deadline(("graphite", receiver), at),
+        )
         pilot.tap = pilot.rounds.tap = self.gatherer
         self._next_figures(self.clock())
 
     def _prefix(self, table) -> str:
         from ravenshelf.graphite.formats import word
+
         return f"{table.prefix}.{word(str(self.pilot.configuration.get('name', 'pilot')))}"
 
     def _next_figures(self, now: int) -> None:
@@ -133,35 +175,50 @@
     def figures(self, now: int) -> None:
         """Closes an interval; the points are made in the background and carry the interval's boundary as time."""
         from ravenshelf.graphite.service import aligned
+
         self._next_figures(now)
         time = aligned(now, self.operator.graphite.every_s)
-        take = lambda importance, points: self.graphite.take(time, importance, points)      # noqa: E731
+        take = lambda importance, points: self.graphite.take(time, importance, points)  # noqa: E731
         work = self.gatherer.points(now, self.pilot.rounds.controller, self._counts(now), take)
         self.background.offer("figures", PRESENT, 2 * SECOND, work)
 
     def _counts(self, now: int) -> dict[str, float]:
         """What others have counted: sums as rates a second since the last figures, levels as they are."""
         from ravenshelf.graphite import figures
+
         memory, descriptors = vitals()
         usage = resource.getrusage(resource.RUSAGE_SELF)
         counts = self.graphite.counts() | {
-            figures.MEMORY.path: memory, figures.DESCRIPTORS.path: descriptors,
+            figures.MEMORY.path: memory,
+            figures.DESCRIPTORS.path: descriptors,
             figures.BACKGROUND_WAITING.path: len(self.background.agenda),
             figures.BACKGROUND_DROPPED.path: self.counters["background_dropped"],
-            figures.MODULE_FAILURES.path: self.counters["module_failures"]}
-        sums = {figures.ROUNDS.path: self.counters["rounds"], figures.MESSAGES.path: self.counters["messages_sent"],
-                figures.LINES.path: self.counters["lines_sent"], figures.CPU.path: usage.ru_utime + usage.ru_stime,
-                figures.BACKGROUND_PART.path: self.counters["background_us"] / 1e6}
+            figures.MODULE_FAILURES.path: self.counters["module_failures"],
+        }
+        sums = {
+            figures.ROUNDS.path: self.counters["rounds"],
+            figures.MESSAGES.path: self.counters["messages_sent"],
+            figures.LINES.path: self.counters["lines_sent"],
+            figures.CPU.path: usage.ru_utime + usage.ru_stime,
+            figures.BACKGROUND_PART.path: self.counters["background_us"] / 1e6,
+        }
         if self.leadership is not None:
             lead = self.leadership
-            counts |= {figures.SHARDS.path: len(lead.member.owned()), figures.MET.path: 1 + len(lead.links),
-                       figures.HELD.path: sum(len(owned.gate) for owned in lead.adapter.owned.values())}
-            sums |= {figures.COMMITS.path: lead.committer.batches,
-                     figures.RECORDS.path: self.counters["records_written"]}
+            counts |= {
+                figures.SHARDS.path: len(lead.member.owned()),
+                figures.MET.path: 1 + len(lead.links),
+                figures.HELD.path: sum(len(owned.gate) for owned in lead.adapter.owned.values()),
+            }
+            sums |= {
+                figures.COMMITS.path: lead.committer.batches,
+                figures.RECORDS.path: self.counters["records_written"],
+            }
         if self.listener is not None:
-            sums |= {figures.PACKETS.path: self.counters["collectd_packets"],
-                     figures.REFUSED.path: self.counters["collectd_refused"],
-                     figures.VALUES.path: self.counters["collectd_values"]}
+            sums |= {
+                figures.PACKETS.path: self.counters["collectd_packets"],
+                figures.REFUSED.path: self.counters["collectd_refused"],
+                figures.VALUES.path: self.counters["collectd_values"],
+            }
         was, self.before = self.before, sums | {"at": now}
         if was:
             seconds = max(1e-3, (now - was["at"]) / SECOND)
@@ -177,13 +234,17 @@
         from ravenshelf.collectd.decisions import Signals
         from ravenshelf.collectd.listener import Listener
         from ravenshelf.net.datagrams import address
+
         table = self.operator.collectd
         known = users.Users(users.load(table.users) if table.users else {})
         text = Path(table.types).read_text(encoding="utf-8") if table.types else types.OWN
         signals = Signals(self.endpoints, types.read(text, table.types or "types.db"), self.counters)
-        self.listener = Listener(table, known, signals, self.background, self.counters, self.clock, self.pilot.news)
-        transport, _ = await self.pilot.loop.create_datagram_endpoint(lambda: self.listener,
-                                                                      local_addr=address(table.listen))
+        self.listener = Listener(
+            table, known, signals, self.background, self.counters, self.clock, self.pilot.news
+        )
+        transport, _ = await self.pilot.loop.create_datagram_endpoint(
+            lambda: self.listener, local_addr=address(table.listen)
+        )
         host, port = transport.get_extra_info("sockname")[:2]
         events.COLLECTD_LISTENS(address=f"{host}:{port}", security=table.security)
         if table.users:
@@ -211,6 +272,7 @@
 
         def work():
             from ravenshelf.collectd import users
+
             file = self.operator.collectd.users
             try:
                 changed = os.stat(file).st_mtime_ns
@@ -239,6 +301,7 @@
     def renew(self, operator: Operator, done: Callable[[str], None]) -> None:
         """Takes a new operator file whole; `done` is told what changed. What listens anew does so on the loop."""
         from ravenshelf.operating.reading import changed
+
         old, self.operator = self.operator, operator
         names = changed(old, operator)
         if "background" in names:
@@ -252,7 +315,7 @@
         elif operator.collectd.users and self.listener is not None:
             self._look_at_users(self.clock())
         if self.leadership is not None:
-            try:        # certificates may have been renewed under the same names
+            try:  # certificates may have been renewed under the same names
                 self.leadership.read_certificates()
             except OSError as why:
                 events.CERTIFICATES_REFUSED(why=str(why))
--- a/ravenshelf/process/pilot.py
+++ b/ravenshelf/process/pilot.py
@@ -1,4 +1,5 @@
 """One pilot: what comes in over the network, the rounds, what goes out, and the end."""
+
 import asyncio
 import random
 import signal
@@ -24,13 +25,13 @@
 from ravenshelf.process.rounds import Rounds
 from ravenshelf.provisioning import provisioning
 
-OWN = 24            # descriptors that the process itself needs: 12 were counted
-CALLS = 64          # calls at discovery and endpoints that may be open at a time
+OWN = 24  # descriptors that the process itself needs: 12 were counted
+CALLS = 64  # calls at discovery and endpoints that may be open at a time
 BACKLOG = 1024
 AFTER_FAILURE = 250_000
-STOOD_STILL, READ_FIRST = 500_000, 0.02     # a timer so late means that the process stood still; seconds to read
-READ_AGAIN, READS = 500_000, 10     # a configuration that can't be used may be half written still
-LINGER_TIMEOUT = 0.25   # seconds for all to take what was written; SIGKILL comes 0.7 s after SIGTERM, the log's end is to write
+STOOD_STILL, READ_FIRST = 500_000, 0.02  # a timer so late means that the process stood still; seconds to read
+READ_AGAIN, READS = 500_000, 10  # a configuration that can't be used may be half written still
+LINGER_TIMEOUT = 0.25  # seconds for all to take what was written; SIGKILL comes 0.7 s after SIGTERM, the log's end is to write
 
 
 class Pilot:
@@ -48,17 +49,34 @@
         self.sent = Sent(len(settings.get("traffic_groups", [])), pilots == 1)
         self.listing = Listing(clock, self.sent.holds, self.sent.given_away, self.sent.returned)
         self.catalog = Catalog(settings, self.listing.endpoint, self.listing.index.get)
-        self.rounds = Rounds(settings, int(str(configuration.get("seed", "0")), 16), self.listing, self.sent,
-                             self.counters)
-        self.discovery = Discovery(self.listing, self.catalog, self.counters, self.open_call, self.news,
-                                   settings.get("discovery") == "pushed", self.rounds.controller.chance)
+        self.rounds = Rounds(
+            settings, int(str(configuration.get("seed", "0")), 16), self.listing, self.sent, self.counters
+        )
+        self.discovery = Discovery(
+            self.listing,
+            self.catalog,
+            self.counters,
+            self.open_call,
+            self.news,
+            settings.get("discovery") == "pushed",
+            self.rounds.controller.chance,
+        )
         self.discovery.extend, self.discovery.schedule = self.extend, self._schedule_watch
         self.probes = Probes(settings, self.listing, self.counters, self.open_call, self.news, self.clock)
         reader = lines.Reader(settings, self.listing.index.get)
         # strangers leave room for every proxy's stream, its successor, and the collectors
         reserve = min(accepted // 2, 2 * proxies + 16)
-        self.door = Door(reader, self.slots, reserve, self.deadlines, self.counters, self.set_deadline, clock,
-                         self.news, loop.call_soon)
+        self.door = Door(
+            reader,
+            self.slots,
+            reserve,
+            self.deadlines,
+            self.counters,
+            self.set_deadline,
+            clock,
+            self.news,
+            loop.call_soon,
+        )
         self.peers: datagrams.Datagrams | None = None
         self.may_tell = bool(limits.get("peer_messages"))
         self.server: asyncio.Server | None = None
@@ -66,17 +84,17 @@
         self.timer_at: int | None = None
         self.counters_every = 0
         self.again: Callable[[], dict] = lambda: self.configuration
-        self.reads = 0      # left for a configuration that could not be used
-        self.operations = None      # what an operator file turns on
+        self.reads = 0  # left for a configuration that could not be used
+        self.operations = None  # what an operator file turns on
         self.operator_again: Callable | None = None
-        self.ended_by: str | None = None    # what it can't go on without
-        self.log = None             # the log's sink, whose form a new operator file may change
-        self.tap = None             # hears all that the module hears, where figures are sent
-        self.sums = None            # hears it too, where a service's owner decides its tables
-        self.gate = None            # keeps from it what is other controllers', where several share the fleet
+        self.ended_by: str | None = None  # what it can't go on without
+        self.log = None  # the log's sink, whose form a new operator file may change
+        self.tap = None  # hears all that the module hears, where figures are sent
+        self.sums = None  # hears it too, where a service's owner decides its tables
+        self.gate = None  # keeps from it what is other controllers', where several share the fleet
         self.ready, self.last_round, self.round_at = False, 0, 0
         self.stopping, self.stopped = False, loop.create_future()
-        self.came = 0               # connections accepted until the last round
+        self.came = 0  # connections accepted until the last round
 
     # --- deadlines and rounds ---
 
@@ -87,12 +105,18 @@
     def arm(self) -> None:
         """One timer of the loop, for the earliest deadline."""
         at = self.deadlines.next()
-        if self.stopping or at is None or (self.timer is not None and (self.timer_at is None or self.timer_at <= at)):
+        if (
+            self.stopping
+            or at is None
+            or (self.timer is not None and (self.timer_at is None or self.timer_at <= at))
+        ):
             return
         if self.timer is not None:
             self.timer.cancel()
         self.timer_at, wait = at, at - self.clock()
-        self.timer = self.loop.call_later(wait / 1e6, self.turn) if wait > 0 else self.loop.call_soon(self.turn)
+        self.timer = (
+            self.loop.call_later(wait / 1e6, self.turn) if wait > 0 else self.loop.call_soon(self.turn)
+        )
 
     def turn(self) -> None:
         now = self.clock()
@@ -104,7 +128,7 @@
         beside = []
         for key in self.deadlines.due(now):
             if self.operations is not None and key[0] in self.operations.KEYS:
-                beside.append(key)      # what is beside table lines comes after them
+                beside.append(key)  # what is beside table lines comes after them
             else:
                 self._try_to_meet(key, now)
         for key in beside:
@@ -114,7 +138,7 @@
     def _try_to_meet(self, key: tuple, now: int) -> None:
         try:
             self.meet(key, now)
-        except Exception:       # one that fails must not take the others' turn, nor the next
+        except Exception:  # one that fails must not take the others' turn, nor the next
             self.counters["deadlines_failed"] += 1
             events.DEADLINE_FAILED.raised(key=str(key))
 
@@ -163,7 +187,7 @@
         self.counters.most("loop_lag_most_us", late)
         self.last_round, began = now, time.perf_counter_ns()
         calls = self.rounds.run(now, self.door.write)
-        if calls is None:       # a module that fails at every start must not take the whole core
+        if calls is None:  # a module that fails at every start must not take the whole core
             self.round_at = now + AFTER_FAILURE
             self.deadlines.set(("round",), self.round_at)
         took = (time.perf_counter_ns() - began) // 1000
@@ -180,7 +204,7 @@
 
     def do(self, name: str, values: list) -> None:
         if name == "wake":
-            self.set_deadline(("wake", *values), values[0])     # met in a later turn, even where it is past
+            self.set_deadline(("wake", *values), values[0])  # met in a later turn, even where it is past
         elif name == "log":
             events.DECISIONS(text=values[0])
         elif name == "observe":
@@ -195,10 +219,17 @@
 
     # --- calls to others ---
 
-    def open_call(self, purpose: str, path: str, done: Callable, piece: Callable | None, by: int,
-                  host: str | None = None) -> Call:
+    def open_call(
+        self,
+        purpose: str,
+        path: str,
+        done: Callable,
+        piece: Callable | None,
+        by: int,
+        host: str | None = None,
+    ) -> Call:
         def ended(call: Call) -> None:
-            self.deadlines.drop(("call", call))     # the call itself: its number may be another's by then
+            self.deadlines.drop(("call", call))  # the call itself: its number may be another's by then
             self.calls.give_back(call.slot)
             done(call)
 
@@ -216,7 +247,7 @@
             self.deadlines.set(("call", call), self.clock() + time)
 
     def _schedule_watch(self, wait: int) -> None:
-        if ("watch",) not in self.deadlines.at:     # never put off by what comes meanwhile
+        if ("watch",) not in self.deadlines.at:  # never put off by what comes meanwhile
             self.set_deadline(("watch",), self.clock() + wait)
 
     def told(self, peer: int | None, data: bytes) -> None:
@@ -245,12 +276,14 @@
             peers, everyone = self.configuration.get("peers") or [], self.configuration.get("peers_all")
             _, self.peers = await self.loop.create_datagram_endpoint(
                 lambda: datagrams.Datagrams(peers, everyone, self.told),
-                local_addr=datagrams.address(self.configuration["peer_listen"]))
-            if self.stopping:       # meanwhile: nothing begins any more
+                local_addr=datagrams.address(self.configuration["peer_listen"]),
+            )
+            if self.stopping:  # meanwhile: nothing begins any more
                 return
         host, port = datagrams.address(self.configuration["listen"])
-        self.server = await self.loop.create_server(lambda: Accepted(self.buffers, self.door), host, port,
-                                                    backlog=BACKLOG)
+        self.server = await self.loop.create_server(
+            lambda: Accepted(self.buffers, self.door), host, port, backlog=BACKLOG
+        )
         if self.counters_every:
             self.deadlines.set(("count",), self.clock() + self.counters_every)
         self.arm()
@@ -274,14 +307,17 @@
         self.counters["reloads"] += 1
         moved = new["discovery"] != self.configuration["discovery"]
         self.configuration = new
-        events.RELOADED(discovery=new["discovery"],
-                        waiting=f"; waits for a restart: {', '.join(waiting)}" if waiting else "")
+        events.RELOADED(
+            discovery=new["discovery"],
+            waiting=f"; waits for a restart: {', '.join(waiting)}" if waiting else "",
+        )
         if moved:
             self.discovery.move()
 
     def _reload_operator(self) -> None:
         """Takes a new operator file whole; one that can't be used changes nothing."""
         from ravenshelf.operating.reading import Wrong as WrongOperator
+
         try:
             operator = self.operator_again()
         except WrongOperator as why:
@@ -307,13 +343,15 @@
         try:
             for call in list(self.calls.held.values()):
                 call.close(End.STOPPING)
-            if self.ready and self.rounds.news:     # a drain that was heard is played, though its round was not yet due
+            if (
+                self.ready and self.rounds.news
+            ):  # a drain that was heard is played, though its round was not yet due
                 self.round()
             if self.operations is not None:
                 self.operations.close()
             if self.peers is not None:
                 self.peers.transport.close()
-        finally:        # whatever fails in it, the streams get what was written
+        finally:  # whatever fails in it, the streams get what was written
             self.door.stop(self._finish_stop)
 
     def _finish_stop(self) -> None:
@@ -327,14 +365,26 @@
         events.LOOP_FAILED.raised(context.get("exception"), text=str(context.get("message")))
 
     def count(self) -> None:
-        usage = {"connections": len(self.slots), "proxies": len(self.door.streams), "calls": len(self.calls),
-                 "endpoints": len(self.listing.entries), "deadlines": len(self.deadlines.at)}
+        usage = {
+            "connections": len(self.slots),
+            "proxies": len(self.door.streams),
+            "calls": len(self.calls),
+            "endpoints": len(self.listing.entries),
+            "deadlines": len(self.deadlines.at),
+        }
         now = " ".join(f"{name}={value}" for name, value in usage.items())
         events.COUNTED(now=now, since_start=self.counters.text())
 
 
-async def serve(configuration: dict, again: Callable[[], dict], clock: Callable[[], int], counters_every: int,
-                operator=None, operator_again: Callable | None = None, log=None) -> None:
+async def serve(
+    configuration: dict,
+    again: Callable[[], dict],
+    clock: Callable[[], int],
+    counters_every: int,
+    operator=None,
+    operator_again: Callable | None = None,
+    log=None,
+) -> None:
     """`again` reads the configuration anew at each SIGHUP, `operator_again` the operator file, where there is one."""
     loop = asyncio.get_running_loop()
     pilot = Pilot(configuration, loop, clock)
@@ -346,7 +396,12 @@
     loop.add_signal_handler(signal.SIGHUP, pilot.reload)
     if operator is not None:
         from ravenshelf.process.operations import Operations
-        pilot.operations, pilot.operator_again, pilot.log = Operations(operator, pilot, random.Random()), operator_again, log
+
+        pilot.operations, pilot.operator_again, pilot.log = (
+            Operations(operator, pilot, random.Random()),
+            operator_again,
+            log,
+        )
     await pilot.start()
     if pilot.operations is not None and not pilot.stopping:
         await pilot.operations.start()
--- a/ravenshelf/process/probes.py
+++ b/ravenshelf/process/probes.py
@@ -1,4 +1,5 @@
 """Probes: one answer for each, from /_load where the deployment has reports, else from /ping."""
+
 from typing import Callable
 
 from ravenshelf.memory.counters import Counters
@@ -7,12 +8,19 @@
 from ravenshelf.net.http import Call
 from ravenshelf.net.lines import load_report, pairs
 
-ANSWER_MORE = 1_000_000     # an answer may take so much longer than the dial
+ANSWER_MORE = 1_000_000  # an answer may take so much longer than the dial
 
 
 class Probes:
-    def __init__(self, provisioning: dict, listing: Listing, counters: Counters, open_call: Callable,
-                 news: Callable, clock: Callable[[], int]):
+    def __init__(
+        self,
+        provisioning: dict,
+        listing: Listing,
+        counters: Counters,
+        open_call: Callable,
+        news: Callable,
+        clock: Callable[[], int],
+    ):
         limits, telemetry = provisioning.get("limits", {}), provisioning.get("telemetry", {})
         self.allowed = bool(limits.get("probing"))
         self.by = int(limits.get("dial_timeout_us") or 250_000) + ANSWER_MORE
--- a/ravenshelf/process/relay.py
+++ b/ravenshelf/process/relay.py
@@ -45,7 +45,15 @@
         loop.add_signal_handler(number, ended.set)
     upstreams = {name: [name] for name in table.parents} if table.owners else {TREE: list(table.parents)}
     service = RelayService(
-        loop, clock, table.cluster, table.name, upstreams, table.parents, random.Random(), limits(table), table.owners
+        loop,
+        clock,
+        table.cluster,
+        table.name,
+        upstreams,
+        table.parents,
+        random.Random(),
+        limits(table),
+        table.owners,
     )
     address = await service.start(table.listen)
     admin = await serve_answers(lambda asked: answer(service, asked), table.admin) if table.admin else None
@@ -101,7 +109,14 @@
                 done.set()
 
         service = SubscriptionService(
-            loop, clock, cluster, f"watch-{random.getrandbits(32):08x}", [parent], {parent: parent}, random.Random(), changed
+            loop,
+            clock,
+            cluster,
+            f"watch-{random.getrandbits(32):08x}",
+            [parent],
+            {parent: parent},
+            random.Random(),
+            changed,
         )
         service.start(topics)
         await done.wait()
--- a/ravenshelf/process/relay_figures.py
+++ b/ravenshelf/process/relay_figures.py
@@ -44,9 +44,14 @@
     def _background(self, operator: Operator) -> Background:
         table = operator.background
         agenda = Agenda(
-            table.jobs, round(table.turn_ms * 1000), round(table.a_second_ms * 1000), round(table.ageing_s * SECOND)
+            table.jobs,
+            round(table.turn_ms * 1000),
+            round(table.a_second_ms * 1000),
+            round(table.ageing_s * SECOND),
+        )
+        return Background(
+            agenda, self.clock, lambda at: self.timers.set(BACKGROUND, at), lambda: False, Counters()
         )
-        return Background(agenda, self.clock, lambda at: self.timers.set(BACKGROUND, at), lambda: False, Counters())
 
     def stop(self) -> None:
         """Closes the receivers."""
@@ -83,7 +88,9 @@
         relay = self.service.relay
         return {
             figures.RELAY_SUBSCRIBERS.path: len(relay.distributor.subscribers),
-            figures.RELAY_UPSTREAMS.path: sum(client.state is State.CONNECTED for client in relay.clients.values()),
+            figures.RELAY_UPSTREAMS.path: sum(
+                client.state is State.CONNECTED for client in relay.clients.values()
+            ),
             figures.RELAY_TOPICS.path: len(relay.topics),
         }
 
--- a/ravenshelf/process/rounds.py
+++ b/ravenshelf/process/rounds.py
@@ -1,4 +1,5 @@
 """The round: what came in goes to the module in one call, what it ordered goes out as one message a proxy."""
+
 from typing import Callable
 
 from ravenshelf import events
@@ -15,11 +16,11 @@
         self.listing, self.sent, self.counters = listing, sent, counters
         self.names = [g.get("name") for g in provisioning.get("traffic_groups", [])]
         self.head = provisioning.get("service", {}).get("envelope", 0)
-        self.joined: dict[int, tuple] = {}      # what was last said of each joined proxy
+        self.joined: dict[int, tuple] = {}  # what was last said of each joined proxy
         self.news: list[tuple[str, tuple]] = []
         self.failures = 0
-        self.tap = None         # told of each message where figures are sent
-        self.gate = None        # judges what may leave, where several controllers share the fleet
+        self.tap = None  # told of each message where figures are sent
+        self.gate = None  # judges what may leave, where several controllers share the fleet
         self.make_controller = Controller
         self.controller = Controller(provisioning, seed)
 
@@ -76,7 +77,7 @@
         charged = channel.open[-1].total if channel.number != before else 0.0
         self.counters["lines_charged"] += charged
         self.counters["lines_written"] += written
-        if written > charged + 1e-6:    # never may the module think the queue shorter than it is
+        if written > charged + 1e-6:  # never may the module think the queue shorter than it is
             self.counters["lines_beyond_charge"] += written - charged
             channel.beyond(written - charged)
         self.counters["rounds"] += 1
@@ -102,7 +103,7 @@
         Safer than to go on with it, and than to end: the proxies' streams stay, and the new one binds them all."""
         self.failures += 1
         self.counters["module_failures"] += 1
-        channel = self.controller.channel       # what waits in it waits on, and its marks are not given again
+        channel = self.controller.channel  # what waits in it waits on, and its marks are not given again
         channel.drop()
         self.controller = self.make_controller(self.provisioning, self.seed + self.failures, channel)
         self.sent.forget()
--- a/ravenshelf/process/serving.py
+++ b/ravenshelf/process/serving.py
@@ -1,4 +1,5 @@
 """`ravenshelf serve`: its options, what they name, and the pilot that runs until SIGTERM."""
+
 import argparse
 import sys
 
@@ -7,13 +8,21 @@
 
 
 def options(arguments: list[str]) -> argparse.Namespace:
-    parser = argparse.ArgumentParser("ravenshelf serve", description="Run one pilot until SIGTERM. Its counters are "
-                                     "printed at the end and on SIGUSR1; SIGHUP reads the files again.")
+    parser = argparse.ArgumentParser(
+        "ravenshelf serve",
+        description="Run one pilot until SIGTERM. Its counters are "
+        "printed at the end and on SIGUSR1; SIGHUP reads the files again.",
+    )
     parser.add_argument("--config", "-c", help="The configuration; else RELAY_CONFIG names it.")
     parser.add_argument("--operator", "-o", help="The operator file (TOML).")
     parser.add_argument("--log-level", default="INFO", help=f"Least level of log lines: {', '.join(LEVELS)}.")
-    parser.add_argument("--counters-every", type=float, default=0, metavar="SECONDS",
-                        help="Between prints of the counters; 0: none.")
+    parser.add_argument(
+        "--counters-every",
+        type=float,
+        default=0,
+        metavar="SECONDS",
+        help="Between prints of the counters; 0: none.",
+    )
     said = parser.parse_args(arguments)
     said.log_level = said.log_level.upper()
     if said.log_level not in LEVELS:
@@ -29,18 +38,22 @@
 
 def main(arguments: list[str]) -> int:
     said, tables, again = options(arguments), None, None
-    if said.operator is not None:       # without one nothing of it is loaded
+    if said.operator is not None:  # without one nothing of it is loaded
         from pathlib import Path
 
         from ravenshelf.operating import reading
+
         try:
             tables = reading.read(Path(said.operator))
         except reading.Wrong as why:
             return refuse(why)
-        again = lambda: reading.read(Path(said.operator))      # noqa: E731
+        again = lambda: reading.read(Path(said.operator))  # noqa: E731
     try:
         told = configuration.read(said.config)
     except configuration.Wrong as why:
         return refuse(why)
     from ravenshelf.process import run
-    return run.run(told, lambda: configuration.read(said.config), said.log_level, said.counters_every, tables, again)
+
+    return run.run(
+        told, lambda: configuration.read(said.config), said.log_level, said.counters_every, tables, again
+    )
--- a/ravenshelf/provisioning.py
+++ b/ravenshelf/provisioning.py
@@ -1,14 +1,29 @@
 """The words of the settings into ours, one copy for the simulator's wire and for sockets."""
+
 WORDS = {
-    "azs": "zones", "balancers": "pilots", "classes": "traffic_groups", "objective": "latency_budget",
-    "deadline": "expiry", "importance": "utility", "late_worth": "late_utility",
-    "memory_span": "dedupe_window", "idempotency": "effect",
-    "key_scope": "dedupe_scope", "family_info": "service", "family": "service_kind",
+    "azs": "zones",
+    "balancers": "pilots",
+    "classes": "traffic_groups",
+    "objective": "latency_budget",
+    "deadline": "expiry",
+    "importance": "utility",
+    "late_worth": "late_utility",
+    "memory_span": "dedupe_window",
+    "idempotency": "effect",
+    "key_scope": "dedupe_scope",
+    "family_info": "service",
+    "family": "service_kind",
 }
 EFFECTS = {"pure": "retriable", "token": "deduped", "side_effect": "non-retriable"}
 # what a load report on sockets calls the columns of the settings' `telemetry`
-LOAD_WORDS = {"inflight": "active", "queue": "waiting", "util": "cpu", "latency_ms": "avg_ms",
-              "qps": "rps", "eps": "err_rps"}
+LOAD_WORDS = {
+    "inflight": "active",
+    "queue": "waiting",
+    "util": "cpu",
+    "latency_ms": "avg_ms",
+    "qps": "rps",
+    "eps": "err_rps",
+}
 
 
 def provisioning(raw):
--- a/ravenshelf/rules.py
+++ b/ravenshelf/rules.py
@@ -1,4 +1,5 @@
 """Every decision of ravenshelf, called as `interface.py` says; times are microseconds."""
+
 import random
 from bisect import insort
 from collections import Counter, defaultdict, deque
@@ -6,31 +7,32 @@
 from math import exp, log
 
 SECOND = 1_000_000
-BEAT, STEP, STAGE_PART = 5 * SECOND // 2, SECOND // 4, 0.2      # the solver's beat; steps of a staging
-DEMAND_SPAN = 5 * SECOND // 2               # fades as old, on the mean, as what a window of 5 s holds
-TARGET, QUANTUM, ZONES_FINE = 0.05, 0.01, 8     # of misses; of demand; of more zones quanta are coarser
-BOUND_TIMES, BOUND_HEARD = 3, 10 * SECOND   # the bound of a miss: times the median of the first while
-RAMP, RETURN = 30 * SECOND, 10 * SECOND     # of a new endpoint; within which a zone that was lost returns
-BUCKET, CURVE_SPAN, POOLED, STEEP = 0.12, 25 * SECOND, 0.15, 0.6     # of a curve: width; memory; others; rise
-MARGIN, GAP_MOVES = 1.2, 1000               # demand may rise so until tables are in force; a gap's least move
+BEAT, STEP, STAGE_PART = 5 * SECOND // 2, SECOND // 4, 0.2  # the solver's beat; steps of a staging
+DEMAND_SPAN = 5 * SECOND // 2  # fades as old, on the mean, as what a window of 5 s holds
+TARGET, QUANTUM, ZONES_FINE = 0.05, 0.01, 8  # of misses; of demand; of more zones quanta are coarser
+BOUND_TIMES, BOUND_HEARD = 3, 10 * SECOND  # the bound of a miss: times the median of the first while
+RAMP, RETURN = 30 * SECOND, 10 * SECOND  # of a new endpoint; within which a zone that was lost returns
+BUCKET, CURVE_SPAN, POOLED, STEEP = 0.12, 25 * SECOND, 0.15, 0.6  # of a curve: width; memory; others; rise
+MARGIN, GAP_MOVES = 1.2, 1000  # demand may rise so until tables are in force; a gap's least move
 HEALTH_SPAN, HEALTH_PRIOR, FADED = 6 * SECOND, 3.0, 0.02
 PACE_SPAN, PACE_LEAST, PACE_MOST = 12 * SECOND, 0.1, 2.0
-WORTH_LINES, LEVEL_MOVES = 0.08, 0.1        # parts that must have moved for a table or a level to be sent
-SHED_MISSES, CALM_MISSES = 0.10, 0.06       # of the tries: the estimate of capacity goes down, or up again
-COLD_LOAD, COLD_PART = 1.2, 0.7             # most load of a cold zone against the mean; so cold is cold
-SHED_DOWN, SHED_UP = 0.75, 1.1              # what a beat of misses or of calm makes of it
-KEPT_IN, TRUST, SHED_LEAST = 0.05, 0.8, 1.1     # of a group; in the first capacity; of what calm carried
-UNLIMITED, NEEDED, JOINING, WITHDRAWAL = 1e6, 2, 3, 4   # a level; urgency of tables after a drain or start
-PART_ENDPOINTS, PART_PROXIES = 3, 6         # least of a zone's endpoints, and of its proxies, to a table
-LUKEWARM, FAILING = 0.5, 0.6                # a colder one has no line where the zone's middle is worse
-NOTICED_SPAN, CROWDED, CROWDED_MOST = 20 * SECOND, 0.2, 0.5     # of machines: memory; excess; most loss
-WAITS = (0.7, 1.5, 1.5, 4.0, 1e9)           # seconds of queue behind which an order is stale, by urgency
-MARKS, SLOWEST, UNHEARD = 65_535, 10, 20 * SECOND   # of the wire; usual pace over slowest; passed unanswered
+WORTH_LINES, LEVEL_MOVES = 0.08, 0.1  # parts that must have moved for a table or a level to be sent
+SHED_MISSES, CALM_MISSES = 0.10, 0.06  # of the tries: the estimate of capacity goes down, or up again
+COLD_LOAD, COLD_PART = 1.2, 0.7  # most load of a cold zone against the mean; so cold is cold
+SHED_DOWN, SHED_UP = 0.75, 1.1  # what a beat of misses or of calm makes of it
+KEPT_IN, TRUST, SHED_LEAST = 0.05, 0.8, 1.1  # of a group; in the first capacity; of what calm carried
+UNLIMITED, NEEDED, JOINING, WITHDRAWAL = 1e6, 2, 3, 4  # a level; urgency of tables after a drain or start
+PART_ENDPOINTS, PART_PROXIES = 3, 6  # least of a zone's endpoints, and of its proxies, to a table
+LUKEWARM, FAILING = 0.5, 0.6  # a colder one has no line where the zone's middle is worse
+NOTICED_SPAN, CROWDED, CROWDED_MOST = 20 * SECOND, 0.2, 0.5  # of machines: memory; excess; most loss
+WAITS = (0.7, 1.5, 1.5, 4.0, 1e9)  # seconds of queue behind which an order is stale, by urgency
+MARKS, SLOWEST, UNHEARD = 65_535, 10, 20 * SECOND  # of the wire; usual pace over slowest; passed unanswered
 SLACK, LENT_LEAST, BLIND = 0.2, 0.02, 0.25  # of a part: over its due, lent; cold while no flow is known
 
 
 class Decaying:
     """A few sums that fade with time, brought up to date when they are read."""
+
     def __init__(self, span, size):
         self.span, self.at, self.sums = span, 0, [0.0] * size
 
@@ -46,17 +48,18 @@
 
 class Endpoint:
     """What is listed of an endpoint and what was heard of it."""
+
     def __init__(self, index, start):
         self.index, self.zone, self.kind, self.state = index, 0, 0, "unknown"
         self.weight, self.start, self.benched, self.order = 1.0, start, False, None
-        self.noticed = Decaying(NOTICED_SPAN, 2)    # readings of its machine, busy share
+        self.noticed = Decaying(NOTICED_SPAN, 2)  # readings of its machine, busy share
         self.forget()
 
     def forget(self):
-        self.tries = Decaying(HEALTH_SPAN, 2)       # tries, dropped
-        self.misses = Decaying(2 * SECOND, 2)       # tries, missed
-        self.busy = Decaying(2 * SECOND, 2)         # reports, load reported for each weight
-        self.latency = Decaying(PACE_SPAN, 2)       # delivered, delivered x latency
+        self.tries = Decaying(HEALTH_SPAN, 2)  # tries, dropped
+        self.misses = Decaying(2 * SECOND, 2)  # tries, missed
+        self.busy = Decaying(2 * SECOND, 2)  # reports, load reported for each weight
+        self.latency = Decaying(PACE_SPAN, 2)  # delivered, delivered x latency
 
     def fade(self, now):
         """Share of tries that come to something; never 0, and it returns as the evidence fades."""
@@ -67,19 +70,20 @@
 class Proxy:
     def __init__(self, zone, usual, groups):
         self.zone, self.usual, self.flows = zone, usual, Decaying(DEMAND_SPAN, 2 * groups)  # flows, seconds
-        self.table = self.part = self.asks = self.read = None   # the last two: demand as last read, and when
+        self.table = self.part = self.asks = self.read = None  # the last two: demand as last read, and when
 
     def demand(self, now):
         """Flows a second of each group; None as long as nothing was heard."""
         if self.read != now:
             sums, self.read = self.flows.read(now), now
-            longest = max(sums[len(sums) // 2:], default=0)     # a group without flows goes unreported
-            self.asks = [s / longest for s in sums[:len(sums) // 2]] if longest > 0.05 else None
+            longest = max(sums[len(sums) // 2 :], default=0)  # a group without flows goes unreported
+            self.asks = [s / longest for s in sums[: len(sums) // 2]] if longest > 0.05 else None
         return self.asks
 
 
 class Sending:
     """What a round ordered: lines by proxy not answered for, place, when it may and must have left."""
+
     def __init__(self, number, at, lines, begins, soonest):
         self.number, self.at, self.lines, self.begins, self.soonest = number, at, lines, begins, soonest
         self.total = sum(lines.values())
@@ -93,6 +97,7 @@
 
     What waits for a stream that breaks is dropped, what is ordered later leaves sooner by that. So an answer
     proves only what lies before it in order and by its place: lines ordered less those dropped as if slow."""
+
     def __init__(self, service):
         self.pace = self.usual = max(1.0, service.get("lines_per_s") or 1e9)
         self.head, self.most = service.get("envelope", 6.0), service.get("most_waiting") or 1e9
@@ -101,8 +106,8 @@
         self.waiting, self.at, self.sent, self.round, self.number = 0.0, 0, {}, {}, 0
         self.open, self.total, self.placed = deque(), 0.0, 0.0  # not proved to have left; their lines; places
         self.free, self.latest, self.asked = 0.0, 0.0, 0.0  # all through at the soonest, latest; this round's
-        self.marks, self.proofs = {}, []        # number: its sending; what answers prove: (number, place)
-        self.came, self.turns = defaultdict(int), count()   # proxies are written to as they joined
+        self.marks, self.proofs = {}, []  # number: its sending; what answers prove: (number, place)
+        self.came, self.turns = defaultdict(int), count()  # proxies are written to as they joined
 
     def drain(self, now):
         # time takes lines out at the believed pace, but none that should be answered for and is not
@@ -111,38 +116,43 @@
         old = sum(s.total for s in takewhile(lambda s: s.at <= now - self.late_most, self.open))
         self.waiting = max(self.waiting, old - self.open[0].answered if old else 0.0)
 
-    def unproved(self):     # lines that may wait whatever the pace; of the oldest, not those answered for
+    def unproved(self):  # lines that may wait whatever the pace; of the oldest, not those answered for
         return self.total - self.open[0].answered if self.open else 0.0
 
     def prove(self):
         """Takes out, oldest first, what is proved to have left."""
         while self.open:
             first = self.open[0]
-            if (first.answered < first.ends - first.begins and first.latest >= self.at - self.late_most
-                    and not any(n > first.number and place >= first.ends for n, place in self.proofs)):
+            if (
+                first.answered < first.ends - first.begins
+                and first.latest >= self.at - self.late_most
+                and not any(n > first.number and place >= first.ends for n, place in self.proofs)
+            ):
                 break
             self.total -= first.total
             self.open.popleft()
-            if self.open:       # whose turn has come
+            if self.open:  # whose turn has come
                 following = self.at + (self.open[0].ends - self.open[0].begins) * self.slowest
                 self.open[0].latest = min(self.open[0].latest, following)
             self.marks.pop(first.number, None)
         self.proofs = [p for p in self.proofs if self.open and p[0] > self.open[0].number]
         self.waiting = min(self.waiting, self.unproved())
 
-    def room(self, lines, proxies, urgent):     # whether so many to each of them fit; half is the urgent's
+    def room(self, lines, proxies, urgent):  # whether so many to each of them fit; half is the urgent's
         heads = sum(p not in self.round for p in proxies)
         asked = self.asked + len(proxies) * lines + heads * (self.head + 1)
-        if (self.waiting + self.asked > self.usual * WAITS[urgent]  # decided anew in turn; no join starves
-                or self.waiting + asked > self.most * (0.45, 0.65, 0.65, 0.75, 0.88)[urgent]
-                or self.unproved() + asked > self.most * (0.85, 0.85, 0.85, 0.9, 0.95)[urgent]):
+        if (
+            self.waiting + self.asked > self.usual * WAITS[urgent]  # decided anew in turn; no join starves
+            or self.waiting + asked > self.most * (0.45, 0.65, 0.65, 0.75, 0.88)[urgent]
+            or self.unproved() + asked > self.most * (0.85, 0.85, 0.85, 0.9, 0.95)[urgent]
+        ):
             return False
-        few = round(self.messages * (0.6, 0.7, 0.8, 0.8, 1.0)[urgent]) or 1e9   # the last for withdrawals
+        few = round(self.messages * (0.6, 0.7, 0.8, 0.8, 1.0)[urgent]) or 1e9  # the last for withdrawals
         return all(p in self.round or self.count(p) < few for p in proxies)
 
     def count(self, proxy):
         sent = self.sent.setdefault(proxy, deque())
-        while sent and sent[0] <= self.at - 1.05 * self.over:    # written after it is ordered
+        while sent and sent[0] <= self.at - 1.05 * self.over:  # written after it is ordered
             sent.popleft()
         return len(sent)
 
@@ -151,17 +161,17 @@
             self.asked += lines + (0 if p in self.round else self.head + 1)
             self.round[p] = self.round.get(p, self.head + 1) + lines
 
-    def drop(self):     # what a round charged that will not be ordered
+    def drop(self):  # what a round charged that will not be ordered
         self.round, self.asked = {}, 0.0
 
-    def beyond(self, lines):    # what was written and not charged counts as well, answered for by nobody
+    def beyond(self, lines):  # what was written and not charged counts as well, answered for by nobody
         self.settle(self.at, None, {None: lines})
 
     def settle(self, now, orders, lines=None):
         lines = lines or {p: self.round[p] for p in sorted(self.round, key=self.came.__getitem__)}
         if not lines:
             return
-        self.number += 1        # a mark is given again only when its first round is long answered for
+        self.number += 1  # a mark is given again only when its first round is long answered for
         self.free, self.latest = max(self.free, now), max(self.latest, now)
         sending = Sending(self.number, now, lines, self.placed, self.free)
         self.free += sending.total * SECOND / self.usual
@@ -210,6 +220,7 @@
 
 class Curve:
     """Share of missed tries against a zone's demand per listed weight."""
+
     def __init__(self):
         self.buckets = {}
 
@@ -225,16 +236,18 @@
                 tries, missed = decaying.read(now)
                 had = sums.setdefault(k, [0.0, 0.0])
                 had[0], had[1] = had[0] + part * tries, had[1] + part * missed
-        points = []     # pools adjacent violators: misses don't fall with demand, whatever a long tail says
+        points = []  # pools adjacent violators: misses don't fall with demand, whatever a long tail says
         for k in sorted(k for k in sums if sums[k][0] >= 1.0):
             points.append((exp(k * BUCKET), *sums[k]))
             while len(points) > 1 and points[-2][2] * points[-1][1] >= points[-1][2] * points[-2][1]:
                 (x0, t0, m0), (x1, t1, m1) = points[-2:]
                 points[-2:] = [((x0 * t0 + x1 * t1) / (t0 + t1), t0 + t1, m0 + m1)]
-        hull = [(0.0, 0.0)]     # convex: a jammed zone's curve goes flat and would have it given up
+        hull = [(0.0, 0.0)]  # convex: a jammed zone's curve goes flat and would have it given up
         for x, tries, missed in points:
-            while len(hull) > 1 and ((hull[-1][1] - hull[-2][1]) * (x - hull[-1][0])
-                                     > (missed / tries - hull[-1][1]) * (hull[-1][0] - hull[-2][0])):
+            while len(hull) > 1 and (
+                (hull[-1][1] - hull[-2][1]) * (x - hull[-1][0])
+                > (missed / tries - hull[-1][1]) * (hull[-1][0] - hull[-2][0])
+            ):
                 hull.pop()
             hull.append((x, missed / tries))
         return hull[1:]
@@ -257,7 +270,7 @@
     live = [z for z in zones if capacity[z] > 0]
     load, share = list(demand), [[float(i == j) for j in zones] for i in zones]
     sends, takes, gains = set(), set(), {}
-    quantum = 1 / round(1 / QUANTUM / max(1, len(demand) / ZONES_FINE))     # else the work grows too fast
+    quantum = 1 / round(1 / QUANTUM / max(1, len(demand) / ZONES_FINE))  # else the work grows too fast
 
     def missing(i, j, more=0.0):
         x = MARGIN * (load[j] + more) / capacity[j] * stretch[i][j]
@@ -268,8 +281,11 @@
 
     def at(j, i, part):
         """Misses a second at j, were i to send so much more of its demand there."""
-        return sum(demand[k] * (share[k][j] + part * (k == i)) * missing(k, j, part * demand[i])
-                   for k in zones if share[k][j] or k == i)
+        return sum(
+            demand[k] * (share[k][j] + part * (k == i)) * missing(k, j, part * demand[i])
+            for k in zones
+            if share[k][j] or k == i
+        )
 
     def move(i, j):
         share[i][i], share[i][j] = share[i][i] - quantum, share[i][j] + quantum
@@ -283,19 +299,24 @@
         can = [i for i in sending if curves[i] and i not in takes and demand[i] and share[i][i] >= quantum]
         return [(i, j) for i in can for j in to if j != i]
 
-    for i in [z for z in zones if live and capacity[z] <= 0]:   # no live server: sends all, to the lightest
+    for i in [z for z in zones if live and capacity[z] <= 0]:  # no live server: sends all, to the lightest
         for _ in range(round(1 / quantum)):
             move(i, min(live, key=lambda j: (load[j] + quantum * demand[i]) / capacity[j] * stretch[i][j]))
         share[i][i] = 0.0
-    while True:                 # feasible: as little as brings every zone under the target
-        best = min(((max(missing(i, j, quantum * demand[i]), missing(j, j, quantum * demand[i])), i, j)
-                    for i, j in moves([z for z in live if misses(z) > TARGET])), default=(1.0,))
+    while True:  # feasible: as little as brings every zone under the target
+        best = min(
+            (
+                (max(missing(i, j, quantum * demand[i]), missing(j, j, quantum * demand[i])), i, j)
+                for i, j in moves([z for z in live if misses(z) > TARGET])
+            ),
+            default=(1.0,),
+        )
         if best[0] > TARGET:
             break
         move(*best[1:])
     while any(misses(z) > TARGET for z in zones if demand[z]):  # infeasible: as few misses in all as can be
         pairs = moves(live)
-        for i, j in [pair for pair in pairs if pair not in gains]:      # of the others nothing has moved
+        for i, j in [pair for pair in pairs if pair not in gains]:  # of the others nothing has moved
             gains[i, j] = (at(i, i, 0) - at(i, i, -quantum) + at(j, i, 0) - at(j, i, quantum)) / demand[i]
         best = max(((gains[pair], *pair) for pair in pairs), default=(0.0,))
         if best[0] <= 1e-9:
@@ -325,7 +346,7 @@
         rows.append([min(need, spare[own]) if own == b else 0.0 for b in range(len(spare))])
         spare[own] -= rows[own][own]
     for row, need in zip(rows, needs):
-        while need - sum(row) > LENT_LEAST * need:      # for less no line of another part is worth its room
+        while need - sum(row) > LENT_LEAST * need:  # for less no line of another part is worth its room
             b = max(range(len(spare)), key=spare.__getitem__)
             more = min(need - sum(row), max(spare[b], 1e-6))
             row[b], spare[b] = row[b] + more, spare[b] - more
@@ -344,19 +365,19 @@
         self.spare = max(1.0, self.rules.get("fall_multiple", 4.0) / 2)  # over its plan: half of what fells
         self.frail = max(1.0, 3 / max(0.1, self.rules.get("fall_multiple", 4.0) - 1))  # cold ones fall
         self.zones, self.chance = max(1, len(provisioning.get("zones", []))), random.Random(seed)
-        self.channel = channel or Channel(self.service)     # one that another module has filled goes on
+        self.channel = channel or Channel(self.service)  # one that another module has filled goes on
         self.applied = self.channel.applied
         self.endpoints, self.proxies, self.lines, self.levels, self.logged = {}, {}, {}, {}, (False, [])
-        self.written_at, self.users = {}, defaultdict(dict)     # by table, None: proxies not bound yet
+        self.written_at, self.users = {}, defaultdict(dict)  # by table, None: proxies not bound yet
         self.curves = [Curve() for _ in range(self.zones)]
-        self.parts, self.current = [0] * self.zones, {}     # (zone, part): the table that proxies are led to
+        self.parts, self.current = [0] * self.zones, {}  # (zone, part): the table that proxies are led to
         self.share = [[float(i == j) for j in range(self.zones)] for i in range(self.zones)]
         self.least, self.loads, self.held = {}, {}, {}  # latencies by (from, to); demand per weight; urgency
         self.gap = [[0] * self.zones for _ in range(self.zones)]
         self.first, self.bound, self.medians, self.work, self.alike = 0, None, [], None, 1.0
         self.ask_again = int(provisioning.get("discovery") == "on_request")
-        self.met = Decaying(2 * SECOND, 2)                      # delivered, delivered x latency
-        self.trust = UNLIMITED if provisioning.get("weights") == "none" else TRUST     # in weight over it
+        self.met = Decaying(2 * SECOND, 2)  # delivered, delivered x latency
+        self.trust = UNLIMITED if provisioning.get("weights") == "none" else TRUST  # in weight over it
         self.budget = min([g.get("latency_budget_us") or 10 * SECOND for g in self.groups], default=SECOND)
         self.in_hand = [*provisioning.get("telemetry", {}).get("columns", []), "active"].index("active")
         self.now = self.next_beat = self.next_step = self.changed = self.carried = self.calm = self.vain = 0
@@ -366,23 +387,23 @@
         seen = {entry[0] for entry in entries}
         for index, zone, kind, _, state, weight, start in entries:
             e = self.endpoints.get(index) or self.endpoints.setdefault(index, Endpoint(index, start))
-            if start > e.start:         # another process: what was heard of the old one says nothing
+            if start > e.start:  # another process: what was heard of the old one says nothing
                 e.start, self.changed = start, NEEDED
                 e.forget()
-            if e.order is None:         # a successor takes the place of one that has gone
+            if e.order is None:  # a successor takes the place of one that has gone
                 taken = {o.order for o in self.endpoints.values() if o.zone == zone and o.state != "gone"}
                 e.order = next(n for n in range(len(taken) + 1) if n not in taken)
             e.zone, e.kind, e.weight = min(zone, self.zones - 1), kind, max(weight, 1e-3)
             if e.state != state:
                 e.state, self.changed = state, max(self.changed, 1 if state == "ready" else NEEDED)
-        whole = how != "update"     # then what it does not name is gone
+        whole = how != "update"  # then what it does not name is gone
         for e in [e for e in self.endpoints.values() if whole and e.index not in seen and e.state != "gone"]:
             e.state, self.changed = "gone", NEEDED
         self.ask_again, self.vain = self.ask_again if how == "restored" else 0, 0
 
-    def list_failed(self):      # a broken subscription is silent: ask again, not all pilots at one time
+    def list_failed(self):  # a broken subscription is silent: ask again, not all pilots at one time
         self.vain, soon = min(self.vain + 1, 3), (self.ask_again or self.now) + SECOND  # 6 s after its call
-        self.ask_again = min(soon, self.now + round(SECOND * 2 ** self.vain * self.chance.uniform(0.25, 0.5)))
+        self.ask_again = min(soon, self.now + round(SECOND * 2**self.vain * self.chance.uniform(0.25, 0.5)))
 
     def joined(self, proxy, zone, usual, fresh):
         self.left(proxy, True)
@@ -407,10 +428,10 @@
         if delivered and latency > 0:
             e.latency.add(now, delivered, delivered * latency)
             self.least.setdefault((zone, e.zone), []).append((now, latency))
-            if not self.first:      # the first beat comes as soon as zones can be told apart
+            if not self.first:  # the first beat comes as soon as zones can be told apart
                 self.first, self.next_beat = now, now + SECOND // 4
             if now - self.first <= BOUND_HEARD:
-                insort(self.medians, latency)       # sorted anew for each report, a second's took seconds
+                insort(self.medians, latency)  # sorted anew for each report, a second's took seconds
                 self.bound = min(BOUND_TIMES * self.medians[len(self.medians) // 2], self.budget)
         e.misses.add(now, tries, dropped + delivered * min(1.0, latency / self.budget) ** 3)
         self.met.add(now, delivered, delivered * latency)
@@ -432,7 +453,7 @@
             e.noticed.sums = [x * (1 - 0.7 * part) for x in e.noticed.read(self.now)]  # the newest counts
             e.noticed.add(self.now, part, part * busy)
 
-    woken = probed = told = granted = stored = slice_asked = lambda *_: None    # these decide nothing
+    woken = probed = told = granted = stored = slice_asked = lambda *_: None  # these decide nothing
 
     # --- estimates ---
     def ramp(self, e):
@@ -440,7 +461,7 @@
         if e.start <= 0:
             return 1.0
         cold = self.rules.get("cold_share", 0.2) / self.frail * (1.0 if self.work else BLIND)
-        span = min(RAMP, self.rules.get("warm_after_us") or RAMP)     # by then it is promised to be warm
+        span = min(RAMP, self.rules.get("warm_after_us") or RAMP)  # by then it is promised to be warm
         return min(1.0, cold + (1 - cold) * max(0, self.now - e.start) / span)
 
     def crowding(self, z):
@@ -448,8 +469,14 @@
         sums = [(e, *e.noticed.read(self.now)) for e in self.usable() if e.zone == z]
         told = {e: (n, b / n) for e, n, b in sums if n > 0.05}
         usual = median([b for _, b in told.values()])
-        return {e: 1 - CROWDED_MOST * min(1.0, n) * min(1.0, max(0.0, b - usual - CROWDED) / CROWDED)
-                for e, (n, b) in told.items()} if len(told) > 2 else {}
+        return (
+            {
+                e: 1 - CROWDED_MOST * min(1.0, n) * min(1.0, max(0.0, b - usual - CROWDED) / CROWDED)
+                for e, (n, b) in told.items()
+            }
+            if len(told) > 2
+            else {}
+        )
 
     def open(self, e):
         """Whether tables may hold it; where removal does not bind, only draining shuts an endpoint out."""
@@ -473,12 +500,12 @@
         warm = [[v for e, v in known.items() if e.zone == z and self.ramp(e) == 1] for z in range(self.zones)]
         flows = [max(p.usual, sum(p.demand(self.now) or ())) for p in self.proxies.values()]
         heavy, shuns = sum(f * f for f in flows) / (sum(flows) or 1), self.service.get("outlier_after", 0)
-        for e, v in known.items():      # one of which little was heard is not the best of a failing zone
-            ramp, most, z = self.ramp(e), median(warm[e.zone], v), e.zone   # if all shun the rest, it falls
+        for e, v in known.items():  # one of which little was heard is not the best of a failing zone
+            ramp, most, z = self.ramp(e), median(warm[e.zone], v), e.zone  # if all shun the rest, it falls
             soon = len(warm[z]) >= PART_ENDPOINTS and heavy * max(1, self.parts[z]) > shuns * len(warm[z])
             spared = shuns and warm[z] and (ramp < 1 and soon or ramp <= LUKEWARM and most <= FAILING)
-            if not spared:              # else all cold
-                if ramp < 1:    # of what started before it heard anything a pilot knows no capacity
+            if not spared:  # else all cold
+                if ramp < 1:  # of what started before it heard anything a pilot knows no capacity
                     v = min(v, most) / (self.frail if e.start < (self.first or self.now) else 1.0)
                 out[e.zone][e.index] = e.weight * ramp * v
         return out
@@ -489,7 +516,7 @@
         for p in self.proxies.values():
             own[p.zone] += sum(p.demand(self.now) or [p.usual])
         total, heard = self.service.get("proxy_count", 0), max(1, len(self.proxies))
-        zoned = self.service.get("by_zone")     # whole zones are unheard then, and only what is usual counts:
+        zoned = self.service.get("by_zone")  # whole zones are unheard then, and only what is usual counts:
         lack = [max(0.0, total / self.zones - count[z]) if zoned else 1.0 for z in range(self.zones)]
         each = sum(p.usual for p in self.proxies.values()) if zoned else sum(own)
         scale = max(0, total - len(self.proxies)) * each / heard / max(sum(lack), 1e-9)
@@ -508,7 +535,7 @@
         return self.current.get((proxy.zone, proxy.part))
 
     def deal(self):
-        needs = self.needs()    # new proxies go to that table of their zone which has least to carry
+        needs = self.needs()  # new proxies go to that table of their zone which has least to carry
         for p in sorted((p for p in self.proxies.values() if p.part is None), key=lambda p: -p.usual):
             p.part = min(range(len(needs[p.zone])), key=needs[p.zone].__getitem__)
             needs[p.zone][p.part] += p.usual
@@ -549,12 +576,12 @@
         had, users = self.lines.setdefault(table, {}), self.users[table]
         part = 0.15 if users else 0.0
         changes = [(k, w) for k, w in lines.items() if abs(had.get(k, 0) - w) > part * max(had.get(k, 0), w)]
-        changes += [(k, 0.0) for k in had if k not in lines]    # comes last: the table always has a line
+        changes += [(k, 0.0) for k in had if k not in lines]  # comes last: the table always has a line
         if users and not self.channel.room(len(changes), users, urgent):
             self.held[table] = max(self.held.get(table, 0), urgent)
             kept = {k: w for k, w in had.items() if self.open(self.endpoints[k])}
             pressed = self.pressed(kept, lines)
-            if len(pressed) < len(kept):    # the table waits, without what would be sent too much
+            if len(pressed) < len(kept):  # the table waits, without what would be sent too much
                 changes = [(k, 0.0) for k in pressed]
             if not changes or not self.channel.room(len(changes), users, WITHDRAWAL):
                 return
@@ -569,8 +596,11 @@
         held, planned = sum(kept.values()), sum(lines.values())
         over = self.spare * min(held, 2 * (held - max(kept.values(), default=0.0))) / planned
         ramps = {k: self.ramp(self.endpoints[k]) for k in kept}
-        return {k for k, w in kept.items()
-                if ramps[k] < 1 and w > over * max(lines.get(k, 0.0), planned / len(lines) * ramps[k])}
+        return {
+            k
+            for k, w in kept.items()
+            if ramps[k] < 1 and w > over * max(lines.get(k, 0.0), planned / len(lines) * ramps[k])
+        }
 
     def bind(self, index, table, orders, urgent):
         lines = self.lines.get(table)
@@ -588,8 +618,12 @@
         """What left is shut out at once by all who hold it; what returns comes in once no old table waits."""
         late = set().union(*(self.lines.get(t, ()) for t in self.held))
         for e in [e for e in changed if not e.benched or e.index not in late]:
-            holding = [i for t, had in {None: (e.index,), **self.lines}.items() if e.index in had
-                       for i in self.users[t]]
+            holding = [
+                i
+                for t, had in {None: (e.index,), **self.lines}.items()
+                if e.index in had
+                for i in self.users[t]
+            ]
             if self.channel.room(1, holding, 1 if e.benched else WITHDRAWAL):
                 e.benched = not e.benched
                 orders.bench(e.index, e.benched)
@@ -597,7 +631,7 @@
 
     def plan(self, orders, urgent, only=()):
         """One beat of the design: curves, spill, tables. Urgent: those in use, or only some, in place."""
-        for zone in {p.zone for p in self.proxies.values()}:    # returns: not all of it is listed yet
+        for zone in {p.zone for p in self.proxies.values()}:  # returns: not all of it is listed yet
             here = [e for e in self.usable() if e.zone == zone]
             latest = max([e.start for e in here], default=0)
             old = [e for e in here if e.start < self.now - RETURN]
@@ -623,14 +657,18 @@
         self.loads = {j: load / capacity[j] for j, load in enumerate(loads) if capacity[j] > 0 and load > 0}
         levels = self.plan_levels(part * sum(own))
         state = bool(levels), [z for z in range(self.zones) if demand[z] and self.share[z][z] < 0.9]
-        if state != self.logged and not urgent:     # at most once a beat
+        if state != self.logged and not urgent:  # at most once a beat
             self.logged = state
             orders.log(f"refusing {100 - 100 * part:.0f}% of flows; zones spilling over 10%: {state[1]}")
         for table in () if only else list(self.lines):
             self.write_levels(table, levels, orders)
         needs = self.needs()
-        planned = [((zone, n), lines) for zone in sorted({p.zone for p in self.proxies.values()})
-                   for n, lines in enumerate(self.wanted(zone, strengths, needs[zone])) if lines]
+        planned = [
+            ((zone, n), lines)
+            for zone in sorted({p.zone for p in self.proxies.values()})
+            for n, lines in enumerate(self.wanted(zone, strengths, needs[zone]))
+            if lines
+        ]
         # first what was written longest ago: there may be room for a few only, again and again
         for place, lines in sorted(planned, key=lambda p: self.written_at.get(self.current.get(p[0]), 0)):
             self.renew(place, lines, levels, orders, urgent, only)
@@ -641,7 +679,7 @@
         if urgent or not had:
             for t in [t for t in ((table, table ^ 1) if old else (table,)) if not only or t in only]:
                 self.write(t, lines, orders, urgent or 1)
-        elif not old:           # else the last staging is not over: two splits would clash
+        elif not old:  # else the last staging is not over: two splits would clash
             moved = sum(abs(lines.get(k, 0) - had.get(k, 0)) for k in set(lines) | set(had)) / 2000
             if moved >= WORTH_LINES:
                 orders.clear(table ^ 1)
@@ -661,26 +699,28 @@
         if not learn:
             return min(1.0, self.trust / needed)
         sums = [(*e.misses.read(self.now), *e.busy.read(self.now)) for e in self.usable()]
-        missed = median([m / t for t, m, _, _ in sums if t > 1], CALM_MISSES)    # a hang is no overload
+        missed = median([m / t for t, m, _, _ in sums if t > 1], CALM_MISSES)  # a hang is no overload
         busy = median([load / n for _, _, n, load in sums if n > 0.2])
         if calm := missed < CALM_MISSES:
             self.carried = max(self.carried * 0.995, min(needed, self.trust))
             self.calm = max(self.calm * 0.99, busy or 0.0)
-        idle = busy is not None and busy <= 1.3 * self.calm + 0.1   # and failing, for want of connections
+        idle = busy is not None and busy <= 1.3 * self.calm + 0.1  # and failing, for want of connections
         self.alike = median([e.fade(self.now) for e in self.usable()], 1.0) ** 0.5 if idle else 1.0
         if (calm or (busy is not None and busy <= self.calm)) and needed > 0.9 * self.trust:
             self.trust *= SHED_UP
         elif missed > SHED_MISSES and not idle:
             self.carried = self.carried or min(self.trust, needed) / 2  # jammed from the first
-            least = min(1.0, SHED_LEAST - missed / 2) * self.carried     # few misses may be a hang
+            least = min(1.0, SHED_LEAST - missed / 2) * self.carried  # few misses may be a hang
             self.trust = max(least, SHED_DOWN * min(self.trust, needed))
         return min(1.0, self.trust / needed)
 
     def plan_levels(self, allowed):
         """Levels by utility: the group worth least is let in last."""
         kind, levels, left = self.service.get("level_kind"), {}, allowed
-        asked = [[(p.demand(self.now) or [0.0] * len(self.groups))[g] for p in self.proxies.values()]
-                 for g in range(len(self.groups))]
+        asked = [
+            [(p.demand(self.now) or [0.0] * len(self.groups))[g] for p in self.proxies.values()]
+            for g in range(len(self.groups))
+        ]
         if kind not in ("per_second", "fraction") or allowed >= 0.99 * sum(map(sum, asked)):
             return {}
         for g in sorted(range(len(self.groups)), key=lambda g: -self.groups[g].get("utility", 1.0)):
@@ -727,7 +767,7 @@
             urgent, self.changed, self.held = self.changed or 1, 0, {}
             self.plan(orders, urgent)
         changed = [e for e in self.endpoints.values() if self.open(e) == e.benched]
-        for i in new:       # a table costs less than to shut out all that has left one by one
+        for i in new:  # a table costs less than to shut out all that has left one by one
             self.bind(i, self.target(self.proxies[i]), orders, WITHDRAWAL if changed else JOINING)
         self.follow_list(changed, orders)
         if now >= self.next_beat:
@@ -735,7 +775,7 @@
             self.plan(orders, False)
         if now >= self.next_step:
             self.next_step, held, self.held = now + STEP, self.held, {}
-            if held:    # these alone: weights that drift while a queue drains would keep it full
+            if held:  # these alone: weights that drift while a queue drains would keep it full
                 self.plan(orders, max(held.values()), held)
             self.stage(orders)
             orders.wake(self.next_step, "step")
--- a/ravenshelf/store/committer.py
+++ b/ravenshelf/store/committer.py
@@ -1,4 +1,5 @@
 """Group commit: what comes while the disk is at work goes to it together, on a thread of its own."""
+
 import threading
 from queue import SimpleQueue
 from typing import Any, Callable
@@ -34,7 +35,7 @@
                 changes = [change for changes, _ in batch for change in changes]
                 if changes:
                     self.journal.append(changes)
-            except Exception as failed:     # told to whoever waits; what was not synced must not be answered for
+            except Exception as failed:  # told to whoever waits; what was not synced must not be answered for
                 why = failed
             self.commits += len(batch)
             self.batches += 1
--- a/ravenshelf/store/journal.py
+++ b/ravenshelf/store/journal.py
@@ -5,6 +5,7 @@
 anywhere else is refused with file and offset: to go on without what was acknowledged is worse than not to start.
 After a failed sync nothing since the last good one is sure, so the journal takes no more; whoever holds it ends.
 """
+
 import fcntl
 import os
 from pathlib import Path
@@ -15,9 +16,9 @@
 from ravenshelf.store.segments import Damaged, Files, Segments
 
 VERSION = 1
-CHANGE, GONE, IDENTITY, SNAPSHOT, SNAPPED = range(5)    # kinds of record
+CHANGE, GONE, IDENTITY, SNAPSHOT, SNAPPED = range(5)  # kinds of record
 SEGMENT = 4 * 1024 * 1024
-COMPACT_AT, COMPACT_RATIO = 1024 * 1024, 4      # octets of changes, and as many times the last snapshot
+COMPACT_AT, COMPACT_RATIO = 1024 * 1024, 4  # octets of changes, and as many times the last snapshot
 
 
 class Failed(Exception):
@@ -32,21 +33,30 @@
     """`identity` says whose it is; a folder of another's is refused by both names. `migrations[v]` turns (key, value)
     of version v into that of v + 1, or None to let it go."""
 
-    def __init__(self, folder: Path, identity: Mapping[str, str], files: Files | None = None, version: int = VERSION,
-                 migrations: Mapping[int, Callable] = {}, readonly: bool = False):
+    def __init__(
+        self,
+        folder: Path,
+        identity: Mapping[str, str],
+        files: Files | None = None,
+        version: int = VERSION,
+        migrations: Mapping[int, Callable] = {},
+        readonly: bool = False,
+    ):
         self.folder, self.identity, self.version = folder, dict(identity), version
         self.migrations, self.files = migrations, files or Files()
         self.map: dict[Any, Any] = {}
         self.failed: str | None = None
         self.lock: int | None = None
-        self.cut = 0            # octets of a torn tail
-        self.snapshot = self.changes = 0        # octets
+        self.cut = 0  # octets of a torn tail
+        self.snapshot = self.changes = 0  # octets
         if readonly and not folder.is_dir():
             raise Damaged(f"{folder}: expected a folder")
         if not readonly:
             self._lock()
         try:
-            self.segments = Segments(folder, 10**15, SEGMENT, self.files, sync=True, strict=True, readonly=readonly)
+            self.segments = Segments(
+                folder, 10**15, SEGMENT, self.files, sync=True, strict=True, readonly=readonly
+            )
             self._recover()
             if not self.segments.sizes and not readonly:
                 self._write([encode(IDENTITY, None, self.identity, self.version)])
@@ -78,7 +88,9 @@
                     pending, self.snapshot, self.changes = {}, 0, 0
                 elif kind == SNAPPED:
                     if pending is None or len(pending) != value:
-                        raise Damaged(f"{name}: a snapshot of {value} entries, {len(pending or ())} found, at {offset}")
+                        raise Damaged(
+                            f"{name}: a snapshot of {value} entries, {len(pending or ())} found, at {offset}"
+                        )
                     self.map, pending = pending, None
                 else:
                     self._apply(self.map if pending is None else pending, kind, version, key, value)
@@ -94,7 +106,9 @@
         except (msgspec.DecodeError, TypeError, ValueError):
             raise Damaged(f"{name}: expected a record at {offset}") from None
         if version > self.version:
-            raise Damaged(f"{name}: a record of version {version} at {offset}, this program knows {self.version}")
+            raise Damaged(
+                f"{name}: a record of version {version} at {offset}, this program knows {self.version}"
+            )
         return kind, version, tuple(key) if isinstance(key, list) else key, value
 
     def _known(self, identity: Mapping[str, str], name: str) -> None:
@@ -118,7 +132,9 @@
     def append(self, changes: Iterable[tuple[Any, Any]]) -> None:
         """Puts (key, value) pairs, a value of None takes the key out. All or nothing; returns when they are on disk."""
         changes = list(changes)
-        bodies = [encode(GONE if value is None else CHANGE, key, value, self.version) for key, value in changes]
+        bodies = [
+            encode(GONE if value is None else CHANGE, key, value, self.version) for key, value in changes
+        ]
         self._write(bodies)
         for key, value in changes:
             if value is None:
--- a/ravenshelf/store/segments.py
+++ b/ravenshelf/store/segments.py
@@ -5,6 +5,7 @@
 skipped to the next record that is whole and told with its file and offset. All calls block: they belong on a
 thread of their own. `files` stands for the file system, so that tests can make it fail.
 """
+
 import os
 import struct
 from dataclasses import dataclass
@@ -57,10 +58,11 @@
 @dataclass(frozen=True, slots=True)
 class Skipped:
     """A stretch that holds no whole record."""
+
     file: str
     offset: int
     octets: int
-    torn: bool      # at the very end of the newest segment: a write that was cut off
+    torn: bool  # at the very end of the newest segment: a write that was cut off
 
 
 def pack(body: bytes) -> bytes:
@@ -103,7 +105,7 @@
     mark, size, total = RECORD.unpack_from(data, at)
     if mark != MARK or size > MOST_RECORD or at + RECORD.size + size > len(data):
         return None
-    body = data[at + RECORD.size:at + RECORD.size + size]
+    body = data[at + RECORD.size : at + RECORD.size + size]
     return body if _sum(body) == total else None
 
 
@@ -123,14 +125,22 @@
     kill. A write that fails leaves the segment as it was before. `strict`: damage that is no torn tail is refused;
     `readonly`: nothing is repaired or written."""
 
-    def __init__(self, folder: Path, most: int, segment: int, files: Files | None = None, sync: bool = False,
-                 strict: bool = False, readonly: bool = False):
+    def __init__(
+        self,
+        folder: Path,
+        most: int,
+        segment: int,
+        files: Files | None = None,
+        sync: bool = False,
+        strict: bool = False,
+        readonly: bool = False,
+    ):
         self.folder, self.most, self.segment, self.sync = folder, most, segment, sync
         self.strict, self.readonly = strict, readonly
         self.files = files or Files()
         folder.mkdir(parents=True, exist_ok=True)
         self.skipped: list[Skipped] = []
-        self.lost = 0               # records that were removed unread to keep within the bound
+        self.lost = 0  # records that were removed unread to keep within the bound
         self.counts: dict[int, int] = {}
         self.sizes: dict[int, int] = {}
         self.handle: int | None = None
@@ -227,7 +237,9 @@
 
     def all(self) -> list[tuple[int, list[tuple[int, bytes]]]]:
         """Every segment with its records as (offset, body), oldest first."""
-        return [(n, unpack(self.files.read(self.path(n)), self.path(n).name, True)[0]) for n in sorted(self.sizes)]
+        return [
+            (n, unpack(self.files.read(self.path(n)), self.path(n).name, True)[0]) for n in sorted(self.sizes)
+        ]
 
     def drop(self, number: int) -> None:
         if number == self.writing:
--- a/ravenshelf/wirehost/__main__.py
+++ b/ravenshelf/wirehost/__main__.py
@@ -1,4 +1,5 @@
 """python -m ravenshelf.wirehost: the wire on standard input and output."""
+
 import sys
 
 from ravenshelf.wirehost.decode import Malformed
--- a/ravenshelf/wirehost/decode.py
+++ b/ravenshelf/wirehost/decode.py
@@ -1,4 +1,5 @@
 """Lines of the wire into calls. Times become whole microseconds, words become ours, ids small indices."""
+
 import base64
 import binascii
 import json
@@ -67,8 +68,11 @@
     "detached": (1, lambda ids, v: ("left", (int(v[0]),)), "proxy"),
     "tally": (7, heard, "rack-zone unanswered endpoint cost-time-ms window-ms number metrics"),
     "proxy_stats": (5, asked, "proxy grade number unanswered window-ms"),
-    "acked": (3, lambda ids, v: ("applied", (int(v[0]), int(v[1]), micros(v[2]))),
-              "proxy version cost-time-ms"),
+    "acked": (
+        3,
+        lambda ids, v: ("applied", (int(v[0]), int(v[1]), micros(v[2]))),
+        "proxy version cost-time-ms",
+    ),
     "due": (1, lambda ids, v: ("woken", (v[0],)), "key-back"),
     "checked": (4, probed, "endpoint rc cost-time-ms metrics"),
     "neighbour_says": (2, lambda ids, v: ("told", (int(v[0]), octets(v[1]))), "neighbour octets"),
@@ -85,8 +89,10 @@
             raise ValueError("no entry")
         return (ids(v[1]), int(v[2]), int(v[3]), int(v[4]), v[5], number(v[6]), micros(v[7]))
     except ValueError as why:
-        raise Malformed(f"line {text!r}: expected 'endpoint' name rack-zone family-type unit-group "
-                        "availability share last-start-ms") from why
+        raise Malformed(
+            f"line {text!r}: expected 'endpoint' name rack-zone family-type unit-group "
+            "availability share last-start-ms"
+        ) from why
 
 
 def event(text, ids_of, following):
--- a/ravenshelf/wirehost/encode.py
+++ b/ravenshelf/wirehost/encode.py
@@ -1,4 +1,5 @@
 """Orders into lines of the wire."""
+
 import base64
 
 
--- a/ravenshelf/wirehost/host.py
+++ b/ravenshelf/wirehost/host.py
@@ -1,4 +1,5 @@
 """Hosts the instances: one controller each, nothing shared between them."""
+
 from ravenshelf.rules import Controller
 from ravenshelf.wirehost import decode
 from ravenshelf.wirehost.encode import Writer
--- a/standins/carbon.py
+++ b/standins/carbon.py
@@ -4,6 +4,7 @@
 
 It keeps what it took as carbon would: whole lines or frames alone, a point written twice over itself.
 """
+
 import asyncio
 import pickle
 import socket
@@ -20,24 +21,28 @@
 @dataclass(frozen=True)
 class Stall:
     """Reads so many octets and then nothing, the connection open."""
+
     after: int = 0
 
 
 @dataclass(frozen=True)
 class Trickle:
     """Reads so many octets a second."""
+
     a_second: int = 1
 
 
 @dataclass(frozen=True)
 class Reset:
     """Reads so many octets, then resets the connection."""
+
     after: int = 0
 
 
 @dataclass(frozen=True)
 class Close:
     """Reads so many octets, then ends the connection in good order."""
+
     after: int = 0
 
 
@@ -56,7 +61,9 @@
         """At a port that the system gives, and at the same one again after `stop`."""
         listening = socket.socket()
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, self.buffer)      # what comes is inherited by accepted ones
+        listening.setsockopt(
+            socket.SOL_SOCKET, socket.SO_RCVBUF, self.buffer
+        )  # what comes is inherited by accepted ones
         listening.bind(("127.0.0.1", self.port))
         self.port = listening.getsockname()[1]
         self.server = await asyncio.start_server(self._came, sock=listening, limit=self.buffer)
@@ -98,7 +105,8 @@
                             await asyncio.Event().wait()
                         if isinstance(way, Reset):
                             writer.get_extra_info("socket").setsockopt(
-                                socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                                socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+                            )
                             writer.transport.abort()
                         return
                     most = way.after - took
@@ -115,7 +123,7 @@
         except (ConnectionError, asyncio.CancelledError):
             pass
         finally:
-            self.cut += bool(rest)      # carbon lets go what is not whole
+            self.cut += bool(rest)  # carbon lets go what is not whole
             self.open.discard(writer)
             writer.close()
             self.news.set()
@@ -123,9 +131,9 @@
     def _take(self, data: bytes) -> bytes:
         if self.protocol == "pickle":
             while len(data) >= 4 and len(data) >= 4 + (size := struct.unpack("!L", data[:4])[0]):
-                for path, (time, value) in pickle.loads(data[4:4 + size]):
+                for path, (time, value) in pickle.loads(data[4 : 4 + size]):
                     self._point(path, time, value)
-                data = data[4 + size:]
+                data = data[4 + size :]
             return data
         *lines, rest = data.split(b"\n")
         for line in lines:
--- a/standins/collectd.py
+++ b/standins/collectd.py
@@ -3,6 +3,7 @@
 Written after the published description of the binary protocol, apart from the decoder, so that the two check
 each other.
 """
+
 import hashlib
 import hmac
 import os
@@ -46,6 +47,7 @@
 
 def sealed(packet: bytes, user: str, password: str, start: bytes | None = None) -> bytes:
     from cryptography.hazmat.primitives.ciphers import Cipher, algorithms
+
     try:
         from cryptography.hazmat.decrepit.ciphers.modes import OFB
     except ImportError:
@@ -62,10 +64,11 @@
 @dataclass
 class Host:
     """A machine whose processors count ticks by state; `busy` is their share that is not idle."""
+
     name: str
     cores: int = 2
     interval: float = 10.0
-    clock_off: float = 0.0      # seconds by which its clock is ahead
+    clock_off: float = 0.0  # seconds by which its clock is ahead
     busy: float = 0.2
     ticks: dict[tuple[int, str], float] = field(default_factory=dict)
     at: float | None = None
@@ -80,7 +83,11 @@
         out += text(PLUGIN, "cpu")
         for core in range(self.cores):
             out += text(PLUGIN_INSTANCE, str(core)) + text(TYPE, "cpu")
-            for state, part_of in (("user", 0.8 * self.busy), ("system", 0.2 * self.busy), ("idle", 1 - self.busy)):
+            for state, part_of in (
+                ("user", 0.8 * self.busy),
+                ("system", 0.2 * self.busy),
+                ("idle", 1 - self.busy),
+            ):
                 key = (core, state)
                 self.ticks[key] = self.ticks.get(key, 0.0) + 100 * passed * part_of
                 out += text(TYPE_INSTANCE, state) + values((DERIVE, int(self.ticks[key])))
@@ -90,20 +97,23 @@
 @dataclass(frozen=True)
 class Faults:
     """What the way does to packets, each with a chance of its own."""
+
     lost: float = 0.0
     twice: float = 0.0
     late: float = 0.0
     late_by: float = 25.0
     cut: float = 0.0
 
-    def play(self, packets: Iterable[tuple[float, bytes]], chance: random.Random) -> Iterator[tuple[float, bytes]]:
+    def play(
+        self, packets: Iterable[tuple[float, bytes]], chance: random.Random
+    ) -> Iterator[tuple[float, bytes]]:
         """(when it comes, packet), in the order in which they come."""
         out = []
         for at, packet in packets:
             if chance.random() < self.lost:
                 continue
             if chance.random() < self.cut:
-                packet = packet[:chance.randrange(len(packet))]
+                packet = packet[: chance.randrange(len(packet))]
             delay = chance.random() * self.late_by if chance.random() < self.late else chance.random() * 0.05
             out.append((at + delay, packet))
             if chance.random() < self.twice:
--- a/standins/controllers.py
+++ b/standins/controllers.py
@@ -4,6 +4,7 @@
 and what an adapter would do with it. A schedule of faults is drawn from the seed; the same seed plays the same day to
 the last event. `breaks` names deliberate defects, by which the checker (`histories`) shows that it can fail.
 """
+
 import heapq
 import random
 from collections import deque
@@ -15,12 +16,34 @@
 
 MS, SECOND = 1000, 1_000_000
 FAULTS_FROM, WHOLE_AT, ENDS = 2 * SECOND, 14 * SECOND, 21 * SECOND
-BREAKS = ("no fence at proxies", "lease checked before formatting", "record after sending", "drift ignored",
-          "no quiet after a start", "empty disk votes at once", "answer before the disk", "own view instead of the record",
-          "one voter is enough")
-LOSING = 50.0           # the level that the decisions want once they have learnt what is going on
-FAULTS = ("kill", "kill at a write", "kill and cut", "pause", "pause at an order", "pause in a buffer", "cut", "one way",
-          "alone", "rough", "slow disk", "drain", "late", "empty disk")
+BREAKS = (
+    "no fence at proxies",
+    "lease checked before formatting",
+    "record after sending",
+    "drift ignored",
+    "no quiet after a start",
+    "empty disk votes at once",
+    "answer before the disk",
+    "own view instead of the record",
+    "one voter is enough",
+)
+LOSING = 50.0  # the level that the decisions want once they have learnt what is going on
+FAULTS = (
+    "kill",
+    "kill at a write",
+    "kill and cut",
+    "pause",
+    "pause at an order",
+    "pause in a buffer",
+    "cut",
+    "one way",
+    "alone",
+    "rough",
+    "slow disk",
+    "drain",
+    "late",
+    "empty disk",
+)
 
 
 @dataclass(order=True)
@@ -42,9 +65,9 @@
         if world.extreme:
             self.rate = 1 + drift * (1 if me % 2 else -1)
         self.offset = world.chance.randrange(10**9, 10**12)
-        self.disk: dict = {}        # by shard; and that it votes
+        self.disk: dict = {}  # by shard; and that it votes
         self.alive, self.life, self.paused = False, 0, 0
-        self.ambush: tuple[str, int] | None = None      # a fault that waits for its moment, and how long it lasts
+        self.ambush: tuple[str, int] | None = None  # a fault that waits for its moment, and how long it lasts
         self.sync_most, self.lag = 4 * MS, world.chance.randrange(200 * MS, 1500 * MS)
         self.member: Member | None = None
 
@@ -59,9 +82,15 @@
         if empty:
             self.disk = {}
         recovering = "votes" not in self.disk and "empty disk votes at once" not in self.world.breaks
-        self.member = Member(self.me, self.world.count, self.world.ways,
-                             {s: v for s, v in self.disk.items() if s != "votes"}, self.clock(),
-                             random.Random(self.world.chance.random()), recovering)
+        self.member = Member(
+            self.me,
+            self.world.count,
+            self.world.ways,
+            {s: v for s, v in self.disk.items() if s != "votes"},
+            self.clock(),
+            random.Random(self.world.chance.random()),
+            recovering,
+        )
         if "no quiet after a start" in self.world.breaks:
             self.member.quiet_until = 0
         if "one voter is enough" in self.world.breaks:
@@ -81,7 +110,7 @@
         if moment == "write":
             self.world.later(0, self.stop)
             self.world.later(last, lambda: self.alive or self.start())
-            other = self.world.chance.choice(self.world.nodes)      # and another is out of reach for a while
+            other = self.world.chance.choice(self.world.nodes)  # and another is out of reach for a while
             if other is not self and self.world.chance.random() < 0.7:
                 other.paused = max(other.paused, min(WHOLE_AT, self.world.now + 2 * last))
         else:
@@ -178,7 +207,7 @@
         self.inherited = Inherited(node.clock(), self.record.copy(), self.version)
         self.since, self.out, self.level = node.clock(), set(), None
         self.held: list[tuple[int, str, tuple]] = []
-        self.bound_at = self.said_at = -10**18
+        self.bound_at = self.said_at = -(10**18)
         self.formatted = self.level_seq = 0
 
     def turn(self) -> None:
@@ -191,7 +220,9 @@
         if claim.state == OWNER:
             self.decide(now)
         if claim.state == OWNER and self.level_seq and now - self.said_at > 100 * MS:
-            self.said_at = now      # what is on record already is ordered again and again, as to proxies that come
+            self.said_at = (
+                now  # what is on record already is ordered again and again, as to proxies that come
+            )
             self.leave(self.level_seq, "granting", ("level", "read", self.level))
         waiting, self.held = self.held, []
         for seq, kind, content in waiting:
@@ -211,13 +242,14 @@
         self.inherited.listed(version, self.world.endpoints - drained)
         drained |= set(self.inherited.drains)
         for endpoint in drained - self.out:
-            record.drains[endpoint] = max(version if endpoint in self.world.drained(version) else 0,
-                                          record.drains.get(endpoint, -1))
+            record.drains[endpoint] = max(
+                version if endpoint in self.world.drained(version) else 0, record.drains.get(endpoint, -1)
+            )
             orders.append(("keeping", ("out", endpoint, record.drains[endpoint])))
         for endpoint in self.out - drained:
             record.drains.pop(endpoint, None)
             orders.append(("keeping", ("back", endpoint, version)))
-        if self.bound_at == now:        # a table just bound lets in all that it holds and is not withdrawn
+        if self.bound_at == now:  # a table just bound lets in all that it holds and is not withdrawn
             for endpoint in sorted(self.world.endpoints - drained):
                 orders.append(("keeping", ("back", endpoint, version)))
         self.out = drained
@@ -256,14 +288,29 @@
                 if claim.term == self.term or early:
                     self.world.deliver(self.node, self.shard, self.term, kind, content)
 
-        self.formatted = max(self.formatted, self.world.now + self.world.chance.randrange(3 * MS))     # one after another
+        self.formatted = max(
+            self.formatted, self.world.now + self.world.chance.randrange(3 * MS)
+        )  # one after another
         self.world.later(self.formatted - self.world.now, write, self.node)
 
 
 class World:
-    def __init__(self, seed: int, count: int = 3, shards: int = 4, breaks=(), faults: bool = True, extreme: bool = False,
-                 drift: float = 0.05):
-        self.chance, self.count, self.breaks, self.extreme = random.Random(seed), count, frozenset(breaks), extreme
+    def __init__(
+        self,
+        seed: int,
+        count: int = 3,
+        shards: int = 4,
+        breaks=(),
+        faults: bool = True,
+        extreme: bool = False,
+        drift: float = 0.05,
+    ):
+        self.chance, self.count, self.breaks, self.extreme = (
+            random.Random(seed),
+            count,
+            frozenset(breaks),
+            extreme,
+        )
         self.ways = Ways(shards=shards, settle=SECOND, drift=drift)
         if "drift ignored" in self.breaks:
             self.ways = IgnoringDrift(**{f: getattr(self.ways, f) for f in self.ways.__dataclass_fields__})
@@ -278,8 +325,11 @@
         for version in range(2, 12):
             out = out ^ {self.chance.choice(sorted(self.endpoints))}
             self.changes.append((version * 1300 * MS + self.chance.randrange(800 * MS), version, out))
-        self.flows = {s: [(self.chance.randrange(ENDS), f"build-order-{s}-{n}") for n in range(30)] for s in range(shards)}
-        self.terms = dict.fromkeys(range(shards), 0)        # the highest term that each proxy has seen
+        self.flows = {
+            s: [(self.chance.randrange(ENDS), f"build-order-{s}-{n}") for n in range(30)]
+            for s in range(shards)
+        }
+        self.terms = dict.fromkeys(range(shards), 0)  # the highest term that each proxy has seen
         self.arrives: dict[tuple[int, int], int] = {}
         self.flying: list[list] = []
         self.nodes = [Node(self, n) for n in range(count)]
@@ -301,7 +351,7 @@
             if node is not None:
                 if not node.alive or event.life != node.life:
                     continue
-                if node.paused > event.at:      # it stands still: all of it happens when it wakes, in order
+                if node.paused > event.at:  # it stands still: all of it happens when it wakes, in order
                     heapq.heappush(self.heap, replace(event, at=node.paused))
                     continue
             self.now = event.at
@@ -321,7 +371,11 @@
         if (sender, to) in self.cuts or self.chance.random() < self.drop:
             return
         for _ in range(2 if self.chance.random() < 0.02 else 1):
-            delay = self.chance.randrange(200, 3 * MS) if self.chance.random() < 0.98 else self.chance.randrange(900 * MS)
+            delay = (
+                self.chance.randrange(200, 3 * MS)
+                if self.chance.random() < 0.98
+                else self.chance.randrange(900 * MS)
+            )
             self.later(delay, lambda: self.arrive(sender, to, message))
 
     def arrive(self, sender: int, to: int, message: tuple) -> None:
@@ -378,7 +432,9 @@
             self.later(last, lambda: node.alive or node.start(empty=True))
         elif what == "kill and cut":
             third = chance.choice([n for n in self.nodes if n is not node])
-            pairs = {(n.me, m.me) for n in self.nodes for m in self.nodes if n is not m and third not in (n, m)}
+            pairs = {
+                (n.me, m.me) for n in self.nodes for m in self.nodes if n is not m and third not in (n, m)
+            }
             self.cuts |= pairs
             self.later(max(last, 3 * SECOND), lambda: self.cuts.difference_update(pairs))
             stops = chance.randrange(SECOND, 2500 * MS)
--- a/standins/distribution/leases.py
+++ b/standins/distribution/leases.py
@@ -84,7 +84,9 @@
     def _grant(self, shard: int, place: int) -> None:
         self.epochs[shard] += 1
         node = self.world.owners[place]
-        self.grants[shard] = _Grant(place, node.incarnation, self.epochs[shard], self.world.events.now + LEASE)
+        self.grants[shard] = _Grant(
+            place, node.incarnation, self.epochs[shard], self.world.events.now + LEASE
+        )
 
     def _tell(self, place: int, standby: dict[int, int]) -> None:
         """A controller hears of its leases, of those that it has lost, and for what it is to stand by."""
--- a/standins/distribution/network.py
+++ b/standins/distribution/network.py
@@ -107,7 +107,9 @@
     def __init__(self, events: EventQueue, chance: random.Random, regions: int, rules: NetworkRules):
         self.events, self.chance, self.rules = events, chance, rules
         self._delays = {
-            (one, other): chance.randint(*rules.between_regions) for one in range(regions) for other in range(one)
+            (one, other): chance.randint(*rules.between_regions)
+            for one in range(regions)
+            for other in range(one)
         }
         self._cut: set[int] = set()  # regions that reach only themselves
         self.dials: list[tuple[int, str, str]] = []  # when, by whom, to whom
--- a/standins/distribution/node.py
+++ b/standins/distribution/node.py
@@ -91,7 +91,9 @@
     def _set_timer(self, at: int) -> None:
         at = self._timer_at = max(at, self.now + 1)
         generation = self.generation
-        self.world.network.at(at, lambda: generation == self.generation and at == self._timer_at and self._timer())
+        self.world.network.at(
+            at, lambda: generation == self.generation and at == self._timer_at and self._timer()
+        )
 
     def _timer(self) -> None:
         self._timer_at = None
--- a/standins/distribution/nodes.py
+++ b/standins/distribution/nodes.py
@@ -156,7 +156,13 @@
     """A controller."""
 
     def __init__(
-        self, world: "World", name: str, region: int, others: list[str], chance: random.Random, limits: DistributorLimits
+        self,
+        world: "World",
+        name: str,
+        region: int,
+        others: list[str],
+        chance: random.Random,
+        limits: DistributorLimits,
     ):
         super().__init__(world, name, region)
         self.others, self.chance, self.limits, self.incarnation = others, chance, limits, 0
--- a/standins/distribution/schedules.py
+++ b/standins/distribution/schedules.py
@@ -87,7 +87,9 @@
         if self.chance.random() < 0.5:
             self.world.change(service)
         else:
-            self.world.write_table(service, {f"{LINE}{service}-0": TableLine(round(self.chance.uniform(1, 100), 2))})
+            self.world.write_table(
+                service, {f"{LINE}{service}-0": TableLine(round(self.chance.uniform(1, 100), 2))}
+            )
 
     def burst(self) -> None:
         service = self.chance.choice(self.world.services)
@@ -181,7 +183,9 @@
 def check_dials(world: World) -> None:
     """No stampede: of many that lose a parent at one time, no large part dials any one other within a moment."""
     dials = sorted(world.network.dials)
-    starts = world.events.now - (FAULTS_FOR + SETTLE_FOR) * SECOND + 2 * SECOND  # the world's start is no loss
+    starts = (
+        world.events.now - (FAULTS_FOR + SETTLE_FOR) * SECOND + 2 * SECOND
+    )  # the world's start is no loss
     by_parent: dict[str, list[int]] = {}
     for at, _, parent in dials:
         if at > starts:
@@ -209,7 +213,10 @@
 _receive, _updates_since = Topic.receive, Topic.updates_since
 
 BREAKS: dict[str, list[tuple[type, str, Callable]]] = {
-    "no epoch check": [(Topic, "receive", _receive_by_sequence), (Topic, "updates_since", _updates_by_sequence)],
+    "no epoch check": [
+        (Topic, "receive", _receive_by_sequence),
+        (Topic, "updates_since", _updates_by_sequence),
+    ],
     "delta over a gap": [(Topic, "_covers", lambda self, delta: True)],
     "resync without jitter": [(Backoff, "wait", lambda self: self.first)],
     "lease not asked": [(Tenure, "may_publish", lambda self, now: True)],
--- a/standins/distribution/world.py
+++ b/standins/distribution/world.py
@@ -52,7 +52,9 @@
         self.size, self.seed, self.checked = size, seed, checked
         self.events = EventQueue()
         self.chance = random.Random(f"{seed}/script")
-        self.network = Network(self.events, random.Random(f"{seed}/network"), size.regions, rules or NetworkRules())
+        self.network = Network(
+            self.events, random.Random(f"{seed}/network"), size.regions, rules or NetworkRules()
+        )
         self.nodes: dict[str, Node] = {}
         self.services = [f"service-{n}" for n in range(size.services)]
         self.configuration = {service: self._listed(service) for service in self.services}
@@ -113,11 +115,16 @@
         made: list[list[RelayNode]] = []
         above = None
         limits = DistributorLimits(
-            self.size.fan_out, self.size.limits.snapshot_bytes_per_second, self.size.limits.snapshot_burst_bytes
+            self.size.fan_out,
+            self.size.limits.snapshot_bytes_per_second,
+            self.size.limits.snapshot_burst_bytes,
         )
         for level in levels(self.size.pilots, self.size.fan_out):
             made.append(
-                [self._relay(name, place, len(level.names), above, limits) for place, name in enumerate(level.names)]
+                [
+                    self._relay(name, place, len(level.names), above, limits)
+                    for place, name in enumerate(level.names)
+                ]
             )
             above = level
         self.last_level = above
@@ -130,7 +137,9 @@
             if above is None
             else {"tree": preferred_parents(place, count, above)}
         )
-        return self._add(RelayNode(self, name, region, upstreams, self._random(name), limits, owners=above is None))
+        return self._add(
+            RelayNode(self, name, region, upstreams, self._random(name), limits, owners=above is None)
+        )
 
     def _pilots(self) -> list[PilotNode]:
         return [self._pilot(place) for place in range(self.size.pilots)]
@@ -184,7 +193,10 @@
             if (topic, state.version) in self.states:
                 self._violated("one state a version", f"{topic} {state.version} of {owner.name}")
             self.states[topic, state.version] = _fingerprint(state)
-            if service_of(topic) in self.configuration and self.leases.epoch_of(service_of(topic)) > publication.epoch:
+            if (
+                service_of(topic) in self.configuration
+                and self.leases.epoch_of(service_of(topic)) > publication.epoch
+            ):
                 self._violated("no order of a deposed owner", f"{topic} {state.version} of {owner.name}")
 
     # --- what pilots have ---
--- a/standins/fleet/__init__.py
+++ b/standins/fleet/__init__.py
@@ -3,6 +3,7 @@
 Pilots are driven through their own rounds, so what proxies hold comes from messages as written. `World` has flows that
 follow the tables at once; `RequestWorld` draws every request and follows its tries. Neither says how well a day would go.
 """
+
 from standins.fleet.discovery import Discovery
 from standins.fleet.flow_world import World
 from standins.fleet.parameters import Parameters
--- a/standins/fleet/budget.py
+++ b/standins/fleet/budget.py
@@ -3,32 +3,35 @@
 An endpoint that has just started may be sent, in any window of the rule's length, at most `multiple` times what it can do
 at the window's end, over the whole length. All work counts: refused, failed and repeated tries too.
 """
+
 from collections import deque
 from dataclasses import dataclass
 from math import sqrt
 from typing import Iterable, Iterator
 
 SECOND = 1_000_000
-INFORMED_LEAST = 2 / 3      # of the work in a window, for the excess to be the pilots' fault
+INFORMED_LEAST = 2 / 3  # of the work in a window, for the excess to be the pilots' fault
 
 
 @dataclass(frozen=True)
 class BudgetRule:
     """The rule's figures; `deviations` standard deviations of a Poisson count are allowed for chance."""
+
     multiple: float
-    window: int                 # microseconds
+    window: int  # microseconds
     deviations: float = 0.0
-    mean_work: float = 0.0      # seconds of work that one try brings, weighted by work
+    mean_work: float = 0.0  # seconds of work that one try brings, weighted by work
 
 
 @dataclass(frozen=True)
 class ColdStart:
     """One start of an endpoint: its capacity rises evenly from the cold share to the full within `warm_after`."""
+
     endpoint: str
     started: int
     warm_after: int
     cold_share: float
-    capacity: float             # seconds of work a second when warm
+    capacity: float  # seconds of work a second when warm
 
     def ramp(self, at: int) -> float:
         """Share of the capacity reached."""
@@ -45,6 +48,7 @@
 @dataclass(frozen=True)
 class SentWork:
     """The work of one try. `informed`: its proxy's last message, or its pilot for the grace, had known of the start."""
+
     at: int
     work: float
     informed: bool
@@ -54,11 +58,12 @@
 @dataclass(frozen=True)
 class Excess:
     """A window in which an endpoint was sent more than its budget."""
+
     endpoint: str
-    at: int                     # the window's end
-    age: int                    # of the endpoint at that time
-    ratio: float                # work sent over what it could do in the window
-    informed_share: float       # of that work
+    at: int  # the window's end
+    age: int  # of the endpoint at that time
+    ratio: float  # work sent over what it could do in the window
+    informed_share: float  # of that work
     repeated_share: float
 
     @property
@@ -84,10 +89,17 @@
             held.popleft()
         total = sum(one.work for one in held)
         capacity = start.present_capacity(work.at)
-        yield total / budget(rule, capacity), Excess(
-            start.endpoint, work.at, work.at - start.started, total / (capacity * rule.window / SECOND),
-            sum(one.work for one in held if one.informed) / total,
-            sum(one.work for one in held if one.repeated) / total)
+        yield (
+            total / budget(rule, capacity),
+            Excess(
+                start.endpoint,
+                work.at,
+                work.at - start.started,
+                total / (capacity * rule.window / SECOND),
+                sum(one.work for one in held if one.informed) / total,
+                sum(one.work for one in held if one.repeated) / total,
+            ),
+        )
 
 
 def excesses(start: ColdStart, sent: Iterable[SentWork], rule: BudgetRule) -> list[Excess]:
@@ -102,5 +114,8 @@
 
 def nearest(start: ColdStart, sent: Iterable[SentWork], rule: BudgetRule) -> tuple[float, Excess] | None:
     """The window that used most of its budget, among those that would count against the pilots."""
-    return max((window for window in windows(start, sent, rule) if window[1].violates),
-               key=lambda window: window[0], default=None)
+    return max(
+        (window for window in windows(start, sent, rule) if window[1].violates),
+        key=lambda window: window[0],
+        default=None,
+    )
--- a/standins/fleet/channels.py
+++ b/standins/fleet/channels.py
@@ -1,11 +1,12 @@
 """The way of a pilot's messages to its proxies."""
+
 import random
 from typing import Protocol
 
 from standins.fleet.clock import SECOND
 from standins.fleet.proxies import Proxy
 
-FIXED_DELAY = SECOND // 5   # from an order to its effect, and as long again until the answer is heard
+FIXED_DELAY = SECOND // 5  # from an order to its effect, and as long again until the answer is heard
 
 
 class Receiver(Protocol):
@@ -38,18 +39,27 @@
         self.events, self.receiver = events, receiver
 
     def send(self, proxy: Proxy, message: str, ticket: int | None, starts) -> None:
-        self.events.later(FIXED_DELAY, lambda: self.receiver.arrived(proxy, message, ticket, FIXED_DELAY, starts))
+        self.events.later(
+            FIXED_DELAY, lambda: self.receiver.arrived(proxy, message, ticket, FIXED_DELAY, starts)
+        )
 
 
 class BoundedChannel:
     """Messages leave one after another at so many lines a second and arrive a drawn time later, in order at each proxy."""
 
-    def __init__(self, events, receiver: Receiver, lines_per_s: float, envelope: int, delay: tuple[int, int],
-                 chance: random.Random):
+    def __init__(
+        self,
+        events,
+        receiver: Receiver,
+        lines_per_s: float,
+        envelope: int,
+        delay: tuple[int, int],
+        chance: random.Random,
+    ):
         self.events, self.receiver = events, receiver
         self.lines_per_s, self.envelope, self.delay, self.chance = lines_per_s, envelope, delay, chance
         self.free_at = 0
-        self.last: dict[int, int] = {}      # by proxy: when the newest message arrives
+        self.last: dict[int, int] = {}  # by proxy: when the newest message arrives
 
     def send(self, proxy: Proxy, message: str, ticket: int | None, starts) -> None:
         ordered = self.events.now
--- a/standins/fleet/clock.py
+++ b/standins/fleet/clock.py
@@ -1,11 +1,12 @@
 """Units of time and the queue of scheduled events."""
+
 import heapq
 import itertools
 from typing import Callable
 
 SECOND = 1_000_000
-TICK = SECOND // 20         # how often pilots look for work
-START = 1000 * SECOND       # the clock's first reading; 0 stands for "never started" elsewhere
+TICK = SECOND // 20  # how often pilots look for work
+START = 1000 * SECOND  # the clock's first reading; 0 stands for "never started" elsewhere
 
 
 class EventQueue:
--- a/standins/fleet/discovery.py
+++ b/standins/fleet/discovery.py
@@ -1,4 +1,5 @@
 """The discovery service: one queue of calls for all pilots."""
+
 from collections import deque
 from typing import TYPE_CHECKING
 
@@ -16,7 +17,7 @@
         self.world, self.each, self.patience = world, round(SECOND / a_second), patience
         self.queue: deque[tuple[int, "Pilot"]] = deque()
         self.free, self.down = 0, False
-        self.calls: list[tuple[int, int, str]] = []     # when, by whom, and what came of it
+        self.calls: list[tuple[int, int, str]] = []  # when, by whom, and what came of it
 
     def call(self, pilot: "Pilot") -> None:
         if not pilot.called:
@@ -37,8 +38,10 @@
             failed = self.down or now - at > self.patience
             self.calls.append((at, pilot.number, "failed" if failed else "answered"))
             pilot.called = False
-            if not self.down:       # a call that has waited too long costs its turn as well
-                self.free = (self.free if self.free > now - TICK else now) + self.each   # several calls fit in a tick
+            if not self.down:  # a call that has waited too long costs its turn as well
+                self.free = (
+                    self.free if self.free > now - TICK else now
+                ) + self.each  # several calls fit in a tick
             if failed:
                 pilot.hear("list_failed")
             else:
--- a/standins/fleet/flow_world.py
+++ b/standins/fleet/flow_world.py
@@ -1,4 +1,5 @@
 """A fleet whose loads follow the tables at once; how late an answer is follows the load by one plain curve."""
+
 from collections import defaultdict
 
 from ravenshelf.provisioning import provisioning
@@ -7,31 +8,73 @@
 from standins.fleet.servers import COLD, WARM, Server
 from standins.fleet.simulation import Simulation
 
-LATE_SUMS = 3 * SECOND // 2     # from the end of what a report covers until pilots hear it
+LATE_SUMS = 3 * SECOND // 2  # from the end of what a report covers until pilots hear it
 FLOW_PERIOD = SECOND // 4
 
 
 def flow_settings(pilots: int, zones: int, proxies: int, changes: dict) -> dict:
-    return provisioning({
-        "azs": [f"z{n}" for n in range(zones)], "balancers": pilots, "discovery": "on_request", "weights": "rough",
-        "classes": [{"name": "read", "importance": 1, "objective-ms": 800, "deadline-ms": 3000, "idempotency": "pure"}],
-        "family-info": {"lines-per-s": 1500, "most-waiting": 3000, "envelope": 3, "proxy-count": proxies,
-                        "by-zone": False, "level-kind": "per_second", "late-most-ms": 800, "messages-most": 30,
-                        "counted-over-ms": 10_000.0},
-        "telemetry": {"how": "answers", "columns": ["active"]},
-        "rules": {"cold-share": COLD, "fall-multiple": 4, "warm-after-ms": WARM / 1000}} | changes)
+    return provisioning(
+        {
+            "azs": [f"z{n}" for n in range(zones)],
+            "balancers": pilots,
+            "discovery": "on_request",
+            "weights": "rough",
+            "classes": [
+                {
+                    "name": "read",
+                    "importance": 1,
+                    "objective-ms": 800,
+                    "deadline-ms": 3000,
+                    "idempotency": "pure",
+                }
+            ],
+            "family-info": {
+                "lines-per-s": 1500,
+                "most-waiting": 3000,
+                "envelope": 3,
+                "proxy-count": proxies,
+                "by-zone": False,
+                "level-kind": "per_second",
+                "late-most-ms": 800,
+                "messages-most": 30,
+                "counted-over-ms": 10_000.0,
+            },
+            "telemetry": {"how": "answers", "columns": ["active"]},
+            "rules": {"cold-share": COLD, "fall-multiple": 4, "warm-after-ms": WARM / 1000},
+        }
+        | changes
+    )
 
 
 class World(Simulation):
-    def __init__(self, pilots: int = 5, zones: int = 3, servers: int = 6, proxies: int = 10, flows: float = 10.0,
-                 load: float = 0.5, seed: int = 1, calls_a_second: float = 4.0, **changes):
+    def __init__(
+        self,
+        pilots: int = 5,
+        zones: int = 3,
+        servers: int = 6,
+        proxies: int = 10,
+        flows: float = 10.0,
+        load: float = 0.5,
+        seed: int = 1,
+        calls_a_second: float = 4.0,
+        **changes,
+    ):
         """`servers` and `proxies` are those of a zone; `load` is the share of all capacity that flows ask for."""
         capacity = proxies * flows / servers / load
-        super().__init__(flow_settings(pilots, zones, zones * proxies, changes),
-                         [Server(f"s-{z}-{n}", z, capacity) for z in range(zones) for n in range(servers)],
-                         [Proxy(n, n % zones, flows) for n in range(zones * proxies)], pilots, seed, calls_a_second)
-        self.spilled: list[tuple[int, dict[tuple[int, int], float]]] = []   # flows a second between zones, by time
-        self.pressed: dict[str, list[tuple[int, float]]] = defaultdict(list)    # load over strength of what is cold
+        super().__init__(
+            flow_settings(pilots, zones, zones * proxies, changes),
+            [Server(f"s-{z}-{n}", z, capacity) for z in range(zones) for n in range(servers)],
+            [Proxy(n, n % zones, flows) for n in range(zones * proxies)],
+            pilots,
+            seed,
+            calls_a_second,
+        )
+        self.spilled: list[
+            tuple[int, dict[tuple[int, int], float]]
+        ] = []  # flows a second between zones, by time
+        self.pressed: dict[str, list[tuple[int, float]]] = defaultdict(
+            list
+        )  # load over strength of what is cold
 
     def step(self) -> None:
         if self.now % FLOW_PERIOD == 0:
@@ -56,7 +99,9 @@
 
     def _report(self) -> None:
         """Each pilot hears each zone's sums of each server, and what its own proxies were asked."""
-        sums = [(zone, s, met, *s.answers(self.now)) for s in self.servers.values() for zone, met in s.met.items()]
+        sums = [
+            (zone, s, met, *s.answers(self.now)) for s in self.servers.values() for zone, met in s.met.items()
+        ]
         self.later(LATE_SUMS, lambda: self._heard(sums))
 
     def _heard(self, sums: list) -> None:
@@ -64,7 +109,9 @@
             for zone, server, met, failed, took in sums:
                 index = pilot.listing.index.get(server.name)
                 if index is not None and (tries := round(met)):
-                    pilot.hear("heard", zone, index, tries, round(tries * failed), took, SECOND, (server.load / 10,))
+                    pilot.hear(
+                        "heard", zone, index, tries, round(tries * failed), took, SECOND, (server.load / 10,)
+                    )
         for proxy in self.proxies:
             if proxy.pilot.alive:
                 proxy.pilot.hear("asked", proxy.number, 0, round(proxy.flows), 0, SECOND)
--- a/standins/fleet/ledger.py
+++ b/standins/fleet/ledger.py
@@ -1,4 +1,5 @@
 """All work that cold endpoints are sent, by their starts."""
+
 from collections import defaultdict
 
 from standins.fleet.budget import BudgetRule, ColdStart, Excess, SentWork, nearest, violations
@@ -9,7 +10,7 @@
     def __init__(self, rule: BudgetRule):
         self.rule = rule
         self.sent: dict[ColdStart, list[SentWork]] = defaultdict(list)
-        self._starts: dict[str, ColdStart] = {}     # by endpoint: the newest
+        self._starts: dict[str, ColdStart] = {}  # by endpoint: the newest
 
     def record(self, server: QueueServer, work: SentWork) -> None:
         self.sent[self._start(server)].append(work)
@@ -17,7 +18,9 @@
     def _start(self, server: QueueServer) -> ColdStart:
         start = self._starts.get(server.name)
         if start is None or start.started != server.started:
-            start = ColdStart(server.name, server.started, server.warm_after, server.cold_share, server.capacity)
+            start = ColdStart(
+                server.name, server.started, server.warm_after, server.cold_share, server.capacity
+            )
             self._starts[server.name] = start
         return start
 
--- a/standins/fleet/pilots.py
+++ b/standins/fleet/pilots.py
@@ -1,4 +1,5 @@
 """A pilot: the control plane's module behind its own rounds."""
+
 from typing import TYPE_CHECKING, Callable, Mapping
 
 from ravenshelf.memory.counters import Counters
@@ -19,19 +20,26 @@
 class Pilot:
     """The module behind the pilot's own rounds."""
 
-    def __init__(self, number: int, settings: dict, world: "Simulation", channel: Callable[["Pilot"], Channel],
-                 restored: ListSnapshot, starts: int = 0):
+    def __init__(
+        self,
+        number: int,
+        settings: dict,
+        world: "Simulation",
+        channel: Callable[["Pilot"], Channel],
+        restored: ListSnapshot,
+        starts: int = 0,
+    ):
         """`restored` is the list as this pilot last had it; `starts` counts its earlier processes."""
         self.number, self.world, self.alive, self.watching = number, world, True, False
         self.starts = starts
-        self.rev = 0                # of the list that it was told
-        self.called = False         # whether a call waits for its answer
+        self.rev = 0  # of the list that it was told
+        self.called = False  # whether a call waits for its answer
         self.counters, self.sent = Counters(), Sent(len(settings["traffic_groups"]), False)
         self.listing = Listing(lambda: world.now, self.sent.holds)
         seed = FIRST_SEED + number + SEEDS_BETWEEN_STARTS * starts
         self.rounds = Rounds(settings, seed, self.listing, self.sent, self.counters)
         self.wakes: list[int] = []
-        self.known_starts: Mapping[str, int] = {}       # endpoint: its newest start that this pilot was told
+        self.known_starts: Mapping[str, int] = {}  # endpoint: its newest start that this pilot was told
         self.known_since: dict[tuple[str, int], int] = {}
         self.channel = channel(self)
         self._take("replace", restored)
@@ -44,8 +52,10 @@
 
     def _take(self, how: str, snapshot: ListSnapshot) -> tuple:
         self.rev, self._restored = snapshot.rev, snapshot
-        entries = [(self.listing.endpoint(entry.name), entry.zone, 0, 0, entry.state, entry.weight, entry.started)
-                   for entry in snapshot.entries]
+        entries = [
+            (self.listing.endpoint(entry.name), entry.zone, 0, 0, entry.state, entry.weight, entry.started)
+            for entry in snapshot.entries
+        ]
         self.known_starts = {entry.name: entry.started for entry in snapshot.entries}
         for start in self.known_starts.items():
             self.known_since.setdefault(start, self.world.now)
@@ -74,7 +84,9 @@
         self.world.lines[self.number] = self.world.lines.get(self.number, 0) + message.count(b":") + 3
         self.channel.send(self.world.proxies[proxy], message.decode(), ticket, self.known_starts)
 
-    def arrived(self, proxy: Proxy, message: str, ticket: int | None, took: int, starts: Mapping[str, int]) -> None:
+    def arrived(
+        self, proxy: Proxy, message: str, ticket: int | None, took: int, starts: Mapping[str, int]
+    ) -> None:
         """A message reaches its proxy, unless the stream has broken since."""
         if proxy.pilot is not self or not self.alive:
             return
--- a/standins/fleet/proxies.py
+++ b/standins/fleet/proxies.py
@@ -1,4 +1,5 @@
 """Proxies: what they hold of tables, withdrawals and levels, and how they pick a line."""
+
 import random
 from bisect import bisect
 from dataclasses import dataclass
@@ -19,8 +20,10 @@
         self.number, self.zone, self.flows, self.pilot = number, zone, flows, None
         self.table: dict[str, float] = {}
         self.out: set[str] = set()
-        self.table_from = None                      # the pilot whose message the table came in
-        self.informed: Mapping[str, int] = NOT_KNOWN    # starts known to the pilot when it sent the last message
+        self.table_from = None  # the pilot whose message the table came in
+        self.informed: Mapping[str, int] = (
+            NOT_KNOWN  # starts known to the pilot when it sent the last message
+        )
 
     def obey(self, message: str) -> None:
         for line in message.splitlines():
@@ -40,12 +43,13 @@
 @dataclass(frozen=True)
 class ProxyRules:
     """What the settings say of proxies."""
+
     groups: tuple[str, ...]
-    level_kind: str         # "fraction", "per_second" or "none"
-    outlier_after: int      # tries in a row that fail at an endpoint until it is shunned; 0: never
+    level_kind: str  # "fraction", "per_second" or "none"
+    outlier_after: int  # tries in a row that fail at an endpoint until it is shunned; 0: never
     shun_least: int
     shun_most: int
-    base_mode: int          # how to try again where no level says it: 0 to 3
+    base_mode: int  # how to try again where no level says it: 0 to 3
 
 
 class RequestProxy(Proxy):
@@ -54,10 +58,10 @@
     def __init__(self, number: int, zone: int, flows: float, rules: ProxyRules):
         super().__init__(number, zone, flows)
         self.rules = rules
-        self.levels: dict[str, tuple[float, int]] = {}      # by group: level, and how to try again
-        self.tokens: dict[str, tuple[int, float]] = {}      # by group: when last counted, and how many
+        self.levels: dict[str, tuple[float, int]] = {}  # by group: level, and how to try again
+        self.tokens: dict[str, tuple[int, float]] = {}  # by group: when last counted, and how many
         self.failed_in_row: dict[str, int] = {}
-        self.shunned: dict[str, int] = {}                   # endpoint: until when
+        self.shunned: dict[str, int] = {}  # endpoint: until when
 
     def obey_levels(self, said: dict[str, str]) -> None:
         groups = said["classes"].split("+") if "classes" in said else self.rules.groups
--- a/standins/fleet/reports.py
+++ b/standins/fleet/reports.py
@@ -1,14 +1,16 @@
 """What pilots hear of their proxies: late sums by zone and endpoint and usage by proxy, through a bounded intake."""
+
 from dataclasses import dataclass, field
 
 
 @dataclass
 class Tally:
     """Counts that add up until their line is sent."""
+
     since: int
     tries: int = 0
     failed: int = 0
-    latency_sum: int = 0        # of the tries that succeeded
+    latency_sum: int = 0  # of the tries that succeeded
 
     def add(self, failed: bool, latency: int) -> None:
         self.tries += 1
@@ -23,6 +25,7 @@
 @dataclass(frozen=True)
 class EndpointKey:
     """Tries of a zone's proxies at an endpoint."""
+
     zone: int
     endpoint: str
 
@@ -30,6 +33,7 @@
 @dataclass(frozen=True)
 class UsageKey:
     """Flows that a proxy was asked for, of one traffic group."""
+
     proxy: int
     group: int
 
@@ -40,6 +44,7 @@
 @dataclass
 class Intake:
     """One pilot's lines that wait: the oldest goes first, and what does not fit adds up to the next."""
+
     period_began: int
     waiting: dict[Key, Tally] = field(default_factory=dict)
 
--- a/standins/fleet/request_world.py
+++ b/standins/fleet/request_world.py
@@ -1,4 +1,5 @@
 """A fleet in which every request is drawn and followed, and cold endpoints have a budget of work."""
+
 from collections import Counter
 from math import ceil
 
@@ -15,9 +16,9 @@
 from standins.fleet.streams import Streams
 from standins.fleet.traffic import Request, Traffic, lognormal
 
-CHANCE_DEVIATIONS = 1.0         # the budget's slack for chance, in standard deviations: 3.2 times for 2.5 is over it
+CHANCE_DEVIATIONS = 1.0  # the budget's slack for chance, in standard deviations: 3.2 times for 2.5 is over it
 SPEED_LEAST, SPEED_MOST = 0.4, 2.0
-USUAL_ERROR = 0.1               # of what a proxy says that it usually receives
+USUAL_ERROR = 0.1  # of what a proxy says that it usually receives
 
 
 def mean_work(classes: tuple[RequestClass, ...]) -> float:
@@ -26,22 +27,34 @@
 
 def weighted_work(classes: tuple[RequestClass, ...]) -> float:
     """Mean work of a try, weighted by work: the unit of chance in a sum of work."""
-    squares = sum(group.share * group.work_s ** 2 * (1 + group.work_cv ** 2) for group in classes)
+    squares = sum(group.share * group.work_s**2 * (1 + group.work_cv**2) for group in classes)
     return squares / sum(group.share * group.work_s for group in classes)
 
 
 class RequestWorld(Simulation):
     def __init__(self, parameters: Parameters, seed: int):
         self.parameters, self.streams = parameters, Streams(seed)
-        self.ledger = Ledger(BudgetRule(parameters.fall_multiple, parameters.overload_for, CHANCE_DEVIATIONS,
-                                        weighted_work(parameters.classes)))
+        self.ledger = Ledger(
+            BudgetRule(
+                parameters.fall_multiple,
+                parameters.overload_for,
+                CHANCE_DEVIATIONS,
+                weighted_work(parameters.classes),
+            )
+        )
         self.intakes: dict[Pilot, Intake] = {}
-        self.ends = Counter()           # requests by what came of them
-        self.tries: Counter[tuple[str, bool]] = Counter()   # by endpoint, and whether repeated
+        self.ends = Counter()  # requests by what came of them
+        self.tries: Counter[tuple[str, bool]] = Counter()  # by endpoint, and whether repeated
         servers = self._servers()
         rates = self._rates(sum(server.capacity for server in servers))
-        super().__init__(parameters.settings(), servers, self._proxies(rates), parameters.pilots, seed,
-                         parameters.calls_a_second)
+        super().__init__(
+            parameters.settings(),
+            servers,
+            self._proxies(rates),
+            parameters.pilots,
+            seed,
+            parameters.calls_a_second,
+        )
         self.homes = {proxy.number: proxy.pilot.number for proxy in self.proxies}
         self.traffic = Traffic(self.events, parameters, self.servers, self.streams, self)
         self.traffic.begin(self.proxies, rates)
@@ -49,8 +62,11 @@
     # --- what it is made of ---
 
     def _servers(self) -> list[QueueServer]:
-        return [self._server(f"s-{zone}-{n}", zone)
-                for zone in range(self.parameters.zones) for n in range(self.parameters.servers)]
+        return [
+            self._server(f"s-{zone}-{n}", zone)
+            for zone in range(self.parameters.zones)
+            for n in range(self.parameters.servers)
+        ]
 
     def _server(self, name: str, zone: int) -> QueueServer:
         parameters, chance = self.parameters, self.streams["servers"]
@@ -71,16 +87,34 @@
 
     def _proxies(self, rates: list[float]) -> list[RequestProxy]:
         parameters, chance = self.parameters, self.streams["usual"]
-        rules = ProxyRules(tuple(group.name for group in parameters.classes), parameters.level_kind,
-                           parameters.outlier_after, *parameters.shun, parameters.base_mode)
-        return [RequestProxy(number, number % parameters.zones, rate * chance.uniform(1 - USUAL_ERROR, 1 + USUAL_ERROR),
-                             rules) for number, rate in enumerate(rates)]
+        rules = ProxyRules(
+            tuple(group.name for group in parameters.classes),
+            parameters.level_kind,
+            parameters.outlier_after,
+            *parameters.shun,
+            parameters.base_mode,
+        )
+        return [
+            RequestProxy(
+                number,
+                number % parameters.zones,
+                rate * chance.uniform(1 - USUAL_ERROR, 1 + USUAL_ERROR),
+                rules,
+            )
+            for number, rate in enumerate(rates)
+        ]
 
     def make_channel(self, pilot: Pilot) -> BoundedChannel:
         parameters = self.parameters
         self._open_intake(pilot)
-        return BoundedChannel(self.events, pilot, parameters.lines_per_s, parameters.envelope, parameters.channel_delay,
-                              self.streams["channel"])
+        return BoundedChannel(
+            self.events,
+            pilot,
+            parameters.lines_per_s,
+            parameters.envelope,
+            parameters.channel_delay,
+            self.streams["channel"],
+        )
 
     def join(self, proxy: RequestProxy) -> None:
         if proxy.table_from is None and not proxy.table:
@@ -95,7 +129,9 @@
         ready = [server for server in self.servers.values() if server.state == "ready"]
         near = [server for server in ready if server.zone == proxy.zone]
         names = [server.name for server in (near if len(near) >= 3 else ready)]
-        return dict.fromkeys(self.streams["standing"].sample(names, min(self.parameters.standing, len(names))), 1.0)
+        return dict.fromkeys(
+            self.streams["standing"].sample(names, min(self.parameters.standing, len(names))), 1.0
+        )
 
     # --- faults ---
 
@@ -120,7 +156,10 @@
         for proxy in self.proxies:
             if proxy.pilot in killed:
                 proxy.pilot = None
-                self.later(self.streams["faults"].randint(*self.parameters.redial), lambda proxy=proxy: self._dial(proxy))
+                self.later(
+                    self.streams["faults"].randint(*self.parameters.redial),
+                    lambda proxy=proxy: self._dial(proxy),
+                )
 
     def _dial(self, proxy: RequestProxy) -> None:
         if proxy.pilot is None and proxy.number not in self.traffic.down:
@@ -175,7 +214,9 @@
         """Whether its last message was sent knowing of the start, or its pilot has known of it for the grace."""
         if proxy.informed.get(server.name) == server.started:
             return True
-        return proxy.pilot is not None and proxy.pilot.has_known(server.name, server.started, self.parameters.drain_grace)
+        return proxy.pilot is not None and proxy.pilot.has_known(
+            server.name, server.started, self.parameters.drain_grace
+        )
 
     def tried(self, request: Request, server: QueueServer, failed: bool, latency: int) -> None:
         if request.proxy.pilot is not None:
@@ -201,8 +242,10 @@
         most = ceil(self.parameters.intake_per_s * self.parameters.report_period / SECOND)
         lines = self.intakes[pilot].take(self.now, most)
         ended = self.now
-        self.later(self.streams["reports"].randint(*self.parameters.report_delay),
-                   lambda: self._heard(pilot, lines, ended))
+        self.later(
+            self.streams["reports"].randint(*self.parameters.report_delay),
+            lambda: self._heard(pilot, lines, ended),
+        )
         self.later(self.parameters.report_period, lambda: self._report(pilot))
 
     def _heard(self, pilot: Pilot, lines: list[tuple[Key, Tally]], ended: int) -> None:
@@ -214,5 +257,7 @@
                 if self.proxies[key.proxy].pilot is pilot:
                     pilot.hear("asked", key.proxy, key.group, tally.tries, tally.failed, window)
             elif (index := pilot.listing.index.get(key.endpoint)) is not None:
-                latency = round(tally.mean_latency() * lognormal(self.streams["noise"], 1.0, self.parameters.noise))
+                latency = round(
+                    tally.mean_latency() * lognormal(self.streams["noise"], 1.0, self.parameters.noise)
+                )
                 pilot.hear("heard", key.zone, index, tally.tries, tally.failed, latency, window, ())
--- a/standins/fleet/scenarios.py
+++ b/standins/fleet/scenarios.py
@@ -1,4 +1,5 @@
 """Scripted days of a `RequestWorld`: endpoints return cold while most pilots or proxies are killed."""
+
 from dataclasses import dataclass
 from enum import Enum
 from math import ceil
@@ -9,8 +10,8 @@
 from standins.fleet.request_world import RequestWorld
 
 KILLED_SHARE = 0.7
-SLOWED = (2.0, 9.0)             # times as slow, of a bad endpoint that is slow
-FAILING = (0.4, 1.0)            # share of tries that fail, of one that fails
+SLOWED = (2.0, 9.0)  # times as slow, of a bad endpoint that is slow
+FAILING = (0.4, 1.0)  # share of tries that fail, of one that fails
 
 
 class Killed(Enum):
@@ -21,6 +22,7 @@
 
 class Bad(Enum):
     """What is wrong with the bad endpoints."""
+
     SLOW = "slow"
     FAILING = "failing"
     NONE = "none"
@@ -29,26 +31,31 @@
 @dataclass(frozen=True)
 class Release:
     """When what happens; shares are of all endpoints."""
+
     killed: Killed = Killed.PILOTS
-    returning: float = 0.2          # endpoints that crash and return cold
+    returning: float = 0.2  # endpoints that crash and return cold
     bad: Bad = Bad.SLOW
     bad_share: float = 1 / 8
-    settled_after: int = 10 * SECOND    # until the crash
-    away: int = 5 * SECOND              # from the crash to the return
-    killed_after: int = 0               # from the return; may be negative
+    settled_after: int = 10 * SECOND  # until the crash
+    away: int = 5 * SECOND  # from the crash to the return
+    killed_after: int = 0  # from the return; may be negative
     pilots_away: Span = (SECOND, 4 * SECOND)
     proxies_away: Span = (SECOND // 2, 2 * SECOND)
-    watched: int = 20 * SECOND          # after the return
+    watched: int = 20 * SECOND  # after the return
 
 
-def play(parameters: Parameters, release: Release, seed: int,
-         watch: Callable[[RequestWorld], None] = lambda world: None) -> RequestWorld:
+def play(
+    parameters: Parameters,
+    release: Release,
+    seed: int,
+    watch: Callable[[RequestWorld], None] = lambda world: None,
+) -> RequestWorld:
     """Plays a release. `watch` is given the world before it runs."""
     world = RequestWorld(parameters, seed)
     watch(world)
     names = world.streams["script"].sample(sorted(world.servers), len(world.servers))
-    returning = names[:ceil(release.returning * len(names))]
-    bad = names[len(returning):len(returning) + ceil(release.bad_share * len(names))]
+    returning = names[: ceil(release.returning * len(names))]
+    bad = names[len(returning) : len(returning) + ceil(release.bad_share * len(names))]
     returns = release.settled_after + release.away
     world.later(release.settled_after, lambda: spoil(world, bad, release.bad))
     world.later(release.settled_after, lambda: world.crash(*returning))
--- a/standins/fleet/servers.py
+++ b/standins/fleet/servers.py
@@ -1,14 +1,15 @@
 """Endpoints: how much they can do now, and a queue that sheds what it can't hold."""
+
 from dataclasses import dataclass
 from enum import Enum
 
 from standins.fleet.clock import SECOND
 
 WARM = 10 * SECOND
-COLD = 0.2                  # of its capacity, right after a start
-BASE_LATENCY = 100_000      # of an idle server, where latency follows the load by one plain curve
-REFUSAL_TIME = 2_000        # a refusal or an error is answered in about a round trip
-CONNECT_TIMEOUT = 250_000   # a server that is gone answers nothing
+COLD = 0.2  # of its capacity, right after a start
+BASE_LATENCY = 100_000  # of an idle server, where latency follows the load by one plain curve
+REFUSAL_TIME = 2_000  # a refusal or an error is answered in about a round trip
+CONNECT_TIMEOUT = 250_000  # a server that is gone answers nothing
 
 
 class Server:
@@ -19,8 +20,8 @@
         self.listed_weight = capacity
         self.state, self.started, self.failing = "ready", 0, 0.0
         self.cold_share, self.warm_after = COLD, WARM
-        self.load = 0.0                     # flows a second that all tables send it
-        self.met: dict[int, float] = {}     # of that, by the zone of the proxies
+        self.load = 0.0  # flows a second that all tables send it
+        self.met: dict[int, float] = {}  # of that, by the zone of the proxies
 
     def warmth(self, now: int) -> float:
         """Share of its capacity that it has reached since its start."""
@@ -51,6 +52,7 @@
 
 class Outcome(Enum):
     """What comes of a try. Only after `REFUSED` is it certain that the work was never begun."""
+
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
@@ -60,6 +62,7 @@
 @dataclass(frozen=True)
 class Answer:
     """What a try will come to, and how long after it was sent."""
+
     outcome: Outcome
     after: int
 
@@ -87,7 +90,7 @@
         self.held += 1
         rate = self.strength(now)
         self.free_at = max(self.free_at, now) + round(work / rate * SECOND)
-        alone = now + round(work * self.cores / rate * SECOND)      # one try runs on one core
+        alone = now + round(work * self.cores / rate * SECOND)  # one try runs on one core
         return Answer(Outcome.SERVED, max(self.free_at, alone) - now)
 
     def release(self, process: int) -> None:
--- a/standins/fleet/simulation.py
+++ b/standins/fleet/simulation.py
@@ -1,4 +1,5 @@
 """What every small fleet has: a clock, pilots, proxies, discovery, and the faults a script may set off."""
+
 import random
 from typing import Callable
 
@@ -14,11 +15,18 @@
 
 
 class Simulation:
-    def __init__(self, settings: dict, servers: list[Server], proxies: list[Proxy], pilots: int, seed: int,
-                 calls_a_second: float):
+    def __init__(
+        self,
+        settings: dict,
+        servers: list[Server],
+        proxies: list[Proxy],
+        pilots: int,
+        seed: int,
+        calls_a_second: float,
+    ):
         self.chance, self.rev, self.events = random.Random(seed), 0, EventQueue()
         self.settings, self.servers, self.proxies = settings, {s.name: s for s in servers}, proxies
-        self.lines: dict[int, int] = {}         # by pilot: lines it has written
+        self.lines: dict[int, int] = {}  # by pilot: lines it has written
         self.discovery = Discovery(self, calls_a_second)
         self.pilots = [self.start_pilot(number, self.snapshot()) for number in range(pilots)]
         for proxy in proxies:
@@ -60,11 +68,22 @@
 
     def snapshot(self) -> ListSnapshot:
         """The list as it stands."""
-        return ListSnapshot(self.rev, tuple(ListEntry(s.name, s.zone, s.state, s.listed_weight, s.started)
-                                            for s in self.servers.values() if s.state != "gone"))
-
-    def change(self, *names: str, state: str | None = None, start: bool = False,
-               notice: tuple[int, int] = NOTICE_AT_ONCE) -> None:
+        return ListSnapshot(
+            self.rev,
+            tuple(
+                ListEntry(s.name, s.zone, s.state, s.listed_weight, s.started)
+                for s in self.servers.values()
+                if s.state != "gone"
+            ),
+        )
+
+    def change(
+        self,
+        *names: str,
+        state: str | None = None,
+        start: bool = False,
+        notice: tuple[int, int] = NOTICE_AT_ONCE,
+    ) -> None:
         """Servers change, the list with them; each watch is told after a while of its own."""
         for name in names:
             server = self.servers[name]
--- a/standins/fleet/snapshots.py
+++ b/standins/fleet/snapshots.py
@@ -1,4 +1,5 @@
 """The list of endpoints as discovery had it at one time."""
+
 from dataclasses import dataclass
 
 
--- a/standins/fleet/streams.py
+++ b/standins/fleet/streams.py
@@ -1,4 +1,5 @@
 """Seeded draws: one generator for each purpose, so that more draws for one don't move the others."""
+
 import random
 
 
--- a/standins/fleet/traffic.py
+++ b/standins/fleet/traffic.py
@@ -1,4 +1,5 @@
 """Requests: they arrive at proxies, are let in or refused, sent to an endpoint and tried again elsewhere."""
+
 import random
 from dataclasses import dataclass, field
 from math import log, sqrt
@@ -10,7 +11,7 @@
 from standins.fleet.servers import Answer, Outcome, QueueServer
 from standins.fleet.streams import Streams
 
-FURTHER_TRIES = (0, 1, 1, 2)        # by retry mode
+FURTHER_TRIES = (0, 1, 1, 2)  # by retry mode
 MODE_AFTER_PROOF, MODE_AFTER_ANY = 1, 2
 
 
@@ -18,9 +19,9 @@
 class Request:
     proxy: RequestProxy
     group: int
-    work: float                 # seconds on one core
+    work: float  # seconds on one core
     deadline_at: int
-    repeats: int                # how often its client has come again
+    repeats: int  # how often its client has come again
     tried: set[str] = field(default_factory=set)
 
 
@@ -33,20 +34,30 @@
 
 
 def lognormal(chance: random.Random, mean: float, variation: float) -> float:
-    sigma = sqrt(log(1 + variation ** 2))
-    return chance.lognormvariate(log(mean) - sigma ** 2 / 2, sigma)
+    sigma = sqrt(log(1 + variation**2))
+    return chance.lognormvariate(log(mean) - sigma**2 / 2, sigma)
 
 
 class Traffic:
     """Draws requests at every proxy and follows each of them to its end."""
 
-    def __init__(self, events: EventQueue, parameters: Parameters, servers: dict[str, QueueServer], streams: Streams,
-                 observer: Observer):
+    def __init__(
+        self,
+        events: EventQueue,
+        parameters: Parameters,
+        servers: dict[str, QueueServer],
+        streams: Streams,
+        observer: Observer,
+    ):
         self.events, self.parameters, self.servers, self.observer = events, parameters, servers, observer
         self.arrivals, self.work, self.picks = streams["arrivals"], streams["work"], streams["picks"]
-        self.clients, self.admission, self.errors = streams["clients"], streams["admission"], streams["errors"]
-        self.factor = 1.0           # of all rates
-        self.down: set[int] = set()     # proxies whose process does not run
+        self.clients, self.admission, self.errors = (
+            streams["clients"],
+            streams["admission"],
+            streams["errors"],
+        )
+        self.factor = 1.0  # of all rates
+        self.down: set[int] = set()  # proxies whose process does not run
 
     def begin(self, proxies: list[RequestProxy], rates: list[float]) -> None:
         for proxy, rate in zip(proxies, rates):
@@ -66,8 +77,13 @@
         if proxy.number in self.down:
             return
         kind = self.parameters.classes[group]
-        request = Request(proxy, group, lognormal(self.work, kind.work_s, kind.work_cv),
-                          self.events.now + kind.deadline, repeats)
+        request = Request(
+            proxy,
+            group,
+            lognormal(self.work, kind.work_s, kind.work_cv),
+            self.events.now + kind.deadline,
+            repeats,
+        )
         if proxy.lets_in(kind.name, self.events.now, self.admission):
             self._send(request)
         else:
--- a/standins/installation.py
+++ b/standins/installation.py
@@ -1,4 +1,5 @@
 """Several controllers of this program as processes on loopback, with a discovery and proxies that obey terms."""
+
 import asyncio
 import contextlib
 import json
@@ -26,8 +27,17 @@
 class Installation:
     """`extra` is appended to each member's `[leadership]` table."""
 
-    def __init__(self, folder: Path, controllers: int, proxies: int, endpoints: int = 12, lease_ms: int = 1500,
-                 shards: int = 64, extra: str = "", serve: tuple[str, ...] = ()):
+    def __init__(
+        self,
+        folder: Path,
+        controllers: int,
+        proxies: int,
+        endpoints: int = 12,
+        lease_ms: int = 1500,
+        shards: int = 64,
+        extra: str = "",
+        serve: tuple[str, ...] = (),
+    ):
         self.folder, self.serve = folder, serve
         self.names = [f"c{n}" for n in range(controllers)]
         given = ports(2 * controllers)
@@ -48,8 +58,13 @@
         return self
 
     def _files(self, name: str, listen: str) -> None:
-        said = configuration(self.discovery.address, ["north"], len(self.proxies), listen,
-                             **{"lines-per-s": 200_000, "most-waiting": 400_000})
+        said = configuration(
+            self.discovery.address,
+            ["north"],
+            len(self.proxies),
+            listen,
+            **{"lines-per-s": 200_000, "most-waiting": 400_000},
+        )
         said["name"] = name
         said["limits"] = {"cores": 1, "memory_mb": 256, "sockets": 8192}
         (self.folder / f"{name}.json").write_text(json.dumps(said))
@@ -57,14 +72,26 @@
         (self.folder / f"{name}.toml").write_text(
             f'[store]\nfolder = "{self.folder / name}"\n[leadership]\nname = "{name}"\ncluster = "loopback"\n'
             f'shards = {self.shards}\nlease_ms = {self.lease_ms}\nadmin = "{self.folder / name}.sock"\n{self.extra}\n'
-            f"[leadership.members]\n{members}\n")
+            f"[leadership.members]\n{members}\n"
+        )
 
     async def run(self, name: str) -> None:
         """Its log goes to a file beside its disk."""
         log = open(self.folder / f"{name}.log", "ab")
         self.processes[name] = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "ravenshelf", "serve", "--config", str(self.folder / f"{name}.json"), "--operator",
-            str(self.folder / f"{name}.toml"), *self.serve, cwd=ROOT, stderr=log, stdout=log)
+            sys.executable,
+            "-m",
+            "ravenshelf",
+            "serve",
+            "--config",
+            str(self.folder / f"{name}.json"),
+            "--operator",
+            str(self.folder / f"{name}.toml"),
+            *self.serve,
+            cwd=ROOT,
+            stderr=log,
+            stdout=log,
+        )
         log.close()
 
     def signal(self, name: str, number: int) -> None:
@@ -95,6 +122,7 @@
 
     def admin(self, name: str, question: dict) -> dict:
         from ravenshelf.leadership.admin import ask
+
         return ask(f"{self.folder / name}.sock", question)
 
     async def stop(self) -> None:
--- a/standins/proxies.py
+++ b/standins/proxies.py
@@ -2,13 +2,14 @@
 
 What every order said, with its time and term, is recorded, so that a checker can read it.
 """
+
 import asyncio
 import time
 from typing import Callable
 
 from standins.world import obeyed
 
-AGAIN = 0.1     # seconds until a controller that is not there is dialled again
+AGAIN = 0.1  # seconds until a controller that is not there is dialled again
 
 
 class Stream(asyncio.Protocol):
@@ -19,8 +20,10 @@
     def connection_made(self, transport) -> None:
         self.transport = transport
         p = self.proxy
-        transport.write(f"SUBSCRIBE proxy={p.number} zone={p.zone} weight={p.usual} fresh={int(not p.table)} "
-                        f"term={int(p.fences)}\r\n".encode())
+        transport.write(
+            f"SUBSCRIBE proxy={p.number} zone={p.zone} weight={p.usual} fresh={int(not p.table)} "
+            f"term={int(p.fences)}\r\n".encode()
+        )
 
     def data_received(self, data: bytes) -> None:
         *lines, self.rest = (self.rest + data).split(b"\r\n")
@@ -34,8 +37,15 @@
 class FencedProxy:
     """`took(proxy, controller, term, words)` is told of each order that is obeyed; `refused` counts the others."""
 
-    def __init__(self, number: int, zone: str, controllers: list[str], usual: float = 5.0, fences: bool = True,
-                 took: Callable = lambda *_: None):
+    def __init__(
+        self,
+        number: int,
+        zone: str,
+        controllers: list[str],
+        usual: float = 5.0,
+        fences: bool = True,
+        took: Callable = lambda *_: None,
+    ):
         self.number, self.zone, self.usual, self.fences, self.took = number, zone, usual, fences, took
         self.controllers = controllers
         self.term = self.refused = 0
@@ -43,7 +53,7 @@
         self.table: dict[str, float] = {}
         self.out: set[str] = set()
         self.levels: dict[str, tuple[float, int]] = {}
-        self.whole_at = 0.0         # when the last whole table came
+        self.whole_at = 0.0  # when the last whole table came
         self.streams: dict[int, Stream] = {}
 
     async def run(self) -> None:
@@ -56,7 +66,10 @@
             host, _, port = self.controllers[controller].rpartition(":")
             try:
                 _, stream = await loop.create_connection(
-                    lambda: Stream(self, controller, lambda: over.done() or over.set_result(None)), host, int(port))
+                    lambda: Stream(self, controller, lambda: over.done() or over.set_result(None)),
+                    host,
+                    int(port),
+                )
                 self.streams[controller] = stream
                 await over
             except OSError:
@@ -83,5 +96,7 @@
 
     def usage(self, group: str, flows: int, unanswered: int = 0) -> None:
         for stream in self.streams.values():
-            stream.transport.write(f"RATE proxy={self.number} class={group} tries={flows} failed={unanswered} "
-                                   f"span_ms=1000\r\n".encode())
+            stream.transport.write(
+                f"RATE proxy={self.number} class={group} tries={flows} failed={unanswered} "
+                f"span_ms=1000\r\n".encode()
+            )
--- a/standins/world.py
+++ b/standins/world.py
@@ -1,5 +1,6 @@
 """What a pilot lives among, all on loopback: discovery with its watch, proxies that hold tables, their collector,
 and endpoints that answer. A small installation for examples, benchmarks and tests."""
+
 import asyncio
 import json
 import time
@@ -49,7 +50,7 @@
                 async with self.changed:
                     await asyncio.wait_for(self.changed.wait_for(lambda: self.rev > seen), 2)
             except asyncio.TimeoutError:
-                continue            # an empty line every 2 s
+                continue  # an empty line every 2 s
             news = [entry for rev, entry in self.changes if rev > seen]
             seen, said = self.rev, json.dumps({"rev": self.rev, "all": False, "targets": news})
 
@@ -79,8 +80,14 @@
 class Proxy:
     """One proxy's stream: holds what it is ordered, answers marks, dials again."""
 
-    def __init__(self, pilot: Callable[[], str], number: int, zone: str, usual: float = 40.0,
-                 heard: Callable[["Proxy", str], None] = lambda proxy, line: None):
+    def __init__(
+        self,
+        pilot: Callable[[], str],
+        number: int,
+        zone: str,
+        usual: float = 40.0,
+        heard: Callable[["Proxy", str], None] = lambda proxy, line: None,
+    ):
         self.pilot, self.number, self.zone, self.usual, self.heard = pilot, number, zone, usual, heard
         self.table: dict[str, float] = {}
         self.out: set[str] = set()
@@ -91,8 +98,10 @@
             try:
                 host, _, port = self.pilot().rpartition(":")
                 reader, self.writer = await asyncio.open_connection(host, int(port))
-                self.writer.write(f"SUBSCRIBE proxy={self.number} zone={self.zone} weight={self.usual} "
-                                  f"fresh={int(not self.table)}\r\n".encode())
+                self.writer.write(
+                    f"SUBSCRIBE proxy={self.number} zone={self.zone} weight={self.usual} "
+                    f"fresh={int(not self.table)}\r\n".encode()
+                )
                 while line := await reader.readline():
                     self.obey(line.decode())
             except (ConnectionError, ValueError):
@@ -111,15 +120,23 @@
 
     def usage(self, group: str, flows: int, unanswered: int = 0, span_ms: float = 1000) -> None:
         if self.writer is not None:
-            self.writer.write(f"RATE proxy={self.number} class={group} tries={flows} failed={unanswered} "
-                              f"span_ms={span_ms}\r\n".encode())
+            self.writer.write(
+                f"RATE proxy={self.number} class={group} tries={flows} failed={unanswered} "
+                f"span_ms={span_ms}\r\n".encode()
+            )
 
 
 class Collector:
     """A zone's late sums; `sums()` gives {uid: (tries, failed, mean ms)} since it was last asked."""
 
-    def __init__(self, pilot: Callable[[], str], zone: str, sums: Callable[[], dict], every: float = 1.0,
-                 load: str = "inflight:1"):
+    def __init__(
+        self,
+        pilot: Callable[[], str],
+        zone: str,
+        sums: Callable[[], dict],
+        every: float = 1.0,
+        load: str = "inflight:1",
+    ):
         self.pilot, self.zone, self.sums, self.every, self.load = pilot, zone, sums, every, load
 
     async def run(self) -> None:
@@ -131,8 +148,10 @@
                 while True:
                     await asyncio.sleep(self.every)
                     for uid, (tries, failed, mean) in self.sums().items():
-                        writer.write(f"LOAD zone={self.zone} server={uid} tries={tries} failed={failed} "
-                                     f"span_ms={self.every * 1000} mean_ms={mean:.1f} load={self.load}\r\n".encode())
+                        writer.write(
+                            f"LOAD zone={self.zone} server={uid} tries={tries} failed={failed} "
+                            f"span_ms={self.every * 1000} mean_ms={mean:.1f} load={self.load}\r\n".encode()
+                        )
                     await writer.drain()
             except (ConnectionError, ValueError):
                 await asyncio.sleep(0.2)
@@ -140,6 +159,7 @@
 
 async def endpoint(answer: Callable[[], float], port: int = 0) -> asyncio.Server:
     """An HTTP server that takes `answer()` seconds for each answer."""
+
     async def asked(reader, writer) -> None:
         try:
             await reader.readuntil(b"\r\n\r\n")
@@ -153,24 +173,64 @@
 
 
 def entry(uid: str, zone: str, port: int = 9, weight: float = 1.0) -> dict:
-    return {"uid": uid, "endpoint": f"127.0.0.1:{port}", "az": zone, "model": "toy", "pod_group": 0,
-            "state": "SERVING", "capacity_hint": weight, "boot_ms": 0}
-
-
-def configuration(discovery: str, zones: list[str], proxies: int, listen: str = "127.0.0.1:0", **service) -> dict:
+    return {
+        "uid": uid,
+        "endpoint": f"127.0.0.1:{port}",
+        "az": zone,
+        "model": "toy",
+        "pod_group": 0,
+        "state": "SERVING",
+        "capacity_hint": weight,
+        "boot_ms": 0,
+    }
+
+
+def configuration(
+    discovery: str, zones: list[str], proxies: int, listen: str = "127.0.0.1:0", **service
+) -> dict:
     """A pilot's configuration for such a world; two traffic groups."""
     return {
-        "name": "toy", "listen": listen, "discovery": discovery, "seed": "1f",
+        "name": "toy",
+        "listen": listen,
+        "discovery": discovery,
+        "seed": "1f",
         "limits": {"cores": 1, "memory_mb": 128, "sockets": 1024},
         "settings": {
-            "azs": zones, "balancers": 1, "me": 0, "kinds": ["toy"], "tick-ms": 2, "discovery": "on_request",
+            "azs": zones,
+            "balancers": 1,
+            "me": 0,
+            "kinds": ["toy"],
+            "tick-ms": 2,
+            "discovery": "on_request",
             "weights": "rough",
             "classes": [
-                {"name": "read", "importance": 1, "objective-ms": 200, "deadline-ms": 1000, "idempotency": "pure"},
-                {"name": "order", "importance": 5, "objective-ms": 400, "deadline-ms": 2000,
-                 "idempotency": "side_effect"}],
-            "family-info": {"lines-per-s": 1000, "most-waiting": 500, "envelope": 3, "proxy-count": proxies,
-                            "by-zone": True, "level-kind": "per_second", "late-most-ms": 300} | service,
+                {
+                    "name": "read",
+                    "importance": 1,
+                    "objective-ms": 200,
+                    "deadline-ms": 1000,
+                    "idempotency": "pure",
+                },
+                {
+                    "name": "order",
+                    "importance": 5,
+                    "objective-ms": 400,
+                    "deadline-ms": 2000,
+                    "idempotency": "side_effect",
+                },
+            ],
+            "family-info": {
+                "lines-per-s": 1000,
+                "most-waiting": 500,
+                "envelope": 3,
+                "proxy-count": proxies,
+                "by-zone": True,
+                "level-kind": "per_second",
+                "late-most-ms": 300,
+            }
+            | service,
             "telemetry": {"how": "answers", "columns": ["active"]},
             "limits": {"probing": True, "dial-timeout-ms": 250, "peer_messages": False},
-            "rules": {"cold_share": 0.2, "fall_multiple": 4, "warm_after_ms": 15000}}}
+            "rules": {"cold_share": 0.2, "fall_multiple": 4, "warm_after_ms": 15000},
+        },
+    }
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
 """The one file of helpers: a writer that keeps what the orders amount to, and a pilot that is driven by hand.
 
 It also passes over the tests of `KNOWN-RED.txt`, which fail for a fault that is known, and prints them with their cause."""
+
 from pathlib import Path
 
 import pytest
@@ -16,7 +17,7 @@
 from ravenshelf.provisioning import provisioning
 from ravenshelf.rules import SECOND, Controller
 
-hypothesis_settings.register_profile("ci", derandomize=True, database=None)     # the same verdict every time
+hypothesis_settings.register_profile("ci", derandomize=True, database=None)  # the same verdict every time
 hypothesis_settings.load_profile("ci")
 
 KNOWN_RED_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
@@ -50,8 +51,20 @@
 
 
 GROUPS = [
-    {"name": "look", "utility": 1.0, "effect": "retriable", "latency_budget_us": 1_200_000, "expiry_us": 3_000_000},
-    {"name": "pay", "utility": 5.0, "effect": "non-retriable", "latency_budget_us": 1_000_000, "expiry_us": 4_000_000},
+    {
+        "name": "look",
+        "utility": 1.0,
+        "effect": "retriable",
+        "latency_budget_us": 1_200_000,
+        "expiry_us": 3_000_000,
+    },
+    {
+        "name": "pay",
+        "utility": 5.0,
+        "effect": "non-retriable",
+        "latency_budget_us": 1_000_000,
+        "expiry_us": 4_000_000,
+    },
 ]
 
 
@@ -90,11 +103,24 @@
 
 class Pilot:
     def __init__(self, **changes):
-        service = {"lines_per_s": 1000.0, "envelope": 3.0, "most_waiting": 2000, "proxy_count": 4, "by_zone": True,
-                   "level_kind": "per_second", "late_us": 100_000, "late_most_us": 300_000}
-        provisioning = {"zones": ["a", "b"], "traffic_groups": GROUPS, "rules": {"cold_share": 0.2,
-                        "warm_after_us": 16 * SECOND, "fall_multiple": 3.0}, "discovery": "pushed",
-                        "telemetry": {"columns": ["active"]}, "service": service}
+        service = {
+            "lines_per_s": 1000.0,
+            "envelope": 3.0,
+            "most_waiting": 2000,
+            "proxy_count": 4,
+            "by_zone": True,
+            "level_kind": "per_second",
+            "late_us": 100_000,
+            "late_most_us": 300_000,
+        }
+        provisioning = {
+            "zones": ["a", "b"],
+            "traffic_groups": GROUPS,
+            "rules": {"cold_share": 0.2, "warm_after_us": 16 * SECOND, "fall_multiple": 3.0},
+            "discovery": "pushed",
+            "telemetry": {"columns": ["active"]},
+            "service": service,
+        }
         service.update(changes.pop("service", {}))
         provisioning.update(changes)
         self.now, self.kept = 100 * SECOND, Kept()
@@ -118,7 +144,10 @@
 def listed(states="rrrr", how="replace", start=0):
     """Endpoints 0, 1 in zone 0 and 2, 3 in zone 1, each with a letter for its state; '-' is left out."""
     words = {"r": "ready", "d": "draining", "g": "gone"}
-    return "listed", (how, tuple((i, i // 2, 0, 0, words[s], 4.0, start) for i, s in enumerate(states) if s != "-"))
+    return "listed", (
+        how,
+        tuple((i, i // 2, 0, 0, words[s], 4.0, start) for i, s in enumerate(states) if s != "-"),
+    )
 
 
 def met(zone, index, tries=20, dropped=0, latency=200_000, report=()):
@@ -132,23 +161,56 @@
         made.hear(listed(states, how="restored"))
         made.hear(*[("joined", (i, i // 2, 10.0, True)) for i in range(proxies)])
         return made
+
     return make
 
 
 SETTINGS = {
-    "azs": ["a", "b"], "balancers": 1, "me": 0, "kinds": ["m1", "m2"], "discovery": "on_request", "tick-ms": 4.0,
-    "classes": [{"name": "look", "objective-ms": 1200.0, "deadline-ms": 3000.0, "idempotency": "pure", "importance": 1.0},
-                {"name": "pay", "objective-ms": 800.0, "idempotency": "side_effect", "importance": 5.0}],
-    "family-info": {"lines-per-s": 1000.0, "most-waiting": 2000, "proxy-count": 4, "envelope": 3.0, "by-zone": True,
-                    "level-kind": "per_second", "late-most-ms": 300.0, "messages-most": 30, "counted-over-ms": 10000.0},
-    "telemetry": {"how": "answers", "columns": ["active"]}, "limits": {"probing": True, "dial-timeout-ms": 250.0},
-    "rules": {"cold-share": 0.2, "fall-multiple": 4.0}, "weights": "rough",
+    "azs": ["a", "b"],
+    "balancers": 1,
+    "me": 0,
+    "kinds": ["m1", "m2"],
+    "discovery": "on_request",
+    "tick-ms": 4.0,
+    "classes": [
+        {
+            "name": "look",
+            "objective-ms": 1200.0,
+            "deadline-ms": 3000.0,
+            "idempotency": "pure",
+            "importance": 1.0,
+        },
+        {"name": "pay", "objective-ms": 800.0, "idempotency": "side_effect", "importance": 5.0},
+    ],
+    "family-info": {
+        "lines-per-s": 1000.0,
+        "most-waiting": 2000,
+        "proxy-count": 4,
+        "envelope": 3.0,
+        "by-zone": True,
+        "level-kind": "per_second",
+        "late-most-ms": 300.0,
+        "messages-most": 30,
+        "counted-over-ms": 10000.0,
+    },
+    "telemetry": {"how": "answers", "columns": ["active"]},
+    "limits": {"probing": True, "dial-timeout-ms": 250.0},
+    "rules": {"cold-share": 0.2, "fall-multiple": 4.0},
+    "weights": "rough",
 }
 
 
 def target(uid, az="a", state="SERVING", **more):
-    return {"uid": uid, "endpoint": "127.0.0.1:9", "az": az, "model": "m1", "pod_group": 0, "state": state,
-            "capacity_hint": 4.0, "boot_ms": 0} | more
+    return {
+        "uid": uid,
+        "endpoint": "127.0.0.1:9",
+        "az": az,
+        "model": "m1",
+        "pod_group": 0,
+        "state": state,
+        "capacity_hint": 4.0,
+        "boot_ms": 0,
+    } | more
 
 
 class Wire:
@@ -188,8 +250,8 @@
 def feed(connection, data):
     """Bytes come in, as a loop would bring them."""
     for start in range(0, len(data), 16384):
-        piece = data[start:start + 16384]
-        connection.get_buffer(-1)[:len(piece)] = piece
+        piece = data[start : start + 16384]
+        connection.get_buffer(-1)[: len(piece)] = piece
         connection.buffer_updated(len(piece))
 
 
@@ -200,8 +262,17 @@
         self.now, self.told, self.counters, self.deadlines = 0, [], Counters(), Deadlines()
         self.reader = Reader(provisioning(SETTINGS), {"s-1": 0, "s-2": 1}.get)
         self.slots = Slots(slots)
-        self.door = Door(self.reader, self.slots, reserve, self.deadlines, self.counters, self.deadlines.set, lambda: self.now,
-                         lambda name, values: self.told.append((name, values)), lambda call: call())
+        self.door = Door(
+            self.reader,
+            self.slots,
+            reserve,
+            self.deadlines,
+            self.counters,
+            self.deadlines.set,
+            lambda: self.now,
+            lambda name, values: self.told.append((name, values)),
+            lambda call: call(),
+        )
         self.buffers = Buffers()
 
     def connect(self, *said, unsent=0):
