--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,5 @@
 """What the HTTP client makes of answers as they really end, over loopback: the test writes them byte by byte."""
+
 import asyncio
 import contextlib
 
@@ -18,6 +19,7 @@
 
 async def asked(pieces, watch=False, then=None):
     """The end of a call that is answered with these pieces, each in a turn of its own; then the other side closes."""
+
     async def answer(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         with contextlib.suppress(ConnectionError):
@@ -28,12 +30,18 @@
             if then is not None:
                 await then.wait()
         writer.close()
+
     server = await asyncio.start_server(answer, "127.0.0.1", 0)
     loop, lines = asyncio.get_running_loop(), []
     over = loop.create_future()
     port = server.sockets[0].getsockname()[1]
-    call = Call(Buffers(), f"127.0.0.1:{port}", "/list", over.set_result,
-                (lambda call, line: lines.append(line)) if watch else None)
+    call = Call(
+        Buffers(),
+        f"127.0.0.1:{port}",
+        "/list",
+        over.set_result,
+        (lambda call, line: lines.append(line)) if watch else None,
+    )
     call.dial(loop)
     async with asyncio.timeout(20):
         await over
@@ -41,31 +49,49 @@
     return call, lines
 
 
-@pytest.mark.parametrize("pieces, end, body", [
-    ([WHOLE], End.ANSWERED, b"whole"), ([WHOLE[:20], WHOLE[20:-2], WHOLE[-2:]], End.ANSWERED, b"whole"),
-    ([b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE], End.ANSWERED, b"whole"),
-    ([b"HTTP/1.1 103 Early Hints\r\nLink: </list>\r\n\r\n", WHOLE], End.ANSWERED, b"whole"),
-    ([WHOLE + AFTER], End.ANSWERED, b"whole"), ([WHOLE + b"\r\nmore"], End.ANSWERED, b"whole"),
-    ([CLOSING + AFTER], End.ANSWERED, b"whole"), ([CLOSING + b"more"], End.ANSWERED, b"whole"),
-    ([AFTER + WHOLE], End.DECLINED, b"low"), ([b"HTTP/1.1 204 No Content\r\n\r\n"], End.DECLINED, b""),
-    ([b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"], End.DECLINED, b""),
-    ([WHOLE[:-2]], End.CUT_OFF, b"who"), ([CHUNKED + b"5\r\nwho"], End.CUT_OFF, b"who"),
-    ([CHUNKED + b"5\r\nwhole\r\n"], End.CUT_OFF, b"whole"), ([CHUNKED + b"5\r\nwhole\r\n0\r\n\r\n"], End.ANSWERED, b"whole"),
-    ([CHUNKED + b"5\r\nwholeXX"], End.UNREADABLE, b"whole"), ([b"<html>"], End.UNREADABLE, b""),
-    ([b"HTTP/1.1 200 OK\r\n\r\nwhole"], End.ANSWERED, b"whole"), ([b""], End.CUT_OFF, b""),
-    ([b"HTTP/1.1 200 OK\r\nX: " + b"x" * 16_000] + [b"x" * 16_000] * 8, End.TOO_LONG, b""),
-])
+@pytest.mark.parametrize(
+    "pieces, end, body",
+    [
+        ([WHOLE], End.ANSWERED, b"whole"),
+        ([WHOLE[:20], WHOLE[20:-2], WHOLE[-2:]], End.ANSWERED, b"whole"),
+        ([b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE], End.ANSWERED, b"whole"),
+        ([b"HTTP/1.1 103 Early Hints\r\nLink: </list>\r\n\r\n", WHOLE], End.ANSWERED, b"whole"),
+        ([WHOLE + AFTER], End.ANSWERED, b"whole"),
+        ([WHOLE + b"\r\nmore"], End.ANSWERED, b"whole"),
+        ([CLOSING + AFTER], End.ANSWERED, b"whole"),
+        ([CLOSING + b"more"], End.ANSWERED, b"whole"),
+        ([AFTER + WHOLE], End.DECLINED, b"low"),
+        ([b"HTTP/1.1 204 No Content\r\n\r\n"], End.DECLINED, b""),
+        (
+            [b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"],
+            End.DECLINED,
+            b"",
+        ),
+        ([WHOLE[:-2]], End.CUT_OFF, b"who"),
+        ([CHUNKED + b"5\r\nwho"], End.CUT_OFF, b"who"),
+        ([CHUNKED + b"5\r\nwhole\r\n"], End.CUT_OFF, b"whole"),
+        ([CHUNKED + b"5\r\nwhole\r\n0\r\n\r\n"], End.ANSWERED, b"whole"),
+        ([CHUNKED + b"5\r\nwholeXX"], End.UNREADABLE, b"whole"),
+        ([b"<html>"], End.UNREADABLE, b""),
+        ([b"HTTP/1.1 200 OK\r\n\r\nwhole"], End.ANSWERED, b"whole"),
+        ([b""], End.CUT_OFF, b""),
+        ([b"HTTP/1.1 200 OK\r\nX: " + b"x" * 16_000] + [b"x" * 16_000] * 8, End.TOO_LONG, b""),
+    ],
+)
 def test_each_answer_has_its_end(pieces, end, body):
     call, _ = uvloop.run(asked(pieces))
     assert (call.end, call.body) == (end, body)
 
 
-@pytest.mark.parametrize("pieces, end, lines", [
-    ([CHUNKED + b"4\r\none\n\r\n", b"3\r\ntwo\r\n", b"1\r\n\n\r\n"], End.CUT_OFF, [b"one", b"two"]),
-    ([b"HTTP/1.1 100 Continue\r\n\r\n" + CHUNKED + b"4\r\none\n\r\n"], End.CUT_OFF, [b"one"]),
-    ([CHUNKED + b"4\r\none\n\r\n0\r\n\r\n" + CHUNKED + b"4\r\ntwo\n\r\n"], End.ANSWERED, [b"one"]),
-    ([b"HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\none\n"], End.DECLINED, []),
-])
+@pytest.mark.parametrize(
+    "pieces, end, lines",
+    [
+        ([CHUNKED + b"4\r\none\n\r\n", b"3\r\ntwo\r\n", b"1\r\n\n\r\n"], End.CUT_OFF, [b"one", b"two"]),
+        ([b"HTTP/1.1 100 Continue\r\n\r\n" + CHUNKED + b"4\r\none\n\r\n"], End.CUT_OFF, [b"one"]),
+        ([CHUNKED + b"4\r\none\n\r\n0\r\n\r\n" + CHUNKED + b"4\r\ntwo\n\r\n"], End.ANSWERED, [b"one"]),
+        ([b"HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\none\n"], End.DECLINED, []),
+    ],
+)
 def test_a_watch_brings_its_lines_and_has_its_end(pieces, end, lines):
     call, said = uvloop.run(asked(pieces, True))
     assert (call.end, said) == (end, lines)
@@ -76,14 +102,16 @@
     call, _ = uvloop.run(asked([CHUNKED] + [b"3e8\r\n" + b"x" * 1000 + b"\r\n"] * 200, True))
     assert call.end is End.TOO_LONG
     call, lines = uvloop.run(asked([CHUNKED] + [b"3e8\r\n" + b"x" * 999 + b"\n\r\n"] * 200, True))
-    assert call.end is End.CUT_OFF and len(lines) == 200       # many lines are not one
+    assert call.end is End.CUT_OFF and len(lines) == 200  # many lines are not one
 
 
 @pytest.mark.parametrize("turns", range(6))
 def test_a_call_given_up_while_it_is_dialled_leaves_no_connection(turns):
     async def play():
         came = []
-        server = await asyncio.start_server(lambda reader, writer: came.append((reader, writer)), "127.0.0.1", 0)
+        server = await asyncio.start_server(
+            lambda reader, writer: came.append((reader, writer)), "127.0.0.1", 0
+        )
         loop, ended = asyncio.get_running_loop(), []
         call = Call(Buffers(), f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "/list", ended.append)
         call.dial(loop)
@@ -97,8 +125,9 @@
                 await asyncio.sleep(0.001)
             for reader, writer in came:
                 with contextlib.suppress(ConnectionError):
-                    await reader.read()     # to the end: the other side sees one
+                    await reader.read()  # to the end: the other side sees one
                 writer.close()
         server.close()
         assert ended == [call] and call.end is End.SUPERSEDED
+
     uvloop.run(play())
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -1,4 +1,5 @@
 """Background work: who runs, what is dropped, and that table lines go first."""
+
 import pytest
 
 from ravenshelf.background.decisions import BACKFILL, PRESENT, SECOND, SIGNAL, UPKEEP, Agenda, Job
@@ -24,8 +25,13 @@
 
 def test_priority_then_earliest_deadline_then_first_come():
     made = agenda()
-    for one in (job("upkeep", UPKEEP, 1), job("late", deadline=9), job("soon", deadline=5), job("soon2", deadline=5),
-                job("signal", SIGNAL, 99)):
+    for one in (
+        job("upkeep", UPKEEP, 1),
+        job("late", deadline=9),
+        job("soon", deadline=5),
+        job("soon2", deadline=5),
+        job("signal", SIGNAL, 99),
+    ):
         made.offer(one, 0)
     assert order(made) == ["signal", "soon", "soon2", "late", "upkeep"]
 
@@ -35,7 +41,7 @@
     old = job("upkeep", UPKEEP, 0)
     made.offer(old, 0)
     made.offer(job("present", PRESENT, 10 * SECOND), 3 * SECOND)
-    assert made.next(3 * SECOND, 1000, True) is old     # else a steady stream of present work would starve it
+    assert made.next(3 * SECOND, 1000, True) is old  # else a steady stream of present work would starve it
     made.spent(old, 10, 3 * SECOND, False)
     assert made.next(3 * SECOND, 1000, True).name == "present"
 
@@ -46,7 +52,9 @@
     made.offer(job("upkeep", UPKEEP), 0)
     assert [j.name for j in made.offer(job("present"), 10)] == ["perishable"]
     assert [j.name for j in made.offer(job("signal", SIGNAL), 10)] == ["upkeep"]
-    assert [j.name for j in made.offer(job("backfill", BACKFILL), 10)] == ["backfill"]      # itself is worth least
+    assert [j.name for j in made.offer(job("backfill", BACKFILL), 10)] == [
+        "backfill"
+    ]  # itself is worth least
 
 
 def test_the_seconds_budget_holds_and_what_was_overspent_is_paid():
@@ -56,7 +64,7 @@
     made.spent(made.jobs[0], 6000, 0, False)
     assert made.allowed(0) == 0
     ready = made.ready_at(0)
-    assert 540_000 <= ready <= 560_000      # 5,500 microseconds are lacking at 10,000 a second
+    assert 540_000 <= ready <= 560_000  # 5,500 microseconds are lacking at 10,000 a second
     assert made.allowed(ready - 2000) == 0 and made.allowed(ready) > 0
 
 
@@ -71,7 +79,9 @@
 class Bench:
     def __init__(self, **more):
         self.now, self.wakes, self.round, self.counters = 0, [], False, Counters()
-        self.background = Background(agenda(**more), lambda: self.now, self.wakes.append, lambda: self.round, self.counters)
+        self.background = Background(
+            agenda(**more), lambda: self.now, self.wakes.append, lambda: self.round, self.counters
+        )
 
 
 def steps(done, count, then=lambda: None):
@@ -83,9 +93,11 @@
 
 def test_a_turn_gives_way_to_a_round_and_comes_back():
     bench, done = Bench(turn=20_000), []
-    bench.background.offer("figures", PRESENT, SECOND, steps(done, 100, lambda: setattr(bench, "round", len(done) == 3)))
+    bench.background.offer(
+        "figures", PRESENT, SECOND, steps(done, 100, lambda: setattr(bench, "round", len(done) == 3))
+    )
     bench.background.turn()
-    assert len(done) == 3 and bench.wakes[-1] > bench.now       # not one slice more once table lines wait
+    assert len(done) == 3 and bench.wakes[-1] > bench.now  # not one slice more once table lines wait
     bench.background.turn()
     assert len(done) == 3
     bench.round = False
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -1,4 +1,5 @@
 """The channel's belief against a model of the channel by the pages' words, on seeded schedules."""
+
 import random
 from collections import deque
 from dataclasses import dataclass
@@ -13,12 +14,12 @@
 
 @dataclass
 class Message:
-    proxy: int | None       # None once its stream has broken
+    proxy: int | None  # None once its stream has broken
     lines: int
     mark: int
     entered: int
     leaves: float
-    took: float             # of the channel's time, by its pace when this entered
+    took: float  # of the channel's time, by its pace when this entered
     told: bool = False
 
 
@@ -71,7 +72,7 @@
         slowed = self.slow[0] <= n // 20 < self.slow[1]
         self.true.pace = USUAL * (chance.choice((0.1, 0.3)) if slowed else 1)
         for m in self.true.turn(now):
-            if chance.random() > 0.05:      # some answers get lost
+            if chance.random() > 0.05:  # some answers get lost
                 self.answers.append((now + chance.randrange(LATE // 10, LATE), m))
         if n % 20 == 0 and n // 20 in self.broken:
             for proxy in chance.sample(range(PROXIES), PROXIES * 7 // 10):
@@ -95,7 +96,9 @@
 
 
 @pytest.mark.parametrize("own", [False, True], ids=["by the pace now", "by its own"])
-@pytest.mark.parametrize("seed", [*range(16), 19, 39, 1027, 1059, 1069, 1119])   # the last ones broke it at some time
+@pytest.mark.parametrize(
+    "seed", [*range(16), 19, 39, 1027, 1059, 1069, 1119]
+)  # the last ones broke it at some time
 def test_what_waits_never_passes_the_limit(seed, own):
     schedule = Schedule(seed, Channel(SETTINGS), own)
     for n in range(1200):
@@ -105,6 +108,7 @@
 
 class Marks250(Channel):
     """Numbers that come again while their first round waits."""
+
     def applied(self, proxy, mark, took):
         again = self.number - (self.number - mark) % 250
         super().applied(proxy, again, took)
@@ -118,14 +122,19 @@
 
 class DropsAtTheUsualPace(Channel):
     """What breaks is taken for ordered at the usual pace, though the channel may have been slow."""
+
     def left(self, proxy):
         before, free = self.placed, self.free
         super().left(proxy)
-        self.placed, self.free = before - (before - self.placed) / SLOWEST, free - (free - self.free) / SLOWEST
+        self.placed, self.free = (
+            before - (before - self.placed) / SLOWEST,
+            free - (free - self.free) / SLOWEST,
+        )
 
 
 class AnyAnswerProves(Channel):
     """An answer taken as proof of all that was ordered before it, whatever broke in between."""
+
     def left(self, proxy):
         placed = self.placed
         super().left(proxy)
@@ -153,27 +162,27 @@
     """South-delivery, join, seed 11: streams broke, one answer was spoilt, 11,132 lines counted as waiting for 20 s."""
     channel = Channel(SETTINGS)
     first = ordered(channel, range(100))
-    for proxy in range(40, 90):     # what they had waiting makes room for what comes next
+    for proxy in range(40, 90):  # what they had waiting makes room for what comes next
         channel.left(proxy)
     second = ordered(channel, range(200, 400), 2)
     now = 4 * SECOND
     channel.drain(now)
     for mark, proxies in (first, [*range(39), *range(90, 100)]), (second, range(200, 400)):
-        for proxy in proxies:       # all but one of the first
+        for proxy in proxies:  # all but one of the first
             channel.applied(proxy, mark, SECOND)
-    assert channel.unproved() > 1000    # the last of it may lie behind what was answered for
+    assert channel.unproved() > 1000  # the last of it may lie behind what was answered for
     channel.drain(now + SETTINGS["late_most_us"] + 24 * SECOND // 150 + 1)
     assert channel.unproved() == channel.waiting == 0
 
 
 def test_what_nobody_answers_for_waits_as_long_as_the_slowest_channel_takes():
     channel = Channel(SETTINGS)
-    ordered(channel, range(2), 7)       # 22 lines: at a tenth of the pace they pass in 150 ms
+    ordered(channel, range(2), 7)  # 22 lines: at a tenth of the pace they pass in 150 ms
     channel.drain(20 * SECOND)
-    assert channel.unproved() == 22     # yet nothing is taken for gone before 20 s
+    assert channel.unproved() == 22  # yet nothing is taken for gone before 20 s
     channel.drain(21 * SECOND + 1)
     assert not channel.unproved()
-    ordered(channel, range(240), 96)    # 24,000 lines take 160 s
+    ordered(channel, range(240), 96)  # 24,000 lines take 160 s
     began = channel.at
     channel.drain(began + 155 * SECOND)
     assert channel.unproved() == 24_000
@@ -186,10 +195,10 @@
     channel.charge([1, 2], 96)
     channel.settle(0, type("Marks", (), {"mark": lambda self, number: None})())
     channel.left(1)
-    assert channel.waiting == channel.unproved() == 200     # it may have left, and wait for what is older
+    assert channel.waiting == channel.unproved() == 200  # it may have left, and wait for what is older
     channel.beyond(20)
-    assert channel.unproved() == 220    # written beyond the charge: no answer takes it out
+    assert channel.unproved() == 220  # written beyond the charge: no answer takes it out
     channel.charge([1, 2], 96)
     channel.settle(0, type("Marks", (), {"mark": lambda self, number: None})())
     channel.left(1)
-    assert channel.unproved() == 320    # this one can't have left yet
+    assert channel.unproved() == 320  # this one can't have left yet
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -2,6 +2,7 @@
 
 Sizes and ranges are those of `Parameters`; each release names what differs. What is checked is what the rule says: no window
 over the budget of which two thirds came from proxies or pilots that knew of the start."""
+
 from collections import Counter
 from dataclasses import dataclass, replace
 
@@ -33,32 +34,57 @@
 KEPT = [
     Case("pair, pilots, slow", PAIR.but(load=0.8), Release(), 1),
     Case("pair, pilots, failing, full", PAIR.but(load=1.0, servers=4), Release(bad=Bad.FAILING), 2),
-    Case("pair, proxies, slow, over", PAIR.but(load=1.2), Release(killed=Killed.PROXIES, killed_after=4 * SECOND), 3),
+    Case(
+        "pair, proxies, slow, over",
+        PAIR.but(load=1.2),
+        Release(killed=Killed.PROXIES, killed_after=4 * SECOND),
+        3,
+    ),
     Case("five, pilots, slow, low", FIVE.but(load=0.6), Release(killed_after=2 * SECOND), 1),
-    Case("five, pilots, failing, over", FIVE.but(load=1.2), Release(bad=Bad.FAILING, killed_after=6 * SECOND), 2),
+    Case(
+        "five, pilots, failing, over",
+        FIVE.but(load=1.2),
+        Release(bad=Bad.FAILING, killed_after=6 * SECOND),
+        2,
+    ),
     Case("five, proxies, failing", FIVE.but(load=0.9), Release(killed=Killed.PROXIES, bad=Bad.FAILING), 3),
     Case("five, pilots, tables of three", FIVE.but(load=0.9, servers=3), Release(returning=0.1), 4),
     Case("five, one try after proof", FIVE.but(load=1.0, base_mode=1), Release(killed_after=-SECOND), 5),
     Case("twenty, pilots, slow", TWENTY.but(load=0.8), Release(killed_after=3 * SECOND), 1),
-    Case("twenty, proxies, failing", TWENTY.but(load=1.1), Release(killed=Killed.PROXIES, bad=Bad.FAILING), 2),
+    Case(
+        "twenty, proxies, failing", TWENTY.but(load=1.1), Release(killed=Killed.PROXIES, bad=Bad.FAILING), 2
+    ),
     Case("230, pilots, slow", MANY.but(load=0.8), Release(watched=14 * SECOND), 1),
 ]
 
 # Over capacity most pilots start again without what they had learnt: nothing is refused, and a weak cold endpoint in a
 # table of four meets it all.
 OVER_CAPACITY = [
-    Case("dense, killed soon", DENSE.but(load=1.03, capacity_cv=0.27, load_cv=0.9, client_comes_again=0.98),
-         Release(bad=Bad.FAILING, away=6 * SECOND, killed_after=1_716_894), 3),
-    Case("dense, killed later", DENSE.but(load=1.11, capacity_cv=0.3, load_cv=1.0, client_comes_again=0.9),
-         Release(bad=Bad.FAILING, away=6 * SECOND, killed_after=6 * SECOND), 7),
+    Case(
+        "dense, killed soon",
+        DENSE.but(load=1.03, capacity_cv=0.27, load_cv=0.9, client_comes_again=0.98),
+        Release(bad=Bad.FAILING, away=6 * SECOND, killed_after=1_716_894),
+        3,
+    ),
+    Case(
+        "dense, killed later",
+        DENSE.but(load=1.11, capacity_cv=0.3, load_cv=1.0, client_comes_again=0.9),
+        Release(bad=Bad.FAILING, away=6 * SECOND, killed_after=6 * SECOND),
+        7,
+    ),
 ]
 
 # Proxies that each carry much of the load shun the warm endpoints that refuse them, and the rest goes to the cold one.
 FEW = Parameters(pilots=2, proxies=1, servers=10, load=1.2, load_cv=0.8, client_comes_again=1.0)
 FEW_RELEASE = Release(returning=0.1, away=6 * SECOND, killed_after=4 * SECOND)
-SHUNNING = [Case("one proxy a pilot", FEW, FEW_RELEASE, 3), Case("two proxies a pilot", FEW.but(proxies=2), FEW_RELEASE, 21)]
-PATIENT = [Case(f"{case.name}, none shuns", case.parameters.but(outlier_after=0), case.release, case.seed)
-           for case in SHUNNING]
+SHUNNING = [
+    Case("one proxy a pilot", FEW, FEW_RELEASE, 3),
+    Case("two proxies a pilot", FEW.but(proxies=2), FEW_RELEASE, 21),
+]
+PATIENT = [
+    Case(f"{case.name}, none shuns", case.parameters.but(outlier_after=0), case.release, case.seed)
+    for case in SHUNNING
+]
 
 
 def named(cases: list[Case]):
@@ -87,6 +113,7 @@
 
 class NoCare(Controller):
     """Cold endpoints get as much as warm ones, and nothing is ever refused."""
+
     def ramp(self, e):
         return 1.0
 
@@ -111,17 +138,25 @@
     release = replace(case.release, watched=40 * SECOND)
     warm_at = release.settled_after + release.away + max(case.parameters.warm_after)
     tries_when_warm: Counter = Counter()
-    world = play(case.parameters, release, case.seed,
-                 lambda world: world.later(warm_at, lambda: tries_when_warm.update(world.tries)))
+    world = play(
+        case.parameters,
+        release,
+        case.seed,
+        lambda world: world.later(warm_at, lambda: tries_when_warm.update(world.tries)),
+    )
     check_rules(world)
     restarted = [server.name for server in world.servers.values() if server.started]
     assert restarted
     assert all(world.tries[name, False] > tries_when_warm[name, False] for name in restarted)
 
 
-@named([Case("pair", PAIR.but(load=1.0), Release(killed=Killed.NONE), 1),
+@named(
+    [
+        Case("pair", PAIR.but(load=1.0), Release(killed=Killed.NONE), 1),
         Case("five", FIVE.but(load=1.0), Release(killed=Killed.NONE), 1),
-        Case("twenty", TWENTY.but(load=1.0), Release(killed=Killed.NONE, watched=12 * SECOND), 1)])
+        Case("twenty", TWENTY.but(load=1.0), Release(killed=Killed.NONE, watched=12 * SECOND), 1),
+    ]
+)
 def test_the_budget_sees_a_deliberate_break(case, monkeypatch):
     check(case.play())
     monkeypatch.setattr(rounds, "Controller", NoCare)
@@ -129,7 +164,7 @@
         check(case.play())
 
 
-RAMP_MARGIN = 0.15      # of the truth: pilots hear of a start late and believe in a slower ramp
+RAMP_MARGIN = 0.15  # of the truth: pilots hear of a start late and believe in a slower ramp
 
 
 class Shares:
@@ -145,8 +180,12 @@
         for proxy in self.world.proxies:
             if proxy.table_from is None or not proxy.table_from.starts:
                 continue
-            warm = [weight for name, weight in proxy.table.items() if not self.world.servers[name].is_cold(now)]
-            for name in [name for name in proxy.table if self.world.servers[name].is_cold(now)] if warm else ():
+            warm = [
+                weight for name, weight in proxy.table.items() if not self.world.servers[name].is_cold(now)
+            ]
+            for name in (
+                [name for name in proxy.table if self.world.servers[name].is_cold(now)] if warm else ()
+            ):
                 self.seen += 1
                 part, warmth = proxy.table[name] / max(warm), self.world.servers[name].warmth(now)
                 if part > warmth + RAMP_MARGIN:
--- a/tests/test_collectd.py
+++ b/tests/test_collectd.py
@@ -1,4 +1,5 @@
 """collectd: the decoder against packets made apart from it, what is refused, and what holds of odd values."""
+
 import random
 import struct
 from collections import Counter
@@ -34,15 +35,32 @@
 
 # --- the protocol ---
 
+
 def test_all_parts_and_kinds_are_read():
-    packet = (sender.text(sender.HOST, "h") + sender.number(sender.TIME, START) + sender.number(sender.INTERVAL, 10)
-              + sender.text(sender.PLUGIN, "p") + sender.text(sender.PLUGIN_INSTANCE, "pi") + sender.text(sender.TYPE, "t")
-              + sender.text(sender.TYPE_INSTANCE, "ti")
-              + sender.values((sender.COUNTER, 2**64 - 1), (sender.GAUGE, -1.5), (sender.DERIVE, -7), (sender.ABSOLUTE, 9))
-              + sender.part(0x0100, b"a notification\0") + sender.number(sender.TIME_HR, sender.hr(START + 0.5))
-              + sender.number(sender.INTERVAL_HR, sender.hr(2.5)) + sender.values((sender.GAUGE, 3.0)))
+    packet = (
+        sender.text(sender.HOST, "h")
+        + sender.number(sender.TIME, START)
+        + sender.number(sender.INTERVAL, 10)
+        + sender.text(sender.PLUGIN, "p")
+        + sender.text(sender.PLUGIN_INSTANCE, "pi")
+        + sender.text(sender.TYPE, "t")
+        + sender.text(sender.TYPE_INSTANCE, "ti")
+        + sender.values(
+            (sender.COUNTER, 2**64 - 1), (sender.GAUGE, -1.5), (sender.DERIVE, -7), (sender.ABSOLUTE, 9)
+        )
+        + sender.part(0x0100, b"a notification\0")
+        + sender.number(sender.TIME_HR, sender.hr(START + 0.5))
+        + sender.number(sender.INTERVAL_HR, sender.hr(2.5))
+        + sender.values((sender.GAUGE, 3.0))
+    )
     first, second = wire.value_lists(packet)
-    assert (first.host, first.plugin, first.plugin_instance, first.type, first.type_instance) == ("h", "p", "pi", "t", "ti")
+    assert (first.host, first.plugin, first.plugin_instance, first.type, first.type_instance) == (
+        "h",
+        "p",
+        "pi",
+        "t",
+        "ti",
+    )
     assert first.values == ((0, 2**64 - 1), (1, -1.5), (2, -7), (3, 9))
     assert (first.time, first.interval) == (START * SECOND, 10 * SECOND)
     assert (second.time, second.interval) == (START * SECOND + SECOND // 2, 2_500_000)
@@ -71,7 +89,7 @@
             got = wire.value_lists(wire.opened(packet[:cut], known, "none")[0])
         except Refused:
             continue
-        assert name in ("plain", "old times") and got == whole[:len(got)]   # cut between two parts
+        assert name in ("plain", "old times") and got == whole[: len(got)]  # cut between two parts
 
 
 @pytest.mark.parametrize("by", [-1, 1])
@@ -79,25 +97,36 @@
     packet, at, parts = PACKETS["plain"], 0, 0
     while at < len(packet):
         size = struct.unpack_from("!H", packet, at + 2)[0]
-        bad = packet[:at + 2] + struct.pack("!H", size + by) + packet[at + 4:]
+        bad = packet[: at + 2] + struct.pack("!H", size + by) + packet[at + 4 :]
         assert refused(bad) == "malformed"
         at, parts = at + size, parts + 1
     assert parts == 20
 
 
-@pytest.mark.parametrize("packet, least, reason", [
-    (PACKETS["plain"], "sign", "unsigned"), (PACKETS["plain"], "encrypt", "unencrypted"),
-    (PACKETS["signed"], "encrypt", "unencrypted"),
-    (sender.signed(PACKETS["plain"], "v", "pw"), "sign", "wrong signature"),
-    (sender.signed(PACKETS["plain"], "w", "pw"), "sign", "unknown user"),
-    (PACKETS["signed"][:-1] + bytes([PACKETS["signed"][-1] ^ 1]), "sign", "wrong signature"),
-    (PACKETS["signed"].replace(b"u" + PACKETS["plain"][:3], b"v" + PACKETS["plain"][:3], 1), "sign", "wrong signature"),
-    (sender.sealed(PACKETS["plain"], "v", "pw"), "encrypt", "wrong signature"),
-    (sender.sealed(PACKETS["plain"], "w", "pw"), "none", "unknown user"),
-    (PACKETS["sealed"] + b"\0", "none", "malformed"), (PACKETS["plain"] + PACKETS["sealed"], "none", "malformed"),
-    (b"", "none", "malformed"), (sender.text(0, "h") * 3 + sender.values((1, 1.0)), "none", "malformed"),
-    (sender.part(0, b"h\0h\0"), "none", "malformed"), (sender.part(0, b"\xff\0"), "none", "malformed"),
-])
+@pytest.mark.parametrize(
+    "packet, least, reason",
+    [
+        (PACKETS["plain"], "sign", "unsigned"),
+        (PACKETS["plain"], "encrypt", "unencrypted"),
+        (PACKETS["signed"], "encrypt", "unencrypted"),
+        (sender.signed(PACKETS["plain"], "v", "pw"), "sign", "wrong signature"),
+        (sender.signed(PACKETS["plain"], "w", "pw"), "sign", "unknown user"),
+        (PACKETS["signed"][:-1] + bytes([PACKETS["signed"][-1] ^ 1]), "sign", "wrong signature"),
+        (
+            PACKETS["signed"].replace(b"u" + PACKETS["plain"][:3], b"v" + PACKETS["plain"][:3], 1),
+            "sign",
+            "wrong signature",
+        ),
+        (sender.sealed(PACKETS["plain"], "v", "pw"), "encrypt", "wrong signature"),
+        (sender.sealed(PACKETS["plain"], "w", "pw"), "none", "unknown user"),
+        (PACKETS["sealed"] + b"\0", "none", "malformed"),
+        (PACKETS["plain"] + PACKETS["sealed"], "none", "malformed"),
+        (b"", "none", "malformed"),
+        (sender.text(0, "h") * 3 + sender.values((1, 1.0)), "none", "malformed"),
+        (sender.part(0, b"h\0h\0"), "none", "malformed"),
+        (sender.part(0, b"\xff\0"), "none", "malformed"),
+    ],
+)
 def test_what_is_refused_and_why(packet, least, reason):
     assert refused(packet, least) == reason
 
@@ -107,7 +136,10 @@
     assert body == PACKETS["plain"] and not vouched
 
 
-@given(st.binary(max_size=300) | st.tuples(st.sampled_from(sorted(PACKETS)), st.integers(0, 400), st.integers(0, 255)))
+@given(
+    st.binary(max_size=300)
+    | st.tuples(st.sampled_from(sorted(PACKETS)), st.integers(0, 400), st.integers(0, 255))
+)
 @settings(max_examples=400, deadline=None)
 def test_no_octets_make_the_decoder_fail_otherwise_than_by_refusing(said):
     if not isinstance(said, bytes):
@@ -136,6 +168,7 @@
 
 # --- users ---
 
+
 def test_a_changed_password_is_taken_beside_the_old_for_a_while_and_a_user_who_is_gone_is_gone():
     kept = users.Users({"u": b"old", "v": b"v"})
     kept.renew({"u": b"new"}, 0)
@@ -179,19 +212,25 @@
 
     def __init__(self):
         self.counts = Counter()
-        self.signals = Signals(lambda host: {"a": (0,), "b": (1,), "c": (2, 3)}.get(host, ()), types.read(types.OWN),
-                               self.counts)
+        self.signals = Signals(
+            lambda host: {"a": (0,), "b": (1,), "c": (2, 3)}.get(host, ()), types.read(types.OWN), self.counts
+        )
 
     def take(self, at, packet, vouched=False):
         self.signals.take(round(at * SECOND), wire.value_lists(packet), vouched)
-        return {e: (round(busy, 2), age / SECOND) for e, busy, age in self.signals.signals(round(at * SECOND))}
+        return {
+            e: (round(busy, 2), age / SECOND) for e, busy, age in self.signals.signals(round(at * SECOND))
+        }
 
 
 def test_a_busy_host_is_told_for_each_of_its_endpoints_with_the_age_of_what_it_says():
     room, host = Room(), sender.Host("c", busy=0.2)
-    assert room.take(START, host.packet(START)) == {}       # one reading is no rate
+    assert room.take(START, host.packet(START)) == {}  # one reading is no rate
     host.busy = 0.9
-    assert room.take(START + 10.5, host.packet(START + 10)) == {2: (0.9, pytest.approx(5.5)), 3: (0.9, pytest.approx(5.5))}
+    assert room.take(START + 10.5, host.packet(START + 10)) == {
+        2: (0.9, pytest.approx(5.5)),
+        3: (0.9, pytest.approx(5.5)),
+    }
 
 
 @pytest.mark.parametrize("off", [-7200, -31, 45, 86400])
@@ -199,7 +238,7 @@
     room, host = Room(), sender.Host("a", clock_off=off)
     room.take(START, host.packet(START))
     assert room.take(START + 10, host.packet(START + 10)) == {0: (0.2, pytest.approx(5))}
-    assert room.take(START + 24, host.packet(START + 20)) == {0: (0.2, pytest.approx(9))}      # 4 s on the way
+    assert room.take(START + 24, host.packet(START + 20)) == {0: (0.2, pytest.approx(9))}  # 4 s on the way
 
 
 @pytest.mark.parametrize("jump", [-3600, 3600])
@@ -231,7 +270,7 @@
     assert room.signals.signals((START + 500) * SECOND) == []
     gone = Machine(newest=100 * SECOND, interval=SECOND)
     gone.states = {("0", "idle"): (SECOND, 50.0), ("0", "user"): (100 * SECOND, 5.0)}
-    assert gone.busy() is None      # the idle state is long old: its lack is no load
+    assert gone.busy() is None  # the idle state is long old: its lack is no load
     gone.percents = {("0", "idle"): (100 * SECOND, 30.0)}
     assert gone.busy() == pytest.approx(0.7)
 
@@ -239,8 +278,11 @@
 def test_ten_thousand_hosts_on_no_list_cost_no_memory():
     room = Room()
     for n in range(10_000):
-        room.signals.take(START * SECOND, [wire.ValueList(f"x{n}", "cpu", "0", "cpu", "idle", START * SECOND, SECOND,
-                                                          ((wire.DERIVE, 1),))], False)
+        room.signals.take(
+            START * SECOND,
+            [wire.ValueList(f"x{n}", "cpu", "0", "cpu", "idle", START * SECOND, SECOND, ((wire.DERIVE, 1),))],
+            False,
+        )
     assert not room.signals.machines and room.counts["collectd_strangers"] == 10_000
 
 
@@ -248,11 +290,20 @@
     room = Room()
     room.signals.most_series = 10
     for n in range(50):
-        room.signals.take(START * SECOND, [wire.ValueList("a", "cpu", str(n), "cpu", "idle", START * SECOND, SECOND,
-                                                          ((wire.DERIVE, 1),))], False)
+        room.signals.take(
+            START * SECOND,
+            [wire.ValueList("a", "cpu", str(n), "cpu", "idle", START * SECOND, SECOND, ((wire.DERIVE, 1),))],
+            False,
+        )
     assert len(room.signals.machines["a"].series) == 10 and room.counts["collectd_too_many_series"] == 40
-    room.signals.take(START * SECOND, [wire.ValueList("a", "cpu", "0", "cpu", "x", START * SECOND, SECOND, ((wire.GAUGE, 1.0),)),
-                                       wire.ValueList("a", "cpu", "0", "none", "x", START * SECOND, SECOND, ())], False)
+    room.signals.take(
+        START * SECOND,
+        [
+            wire.ValueList("a", "cpu", "0", "cpu", "x", START * SECOND, SECOND, ((wire.GAUGE, 1.0),)),
+            wire.ValueList("a", "cpu", "0", "none", "x", START * SECOND, SECOND, ()),
+        ],
+        False,
+    )
     assert room.counts["collectd_not_of_type"] == 2
 
 
@@ -264,7 +315,10 @@
         replays.again(n, 601 * SECOND)
     assert len(replays.seen) <= 4
     room, host = Room(), sender.Host("a")
-    assert room.take(START + 7200, host.packet(START), vouched=True) == {} and room.counts["collectd_too_old"] == 6
+    assert (
+        room.take(START + 7200, host.packet(START), vouched=True) == {}
+        and room.counts["collectd_too_old"] == 6
+    )
     assert not room.signals.machines
 
 
@@ -282,19 +336,32 @@
         except Refused:
             pass
     assert told[0][0] == pytest.approx(0.9, abs=0.02)
-    assert JUMP // SECOND > 25      # what is merely late must not pass for a clock that was set
+    assert JUMP // SECOND > 25  # what is merely late must not pass for a clock that was set
 
 
 # --- the listener ---
 
+
 class Ear:
     def __init__(self, **table):
         self.now, self.told, self.counters, self.wakes = START * SECOND, [], Counters(), []
-        self.background = Background(Agenda(64, 20_000, 900_000, SECOND), lambda: self.now, self.wakes.append,
-                                     lambda: False, self.counters)
+        self.background = Background(
+            Agenda(64, 20_000, 900_000, SECOND),
+            lambda: self.now,
+            self.wakes.append,
+            lambda: False,
+            self.counters,
+        )
         signals = Signals(lambda host: (0,) if host == "h" else (), types.read(types.OWN), self.counters)
-        self.listener = Listener(Collectd(**table), users.Users({"u": b"pw"}), signals, self.background, self.counters,
-                                 lambda: self.now, lambda name, values: self.told.append((name, values)))
+        self.listener = Listener(
+            Collectd(**table),
+            users.Users({"u": b"pw"}),
+            signals,
+            self.background,
+            self.counters,
+            lambda: self.now,
+            lambda name, values: self.told.append((name, values)),
+        )
 
     def hear(self, *packets, seconds=0.0):
         for packet in packets:
@@ -320,7 +387,9 @@
     ear = Ear()
     for _ in range(5000):
         ear.listener.datagram_received(b"\0" * 100, ("127.0.0.1", 1))
-    assert len(ear.listener.waiting) == MOST_WAITING and ear.counters["collectd_overflow"] == 5000 - MOST_WAITING
+    assert (
+        len(ear.listener.waiting) == MOST_WAITING and ear.counters["collectd_overflow"] == 5000 - MOST_WAITING
+    )
     ear.hear()
     assert ear.counters["collectd_refused_malformed"] == MOST_WAITING and not ear.listener.waiting
 
--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -1,4 +1,5 @@
 """Controllers as processes and over sockets: taken over when killed or paused, certificates, strangers, by hand."""
+
 import asyncio
 import datetime
 import json
@@ -31,22 +32,33 @@
     from cryptography.hazmat.primitives import hashes, serialization
     from cryptography.hazmat.primitives.asymmetric import ec
     from cryptography.x509.oid import NameOID
+
     now = datetime.datetime.now(datetime.timezone.utc)
     top_file = folder / "ca.key"
 
     def make(name, key, issuer, signer, top):
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
-        made = (x509.CertificateBuilder().subject_name(subject).issuer_name(issuer or subject).public_key(key.public_key())
-                .serial_number(x509.random_serial_number()).not_valid_before(now - datetime.timedelta(hours=1))
-                .not_valid_after(now + datetime.timedelta(days=2))
-                .add_extension(x509.BasicConstraints(ca=top, path_length=None), critical=True))
+        made = (
+            x509.CertificateBuilder()
+            .subject_name(subject)
+            .issuer_name(issuer or subject)
+            .public_key(key.public_key())
+            .serial_number(x509.random_serial_number())
+            .not_valid_before(now - datetime.timedelta(hours=1))
+            .not_valid_after(now + datetime.timedelta(days=2))
+            .add_extension(x509.BasicConstraints(ca=top, path_length=None), critical=True)
+        )
         if top:
-            made = made.add_extension(x509.KeyUsage(True, False, False, False, False, True, True, False, False), critical=True)
+            made = made.add_extension(
+                x509.KeyUsage(True, False, False, False, False, True, True, False, False), critical=True
+            )
         return made.sign(signer, hashes.SHA256())
 
     def secret(key):
-        return key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8,
-                                 serialization.NoEncryption())
+        return key.private_bytes(
+            serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
+        )
+
     if top_file.exists():
         top_key = serialization.load_pem_private_key(top_file.read_bytes(), None)
         top = x509.load_pem_x509_certificate((folder / "ca.pem").read_bytes())
@@ -58,8 +70,9 @@
     for name in names:
         key = ec.generate_private_key(ec.SECP256R1())
         (folder / f"{name}.key").write_bytes(secret(key))
-        (folder / f"{name}.pem").write_bytes(make(name, key, top.subject, top_key, False)
-                                             .public_bytes(serialization.Encoding.PEM))
+        (folder / f"{name}.pem").write_bytes(
+            make(name, key, top.subject, top_key, False).public_bytes(serialization.Encoding.PEM)
+        )
 
 
 def test_a_killed_and_a_paused_controller_are_taken_over_and_no_older_term_is_obeyed(tmp_path):
@@ -71,12 +84,14 @@
         try:
             await installation.until(lambda: installation.settled(12), 30)
             had = installation.shards_of("c0")
-            release = {"s-0", "s-4", "s-8", "s-11"}     # a third of the fleet drains while it is taken over
+            release = {"s-0", "s-4", "s-8", "s-11"}  # a third of the fleet drains while it is taken over
             for uid in sorted(release):
                 await installation.discovery.change(uid, "DRAINING")
             await installation.kill("c0")
             assert await installation.until(lambda: not installation.shards_of("c0") & had, 15) < 5
-            await installation.until(lambda: not any(release & (p.table.keys() - p.out) for p in installation.proxies), 5)
+            await installation.until(
+                lambda: not any(release & (p.table.keys() - p.out) for p in installation.proxies), 5
+            )
             for uid in sorted(release):
                 await installation.discovery.change(uid, "SERVING", time.time() * 1000)
             await installation.run("c0")
@@ -85,8 +100,10 @@
             installation.signal("c1", signal.SIGSTOP)
             await installation.until(lambda: not installation.shards_of("c1"), 15)
             await installation.discovery.change("s-3", "DRAINING")
-            await installation.until(lambda: all("s-3" in p.out or "s-3" not in p.table for p in installation.proxies), 10)
-            installation.signal("c1", signal.SIGCONT)       # it wakes with streams that it can write to
+            await installation.until(
+                lambda: all("s-3" in p.out or "s-3" not in p.table for p in installation.proxies), 10
+            )
+            installation.signal("c1", signal.SIGCONT)  # it wakes with streams that it can write to
             await installation.until(lambda: installation.settled(12), 30)
             assert all("s-3" in p.out or "s-3" not in p.table for p in installation.proxies)
             terms = {}
@@ -97,6 +114,7 @@
         finally:
             await installation.stop()
         assert all(p.returncode == 0 for p in installation.processes.values())
+
     run(test())
 
 
@@ -108,11 +126,13 @@
             own = installation.shards_of("c0")
             await installation.kill("c1")
             await installation.kill("c2")
-            await installation.until(lambda: installation.admin("c0", {"ask": "status"})["status"]["alone"], 10)
+            await installation.until(
+                lambda: installation.admin("c0", {"ask": "status"})["status"]["alone"], 10
+            )
             proxy = installation.proxies[min(own)]
             proxy.table = {}
             term = proxy.term
-            proxy.streams[0].transport.abort()      # it comes again, and is bound from what is known
+            proxy.streams[0].transport.abort()  # it comes again, and is bound from what is known
             await installation.until(lambda: proxy.table, 10)
             assert proxy.term == term
             assert '"leadership.alone"' in (tmp_path / "c0.log").read_text()
@@ -124,6 +144,7 @@
     def log(name):
         text = (tmp_path / f"{name}.toml").read_text()
         (tmp_path / f"{name}.toml").write_text('[log]\nformat = "json"\n' + text)
+
     before = Installation._files
     Installation._files = lambda self, name, listen: (before(self, name, listen), log(name))
     try:
@@ -141,6 +162,7 @@
         def files(self, name, listen):
             self.extra = extra.replace("NAME", name)
             before(self, name, listen)
+
         Installation._files = files
         try:
             installation = await Installation(tmp_path, 3, 90, lease_ms=600, shards=16).start()
@@ -152,10 +174,20 @@
 
             async def command(*words):
                 process = await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "ravenshelf", "controllers", *words, "--admin", socket, cwd=ROOT,
-                    stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+                    sys.executable,
+                    "-m",
+                    "ravenshelf",
+                    "controllers",
+                    *words,
+                    "--admin",
+                    socket,
+                    cwd=ROOT,
+                    stdout=subprocess.PIPE,
+                    stderr=subprocess.PIPE,
+                )
                 out, err = await process.communicate()
                 return process.returncode, out.decode() + err.decode()
+
             status = json.loads((await command("status", "--json"))[1])
             assert [m["met"] for m in status["members"]] == [True] * 3 and len(status["shards"]) >= 3
             assert "incarnation 1" in (await command("status"))[1]
@@ -163,12 +195,12 @@
             assert code == 2 and "expected one of c1, c2" in said
             assert (await command("drain"))[0] == 0
             await installation.until(lambda: not installation.shards_of("c0"), 15)
-            authority(tmp_path, "c0", "c1", "c2")       # new keys and certificates under the same names
+            authority(tmp_path, "c0", "c1", "c2")  # new keys and certificates under the same names
             for name in installation.names:
                 installation.signal(name, signal.SIGHUP)
             assert (await command("drain", "--undo"))[0] == 0
             await installation.until(lambda: installation.settled(8), 20)
-            await installation.kill("c2")       # a new connection has to use the new certificate
+            await installation.kill("c2")  # a new connection has to use the new certificate
             await installation.run("c2")
             await installation.until(lambda: installation.settled(8), 30)
             # no certificate of this cluster's authority: not even a hello is heard
@@ -182,17 +214,22 @@
                 await reader.readexactly(10_000)
         finally:
             await installation.stop()
+
     run(test())
 
 
-@pytest.mark.parametrize("hello, why", [
-    (["hello", 9, "loopback", "c1", 1, [8, 400_000, 3]], "expected hello in version"),
-    (["hello", 1, "other", "c1", 1, [8, 400_000, 3]], "expected cluster loopback"),
-    (["hello", 1, "loopback", "c7", 1, [8, 400_000, 3]], "expected another of"),
-    (["hello", 1, "loopback", "c0", 1, [8, 400_000, 3]], "expected another of"),
-    (["hello", 1, "loopback", "c1", 1, [9, 400_000, 3]], "expected shards, lease and members"),
-    (["hello"], "expected hello"), (["renew", 1, [], []], "expected hello"),
-])
+@pytest.mark.parametrize(
+    "hello, why",
+    [
+        (["hello", 9, "loopback", "c1", 1, [8, 400_000, 3]], "expected hello in version"),
+        (["hello", 1, "other", "c1", 1, [8, 400_000, 3]], "expected cluster loopback"),
+        (["hello", 1, "loopback", "c7", 1, [8, 400_000, 3]], "expected another of"),
+        (["hello", 1, "loopback", "c0", 1, [8, 400_000, 3]], "expected another of"),
+        (["hello", 1, "loopback", "c1", 1, [9, 400_000, 3]], "expected shards, lease and members"),
+        (["hello"], "expected hello"),
+        (["renew", 1, [], []], "expected hello"),
+    ],
+)
 def test_who_is_no_member_is_refused_with_the_reason(tmp_path, hello, why):
     import random
 
@@ -201,9 +238,16 @@
     from ravenshelf.operating.tables import Leadership as Table
 
     async def test():
-        table = Table(name="c0", cluster="loopback", shards=8, lease_ms=400,
-                      members={"c0": "127.0.0.1:1", "c1": "127.0.0.1:2", "c2": "127.0.0.1:3"})
-        made = Leadership(table, str(tmp_path), asyncio.get_running_loop(), Counters(), random.Random(1), lambda why: None)
+        table = Table(
+            name="c0",
+            cluster="loopback",
+            shards=8,
+            lease_ms=400,
+            members={"c0": "127.0.0.1:1", "c1": "127.0.0.1:2", "c2": "127.0.0.1:3"},
+        )
+        made = Leadership(
+            table, str(tmp_path), asyncio.get_running_loop(), Counters(), random.Random(1), lambda why: None
+        )
 
         class Wire:
             def get_extra_info(self, name):
@@ -214,6 +258,7 @@
 
             def write(self, data):
                 pass
+
         link = made._link()
         link.connection_made(Wire())
         assert why in made.met(link, hello)
@@ -223,6 +268,7 @@
         assert "incarnation 5 or later" in made.met(older, ["hello", 1, "loopback", "c1", 4, [8, 400_000, 3]])
         made.committer.close()
         made.journal.close()
+
     run(test())
 
 
@@ -232,7 +278,7 @@
     data = b"".join(links.frame(["m", body]) for body in bodies)
     frames, got = links.Frames(), []
     for start in range(0, len(data), size):
-        got += frames.feed(data[start:start + size])
+        got += frames.feed(data[start : start + size])
     assert got == [["m", body] for body in bodies]
 
 
@@ -249,14 +295,44 @@
     assert fenced(b"CONFIG whole=1 lines=a:1\r\n", 130) == b"CONFIG term=130 whole=1 lines=a:1\r\n"
 
 
-@pytest.mark.parametrize("said, why", [
-    ({"leadership": {"name": "c9", "cluster": "x", "members": {"c0": "a:1"}}, "store": {"folder": "f"}}, "expected one of members"),
-    ({"leadership": {"name": "c0", "cluster": "x", "members": {"c0": "a"}}, "store": {"folder": "f"}}, "expected host:port"),
-    ({"leadership": {"name": "c0", "members": {"c0": "a:1"}}, "store": {"folder": "f"}}, "cluster: found nothing"),
-    ({"leadership": {"name": "c0", "cluster": "x", "members": {"c0": "a:1"}}}, "[store] folder: found nothing"),
-    ({"leadership": {"name": "c0", "cluster": "x", "members": {"c0": "a:1", "c1": "a:1"}}, "store": {"folder": "f"}}, "own"),
-    ({"leadership": {"name": "c0", "cluster": "x", "members": {"c0": "a:1"}, "key": "k"}, "store": {"folder": "f"}}, "together"),
-])
+@pytest.mark.parametrize(
+    "said, why",
+    [
+        (
+            {
+                "leadership": {"name": "c9", "cluster": "x", "members": {"c0": "a:1"}},
+                "store": {"folder": "f"},
+            },
+            "expected one of members",
+        ),
+        (
+            {"leadership": {"name": "c0", "cluster": "x", "members": {"c0": "a"}}, "store": {"folder": "f"}},
+            "expected host:port",
+        ),
+        (
+            {"leadership": {"name": "c0", "members": {"c0": "a:1"}}, "store": {"folder": "f"}},
+            "cluster: found nothing",
+        ),
+        (
+            {"leadership": {"name": "c0", "cluster": "x", "members": {"c0": "a:1"}}},
+            "[store] folder: found nothing",
+        ),
+        (
+            {
+                "leadership": {"name": "c0", "cluster": "x", "members": {"c0": "a:1", "c1": "a:1"}},
+                "store": {"folder": "f"},
+            },
+            "own",
+        ),
+        (
+            {
+                "leadership": {"name": "c0", "cluster": "x", "members": {"c0": "a:1"}, "key": "k"},
+                "store": {"folder": "f"},
+            },
+            "together",
+        ),
+    ],
+)
 def test_what_is_wrong_with_the_leadership_table(said, why):
     with pytest.raises(reading.Wrong) as told:
         reading.check(said, "f")
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -10,11 +10,24 @@
 from ravenshelf.distribution.decisions.allowance import largest_share, shares
 from ravenshelf.distribution.decisions.backoff import SECOND, Backoff, TokenBucket
 from ravenshelf.distribution.decisions.claims import read_claims, service_claim, service_of
-from ravenshelf.distribution.decisions.client import Dial, HangUp, Send, State, SubscriptionClient, TopicChanged
+from ravenshelf.distribution.decisions.client import (
+    Dial,
+    HangUp,
+    Send,
+    State,
+    SubscriptionClient,
+    TopicChanged,
+)
 from ravenshelf.distribution.decisions.distributor import Distributor, DistributorLimits
 from ravenshelf.distribution.decisions.fallback import HOLD_FOR, OwnerReach, Source
 from ravenshelf.distribution.decisions.owner import Owner
-from ravenshelf.distribution.decisions.ownership import Claim, OwnershipView, Tenure, replicas, shard_of_service
+from ravenshelf.distribution.decisions.ownership import (
+    Claim,
+    OwnershipView,
+    Tenure,
+    replicas,
+    shard_of_service,
+)
 from ravenshelf.distribution.decisions.planner import ServicePlanner, endpoints_of, table_of
 from ravenshelf.distribution.decisions.publication import FLUSH_EVERY, Publication
 from ravenshelf.distribution.decisions.relay import Relay
@@ -92,12 +105,20 @@
     "message, outcome, entries",
     [
         (delta(version(2, 3), version(2, 4), a=TWO), Outcome.APPLIED, {"a": TWO}),
-        (delta(version(2, 1), version(2, 4), a=TWO), Outcome.APPLIED, {"a": TWO}),  # covers more than is needed
+        (
+            delta(version(2, 1), version(2, 4), a=TWO),
+            Outcome.APPLIED,
+            {"a": TWO},
+        ),  # covers more than is needed
         (delta(version(2, 3), version(2, 4), a=None), Outcome.APPLIED, {}),
         (delta(version(2, 2), version(2, 3), a=TWO), Outcome.DUPLICATE, {"a": ONE}),
         (delta(version(2, 4), version(2, 5), a=TWO), Outcome.GAP, {"a": ONE}),
         (delta(version(1, 8), version(1, 9), a=TWO), Outcome.STALE_EPOCH, {"a": ONE}),
-        (delta(version(2, 3), version(3, 1), a=TWO), Outcome.APPLIED, {"a": TWO}),  # handed over from what we hold
+        (
+            delta(version(2, 3), version(3, 1), a=TWO),
+            Outcome.APPLIED,
+            {"a": TWO},
+        ),  # handed over from what we hold
         (delta(version(2, 2), version(3, 1), a=TWO), Outcome.GAP, {"a": ONE}),  # the successor knew less
         (delta(version(2, 4), version(3, 1), a=TWO), Outcome.GAP, {"a": ONE}),
         (Snapshot("t", version(2, 3), 0, 1, {"a": TWO}), Outcome.DUPLICATE, {"a": ONE}),
@@ -256,7 +277,11 @@
         """All that the parent has to say arrives but for the messages of these numbers."""
         messages = self.served.pulled("child", now=self.now)
         messages = [message for number, message in enumerate(messages) if number not in lost]
-        for message in (reversed(messages) if reverse else messages) if not twice else [m for m in messages for _ in (0, 1)]:
+        for message in (
+            (reversed(messages) if reverse else messages)
+            if not twice
+            else [m for m in messages for _ in (0, 1)]
+        ):
             self.up(self.client.receive(self.now, message))
 
     @property
@@ -381,8 +406,12 @@
     assert view.hear_all("a", {"t": Claim("a", 3)}) == {"s"} and view.claim("s") is None
     assert view.hear_all("a", {"t": Claim("a", 3)}) == set()
     assert view.hear_all("b", {"s": Claim("b", 2)}) == set() and view.claim("s") is None
-    assert view.hear_all("a", {"s": Claim("a", 3), "t": Claim("a", 3)}) == {"s"} and view.claim("s") == Claim("a", 3)
-    assert view.hear_all("a", {"s": Claim("a", 4), "t": Claim("a", 3)}) == set() and view.claim("s") == Claim("a", 4)
+    assert view.hear_all("a", {"s": Claim("a", 3), "t": Claim("a", 3)}) == {"s"} and view.claim("s") == Claim(
+        "a", 3
+    )
+    assert view.hear_all("a", {"s": Claim("a", 4), "t": Claim("a", 3)}) == set() and view.claim("s") == Claim(
+        "a", 4
+    )
 
 
 def test_services_spread_evenly_and_a_lost_owner_moves_only_its_own():
@@ -428,7 +457,9 @@
 # --- the tree ---
 
 
-@pytest.mark.parametrize("pilots, fan_out", [(0, 8), (1, 8), (64, 128), (65, 128), (18_000, 128), (18_000, 8), (3, 2)])
+@pytest.mark.parametrize(
+    "pilots, fan_out", [(0, 8), (1, 8), (64, 128), (65, 128), (18_000, 128), (18_000, 8), (3, 2)]
+)
 def test_no_relay_has_more_than_half_of_its_children_by_plan(pilots, fan_out):
     made = levels(pilots, fan_out)
     below = pilots
@@ -451,7 +482,13 @@
 
 def report(reporter: str, sequence: int, tries: int = 10, zone: int = 0) -> Report:
     return Report(
-        "s", zone, 100 + sequence, reporter, sequence, {"a": EndpointSums(tries, 1, 9000)}, {0: GroupSums(tries, 2)}
+        "s",
+        zone,
+        100 + sequence,
+        reporter,
+        sequence,
+        {"a": EndpointSums(tries, 1, 9000)},
+        {0: GroupSums(tries, 2)},
     )
 
 
@@ -459,7 +496,9 @@
     leaf, top = Aggregator("leaf"), Aggregator("top")
     assert all(leaf.add(report(f"p{n}", 1)) for n in range(64)) and not leaf.add(report("p3", 1))
     [summed] = leaf.flush(101)
-    assert summed.endpoints == {"a": EndpointSums(640, 64, 64 * 9000)} and summed.groups == {0: GroupSums(640, 128)}
+    assert summed.endpoints == {"a": EndpointSums(640, 64, 64 * 9000)} and summed.groups == {
+        0: GroupSums(640, 128)
+    }
     assert top.add(summed) and not top.add(summed) and leaf.flush(102) == []
     assert leaf.add(report("p3", 2)) and top.add(leaf.flush(103)[0])
     assert top.flush(104)[0].endpoints["a"].tries == 650 and leaf.duplicates == top.duplicates == 1
@@ -474,7 +513,9 @@
         "discovery": "pushed",
         "weights": "rough",
         "telemetry": {"columns": []},
-        "classes": [{"name": "read", "importance": 1, "objective-ms": 800, "deadline-ms": 3000, "idempotency": "pure"}],
+        "classes": [
+            {"name": "read", "importance": 1, "objective-ms": 800, "deadline-ms": 3000, "idempotency": "pure"}
+        ],
         "family-info": {"level-kind": "fraction"},
         "rules": {"cold-share": 0.2, "fall-multiple": 3, "warm-after-ms": 16_000},
     }
@@ -528,11 +569,15 @@
     chance = random.Random(5)
     for most_out in (2, 3):
         received = 0.0
-        for _ in range(18_000):  # each pilot has shut out what it likes, by an older list or by failures that it met
+        for _ in range(
+            18_000
+        ):  # each pilot has shut out what it likes, by an older list or by failures that it met
             out = chance.sample(["e1", "e2", "e3"], chance.randint(0, most_out))
             given = shares(table, out)
             received += given["e0"]
-            assert sum(given.values()) <= 1 + 1e-9 and (len(out) == 3 or sum(given.values()) == pytest.approx(1))
+            assert sum(given.values()) <= 1 + 1e-9 and (
+                len(out) == 3 or sum(given.values()) == pytest.approx(1)
+            )
         assert received <= 18_000 * cold.largest_share + 1e-6
     assert cold.largest_share <= 3 / 2 * cold.weight / total + 1e-3
 
--- a/tests/test_distribution_controllers.py
+++ b/tests/test_distribution_controllers.py
@@ -57,18 +57,29 @@
             self._write_operator_file(name)
             await self.run(name)
         self.relay = RelayService(
-            self.loop, clock, "test", "relay-0", {name: [name] for name in NAMES}, self.listen, random.Random(2), owners=True
+            self.loop,
+            clock,
+            "test",
+            "relay-0",
+            {name: [name] for name in NAMES},
+            self.listen,
+            random.Random(2),
+            owners=True,
         )
         at = await self.relay.start("127.0.0.1:0")
         self.pilot = SubscriptionService(
             self.loop, clock, "test", "pilot-0", ["relay-0"], {"relay-0": at}, random.Random(3),
             lambda topic: self.versions.setdefault(topic.name, []).append(topic.version),
         )  # fmt: skip
-        self.pilot.start([topic for service in SERVICES for topic in (service_topic(service), zone_topic(service, 0))])
+        self.pilot.start(
+            [topic for service in SERVICES for topic in (service_topic(service), zone_topic(service, 0))]
+        )
 
     def _write_operator_file(self, name: str) -> None:
         members = "\n".join(f'{member} = "{address}"' for member, address in self.members.items())
-        others = "\n".join(f'{other} = "{address}"' for other, address in self.listen.items() if other != name)
+        others = "\n".join(
+            f'{other} = "{address}"' for other, address in self.listen.items() if other != name
+        )
         (self.folder / f"{name}.toml").write_text(
             f'[store]\nfolder = "{self.folder / name}"\n[leadership]\nname = "{name}"\ncluster = "test"\nshards = 8\n'
             f"[leadership.members]\n{members}\n"
@@ -93,7 +104,10 @@
 
     def limits(self) -> set[str]:
         """The values of the setting that the subscriber holds, over all services."""
-        held = [self.pilot.topics[service_topic(service)].entries.get("c:limit", Setting("")) for service in SERVICES]
+        held = [
+            self.pilot.topics[service_topic(service)].entries.get("c:limit", Setting(""))
+            for service in SERVICES
+        ]
         return {setting.value for setting in held}
 
     def owners(self) -> dict[str, str]:
@@ -147,7 +161,9 @@
         await cluster.until(lambda: lost not in cluster.owners().values())
         moved = [service for service, owner in owners.items() if owner == lost]
         await cluster.until(lambda: all(cluster.epochs()[service] > epochs[service] for service in moved))
-        assert all(cluster.epochs()[service] == epochs[service] for service in SERVICES if service not in moved)
+        assert all(
+            cluster.epochs()[service] == epochs[service] for service in SERVICES if service not in moved
+        )
         assert all(cluster.tables().values())
         (cluster.folder / "services.toml").write_text(services_text("2"))
         for name in NAMES:
@@ -200,7 +216,9 @@
 def test_services_are_claimed_no_more_while_the_lease_is_not_good_and_again_when_it_is():
     told, now = [], [0]
     leases = LeasedServices(LapsingMember(), NAMES, lambda: now[0], 8)
-    publisher = SimpleNamespace(acquire=lambda *words: None, claim=lambda service, claimed: told.append((service, claimed)))
+    publisher = SimpleNamespace(
+        acquire=lambda *words: None, claim=lambda service, claimed: told.append((service, claimed))
+    )
     leases.serve(publisher, ["s"])
     leases.took(shard_of_service("s", 8), 4, None)
     leases.member.good = False
@@ -249,6 +267,12 @@
     (tmp_path / "fleet.json").write_text(json.dumps(said))
     (tmp_path / "operator.toml").write_text(f'[distribution]\nname = "a"\ncluster = "c"\n{table}')
     code, _, words = asyncio.run(
-        run_command("controller", "--config", str(tmp_path / "fleet.json"), "--operator", str(tmp_path / "operator.toml"))
+        run_command(
+            "controller",
+            "--config",
+            str(tmp_path / "fleet.json"),
+            "--operator",
+            str(tmp_path / "operator.toml"),
+        )
     )
     assert code == 2 and complaint in words
--- a/tests/test_distribution_deciding.py
+++ b/tests/test_distribution_deciding.py
@@ -63,11 +63,19 @@
     def report(self, bad: str) -> None:
         """A second's sums of zone 0, in which one endpoint fails."""
         self.reports += 1
-        sums = {name: EndpointSums(50, 50 if name == bad else 0, 0 if name == bad else 50 * 200_000) for name in NAMES}
-        self.decisions.reported(Report("s", 0, self.now // SECOND, "relay#1", self.reports, sums, {0: GroupSums(200)}))
+        sums = {
+            name: EndpointSums(50, 50 if name == bad else 0, 0 if name == bad else 50 * 200_000)
+            for name in NAMES
+        }
+        self.decisions.reported(
+            Report("s", 0, self.now // SECOND, "relay#1", self.reports, sums, {0: GroupSums(200)})
+        )
 
     def table(self, zone: int = 0) -> dict[str, float]:
-        return {name: line.weight for name, line in table_of(self.owner.topics[zone_topic("s", zone)].entries).items()}
+        return {
+            name: line.weight
+            for name, line in table_of(self.owner.topics[zone_topic("s", zone)].entries).items()
+        }
 
 
 def replica(controller: Controller, **weights: float) -> Controller:
@@ -121,7 +129,9 @@
 
 
 @pytest.mark.parametrize(
-    "changed", [EndpointEntry(0, False, 1.0), EndpointEntry(0, True, 1.0, NOW - SECOND)], ids=["drains", "started again"]
+    "changed",
+    [EndpointEntry(0, False, 1.0), EndpointEntry(0, True, 1.0, NOW - SECOND)],
+    ids=["drains", "started again"],
 )
 def test_what_drains_or_is_cold_again_leaves_the_former_table_at_once(changed):
     controller = replica(Controller(), e0=900.0, e1=60.0, e2=40.0)
@@ -133,7 +143,9 @@
     controller = Controller().own()
     controller.subscribe(0)
     controller.owner.publish(controller.now)
-    assert controller.owner.topics[zone_topic("s", 0)].version == NEVER  # nothing is said before there is a table
+    assert (
+        controller.owner.topics[zone_topic("s", 0)].version == NEVER
+    )  # nothing is said before there is a table
     controller.run(1)
     for name in NAMES:
         controller.listed(**{name: EndpointEntry(0, False, 1.0)})
--- a/tests/test_distribution_pilot.py
+++ b/tests/test_distribution_pilot.py
@@ -50,7 +50,9 @@
             owners_table=lambda now, zone: (self.source, self.table if zone == 0 else {}),
             index_of=INDICES.get,
         )
-        self.hear(listed("rrrr", how="restored"), ("joined", (0, 0, 10.0, True)), ("joined", (1, 1, 10.0, True)))
+        self.hear(
+            listed("rrrr", how="restored"), ("joined", (0, 0, 10.0, True)), ("joined", (1, 1, 10.0, True))
+        )
 
     def hear(self, *news) -> None:
         self.controller.round(self.now, list(news), self.kept)
@@ -100,7 +102,9 @@
     assert pilot.run(3).shares() == {0: 0.5, 1: 0.5}
 
 
-@pytest.mark.parametrize("source, first", [(Source.OWNER, 0.9), (Source.LAST_TABLE, 0.9), (Source.LOCAL, 0.5)])
+@pytest.mark.parametrize(
+    "source, first", [(Source.OWNER, 0.9), (Source.LAST_TABLE, 0.9), (Source.LOCAL, 0.5)]
+)
 def test_without_an_owner_the_last_table_and_then_the_own_decisions(source, first):
     pilot = Pilot(s0=900.0, s1=100.0).run(3)
     pilot.source = source
@@ -112,7 +116,11 @@
     pilot.source = Source.LOCAL
     plain = Controller(pilot.controller.provisioning, 7)
     kept, now = Kept(), 1000 * SECOND
-    plain.round(now, [listed("rrrr", how="restored"), ("joined", (0, 0, 10.0, True)), ("joined", (1, 1, 10.0, True))], kept)
+    plain.round(
+        now,
+        [listed("rrrr", how="restored"), ("joined", (0, 0, 10.0, True)), ("joined", (1, 1, 10.0, True))],
+        kept,
+    )
     news = [met(0, 0, dropped=18), met(0, 1, dropped=18), met(1, 2), met(1, 3)]
     pilot.run(20, news)
     for quarter in range(80):
@@ -150,7 +158,14 @@
         owner_at = await owner.start("127.0.0.1:0")
         owner.acquire("s", Tenure(1, clock() + 600 * SECOND))
         relay = RelayService(
-            loop, clock, "test", "relay-0", {"owner-0": ["owner-0"]}, {"owner-0": owner_at}, random.Random(2), owners=True
+            loop,
+            clock,
+            "test",
+            "relay-0",
+            {"owner-0": ["owner-0"]},
+            {"owner-0": owner_at},
+            random.Random(2),
+            owners=True,
         )
         relay_at = await relay.start("127.0.0.1:0")
         discovery = await Discovery([entry(f"s-{n}", "north") for n in range(3)]).start()
@@ -178,18 +193,26 @@
         proxy = Proxy(lambda: listen, 0, "north")
         running = asyncio.create_task(proxy.run())
         try:
-            await until(lambda: proxy.lines() and proxy.lines().get("s-0", 0) > 7 * proxy.lines().get("s-1", 1000))
+            await until(
+                lambda: proxy.lines() and proxy.lines().get("s-0", 0) > 7 * proxy.lines().get("s-1", 1000)
+            )
             for _ in range(30):
                 proxy.usage("read", 40)
                 await asyncio.sleep(0.1)
                 if any(report.groups for report in reports):
                     break
-            assert any(report.service == "s" and report.groups[0].requests >= 40 for report in reports if report.groups)
+            assert any(
+                report.service == "s" and report.groups[0].requests >= 40
+                for report in reports
+                if report.groups
+            )
             relay.stop()
             owner.stop()
             await asyncio.sleep(1)
             assert proxy.lines()["s-0"] > 7 * proxy.lines()["s-1"]  # it goes on with the last table
-            await until(lambda: proxy.lines()["s-0"] < 2 * proxy.lines()["s-1"], 25)  # and then decides for itself
+            await until(
+                lambda: proxy.lines()["s-0"] < 2 * proxy.lines()["s-1"], 25
+            )  # and then decides for itself
         finally:
             running.cancel()
             relay.stop()
--- a/tests/test_distribution_sockets.py
+++ b/tests/test_distribution_sockets.py
@@ -138,7 +138,11 @@
             await there.until(lambda value=value: there.holds(value))
         assert all(seen == sorted(set(seen)) for seen in there.versions.values())
         status = there.relay.status()
-        assert status["subscribers"] == 3 and status["wanted"] == 2 and status["upstreams"][0]["state"] == "connected"
+        assert (
+            status["subscribers"] == 3
+            and status["wanted"] == 2
+            and status["upstreams"][0]["state"] == "connected"
+        )
 
     on_sockets(play)
 
@@ -185,7 +189,9 @@
 async def dial(there: Installation) -> tuple[Dialled, MessageConnection]:
     side = Dialled()
     host, _, port = there.relay_at.rpartition(":")
-    _, connection = await there.loop.create_connection(lambda: MessageConnection(Buffers(), side), host, int(port))
+    _, connection = await there.loop.create_connection(
+        lambda: MessageConnection(Buffers(), side), host, int(port)
+    )
     return side, connection
 
 
@@ -259,7 +265,10 @@
     """The same two topics and five changes: the same messages of state in turn, of the same bytes. Heartbeats go by time,
     and whether owners are in reach is told where a pilot comes before its relay knows."""
     world = World(
-        Size(controllers=1, pilots=1, services=1, endpoints=4, services_called=1, regions=1, zones=1, fan_out=8), 1
+        Size(
+            controllers=1, pilots=1, services=1, endpoints=4, services_called=1, regions=1, zones=1, fan_out=8
+        ),
+        1,
     )
     hollow: list[tuple] = []
     on_message = world.pilots[0].on_message
@@ -280,15 +289,31 @@
     async def play() -> None:
         loop = asyncio.get_running_loop()
         state = World(world.size, 1)  # for what the topics say, and nothing else
-        owner = OwnerService(loop, clock, "test", "owner-0", 1, world.size.shards, state.content, {}, random.Random(1))
+        owner = OwnerService(
+            loop, clock, "test", "owner-0", 1, world.size.shards, state.content, {}, random.Random(1)
+        )
         owner_at = await owner.start("127.0.0.1:0")
         owner.acquire("service-0", Tenure(1, clock() + 60 * SECOND))
         relay = RelayService(
-            loop, clock, "test", "relay-0", {"owner-0": ["owner-0"]}, {"owner-0": owner_at}, random.Random(2), owners=True
+            loop,
+            clock,
+            "test",
+            "relay-0",
+            {"owner-0": ["owner-0"]},
+            {"owner-0": owner_at},
+            random.Random(2),
+            owners=True,
         )
         relay_at = await relay.start("127.0.0.1:0")
         pilot = SubscriptionService(
-            loop, clock, "test", "pilot-0", ["relay-0"], {"relay-0": relay_at}, random.Random(3), lambda topic: None
+            loop,
+            clock,
+            "test",
+            "pilot-0",
+            ["relay-0"],
+            {"relay-0": relay_at},
+            random.Random(3),
+            lambda topic: None,
         )
         said = pilot.upstream_said
 
@@ -371,10 +396,22 @@
     [
         ("", "[distribution] listen: found nothing, expected host:port"),
         ('[distribution]\nname = "r"\n', "[distribution] cluster: found nothing"),
-        ('[distribution]\nname = "r"\ncluster = "c"\nlisten = "here"\n', "listen: found 'here', expected host:port"),
-        ('[distribution]\nname = "r"\ncluster = "c"\nlisten = "h:1"\n', "parents: found none, expected one or more"),
-        ('[distribution]\nname = "r"\ncluster = "c"\nlisten = "h:1"\nservice = "s"\n', "found both service and listen"),
-        ('[distribution]\nname = "r"\ncluster = "c"\nservice = "a@b"\n', "service: found 'a@b', expected a name without"),
+        (
+            '[distribution]\nname = "r"\ncluster = "c"\nlisten = "here"\n',
+            "listen: found 'here', expected host:port",
+        ),
+        (
+            '[distribution]\nname = "r"\ncluster = "c"\nlisten = "h:1"\n',
+            "parents: found none, expected one or more",
+        ),
+        (
+            '[distribution]\nname = "r"\ncluster = "c"\nlisten = "h:1"\nservice = "s"\n',
+            "found both service and listen",
+        ),
+        (
+            '[distribution]\nname = "r"\ncluster = "c"\nservice = "a@b"\n',
+            "service: found 'a@b', expected a name without",
+        ),
         (
             '[distribution]\nname = "r"\ncluster = "c"\nlisten = "h:1"\nsubscribers = 0\n'
             '[distribution.parents]\nx = "h:2"\n',
@@ -402,18 +439,41 @@
     async def play() -> dict[str, float]:
         loop = asyncio.get_running_loop()
         owner = OwnerService(
-            loop, clock, "test", "owner-0", 1, 8, decisions.content, {}, random.Random(1), reported=decisions.reported
+            loop,
+            clock,
+            "test",
+            "owner-0",
+            1,
+            8,
+            decisions.content,
+            {},
+            random.Random(1),
+            reported=decisions.reported,
         )
         decisions.attach(owner.owner)
         owner_at = await owner.start("127.0.0.1:0")
         owner.acquire("s", Tenure(1, clock() + 60 * SECOND))
         relay = RelayService(
-            loop, clock, "test", "relay-0", {"owner-0": ["owner-0"]}, {"owner-0": owner_at}, random.Random(2), owners=True
+            loop,
+            clock,
+            "test",
+            "relay-0",
+            {"owner-0": ["owner-0"]},
+            {"owner-0": owner_at},
+            random.Random(2),
+            owners=True,
         )
         relay_at = await relay.start("127.0.0.1:0")
         pilots = [
             SubscriptionService(
-                loop, clock, "test", f"pilot-{n}", ["relay-0"], {"relay-0": relay_at}, random.Random(n), lambda topic: None
+                loop,
+                clock,
+                "test",
+                f"pilot-{n}",
+                ["relay-0"],
+                {"relay-0": relay_at},
+                random.Random(n),
+                lambda topic: None,
             )
             for n in range(2)
         ]
@@ -427,10 +487,14 @@
                     owner.publish()
                     for number, pilot in enumerate(pilots):
                         sums = {
-                            name: EndpointSums(10, 10 if name == "e2" else 0, 0 if name == "e2" else 2_000_000)
+                            name: EndpointSums(
+                                10, 10 if name == "e2" else 0, 0 if name == "e2" else 2_000_000
+                            )
                             for name in names
                         }
-                        pilot.report(Report("s", 0, turn, f"pilot-{number}#1", turn, sums, {0: GroupSums(40)}))
+                        pilot.report(
+                            Report("s", 0, turn, f"pilot-{number}#1", turn, sums, {0: GroupSums(40)})
+                        )
                     tables = [table_of(pilot.topics["s@0"].entries) for pilot in pilots]
                     if all(table and table["e2"].weight < 0.3 * table["e1"].weight for table in tables):
                         return tables
@@ -446,7 +510,9 @@
     async def play(there: Installation) -> None:
         await there.until(lambda: there.holds("0"))
         carbon = await Carbon().start()
-        operator = Operator(graphite=Graphite(receivers=[f"127.0.0.1:{carbon.port}"], every_s=1, prefix="shop"))
+        operator = Operator(
+            graphite=Graphite(receivers=[f"127.0.0.1:{carbon.port}"], every_s=1, prefix="shop")
+        )
         figures = RelayFigures(operator, there.relay, there.loop)
         try:
             paths = {
@@ -462,10 +528,15 @@
                 )
             }
             await there.until(lambda: {path for path, _ in carbon.points} >= paths)
-            newest = {path: value for (path, _), value in sorted(carbon.points.items(), key=lambda point: point[0][1])}
+            newest = {
+                path: value
+                for (path, _), value in sorted(carbon.points.items(), key=lambda point: point[0][1])
+            }
             assert newest["shop.relay-0.relay.subscribers"] == 3 and newest["shop.relay-0.relay.topics"] >= 2
             sent = "shop.relay-0.relay.octets_per_s"
-            await there.until(lambda: any(value > 0 for (path, _), value in carbon.points.items() if path == sent))
+            await there.until(
+                lambda: any(value > 0 for (path, _), value in carbon.points.items() if path == sent)
+            )
         finally:
             figures.stop()
             await carbon.stop()
--- a/tests/test_distribution_world.py
+++ b/tests/test_distribution_world.py
@@ -126,7 +126,9 @@
 def test_a_subscriber_away_for_an_hour_costs_its_own_topics_once():
     world = settled()
     pilot = world.pilots[4]
-    pilot.away(HOUR / 60, forget=False)  # a sixtieth of the hour, and a change each second, are as many versions
+    pilot.away(
+        HOUR / 60, forget=False
+    )  # a sixtieth of the hour, and a change each second, are as many versions
     for _ in range(60):
         world.run(1)
         for service in world.services:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,5 @@
 """What is still owed when a process, a connection, a call or a list ends: each crossing is forced by holding one side."""
+
 import asyncio
 import contextlib
 import json
@@ -20,11 +21,14 @@
 from ravenshelf.process.clock import Clock
 from ravenshelf.process.pilot import Pilot
 
-ROOMY = SETTINGS | {"family-info": SETTINGS["family-info"] | {"lines-per-s": 200_000, "most-waiting": 400_000}}
+ROOMY = SETTINGS | {
+    "family-info": SETTINGS["family-info"] | {"lines-per-s": 200_000, "most-waiting": 400_000}
+}
 
 
 # --- a pilot in this process, on a real loop and real sockets ---
 
+
 class Proxy(asyncio.Protocol):
     def __init__(self):
         self.read, self.over = b"", asyncio.get_running_loop().create_future()
@@ -65,19 +69,27 @@
 
 def test_a_drain_that_was_heard_is_ordered_in_a_last_round_at_the_stop():
     async def play():
-        async with serving(known={"rev": 4, "all": True, "targets": [target("s-1"), target("s-2")]}) as (pilot, port):
+        async with serving(known={"rev": 4, "all": True, "targets": [target("s-1"), target("s-2")]}) as (
+            pilot,
+            port,
+        ):
             proxy = await joined(port)
             calls = []
             pilot.do = lambda name, values: calls.append(name)
             index, entry = pilot.listing.index["s-1"], pilot.listing.entries[pilot.listing.index["s-1"]]
-            pilot.last_round = pilot.clock() + 10_000_000       # the next round is far away
+            pilot.last_round = pilot.clock() + 10_000_000  # the next round is far away
             pilot.news("listed", ("update", ((index, *entry[1:4], "draining", *entry[5:]),)))
             assert b"s-1:0" not in proxy.read
             pilot.stop()
             heard = pilot.rounds.news
             await proxy.over
-        assert not heard and (b"out=s-1" in proxy.read or b"s-1:0" in proxy.read) and proxy.read.endswith(b"\r\n")
+        assert (
+            not heard
+            and (b"out=s-1" in proxy.read or b"s-1:0" in proxy.read)
+            and proxy.read.endswith(b"\r\n")
+        )
         assert not calls and not pilot.calls.held and pilot.timer.cancelled()
+
     uvloop.run(play())
 
 
@@ -87,7 +99,9 @@
             proxy = await joined(port)
             pilot.stop()
             watches, rounds = pilot.counters["discovery_watches"], pilot.counters["rounds"]
-            pilot.door.came(late := type("Late", (), {"close": lambda self, end: setattr(self, "end", end)})())
+            pilot.door.came(
+                late := type("Late", (), {"close": lambda self, end: setattr(self, "end", end)})()
+            )
             pilot.reload()
             pilot.news("listed", ("update", ()))
             pilot.set_deadline(("watch",), 0)
@@ -98,6 +112,7 @@
             assert (pilot.counters["discovery_watches"], pilot.counters["rounds"]) == (watches, rounds)
             with pytest.raises(OSError):
                 await asyncio.get_running_loop().create_connection(Proxy, "127.0.0.1", port)
+
     uvloop.run(play())
 
 
@@ -112,11 +127,13 @@
             async with asyncio.timeout(20):
                 await proxy.over
                 await pilot.stopped
+
     uvloop.run(play())
 
 
 # --- streams and floods ---
 
+
 def test_a_mark_on_its_way_is_taken_though_its_proxy_joins_again_on_the_stream(entry):
     e = entry()
     stream = e.connect("SUBSCRIBE proxy=1 zone=a weight=1 fresh=1")
@@ -127,10 +144,12 @@
 
 def test_streams_of_machines_that_vanished_keep_no_live_proxy_out(entry):
     e = entry(slots=5, reserve=2)
+
     def join(n):
         return e.connect(f"SUBSCRIBE proxy={n} zone=a weight=1 fresh=1")
+
     streams = [join(n) for n in range(4)]
-    late = e.connect()      # from now on room is short, and it is looked who speaks
+    late = e.connect()  # from now on room is short, and it is looked who speaks
     late.close(End.CLOSED)
     for second in range(65):
         e.pass_time(1)
@@ -146,7 +165,9 @@
     assert e.connect("SOURCE zone=a").end is None and streams[1].end is End.CROWDED
     assert streams[0].end is streams[2].end is None
     e.connect()
-    assert filler.end is End.CROWDED and streams[0].end is streams[2].end is None   # it was followed; who speaks stays
+    assert (
+        filler.end is End.CROWDED and streams[0].end is streams[2].end is None
+    )  # it was followed; who speaks stays
 
 
 def test_a_stream_that_a_fault_of_ours_ends_goes_on_counting():
@@ -160,6 +181,7 @@
             proxy.transport.write(b"RATE proxy=1 class=look tries=1 failed=0 span_ms=1000\r\n")
             await proxy.over
             assert told == [("left", (1, True))]
+
     uvloop.run(play())
 
 
@@ -181,6 +203,7 @@
                 nonlocal taken, most
                 most, taken = max(most, taken), 0
                 loop.call_soon(turn)
+
             pilot.door.said = said
             held = socket.socket(fileno=os.dup(proxy.transport.get_extra_info("socket").fileno()))
             sent = 0
@@ -193,11 +216,13 @@
                     await asyncio.sleep(0.001)
             held.close()
             assert sent > 4 * SIZE and 0 < most <= SIZE + len(line)
+
     uvloop.run(play())
 
 
 # --- the program itself ---
 
+
 def begin_with(tmp_path, **changes):
     file = tmp_path / "config.json"
     file.write_text(json.dumps(GOOD | changes))
@@ -225,7 +250,7 @@
         slow.settimeout(20)
         slow.connect(("127.0.0.1", port))
         slow.sendall(b"SUBSCRIBE proxy=1 zone=a weight=20 fresh=1\r\n")
-        slow.recv(1, socket.MSG_PEEK)       # the bind is written
+        slow.recv(1, socket.MSG_PEEK)  # the bind is written
         running.send_signal(signal.SIGTERM)
         assert refused(port)
         slow.sendall(b"RATE proxy=1 class=look tries=1 failed=0 span_ms=1000\r\n" * 20)
@@ -290,7 +315,7 @@
         file.unlink()
         os.mkfifo(file)
         running.send_signal(signal.SIGHUP)
-        with open(file, "w") as pipe:       # opened by both: the reload is in its read
+        with open(file, "w") as pipe:  # opened by both: the reload is in its read
             running.send_signal(signal.SIGTERM)
             pipe.write(json.dumps(GOOD)[:100])
         assert running.wait(20) == 0 and proxy.hear() == ""
@@ -303,7 +328,9 @@
     """The configuration is a pipe that the test holds: the process has begun to read it, no loop runs yet."""
     file = tmp_path / "config.json"
     os.mkfifo(file)
-    running = subprocess.Popen([sys.executable, "-m", "ravenshelf", "serve"], env=os.environ | {"RELAY_CONFIG": str(file)})
+    running = subprocess.Popen(
+        [sys.executable, "-m", "ravenshelf", "serve"], env=os.environ | {"RELAY_CONFIG": str(file)}
+    )
     try:
         with open(file, "w"):
             running.send_signal(signal.SIGHUP)
@@ -329,8 +356,11 @@
         port = free.getsockname()[1]
     file = tmp_path / "config.json"
     file.write_text(json.dumps(GOOD | {"listen": f"127.0.0.1:{port}"}))
-    running = subprocess.Popen([sys.executable, "-m", "ravenshelf", "serve"], stderr=into,
-                               env=os.environ | {"RELAY_CONFIG": str(file)})
+    running = subprocess.Popen(
+        [sys.executable, "-m", "ravenshelf", "serve"],
+        stderr=into,
+        env=os.environ | {"RELAY_CONFIG": str(file)},
+    )
     try:
         by = time.monotonic() + 20
         while time.monotonic() < by:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,5 @@
 """Checks over several instances side by side, each of them shown to fail on a deliberate break."""
+
 import pytest
 
 import ravenshelf.process.rounds as rounds
@@ -8,6 +9,7 @@
 
 class InStep(Controller):
     """Asks again after a fixed time, as every other pilot does."""
+
     def list_failed(self):
         self.ask_again = self.now + SECOND
 
@@ -19,22 +21,27 @@
 
 class NoWithdrawals(Controller):
     """What drains only leaves the tables, when a table is worth sending."""
+
     def follow_list(self, orders):
         self.changed = 0
 
 
 class NoPatience(Controller):
     """Binds whoever joins only at the next beat."""
+
     def bind(self, index, table, orders, urgent):
         return self.now % (5 * SECOND) < SECOND // 4 and super().bind(index, table, orders, urgent)
 
 
 class Swings(Controller):
     """Sends a zone's flows to and fro, all pilots at one time."""
+
     def plan(self, orders, urgent, only=()):
         super().plan(orders, urgent, only)
         away = self.now // (5 * SECOND) % 2
-        self.share = [[float((j == (i + away) % self.zones)) for j in range(self.zones)] for i in range(self.zones)]
+        self.share = [
+            [float((j == (i + away) % self.zones)) for j in range(self.zones)] for i in range(self.zones)
+        ]
         for z in range(self.zones):
             for n, lines in enumerate(self.wanted(z, self.strengths(), self.needs()[z])):
                 self.renew((z, n), lines, {}, orders, 1, ())
@@ -51,7 +58,10 @@
     world.run(8)
     world.discovery.down = False
     world.run(12)
-    assert world.discovery.most() <= 12 and len(world.discovery.calls) <= 110, (world.discovery.most(), len(world.discovery.calls))
+    assert world.discovery.most() <= 12 and len(world.discovery.calls) <= 110, (
+        world.discovery.most(),
+        len(world.discovery.calls),
+    )
     assert all(pilot.watching for pilot in world.pilots)
 
 
@@ -85,7 +95,9 @@
 
 def nobody_is_bare():
     world = World().run(7)
-    for proxy in [p for p in world.proxies if p.pilot is not world.pilots[4]]:      # as after a restart of their machines
+    for proxy in [
+        p for p in world.proxies if p.pilot is not world.pilots[4]
+    ]:  # as after a restart of their machines
         proxy.table = {}
     for pilot in world.pilots[:4]:
         world.lose(pilot)
@@ -102,8 +114,14 @@
     assert sum(between.get((0, 1), 0) + between.get((0, 2), 0) for _, between in world.spilled[-8:]) > 0
 
 
-CHECKS = [(calls_are_spread, InStep), (cold_ones_stand, NoRamp), (zone_back_cold, NoRamp), (drains_are_kept, NoWithdrawals),
-          (nobody_is_bare, NoPatience), (spill_is_steady, Swings)]
+CHECKS = [
+    (calls_are_spread, InStep),
+    (cold_ones_stand, NoRamp),
+    (zone_back_cold, NoRamp),
+    (drains_are_kept, NoWithdrawals),
+    (nobody_is_bare, NoPatience),
+    (spill_is_steady, Swings),
+]
 
 
 @pytest.mark.parametrize("check", [c for c, _ in CHECKS])
@@ -122,9 +140,20 @@
     world = World(pilots=1, zones=1)
     world.discovery = Discovery(world, 1.0, patience=SECOND)
     heard = []
-    pilots = [type("P", (), {"called": False, "watching": False, "number": n, "take": lambda self, how: (how, ()),
-                             "hear": lambda self, *values: heard.append((world.now, self.number, values[0]))})()
-              for n in range(3)]
+    pilots = [
+        type(
+            "P",
+            (),
+            {
+                "called": False,
+                "watching": False,
+                "number": n,
+                "take": lambda self, how: (how, ()),
+                "hear": lambda self, *values: heard.append((world.now, self.number, values[0])),
+            },
+        )()
+        for n in range(3)
+    ]
     began = world.now
     for pilot in pilots:
         world.discovery.call(pilot)
--- a/tests/test_graphite.py
+++ b/tests/test_graphite.py
@@ -1,4 +1,5 @@
 """Receivers of figures: the state of one, whose a figure is, what waits and what goes."""
+
 import random
 
 from hypothesis import given, settings
@@ -14,6 +15,7 @@
 
 # --- one receiver ---
 
+
 def test_a_receiver_that_refuses_for_an_hour_is_dialled_seldom_and_at_once_less_than_allowed():
     receiver, dials, now = Receiver(0, random.Random(3)), [], 0
     while now < 3600 * SECOND:
@@ -23,7 +25,7 @@
             receiver.failed(now + 1000)
     for n in range(len(dials) - 10):
         assert dials[n + 10] - dials[n] >= 60 * SECOND
-    assert 60 < len(dials) < 300        # about one in half a minute: it is not forgotten either
+    assert 60 < len(dials) < 300  # about one in half a minute: it is not forgotten either
     assert max(b - a for a, b in zip(dials, dials[1:])) <= 61 * SECOND
 
 
@@ -42,7 +44,7 @@
     assert receiver.due(0) == "dial"
     receiver.dialled(0)
     receiver.gave(1 * SECOND)
-    receiver.gave(4 * SECOND)       # a later batch must not put the limit off
+    receiver.gave(4 * SECOND)  # a later batch must not put the limit off
     assert receiver.due(6 * SECOND - 1) is None and receiver.due(6 * SECOND) == "stalled"
     assert receiver.state == decisions.STALLED
     assert receiver.due(16 * SECOND) == "hang up"
@@ -78,6 +80,7 @@
 
 # --- whose a figure is ---
 
+
 @given(st.integers(2, 7), st.data())
 @settings(max_examples=40, deadline=None)
 def test_only_the_share_of_the_lost_moves_and_the_same_moves_back(count, data):
@@ -99,12 +102,16 @@
 
 def test_where_waiting_figures_go_when_the_receivers_change():
     assert moves(["a", "b"], ["b", "c", "d"], "all") == {"a": ["c", "d"]}
-    assert moves(["a", "b"], ["c"], "all") == {"a": ["c"], "b": []}      # both had all figures: one copy is enough
+    assert moves(["a", "b"], ["c"], "all") == {
+        "a": ["c"],
+        "b": [],
+    }  # both had all figures: one copy is enough
     assert moves(["a", "b"], ["b", "c"], "hash") == {"a": ["b", "c"]}
 
 
 # --- what waits ---
 
+
 def backlog(most=100, pace=10):
     return Backlog(most, pace)
 
@@ -115,8 +122,14 @@
         for importance in (0, 1, 2):
             assert not line.add(Batch(time, importance, points(10)))
     assert [(b.time, b.importance) for b in line.add(Batch(40, 0, points(30)))] == [(10, 2), (20, 2)]
-    assert [(b.time, b.importance) for b in line.add(Batch(50, 0, points(60)))] == [(30, 2), (10, 1), (20, 1), (30, 1),
-                                                                                    (10, 0), (20, 0)]
+    assert [(b.time, b.importance) for b in line.add(Batch(50, 0, points(60)))] == [
+        (30, 2),
+        (10, 1),
+        (20, 1),
+        (30, 1),
+        (10, 0),
+        (20, 0),
+    ]
     assert line.size == 100 and line.dropped == 80
 
 
@@ -126,7 +139,7 @@
         line.add(Batch(time, 1, points(10)))
     line.add(Batch(60, 0, points(10)))
     assert line.take(0, 60).time == 60
-    assert line.take(0, 60).time == 10      # one batch may be taken ahead of the pace
+    assert line.take(0, 60).time == 10  # one batch may be taken ahead of the pace
     assert line.take(0, 60) is None
     assert line.next(0) == SECOND + 1
     assert line.take(SECOND + 1, 60).time == 20
@@ -142,7 +155,7 @@
     assert (first.time, second.time) == (30, 10)
     line.broken()
     assert [b.time for b in line.waiting[1]] == [10, 20, 30] and line.size == 30
-    assert [b.time for b in line.give_up()] == [20]         # the other two may be there in part
+    assert [b.time for b in line.give_up()] == [20]  # the other two may be there in part
 
 
 def test_what_the_system_took_long_ago_is_received():
@@ -156,8 +169,16 @@
     assert not any(line.waiting)
 
 
-@given(st.lists(st.tuples(st.sampled_from(["add", "take", "drained", "broken", "give_up", "old"]), st.integers(0, 2),
-                          st.integers(1, 40)), max_size=60))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["add", "take", "drained", "broken", "give_up", "old"]),
+            st.integers(0, 2),
+            st.integers(1, 40),
+        ),
+        max_size=60,
+    )
+)
 @settings(max_examples=150, deadline=None)
 def test_the_bound_holds_and_no_point_is_lost_uncounted(steps):
     line, now, added, out = backlog(100, 50), 0, 0, 0
@@ -184,6 +205,7 @@
 
 # --- the formats ---
 
+
 def test_plaintext_pieces_end_with_lines_and_names_can_not_break_one():
     assert b"".join(formats.slices("plaintext", 60, [("a.b", 1.0), ("c", 2.5)])) == b"a.b 1 60\nc 2.5 60\n"
     for piece in formats.slices("plaintext", 60, points(999)):
@@ -194,6 +216,7 @@
 def test_pickle_frames_are_whole():
     import pickle
     import struct
+
     seen = []
     for frame in formats.slices("pickle", 60, points(1200)):
         assert struct.unpack("!L", frame[:4])[0] == len(frame) - 4
--- a/tests/test_graphite_sockets.py
+++ b/tests/test_graphite_sockets.py
@@ -1,4 +1,5 @@
 """Receivers that stall, crawl, reset and refuse, on real sockets of loopback; the clock is the test's."""
+
 import asyncio
 import errno
 import os
@@ -25,11 +26,22 @@
 
     def __init__(self, resolve=None, **table):
         self.now, self.deadlines, self.counters = START * SECOND, Deadlines(), Counters()
-        self.background = Background(Agenda(1000, 50_000, 900_000, SECOND), lambda: self.now,
-                                     lambda at: self.deadlines.set("background", at), lambda: False, self.counters)
-        self.service = Graphite(Table(**table), random.Random(5), loop=asyncio.get_running_loop(), clock=lambda: self.now,
-                                again=lambda receiver, at: self.deadlines.set(receiver, at), background=self.background,
-                                resolve=resolve)
+        self.background = Background(
+            Agenda(1000, 50_000, 900_000, SECOND),
+            lambda: self.now,
+            lambda at: self.deadlines.set("background", at),
+            lambda: False,
+            self.counters,
+        )
+        self.service = Graphite(
+            Table(**table),
+            random.Random(5),
+            loop=asyncio.get_running_loop(),
+            clock=lambda: self.now,
+            again=lambda receiver, at: self.deadlines.set(receiver, at),
+            background=self.background,
+            resolve=resolve,
+        )
 
     def due(self):
         for key in self.deadlines.due(self.now):
@@ -89,6 +101,7 @@
         assert times == [START // 10 * 10 + 10 * n for n in range(3)]
         assert all(len(c.points) == 150 and not c.twice and not c.bad for c in carbons)
         await rig.ends(*carbons)
+
     run(test())
 
 
@@ -102,6 +115,7 @@
         def step():
             times.append(rig.measure(4000))
             states.add(rig.state(carbon.address))
+
         await rig.passes(60, 10, step)
         assert decisions.STALLED in states
         await rig.passes(40)
@@ -109,6 +123,7 @@
         await rig.until(lambda: all(sent(carbon, time, 4000) for time in times))
         assert not carbon.bad
         await rig.ends(carbon)
+
     run(test())
 
 
@@ -125,10 +140,13 @@
         await rig.passes(300, 5, lambda: rig.measure(4000))
         assert before < rig.backlog(carbon.address).size <= 100_000 and rig.backlog(carbon.address).dropped
         await rig.ends(carbon)
+
     run(test())
 
 
-@pytest.mark.parametrize("protocol, way", [("pickle", Reset), ("plaintext", Reset), ("pickle", Close), ("plaintext", Close)])
+@pytest.mark.parametrize(
+    "protocol, way", [("pickle", Reset), ("plaintext", Reset), ("pickle", Close), ("plaintext", Close)]
+)
 def test_a_connection_that_ends_in_a_frame_costs_no_point_and_cuts_none_in_two(protocol, way):
     async def test():
         carbon = await Carbon([way(after=n) for n in (1, 700, 3000)] + [Take()], protocol).start()
@@ -139,8 +157,9 @@
             await rig.passes(30)
         await rig.until(lambda: all(sent(carbon, time, 200) for time in times))
         assert carbon.connections >= 4 and carbon.cut and not carbon.bad
-        assert len(carbon.points) == 6 * 200        # some came twice, at the same time and path: one point
+        assert len(carbon.points) == 6 * 200  # some came twice, at the same time and path: one point
         await rig.ends(carbon)
+
     run(test())
 
 
@@ -159,10 +178,13 @@
         now = rig.measure(50, of="now")
         await rig.until(lambda: sent(carbon, now, of="now"))
         order = list(dict.fromkeys(t for p, t in carbon.points if ".a." in p))
-        assert order[1:] == sorted(order[1:]) and order[0] == times[-1]     # the newest held, then from the oldest on
+        assert (
+            order[1:] == sorted(order[1:]) and order[0] == times[-1]
+        )  # the newest held, then from the oldest on
         await rig.passes(60)
         await rig.until(lambda: all(sent(carbon, t) for t in times[-20:]))
         await rig.ends(carbon)
+
     run(test())
 
 
@@ -173,6 +195,7 @@
         async def resolve(host, port):
             asked.append(host)
             return [("127.0.0.2", 1), ("127.0.0.3", 1), ("127.0.0.1", carbon.port)]
+
         rig = Rig(resolve, receivers=[f"graphite.example:{carbon.port}"])
         time = rig.measure()
         await rig.until(lambda: sent(carbon, time))
@@ -180,12 +203,14 @@
 
         async def nothing(host, port):
             raise OSError("no such name")
+
         for outlet in rig.service.outlets.values():
             outlet.resolve = nothing
         await carbon.stop()
         rig.measure()
         await rig.until(lambda: rig.state(f"graphite.example:{carbon.port}") == decisions.RESTING)
         await rig.ends()
+
     run(test())
 
 
@@ -193,12 +218,14 @@
     async def test():
         async def hangs(host, port):
             await asyncio.Event().wait()
+
         rig = Rig(hangs, receivers=["graphite.example:2003"])
         await rig.until(lambda: rig.state("graphite.example:2003") == decisions.DIALLING)
         await rig.passes(4)
         assert rig.state("graphite.example:2003") in (decisions.RESTING, decisions.DIALLING)
         assert rig.service.outlets["graphite.example:2003"].decisions.failures
         await rig.ends()
+
     run(test())
 
 
@@ -212,6 +239,7 @@
             for _ in range(times_more):
                 times.append(rig.measure(300))
                 await rig.passes(10)
+
         await measure(3)
         shares = [{p for p, _ in c.points} for c in carbons]
         assert all(len(s) > 60 for s in shares) and not shares[0] & shares[1]
@@ -224,26 +252,33 @@
         for carbon, share in zip(carbons, shares):
             assert {p for p, t in carbon.points if t == times[-1]} == share
         held = [point for c in carbons for point in c.points]
-        assert len(held) == len(set(held)) == 300 * len(times)     # none missing, none at two receivers
+        assert len(held) == len(set(held)) == 300 * len(times)  # none missing, none at two receivers
         await rig.ends(*carbons)
+
     run(test())
 
 
 @pytest.mark.parametrize("route", ["all", "hash"])
 def test_a_reload_that_moves_the_receiver_while_its_buffer_is_full_hands_on_what_waits(route):
     async def test():
-        dead, stays, new = await Carbon([Stall()], buffer=2048).start(), await Carbon().start(), await Carbon().start()
+        dead, stays, new = (
+            await Carbon([Stall()], buffer=2048).start(),
+            await Carbon().start(),
+            await Carbon().start(),
+        )
         await dead.stop()
         rig = Rig(receivers=[dead.address, stays.address], route=route, buffer_points=1000, every_s=1)
-        for _ in range(30 if route == "all" else 4):        # by share, a longer absence would have moved it already
+        for _ in range(30 if route == "all" else 4):  # by share, a longer absence would have moved it already
             rig.measure(100 if route == "all" else 700)
             await rig.passes(0.2, 0.2)
             rig.now += 10 * SECOND if route == "all" else 2 * SECOND
         waits = rig.backlog(dead.address).size
         assert waits > 200
         link = rig.service.outlets[stays.address].link
-        rig.service.renew(Table(receivers=[stays.address, new.address], route=route, buffer_points=1000, every_s=1))
-        assert rig.service.outlets[stays.address].link is link      # a receiver that stays is not dialled anew
+        rig.service.renew(
+            Table(receivers=[stays.address, new.address], route=route, buffer_points=1000, every_s=1)
+        )
+        assert rig.service.outlets[stays.address].link is link  # a receiver that stays is not dialled anew
         await rig.passes(30)
         await rig.until(lambda: not any(rig.backlog(a).waiting[1] for a in (stays.address, new.address)))
         if route == "all":
@@ -252,11 +287,13 @@
             await rig.until(lambda: len(new.points) + len(stays.points) >= waits)
             assert not set(new.points) & set(stays.points)
         await rig.ends(stays, new)
+
     run(test())
 
 
 # --- the spool ---
 
+
 class Full(Files):
     full = True
 
@@ -280,7 +317,7 @@
             outlet = rig.service.outlets[carbon.address]
             await rig.until(lambda: not outlet.spool_busy)
         rig.service.thread.submit(lambda: None).result()
-        return carbon.port, times      # no closing: as after a kill
+        return carbon.port, times  # no closing: as after a kill
 
     port, times = run(first())
     assert list(tmp_path.rglob("*.segment"))
@@ -295,8 +332,9 @@
         await rig.until(lambda: sent(carbon, now, 10, of="now"))
         await rig.until(lambda: all(sent(carbon, t, 100) for t in times[:-1]))
         await rig.passes(30)
-        await rig.until(lambda: not list(tmp_path.rglob("*.segment")))     # sent and received: nothing is kept
+        await rig.until(lambda: not list(tmp_path.rglob("*.segment")))  # sent and received: nothing is kept
         await rig.ends(carbon)
+
     run(second())
 
 
@@ -319,4 +357,5 @@
         rig.measure(100)
         await rig.until(lambda: outlet.backlog.size <= 200)
         await rig.ends()
+
     run(test())
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,5 @@
 """The journal: what was acknowledged is there after a kill, a loss of power, a full disk; damage is refused by place."""
+
 import errno
 import os
 import random
@@ -47,10 +48,10 @@
         return handle
 
     def write(self, handle, data):
-        if self.off or self.steps + 1 == self.lose_at:      # a part of it comes to the disk
-            super().write(handle, data[:self.chance.randrange(len(data) + 1)])
+        if self.off or self.steps + 1 == self.lose_at:  # a part of it comes to the disk
+            super().write(handle, data[: self.chance.randrange(len(data) + 1)])
         self._step("write")
-        return super().write(handle, data[:max(1, len(data) // 2)] if self.chance.random() < 0.3 else data)
+        return super().write(handle, data[: max(1, len(data) // 2)] if self.chance.random() < 0.3 else data)
 
     def sync(self, handle):
         self._step("sync")
@@ -100,7 +101,7 @@
         again = Journal(folder, WHO)
         extra = {k: v for k, v in again.map.items() if acknowledged.get(k) != v}
         assert all(again.map.get(k, -1) >= v for k, v in acknowledged.items()), step
-        assert len(extra) <= 2      # the one write that was under way may be there
+        assert len(extra) <= 2  # the one write that was under way may be there
         again.append([("after", 1)])
         again.close()
 
@@ -144,7 +145,7 @@
     (path,) = tmp_path.glob("*.segment")
     data = path.read_bytes()
     for at in (200, 400):
-        path.write_bytes(data[:at] + bytes([data[at] ^ 255]) + data[at + 1:])
+        path.write_bytes(data[:at] + bytes([data[at] ^ 255]) + data[at + 1 :])
         with pytest.raises(Damaged, match=r"000000000001.segment: \d+ octets from \d+ on are damaged"):
             Journal(tmp_path, WHO)
     path.write_bytes(data[:-5])
@@ -191,12 +192,15 @@
 
 
 def test_a_kill_at_any_moment_leaves_what_was_acknowledged(tmp_path):
-    program = ("import sys\nfrom pathlib import Path\nfrom ravenshelf.store import journal\njournal.COMPACT_AT = 3000\n"
-               "j = journal.Journal(Path(sys.argv[1]), {'cluster': 'a', 'member': 'c0'})\n"
-               "for n in range(10**6):\n    j.append([(n % 9, n)])\n    print(n, flush=True)\n")
+    program = (
+        "import sys\nfrom pathlib import Path\nfrom ravenshelf.store import journal\njournal.COMPACT_AT = 3000\n"
+        "j = journal.Journal(Path(sys.argv[1]), {'cluster': 'a', 'member': 'c0'})\n"
+        "for n in range(10**6):\n    j.append([(n % 9, n)])\n    print(n, flush=True)\n"
+    )
     for after in (3, 90, 400):
-        process = subprocess.Popen([sys.executable, "-c", program, str(tmp_path / str(after))], cwd=ROOT,
-                                   stdout=subprocess.PIPE)
+        process = subprocess.Popen(
+            [sys.executable, "-c", program, str(tmp_path / str(after))], cwd=ROOT, stdout=subprocess.PIPE
+        )
         for _ in range(after):
             last = int(process.stdout.readline())
         process.kill()
@@ -205,7 +209,9 @@
         last = rest[-1] if rest else last
         found = Journal(tmp_path / str(after), WHO).map
         assert last <= max(found.values()) <= last + 1
-        assert sorted(v for v in found.values() if v <= last)[-min(8, last):] == list(range(last - min(8, last) + 1, last + 1))
+        assert sorted(v for v in found.values() if v <= last)[-min(8, last) :] == list(
+            range(last - min(8, last) + 1, last + 1)
+        )
 
 
 def test_commits_are_answered_in_order_and_go_to_disk_in_groups(tmp_path):
@@ -225,9 +231,15 @@
     journal.close()
 
     def run(*words):
-        return subprocess.run([sys.executable, "-m", "ravenshelf", "store", *words], cwd=ROOT, capture_output=True, text=True)
+        return subprocess.run(
+            [sys.executable, "-m", "ravenshelf", "store", *words], cwd=ROOT, capture_output=True, text=True
+        )
+
     assert msgspec.json.decode(run("verify", str(tmp_path), "--json").stdout)["entries"] == 2
-    assert run("dump", str(tmp_path)).stdout.splitlines() == ['{"key": 0, "value": 48}', '{"key": 1, "value": 49}']
+    assert run("dump", str(tmp_path)).stdout.splitlines() == [
+        '{"key": 0, "value": 48}',
+        '{"key": 1, "value": 49}',
+    ]
     assert "2 entries" in run("compact", str(tmp_path)).stdout
     (path,) = tmp_path.glob("*.segment")
     path.write_bytes(path.read_bytes()[:40] + b"xxxx" + path.read_bytes()[44:])
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,5 @@
 """Several controllers: the machine under seeded faults, its deliberate breaks, and the parts around it."""
+
 import random
 from multiprocessing import Pool
 
@@ -21,6 +22,7 @@
 
 # --- schedules ---
 
+
 def play(day):
     seed, count, extreme = day
     return seed, check(World(seed, count, extreme=extreme).run(), BOUND)
@@ -28,8 +30,11 @@
 
 def test_no_schedule_of_faults_breaks_a_rule():
     """500 days of 3, 5 and 7 controllers; on every fourth clocks run apart as far as they may."""
-    days = [(seed, count, seed % 4 == 0) for count, seeds in ((3, range(380)), (5, range(1000, 1100)), (7, range(2000, 2020)))
-            for seed in seeds]
+    days = [
+        (seed, count, seed % 4 == 0)
+        for count, seeds in ((3, range(380)), (5, range(1000, 1100)), (7, range(2000, 2020)))
+        for seed in seeds
+    ]
     with Pool() as pool:
         broken = [(seed, found[0]) for seed, found in pool.imap_unordered(play, days, 8) if found]
     assert not broken
@@ -60,7 +65,14 @@
 def first_found(name, most):
     """The first day on which the checker sees a deliberate break, or None."""
     with Pool() as pool:
-        return next((seed for seed, found in pool.imap(broken_day, [(seed, name) for seed in range(most)], 8) if found), None)
+        return next(
+            (
+                seed
+                for seed, found in pool.imap(broken_day, [(seed, name) for seed in range(most)], 8)
+                if found
+            ),
+            None,
+        )
 
 
 @pytest.mark.parametrize("name", BREAKS)
@@ -80,6 +92,7 @@
 
 # --- one member by hand ---
 
+
 class Sent:
     def __init__(self):
         self.messages, self.kept, self.states = [], [], []
@@ -138,10 +151,10 @@
     assert member.may_order(trio.now, 0) == GRANTING
     assert all(m.may_order(trio.now, 0) is None for m in trio.members if m is not member)
     seq = member.write(trio.now, 0, b"r", trio.out[owner])
-    assert member.may_order(trio.now, 0, seq) is None       # not on record yet
+    assert member.may_order(trio.now, 0, seq) is None  # not on record yet
     trio.carry()
     assert member.may_order(trio.now, 0, seq) == GRANTING
-    assert member.may_order(trio.now + trio.ways.lease, 0, seq) is None      # one that wakes after its lease
+    assert member.may_order(trio.now + trio.ways.lease, 0, seq) is None  # one that wakes after its lease
 
 
 def test_without_a_majority_known_things_are_kept_and_nothing_new_is_granted():
@@ -150,9 +163,13 @@
     trio.alone(owner)
     member = trio.members[owner]
     trio.passes(2)
-    assert member.claims[0].state == LAPSED and member.may_order(trio.now, 0) is None   # it may have stood still
+    assert (
+        member.claims[0].state == LAPSED and member.may_order(trio.now, 0) is None
+    )  # it may have stood still
     trio.passes(4)
-    assert member.may_order(trio.now, 0) == KEEPING and member.write(trio.now, 0, b"x", trio.out[owner]) is None
+    assert (
+        member.may_order(trio.now, 0) == KEEPING and member.write(trio.now, 0, b"x", trio.out[owner]) is None
+    )
     (successor,) = [n for n in trio.owners(0) if n != owner]
     assert trio.members[successor].claims[0].term > member.claims[0].term
     trio.cut.clear()
@@ -176,7 +193,7 @@
     (owner,) = trio.owners(0)
     for other in range(3):
         if other != owner:
-            trio.cut.add((owner, other))        # it hears all and is heard by none
+            trio.cut.add((owner, other))  # it hears all and is heard by none
     trio.passes(5)
     assert len(trio.owners(0)) == 1 and owner not in trio.owners(0)
 
@@ -211,7 +228,7 @@
     trio.out[2] = Sent()
     trio.cut |= {(0, 2), (2, 0)}
     trio.passes(3)
-    assert new.recovering       # one of two others is no majority of three
+    assert new.recovering  # one of two others is no majority of three
     trio.cut.clear()
     trio.passes(1)
     assert not new.recovering and all(v.promised >= p for v, p in zip(new.votes, promised))
@@ -253,9 +270,12 @@
     lost = data.draw(st.sampled_from(sorted(weights)))
     left = {m: w for m, w in weights.items() if m != lost}
     after = dividing.divide([None if m == lost else m for m in owners], left)
-    assert [a for a, b in zip(after, owners) if b != lost] == [b for b in owners if b != lost] or \
-        any(owners.count(m) > dividing.bounds(shards, left)[m] for m in left) or _few(owners, after, lost, left, shards)
-    assert dividing.divide(after, left) == after        # settled: nobody moves without a cause
+    assert (
+        [a for a, b in zip(after, owners) if b != lost] == [b for b in owners if b != lost]
+        or any(owners.count(m) > dividing.bounds(shards, left)[m] for m in left)
+        or _few(owners, after, lost, left, shards)
+    )
+    assert dividing.divide(after, left) == after  # settled: nobody moves without a cause
 
 
 def _few(owners, after, lost, left, shards):
@@ -279,10 +299,20 @@
 
 # --- records ---
 
+
 def test_a_record_of_a_later_version_keeps_what_this_program_does_not_know():
     import msgspec
-    later = msgspec.msgpack.encode({"v": 3, "tries": {"k": 1}, "levels": {"read": [5.0, 1]}, "drains": {}, "ramps": {},
-                                    "quotas": {"t": 7}})
+
+    later = msgspec.msgpack.encode(
+        {
+            "v": 3,
+            "tries": {"k": 1},
+            "levels": {"read": [5.0, 1]},
+            "drains": {},
+            "ramps": {},
+            "quotas": {"t": 7},
+        }
+    )
     record = Record.unpack(later)
     record.tries["k2"] = 1
     said = msgspec.msgpack.decode(record.pack())
@@ -300,6 +330,7 @@
 
 # --- the gate ---
 
+
 def test_what_allows_more_waits_for_the_record_and_what_comes_later_waits_behind_it():
     gate = ShardGate(Record())
     assert not gate.offer(1, "table", Needs())
@@ -311,7 +342,7 @@
     gate.wrote(grown, 1)
     assert not gate.leave(0, lambda h: True)
     assert [h.message for h in gate.leave(1, lambda h: True)] == ["level", "table2"]
-    assert not gate.offer(1, "again", Needs(levels=[("read", 40.0, 1)]))    # no more than is on record
+    assert not gate.offer(1, "again", Needs(levels=[("read", 40.0, 1)]))  # no more than is on record
     assert gate.leave(1, lambda h: True) and not len(gate)
 
 
@@ -320,7 +351,7 @@
     gate.offer(1, "a", Needs())
     gate.offer(1, "b", Needs(drains=[("s", 4)]))
     assert gate.leave(0, lambda h: False) == [] and len(gate) == 2
-    assert gate.renew(Record())         # the new term's record lacks the drain
+    assert gate.renew(Record())  # the new term's record lacks the drain
     gate.wrote(gate.grow({}), 2)
     assert [h.message for h in gate.leave(2, lambda h: True)] == ["a", "b"] and gate.record.drains == {"s": 4}
     assert gate.returned(["s"]) and not gate.record.drains and not gate.returned(["s"])
@@ -335,6 +366,7 @@
 
 # --- what is inherited ---
 
+
 def test_a_successor_lets_in_step_by_step_what_was_refused():
     inherited = Inherited(0, Record(levels={"read": (40.0, 1), "pay": (OPEN, 1)}), 5)
     assert inherited.level(0, "read", 1e6) == 40 and inherited.level(OPENS_EVERY, "read", 1e6) == 50
@@ -354,12 +386,25 @@
 
 
 def test_the_checker_needs_little_to_be_broken():
-    assert [r for r, _, _ in check([(1.0, "left", 0, 0, 70, "granting", ("bind",)),
-                                    (2.0, "left", 1, 0, 65, "granting", ("bind",))], 1)] == ["one granter"]
-    assert [r for r, _, _ in check([(1.0, "took", 0, 0, 70, ("out", "s", 3)), (2.0, "took", 0, 1, 135, ("back", "s", 3))],
-                                   1)] == ["drain dropped"]
-    assert [r for r, _, _ in check([(1.0, "owner", 0, 0), (2.0, "lost", 0), (2.5, "whole"), (9.0, "took", 0, 1, 1, ("bind",))],
-                                   3)] == ["takeover late"]
+    assert [
+        r
+        for r, _, _ in check(
+            [(1.0, "left", 0, 0, 70, "granting", ("bind",)), (2.0, "left", 1, 0, 65, "granting", ("bind",))],
+            1,
+        )
+    ] == ["one granter"]
+    assert [
+        r
+        for r, _, _ in check(
+            [(1.0, "took", 0, 0, 70, ("out", "s", 3)), (2.0, "took", 0, 1, 135, ("back", "s", 3))], 1
+        )
+    ] == ["drain dropped"]
+    assert [
+        r
+        for r, _, _ in check(
+            [(1.0, "owner", 0, 0), (2.0, "lost", 0), (2.5, "whole"), (9.0, "took", 0, 1, 1, ("bind",))], 3
+        )
+    ] == ["takeover late"]
     assert ENDS > 0
 
 
@@ -370,6 +415,8 @@
 
 def test_a_lower_level_that_has_left_is_what_a_successor_begins_from():
     gate = ShardGate(Record(levels={"read": (1e6, 2)}))
-    assert not gate.offer(1, "refuse", Needs(levels=[("read", 40.0, 1)]))     # the record allows more: it leaves at once
+    assert not gate.offer(
+        1, "refuse", Needs(levels=[("read", 40.0, 1)])
+    )  # the record allows more: it leaves at once
     left = gate.leave(0, lambda held: True)
     assert gate.lowered(left).levels == {"read": (40.0, 2)} and gate.lowered([]) is None
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -22,7 +22,7 @@
 
 def test_deadlines_come_in_order_and_once():
     deadlines, chance = Deadlines(), random.Random(3)
-    for n in range(2000):       # moved over and over: what no longer counts must not pile up
+    for n in range(2000):  # moved over and over: what no longer counts must not pile up
         deadlines.set(n % 20, chance.randrange(1000, 2000))
     for n in range(20):
         deadlines.set(n, 500 - n)
@@ -42,7 +42,7 @@
         if key == 0:
             deadlines.drop(1)
             deadlines.set(2, 30)
-            deadlines.set("new", 5)     # set meanwhile: it waits for the next call, past as it is
+            deadlines.set("new", 5)  # set meanwhile: it waits for the next call, past as it is
     assert met == [0, 3] and list(deadlines.due(20)) == ["new"] and list(deadlines.due(30)) == [2]
 
 
@@ -65,15 +65,18 @@
     return index, 0, 0, 0, state, 1.0, 0
 
 
-@pytest.mark.parametrize("how, rev, after, taken, left", [
-    ("update", 6, 5, ("update", (entry(0, "gone"),)), [1]),
-    ("update", 9, 4, ("update", (entry(0, "gone"),)), [1]),
-    ("update", 5, 4, None, [0, 1]),         # a watch that a fetched list has overtaken
-    ("update", 7, 6, "gap", [0, 1]),
-    ("replace", 7, None, ("replace", (entry(0, "gone"),)), []),
-    ("replace", 5, None, ("replace", (entry(0, "gone"),)), []),
-    ("replace", 4, None, None, [0, 1]),     # an older list overwrites nothing
-])
+@pytest.mark.parametrize(
+    "how, rev, after, taken, left",
+    [
+        ("update", 6, 5, ("update", (entry(0, "gone"),)), [1]),
+        ("update", 9, 4, ("update", (entry(0, "gone"),)), [1]),
+        ("update", 5, 4, None, [0, 1]),  # a watch that a fetched list has overtaken
+        ("update", 7, 6, "gap", [0, 1]),
+        ("replace", 7, None, ("replace", (entry(0, "gone"),)), []),
+        ("replace", 5, None, ("replace", (entry(0, "gone"),)), []),
+        ("replace", 4, None, None, [0, 1]),  # an older list overwrites nothing
+    ],
+)
 def test_the_list_is_followed_by_version(how, rev, after, taken, left):
     listing = Listing(lambda: 0, lambda index: False)
     listing.names = ["s-1", "s-2"]
@@ -106,10 +109,11 @@
             sent.line(0, index, 1.0)
             sent.bind(proxy, 0)
         return [(proxy, parts[0].out, parts[0].back) for proxy, parts in sent.messages()]
+
     listing.take("replace", 1, [entry(listing.endpoint("s-1"))], {})
     sent.joined(1, True)
     assert told(0) == [(1, [], [])]
-    sent.joined(2, True)        # holds a table of which nothing is known yet: it is told to shut s-1 out
+    sent.joined(2, True)  # holds a table of which nothing is known yet: it is told to shut s-1 out
     sent.bench(0, True)
     sent.line(0, 7, 1.0)
     sent.line(0, 0, 0)
@@ -118,13 +122,17 @@
     now[0] += REST
     assert listing.endpoint("s-2") == 0
     listing.take("update", 3, [entry(0)], {})
-    assert told(0) == [(1, [], []), (2, [], [])]        # nobody ever shut out s-2
+    assert told(0) == [(1, [], []), (2, [], [])]  # nobody ever shut out s-2
     listing.take("update", 4, [entry(listing.endpoint("s-1"))], {})
-    assert listing.index["s-1"] == 1 and told(1) == [(1, [], [1]), (2, [], [1])]    # somebody may shut out s-1 still
+    assert listing.index["s-1"] == 1 and told(1) == [
+        (1, [], [1]),
+        (2, [], [1]),
+    ]  # somebody may shut out s-1 still
 
 
 # --- the writer ---
 
+
 @pytest.fixture
 def sent():
     """Table 0 holds endpoints 0 and 1; proxy 1 is bound to it, proxy 2 to table 1 with endpoint 2 alone."""
@@ -146,14 +154,19 @@
 
 
 def test_a_bind_is_the_whole_table_as_the_round_leaves_it(sent):
-    assert sent.first == [(1, [Part(whole=True, lines=[(0, 1.5), (1, 1.5)], ticket=3)]),
-                          (2, [Part(whole=True, lines=[(2, 1.0)], ticket=3)])]
+    assert sent.first == [
+        (1, [Part(whole=True, lines=[(0, 1.5), (1, 1.5)], ticket=3)]),
+        (2, [Part(whole=True, lines=[(2, 1.0)], ticket=3)]),
+    ]
     assert said(sent) == {}
     sent.joined(3, True)
     sent.line(0, 4, 2.0)
     sent.bind(3, 0)
     sent.line(0, 0, 0)
-    assert said(sent) == {1: [Part(lines=[(4, 2.0), (0, 0.0)])], 3: [Part(whole=True, lines=[(1, 1.5), (4, 2.0)])]}
+    assert said(sent) == {
+        1: [Part(lines=[(4, 2.0), (0, 0.0)])],
+        3: [Part(whole=True, lines=[(1, 1.5), (4, 2.0)])],
+    }
 
 
 def test_changes_go_to_bound_proxies_alone_and_end_with_the_stream(sent):
@@ -162,7 +175,7 @@
     sent.left(2)
     sent.joined(2, False)
     sent.line(1, 2, 4.0)
-    sent.bind(9, 1)         # has left
+    sent.bind(9, 1)  # has left
     assert said(sent) == {}
 
 
@@ -178,12 +191,20 @@
     sent.level(0, 1, 5.0, 2)
     assert said(sent) == {1: [Part((0,), level=(5.0, 2))]}
     sent.level(EVERYWHERE, 0, 3.0, 1)
-    assert said(sent) == {1: [Part((0,), level=(3.0, 2)), Part((1,), level=(3.0, 1))], 2: [Part(level=(3.0, 1))]}
+    assert said(sent) == {
+        1: [Part((0,), level=(3.0, 2)), Part((1,), level=(3.0, 1))],
+        2: [Part(level=(3.0, 1))],
+    }
     sent.bind(2, 0)
-    assert said(sent) == {2: [Part(whole=True, lines=[(0, 1.5), (1, 1.5)]), Part((0,), level=(3.0, 2)),
-                              Part((1,), level=(3.0, 1))]}
+    assert said(sent) == {
+        2: [
+            Part(whole=True, lines=[(0, 1.5), (1, 1.5)]),
+            Part((0,), level=(3.0, 2)),
+            Part((1,), level=(3.0, 1)),
+        ]
+    }
     sent.joined(4, True)
-    sent.level(EVERYWHERE, 0, 2.0, 0)       # reaches whom no table was given yet
+    sent.level(EVERYWHERE, 0, 2.0, 0)  # reaches whom no table was given yet
     assert said(sent)[4] == [Part(level=(2.0, 0))]
 
 
@@ -205,7 +226,7 @@
     sent.joined(3, True)
     sent.bench(0, True)
     assert said(sent) == {1: [Part(out=[0])], 3: [Part(out=[0])]}
-    sent.bench(0, True)     # it has been said
+    sent.bench(0, True)  # it has been said
     assert said(sent) == {}
     sent.bench(0, False)
     assert said(sent) == {1: [Part(back=[0])], 3: [Part(back=[0])]}
@@ -220,14 +241,14 @@
     sent.bench(2, False)
     said(sent)
     sent.line(1, 2, 1.0)
-    assert said(sent) == {p: [Part(lines=[(2, 1.0)])] for p in (1, 2)}      # they have let it back already
+    assert said(sent) == {p: [Part(lines=[(2, 1.0)])] for p in (1, 2)}  # they have let it back already
 
 
 def test_what_leaves_the_table_at_once_needs_no_withdrawal(sent):
     sent.bench(0, True)
     sent.line(0, 0, 0)
     assert said(sent) == {1: [Part(lines=[(0, 0.0)])]}
-    sent.line(0, 0, 1.0)            # a line of what is withdrawn says so
+    sent.line(0, 0, 1.0)  # a line of what is withdrawn says so
     assert said(sent) == {1: [Part(lines=[(0, 1.0)], out=[0])]}
     sent.bench(0, False)
     assert said(sent) == {1: [Part(back=[0])]}
@@ -236,7 +257,7 @@
 def test_what_was_shut_out_on_an_earlier_stream_is_let_back(sent):
     sent.bench(0, True)
     said(sent)
-    for fresh in (False, True):     # fresh speaks of tables, not of withdrawals
+    for fresh in (False, True):  # fresh speaks of tables, not of withdrawals
         sent.left(1)
         sent.bench(0, False)
         sent.joined(1, fresh)
@@ -244,9 +265,11 @@
         assert said(sent)[1] == [Part(whole=True, lines=[(0, 1.5), (1, 1.5)], back=[0])]
 
 
-@pytest.mark.parametrize("alone, proxy, fresh, doubts", [
-    (True, 5, True, []), (True, 5, False, [0, 1]), (True, 1, False, []), (False, 1, False, [0, 1])],
-    ids=["fresh", "after a restart of the pilot", "known, no other pilot", "may have been at another pilot"])
+@pytest.mark.parametrize(
+    "alone, proxy, fresh, doubts",
+    [(True, 5, True, []), (True, 5, False, [0, 1]), (True, 1, False, []), (False, 1, False, [0, 1])],
+    ids=["fresh", "after a restart of the pilot", "known, no other pilot", "may have been at another pilot"],
+)
 def test_what_may_be_shut_out_by_others_is_let_back_later(sent, alone, proxy, fresh, doubts):
     sent.alone = alone
     sent.left(proxy)
@@ -280,8 +303,16 @@
     assert said(sent)[5] == [Part(whole=True, lines=[(0, 1.5), (1, 1.5)], out=[1])] and sent.doubts(5) == [0]
 
 
-@pytest.mark.parametrize("order", [("line", 0, 1, -1.0), ("line", 0, 1, float("nan")), ("line", 0, 1, float("inf")),
-                                   ("level", 0, 0, -1.0, 1), ("level", 0, 0, 1.0, 4)])
+@pytest.mark.parametrize(
+    "order",
+    [
+        ("line", 0, 1, -1.0),
+        ("line", 0, 1, float("nan")),
+        ("line", 0, 1, float("inf")),
+        ("level", 0, 0, -1.0, 1),
+        ("level", 0, 0, 1.0, 4),
+    ],
+)
 def test_figures_that_no_proxy_takes_are_refused(sent, order):
     with pytest.raises(ValueError):
         getattr(sent, order[0])(*order[1:])
@@ -300,6 +331,7 @@
 
 # --- the writer against the meaning of its orders ---
 
+
 class Obedient:
     """A proxy that does as messages say and keeps what it holds when its stream breaks."""
 
@@ -328,7 +360,7 @@
     for _ in range(60):
         for p, proxy in proxies.items():
             if p not in sent.proxies and chance.random() < 0.5:
-                if not alone:       # another pilot had it meanwhile
+                if not alone:  # another pilot had it meanwhile
                     proxy.obey([Part(out=chance.sample(range(6), 2), back=[])])
                 fresh = p not in sent.past and alone
                 sent.joined(p, fresh)
@@ -336,19 +368,23 @@
             sent.let_back(p, sent.doubts(p))
         for _ in range(chance.randrange(4)):
             table, endpoint = chance.randrange(3), chance.randrange(6)
-            chance.choice([
-                lambda: sent.line(table, endpoint, chance.choice([0, 1.0, 2.5])),
-                lambda: sent.line(table, endpoint, 1.5),
-                lambda: sent.bench(endpoint, chance.random() < 0.6),
-                lambda: sent.bind(chance.randrange(4), table, chance.randrange(4)),
-                lambda: sent.level(chance.choice([table, EVERYWHERE]), chance.randrange(4), chance.random(), 1),
-                lambda: sent.clear(table),
-            ])()
+            chance.choice(
+                [
+                    lambda: sent.line(table, endpoint, chance.choice([0, 1.0, 2.5])),
+                    lambda: sent.line(table, endpoint, 1.5),
+                    lambda: sent.bench(endpoint, chance.random() < 0.6),
+                    lambda: sent.bind(chance.randrange(4), table, chance.randrange(4)),
+                    lambda: sent.level(
+                        chance.choice([table, EVERYWHERE]), chance.randrange(4), chance.random(), 1
+                    ),
+                    lambda: sent.clear(table),
+                ]
+            )()
         lost = chance.choice([*sent.proxies, *[None] * 8])
         for p, parts in sent.messages():
             if p != lost:
                 proxies[p].obey(parts)
-        if lost is not None:        # its stream broke before the message came
+        if lost is not None:  # its stream broke before the message came
             sent.left(lost)
         for p in sent.proxies:
             sent.let_back(p, sent.doubts(p))
@@ -375,7 +411,11 @@
         sent.bind(proxy, proxy % 10)
     assert len(sent.messages()) == len(looked) == 1000
     sent.in_doubt()
-    for order in (lambda: sent.line(3, 77, 1.0), lambda: sent.bench(3, True), lambda: sent.level(3, 0, 2.0, 1)):
+    for order in (
+        lambda: sent.line(3, 77, 1.0),
+        lambda: sent.bench(3, True),
+        lambda: sent.level(3, 0, 2.0, 1),
+    ):
         looked.clear()
         order()
         assert [proxy for proxy, _ in sent.messages()] == list(range(3, 1000, 10)) and len(looked) == 100
@@ -385,5 +425,5 @@
     sent.left(5)
     sent.joined(5, True)
     looked.clear()
-    sent.bench(5, True)     # one that is not bound may hold anything
+    sent.bench(5, True)  # one that is not bound may hold anything
     assert [proxy for proxy, _ in sent.messages()][-1] == 5 and len(looked) == 100
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -17,18 +17,29 @@
 RATE = "RATE proxy=1 class=pay tries=19 failed=0 span_ms=1000.0"
 
 
-@pytest.mark.parametrize("first, line, call", [
-    (None, JOIN, ("joined", (1, 0, 21.5, True))),
-    (None, JOIN + " colour=blue", ("joined", (1, 0, 21.5, True))),
-    (None, JOIN.replace("weight=21.5 ", ""), ("joined", (1, 0, 0.0, True))),
-    ("SOURCE zone=a", LOAD, ("heard", (0, 0, 212, 3, 41_700, 1_000_000, (7.0,)))),
-    ("SOURCE zone=a", LOAD.replace("inflight", "queue"), ("heard", (0, 0, 212, 3, 41_700, 1_000_000, ()))),
-    ("SOURCE zone=a", LOAD.replace("inflight:7", "inflight:x"), ("heard", (0, 0, 212, 3, 41_700, 1_000_000, ()))),
-    ("SOURCE zone=a", LOAD.split(" load")[0], ("heard", (0, 0, 212, 3, 41_700, 1_000_000, ()))),
-    ("SOURCE zone=a", RATE, ("asked", (1, 1, 19, 0, 1_000_000))),
-    (JOIN, RATE, ("asked", (1, 1, 19, 0, 1_000_000))),
-    (JOIN, RATE.replace("19", "0").replace("failed=0", "failed=1"), ("asked", (1, 1, 0, 1, 1_000_000))),
-])
+@pytest.mark.parametrize(
+    "first, line, call",
+    [
+        (None, JOIN, ("joined", (1, 0, 21.5, True))),
+        (None, JOIN + " colour=blue", ("joined", (1, 0, 21.5, True))),
+        (None, JOIN.replace("weight=21.5 ", ""), ("joined", (1, 0, 0.0, True))),
+        ("SOURCE zone=a", LOAD, ("heard", (0, 0, 212, 3, 41_700, 1_000_000, (7.0,)))),
+        (
+            "SOURCE zone=a",
+            LOAD.replace("inflight", "queue"),
+            ("heard", (0, 0, 212, 3, 41_700, 1_000_000, ())),
+        ),
+        (
+            "SOURCE zone=a",
+            LOAD.replace("inflight:7", "inflight:x"),
+            ("heard", (0, 0, 212, 3, 41_700, 1_000_000, ())),
+        ),
+        ("SOURCE zone=a", LOAD.split(" load")[0], ("heard", (0, 0, 212, 3, 41_700, 1_000_000, ()))),
+        ("SOURCE zone=a", RATE, ("asked", (1, 1, 19, 0, 1_000_000))),
+        (JOIN, RATE, ("asked", (1, 1, 19, 0, 1_000_000))),
+        (JOIN, RATE.replace("19", "0").replace("failed=0", "failed=1"), ("asked", (1, 1, 0, 1, 1_000_000))),
+    ],
+)
 def test_messages_become_calls(entry, first, line, call):
     e = entry()
     e.connect(*([first] if first else []), line)
@@ -38,26 +49,49 @@
 SPOILT = ["", "nan", "-3", "[1]", "s-zz", "1e+30", "38654705664"]
 
 
-@pytest.mark.parametrize("first, line", [
-    (None, "HELLO proxy=1"), (None, ""), (None, "\xff\xfe"), (None, "SUBSCRIBE"), (None, "=1 =2"),
-    (None, JOIN.replace("zone=a", "zone=c")), (None, JOIN.replace("zone=a", "")), (None, JOIN + " zone=a"),
-    (None, JOIN.replace("proxy=1", "proxy=4")), (None, JOIN.replace("proxy=1", "proxy=-1")),
-    (None, JOIN.replace("proxy=1", "proxy=1.5")), (None, JOIN.replace("21.5", "nan")),
-    (None, JOIN.replace("21.5", "inf")), (None, JOIN.replace("21.5", "-2")), (None, JOIN.replace("21.5", "1e300")),
-    (None, JOIN.replace("fresh=1", "fresh=yes")), (None, JOIN.replace("=", ":")), (None, "SOURCE zone=z"),
-    (None, LOAD), (None, RATE), (None, "ACK proxy=1 mark=1 took_ms=1"), (JOIN, "SOURCE zone=a"), (JOIN, "HELLO"),
-    (JOIN, "\x82\xc8\xc0"), (JOIN, RATE + " \xff"), (JOIN, JOIN.replace("proxy=1", "proxy=2")),
-    ("SOURCE zone=a", JOIN), ("SOURCE zone=a", "GET / HTTP/1.1"), ("SOURCE zone=a", "CONFIG out=s-1"),
-])
+@pytest.mark.parametrize(
+    "first, line",
+    [
+        (None, "HELLO proxy=1"),
+        (None, ""),
+        (None, "\xff\xfe"),
+        (None, "SUBSCRIBE"),
+        (None, "=1 =2"),
+        (None, JOIN.replace("zone=a", "zone=c")),
+        (None, JOIN.replace("zone=a", "")),
+        (None, JOIN + " zone=a"),
+        (None, JOIN.replace("proxy=1", "proxy=4")),
+        (None, JOIN.replace("proxy=1", "proxy=-1")),
+        (None, JOIN.replace("proxy=1", "proxy=1.5")),
+        (None, JOIN.replace("21.5", "nan")),
+        (None, JOIN.replace("21.5", "inf")),
+        (None, JOIN.replace("21.5", "-2")),
+        (None, JOIN.replace("21.5", "1e300")),
+        (None, JOIN.replace("fresh=1", "fresh=yes")),
+        (None, JOIN.replace("=", ":")),
+        (None, "SOURCE zone=z"),
+        (None, LOAD),
+        (None, RATE),
+        (None, "ACK proxy=1 mark=1 took_ms=1"),
+        (JOIN, "SOURCE zone=a"),
+        (JOIN, "HELLO"),
+        (JOIN, "\x82\xc8\xc0"),
+        (JOIN, RATE + " \xff"),
+        (JOIN, JOIN.replace("proxy=1", "proxy=2")),
+        ("SOURCE zone=a", JOIN),
+        ("SOURCE zone=a", "GET / HTTP/1.1"),
+        ("SOURCE zone=a", "CONFIG out=s-1"),
+    ],
+)
 def test_what_cannot_be_read_ends_its_connection_alone(entry, first, line):
     e = entry()
     other = e.connect(JOIN.replace("proxy=1", "proxy=3"))
     bad = e.connect(*([first] if first else []))
     before = list(e.told)
-    feed(bad, line.encode("latin-1") + b"\r\n" + JOIN.encode() + b"\r\n")     # nothing after it counts either
-    feed(bad, JOIN.encode() + b"\r\n")       # nor does what lay in the socket still
+    feed(bad, line.encode("latin-1") + b"\r\n" + JOIN.encode() + b"\r\n")  # nothing after it counts either
+    feed(bad, JOIN.encode() + b"\r\n")  # nor does what lay in the socket still
     assert bad.end is End.UNREADABLE and bad.transport.ended == "abort" and e.counters["unreadable"] == 1
-    assert e.told[len(before):] == ([("left", (1,))] if first == JOIN else [])
+    assert e.told[len(before) :] == ([("left", (1,))] if first == JOIN else [])
     assert other.end is None and len(e.slots) == 1
 
 
@@ -65,17 +99,35 @@
     return re.sub(rf" {name}=\S+", "" if value is None else f" {name}={value}", line)
 
 
-@pytest.mark.parametrize("first, line", [
-    *[(JOIN, spoil(RATE, name, value)) for name in ("proxy", "class", "tries", "failed", "span_ms") for value in (None, *SPOILT)],
-    *[("SOURCE zone=a", spoil(LOAD, name, value)) for name in ("zone", "tries", "failed", "mean_ms", "span_ms")
-      for value in (None, *SPOILT)],
-    *[(JOIN, spoil("ACK proxy=1 mark=7 took_ms=3.5", name, value)) for name in ("proxy", "mark", "took_ms")
-      for value in (None, *SPOILT)],
-    ("SOURCE zone=a", spoil(LOAD, "server", None)), ("SOURCE zone=a", spoil(LOAD, "zone", "b")),
-    ("SOURCE zone=a", spoil(LOAD, "failed", "213")), ("SOURCE zone=a", spoil(LOAD, "span_ms", "0")),
-    ("SOURCE zone=a", spoil(LOAD, "mean_ms", "90000")), ("SOURCE zone=a", "ACK proxy=1 mark=7 took_ms=1"),
-    (JOIN, "ACK proxy=1 mark=7 took_ms=1500"), (JOIN, "ACK proxy=1 mark=7"), (JOIN, "RATE proxy=1 class=pay trACK proxy=1 mark=7"),
-])
+@pytest.mark.parametrize(
+    "first, line",
+    [
+        *[
+            (JOIN, spoil(RATE, name, value))
+            for name in ("proxy", "class", "tries", "failed", "span_ms")
+            for value in (None, *SPOILT)
+        ],
+        *[
+            ("SOURCE zone=a", spoil(LOAD, name, value))
+            for name in ("zone", "tries", "failed", "mean_ms", "span_ms")
+            for value in (None, *SPOILT)
+        ],
+        *[
+            (JOIN, spoil("ACK proxy=1 mark=7 took_ms=3.5", name, value))
+            for name in ("proxy", "mark", "took_ms")
+            for value in (None, *SPOILT)
+        ],
+        ("SOURCE zone=a", spoil(LOAD, "server", None)),
+        ("SOURCE zone=a", spoil(LOAD, "zone", "b")),
+        ("SOURCE zone=a", spoil(LOAD, "failed", "213")),
+        ("SOURCE zone=a", spoil(LOAD, "span_ms", "0")),
+        ("SOURCE zone=a", spoil(LOAD, "mean_ms", "90000")),
+        ("SOURCE zone=a", "ACK proxy=1 mark=7 took_ms=1"),
+        (JOIN, "ACK proxy=1 mark=7 took_ms=1500"),
+        (JOIN, "ACK proxy=1 mark=7"),
+        (JOIN, "RATE proxy=1 class=pay trACK proxy=1 mark=7"),
+    ],
+)
 def test_a_spoilt_message_is_skipped_and_those_around_it_count(entry, first, line):
     e = entry()
     c = e.connect(first)
@@ -83,9 +135,12 @@
     before = list(e.told)
     good = [RATE] if first == JOIN else [LOAD, RATE]
     feed(c, "".join(s + "\r\n" for s in [*good, line, *good]).encode())
-    assert [name for name, _ in e.told[len(before):]] == ["asked" if s == RATE else "heard" for s in good] * 2
+    assert [name for name, _ in e.told[len(before) :]] == [
+        "asked" if s == RATE else "heard" for s in good
+    ] * 2
     assert c.end is None and sum(n for name, n in e.counters.items() if name.startswith("spoilt_")) == (
-        0 if e.counters["acks_unasked"] or e.counters["stale"] else 1)
+        0 if e.counters["acks_unasked"] or e.counters["stale"] else 1
+    )
 
 
 def test_a_mark_counts_once_in_time(entry):
@@ -97,11 +152,19 @@
     assert e.told[1:] == [("applied", (1, 7, 700_000))] and e.counters["acks_unasked"] == 1
 
 
-@pytest.mark.parametrize("first, piece, end", [
-    (None, b"\x16\x03\x01", End.UNREADABLE), (None, b"GET /", End.UNREADABLE), (None, b"SUBSCRIBE proxy=", None),
-    (None, b"PIN", None), (None, b"PING\r", None), (JOIN, b"\x82\xc8", End.UNREADABLE), (JOIN, b"RATE", None),
-    (JOIN, b"RATEproxy=1 ", End.UNREADABLE),
-])
+@pytest.mark.parametrize(
+    "first, piece, end",
+    [
+        (None, b"\x16\x03\x01", End.UNREADABLE),
+        (None, b"GET /", End.UNREADABLE),
+        (None, b"SUBSCRIBE proxy=", None),
+        (None, b"PIN", None),
+        (None, b"PING\r", None),
+        (JOIN, b"\x82\xc8", End.UNREADABLE),
+        (JOIN, b"RATE", None),
+        (JOIN, b"RATEproxy=1 ", End.UNREADABLE),
+    ],
+)
 def test_what_cannot_become_a_message_is_not_waited_for(entry, first, piece, end):
     c = entry().connect(*([first] if first else []))
     feed(c, piece)
@@ -119,15 +182,22 @@
     e, text = entry(), f"PING\r\n{JOIN}\r\n{RATE}\r\nPING\r\n".encode()
     stream = e.connect()
     for start in range(0, len(text), size):
-        feed(stream, text[start:start + size])
+        feed(stream, text[start : start + size])
     assert [name for name, _ in e.told] == ["joined", "asked"] and stream.transport.written == b"PONG\r\n" * 2
     feed(stream, JOIN[:9].encode())
-    stream.connection_lost(None)        # half a message is none
+    stream.connection_lost(None)  # half a message is none
     assert e.told[-1] == ("left", (1,)) and len(e.slots) == 0
 
 
-@pytest.mark.parametrize("first, size, end", [
-    ((), 4_000, None), ((), 4_100, End.TOO_LONG), ((JOIN,), 1_000_000, None), ((JOIN,), 1_060_000, End.TOO_LONG)])
+@pytest.mark.parametrize(
+    "first, size, end",
+    [
+        ((), 4_000, None),
+        ((), 4_100, End.TOO_LONG),
+        ((JOIN,), 1_000_000, None),
+        ((JOIN,), 1_060_000, End.TOO_LONG),
+    ],
+)
 def test_a_message_without_end_is_cut_off(entry, first, size, end):
     e = entry()
     stream = e.connect(*first)
@@ -152,8 +222,11 @@
     assert new.transport.written == b"x" and not old.transport.written and old.end is None
     feed(old, (RATE + "\r\nACK proxy=1 mark=7 took_ms=5\r\n" + JOIN + "\r\nPING\r\n").encode())
     assert e.told == told and e.counters["stale"] == 3 and old.transport.written == b"PONG\r\n"
-    feed(new, b"ACK proxy=1 mark=8 took_ms=5\r\nACK proxy=1 mark=7 took_ms=5\r\nACK proxy=1 mark=7 took_ms=5\r\n")
-    assert e.told[len(told):] == [("applied", (1, 7, 5000))] and e.counters["acks_unasked"] == 2
+    feed(
+        new,
+        b"ACK proxy=1 mark=8 took_ms=5\r\nACK proxy=1 mark=7 took_ms=5\r\nACK proxy=1 mark=7 took_ms=5\r\n",
+    )
+    assert e.told[len(told) :] == [("applied", (1, 7, 5000))] and e.counters["acks_unasked"] == 2
     old.connection_lost(None)
     assert len(e.told) == len(told) + 1 and e.door.streams == {1: new}
 
@@ -170,7 +243,7 @@
     e = entry()
     stream = e.connect(JOIN, unsent=300_000)
     e.door.write(1, b"x", None)
-    assert stream.end is End.UNREAD and e.told[-1] == ("left", (1, True))    # what waits for it stays counted
+    assert stream.end is End.UNREAD and e.told[-1] == ("left", (1, True))  # what waits for it stays counted
 
 
 @pytest.mark.parametrize("said", [b"", b"PING\r\n", b"SUBSCRIBE proxy=1 zo"])
@@ -191,12 +264,14 @@
     first = e.connect()
     assert old.end is End.CROWDED and e.door.streams == {1: new}
     second = e.connect()
-    assert first.end is None        # it may be about to join
+    assert first.end is None  # it may be about to join
     e.pass_time(1.1)
     third = e.connect()
     assert first.end is End.CROWDED and second.end is None
     more = [e.connect() for _ in range(4)]
-    assert second.end is End.CROWDED and third.end is None and not any(m.end for m in more) and new.end is None
+    assert (
+        second.end is End.CROWDED and third.end is None and not any(m.end for m in more) and new.end is None
+    )
 
 
 def test_a_collector_that_was_followed_goes_when_it_falls_silent(entry):
@@ -210,22 +285,56 @@
     assert old.end is End.SILENT and new.end is None
 
 
-@pytest.mark.parametrize("purpose, end, told", [
-    (STREAM, End.CLOSED, "left"), (STREAM, End.RESET, "left"), (STREAM, End.UNREADABLE, "left"),
-    (STREAM, End.UNREAD, "left"), (STREAM, End.TOO_LONG, "left"), (STREAM, End.STOPPING, None),
-    (COLLECTOR, End.RESET, None), (STRANGER, End.SILENT, None), (WATCH, End.SUPERSEDED, None),
-    (WATCH, End.STOPPING, None), (FETCH, End.ANSWERED, None), (PROBE, End.STOPPING, None),
-    *[(purpose, end, "list_failed") for purpose in (WATCH, FETCH) for end in
-      (End.CLOSED, End.RESET, End.REFUSED, End.SILENT, End.CUT_OFF, End.DECLINED, End.UNREADABLE, End.TOO_LONG)],
-    *[(PROBE, end, "probed") for end in End if end is not End.STOPPING],
-])
+@pytest.mark.parametrize(
+    "purpose, end, told",
+    [
+        (STREAM, End.CLOSED, "left"),
+        (STREAM, End.RESET, "left"),
+        (STREAM, End.UNREADABLE, "left"),
+        (STREAM, End.UNREAD, "left"),
+        (STREAM, End.TOO_LONG, "left"),
+        (STREAM, End.STOPPING, None),
+        (COLLECTOR, End.RESET, None),
+        (STRANGER, End.SILENT, None),
+        (WATCH, End.SUPERSEDED, None),
+        (WATCH, End.STOPPING, None),
+        (FETCH, End.ANSWERED, None),
+        (PROBE, End.STOPPING, None),
+        *[
+            (purpose, end, "list_failed")
+            for purpose in (WATCH, FETCH)
+            for end in (
+                End.CLOSED,
+                End.RESET,
+                End.REFUSED,
+                End.SILENT,
+                End.CUT_OFF,
+                End.DECLINED,
+                End.UNREADABLE,
+                End.TOO_LONG,
+            )
+        ],
+        *[(PROBE, end, "probed") for end in End if end is not End.STOPPING],
+    ],
+)
 def test_each_end_has_one_outcome(purpose, end, told):
     assert outcome(purpose, end) == told
 
 
-@pytest.mark.parametrize("value, text", [
-    (1000.0, "1000"), (0.01, "0.01"), (1e6, "1000000"), (0, "0"), (0.0, "0"), (1 / 3, "0.333333"), (1e-7, "0.0000001"),
-    (1e-30, "0.000000000001"), (123456.75, "123456.75")])
+@pytest.mark.parametrize(
+    "value, text",
+    [
+        (1000.0, "1000"),
+        (0.01, "0.01"),
+        (1e6, "1000000"),
+        (0, "0"),
+        (0.0, "0"),
+        (1 / 3, "0.333333"),
+        (1e-7, "0.0000001"),
+        (1e-30, "0.000000000001"),
+        (123456.75, "123456.75"),
+    ],
+)
 def test_figures_read_back_as_numbers(value, text):
     assert lines.figure(value) == text and (float(text) > 0) == (value > 0)
 
@@ -234,23 +343,36 @@
     parts = [Part((0, 1), True, [(0, 1.5), (1, 0)], None, [1], [0]), Part((1,), level=(0.5, 1), ticket=9)]
     assert lines.config(parts, ["s-1", "s-2"], ["look", "pay"]) == (
         b"CONFIG classes=look+pay whole=1 lines=s-1:1.5,s-2:0 out=s-2 back=s-1 more=1\r\n"
-        b"CONFIG classes=pay level=0.5 retry=1 ticket=9\r\n")
+        b"CONFIG classes=pay level=0.5 retry=1 ticket=9\r\n"
+    )
     assert [p.count() for p in parts] == [5, 2]
     with pytest.raises(ValueError):
         lines.config([Part()] * 65, [], [])
 
 
-@pytest.mark.parametrize("text, columns, report", [
-    ("inflight=7,queue=2,util=0.61", ["cpu", "active"], (0.61, 7.0)),
-    ("inflight=7", ["active", "cpu"], ()), ("inflight=nan", ["active"], ()), ("", ["active"], ()),
-    ("util=0.5,x0=3", ["cpu"], (0.5,)), ("inflight", ["active"], ()),
-    (",".join(f"{word}={n}" for n, word in enumerate(LOAD_WORDS)), list(LOAD_WORDS.values()), tuple(range(6)))])
+@pytest.mark.parametrize(
+    "text, columns, report",
+    [
+        ("inflight=7,queue=2,util=0.61", ["cpu", "active"], (0.61, 7.0)),
+        ("inflight=7", ["active", "cpu"], ()),
+        ("inflight=nan", ["active"], ()),
+        ("", ["active"], ()),
+        ("util=0.5,x0=3", ["cpu"], (0.5,)),
+        ("inflight", ["active"], ()),
+        (
+            ",".join(f"{word}={n}" for n, word in enumerate(LOAD_WORDS)),
+            list(LOAD_WORDS.values()),
+            tuple(range(6)),
+        ),
+    ],
+)
 def test_load_reports_go_by_name(text, columns, report):
     assert lines.load_report(lines.pairs(text, "="), columns) == report
 
 
 # --- HTTP ---
 
+
 def call(piece=None):
     ended, made = [], Wire()
     c = Call(Buffers(), "127.0.0.1:1", "/x", ended.append, piece)
@@ -258,22 +380,29 @@
     return c, ended
 
 
-@pytest.mark.parametrize("said, end, body", [
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", End.ANSWERED, b"hello"),
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n", End.ANSWERED, b"hello"),
-    (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", End.DECLINED, b""),
-    (b"HTTP/1.1 200 OK\r\n\r\nhello", End.ANSWERED, b"hello"),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", End.CUT_OFF, b"hello"),
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhello", End.CUT_OFF, b"hello"),
-    (b"HTTP/1.1 200 OK\r\nTransfer-Enc", End.CUT_OFF, b""),
-    (b"what is this\r\n\r\n", End.UNREADABLE, b""),
-    (b"", End.CUT_OFF, b""),
-])
+@pytest.mark.parametrize(
+    "said, end, body",
+    [
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", End.ANSWERED, b"hello"),
+        (
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n",
+            End.ANSWERED,
+            b"hello",
+        ),
+        (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", End.DECLINED, b""),
+        (b"HTTP/1.1 200 OK\r\n\r\nhello", End.ANSWERED, b"hello"),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", End.CUT_OFF, b"hello"),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhello", End.CUT_OFF, b"hello"),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Enc", End.CUT_OFF, b""),
+        (b"what is this\r\n\r\n", End.UNREADABLE, b""),
+        (b"", End.CUT_OFF, b""),
+    ],
+)
 @pytest.mark.parametrize("size", [1, 10_000])
 def test_answers_whole_or_not(said, end, body, size):
     c, ended = call()
     for start in range(0, len(said), size):
-        feed(c, said[start:start + size])
+        feed(c, said[start : start + size])
     c.eof_received()
     c.connection_lost(None)
     assert ended == [c] and c.end is end and c.body == body
@@ -286,7 +415,7 @@
     assert c.end is End.RESET and len(ended) == 1
     c, ended = call()
     c.close(End.SILENT)
-    feed(c, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")      # too late
+    feed(c, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")  # too late
     assert c.end is End.SILENT and len(ended) == 1 and c.transport.ended == "abort"
     c, ended = call()
     feed(c, b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n" + b"x" * (MOST_BODY + 1))
@@ -301,13 +430,14 @@
         done = asyncio.get_running_loop().create_future()
         Call(Buffers(), f"127.0.0.1:{port}", "/x", done.set_result).dial(asyncio.get_running_loop())
         return await done
+
     assert asyncio.run(refused()).end is End.REFUSED
 
 
 def test_a_watch_gives_its_lines_as_they_come():
     said = []
     c, ended = call(lambda c, line: said.append(line))
-    feed(c, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{\"a\"\r\n")
+    feed(c, b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n{"a"\r\n')
     assert said == []
     feed(c, b"5\r\n:1}\n\n\r\n")
     assert said == [b'{"a":1}', b""] and not ended
@@ -317,8 +447,20 @@
 
 # --- discovery's JSON, datagrams ---
 
-@pytest.mark.parametrize("text", [b"", b"[]", b"{}", b'{"rev":"4","targets":[]}', b'{"rev":4,"targets":{}}', b"{\xff}",
-                                  b'{"rev":true,"targets":[]}', b'{"rev":4,"targets":['])
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        b"",
+        b"[]",
+        b"{}",
+        b'{"rev":"4","targets":[]}',
+        b'{"rev":4,"targets":{}}',
+        b"{\xff}",
+        b'{"rev":true,"targets":[]}',
+        b'{"rev":4,"targets":[',
+    ],
+)
 def test_lists_that_are_none(text):
     with pytest.raises(catalog.Unreadable):
         catalog.Catalog({}, None, None).read(text)
@@ -326,11 +468,22 @@
 
 def test_entries_and_broken_ones():
     names = []
-    read = catalog.Catalog({"zones": ["a", "b"], "kinds": ["m1", "m2"]}, lambda name: names.append(name) or len(names) - 1,
-                           {"s-2": 9}.get)
-    said = [target("s-1", "b", "DRAINING", model="m2", pod_group=3, boot_ms=1500.5, endpoint="10.0.0.1:8080"),
-            target("s-2", state="ASLEEP"), target("s-3", az="z"), target("s 4"), 7, target("s-5", capacity_hint=-1),
-            target("s-6", boot_ms="x"), target("s-7", endpoint=None, colour="blue"), {"uid": "s-8"}]
+    read = catalog.Catalog(
+        {"zones": ["a", "b"], "kinds": ["m1", "m2"]},
+        lambda name: names.append(name) or len(names) - 1,
+        {"s-2": 9}.get,
+    )
+    said = [
+        target("s-1", "b", "DRAINING", model="m2", pod_group=3, boot_ms=1500.5, endpoint="10.0.0.1:8080"),
+        target("s-2", state="ASLEEP"),
+        target("s-3", az="z"),
+        target("s 4"),
+        7,
+        target("s-5", capacity_hint=-1),
+        target("s-6", boot_ms="x"),
+        target("s-7", endpoint=None, colour="blue"),
+        {"uid": "s-8"},
+    ]
     entries, addresses, broken = read.entries(json.loads(json.dumps(said)))
     assert entries == [(0, 1, 1, 3, "draining", 4.0, 1_500_500), (1, 0, 0, 0, "ready", 4.0, 0)]
     assert addresses == {0: "10.0.0.1:8080"} and [index for index, _ in broken] == [9] + 6 * [None]
@@ -338,12 +491,19 @@
 
 def test_datagrams_know_their_senders_by_address():
     told, sent = [], []
-    peers = datagrams.Datagrams(["127.0.0.1:1", "127.0.0.1:2"], "127.0.0.9:3", lambda *said: told.append(said))
+    peers = datagrams.Datagrams(
+        ["127.0.0.1:1", "127.0.0.1:2"], "127.0.0.9:3", lambda *said: told.append(said)
+    )
     assert not peers.send(0, b"too early")
     peers.connection_made(type("Socket", (), {"sendto": lambda self, data, to: sent.append((data, to))})())
     peers.datagram_received(b"hi", ("127.0.0.1", 2))
     peers.datagram_received(b"hi", ("127.0.0.7", 2))
     peers.datagram_received(b"x" * 257, ("127.0.0.1", 2))
     assert told == [(1, b"hi"), (None, b"hi"), (None, b"x" * 257)]
-    assert peers.send(1, b"a") and peers.send(None, b"b") and not peers.send(2, b"c") and not peers.send(0, b"x" * 257)
+    assert (
+        peers.send(1, b"a")
+        and peers.send(None, b"b")
+        and not peers.send(2, b"c")
+        and not peers.send(0, b"x" * 257)
+    )
     assert sent == [(b"a", ("127.0.0.1", 2)), (b"b", ("127.0.0.9", 3))]
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -28,6 +28,7 @@
 
 # --- discovery ---
 
+
 class Asked:
     """A call that was opened; the test says what comes back."""
 
@@ -54,23 +55,41 @@
         self.now = 0
         self.listing = Listing(lambda: self.now, lambda index: False)
         settings = provisioning(SETTINGS)
-        self.listing.take("replace", 5, [(self.listing.endpoint("s-1"), 0, 0, 0, "ready", 4.0, 0)], {0: "127.0.0.1:9"})
+        self.listing.take(
+            "replace", 5, [(self.listing.endpoint("s-1"), 0, 0, 0, "ready", 4.0, 0)], {0: "127.0.0.1:9"}
+        )
 
         def open_call(*said):
             self.calls.append(Asked(*said))
             return self.calls[-1]
 
         def news(name, values):
-            self.told.append((name, *(v if name != "listed" else (v[0], [(e[0], e[4]) for e in v[1]]) for v in [values])
-                              ) if values else (name,))
+            self.told.append(
+                (name, *(v if name != "listed" else (v[0], [(e[0], e[4]) for e in v[1]]) for v in [values]))
+                if values
+                else (name,)
+            )
+
         self.counters = Counters()
-        self.discovery = Discovery(self.listing, Catalog(settings, self.listing.endpoint, self.listing.index.get),
-                                   self.counters, open_call, news, pushed, random.Random(5))
+        self.discovery = Discovery(
+            self.listing,
+            Catalog(settings, self.listing.endpoint, self.listing.index.get),
+            self.counters,
+            open_call,
+            news,
+            pushed,
+            random.Random(5),
+        )
         self.discovery.schedule, self.extended = self.again.append, []
         self.discovery.extend = lambda call, time: self.extended.append(call)
-        self.probes = Probes(settings, self.listing, self.counters, open_call,
-                             lambda name, values: self.told.append((name, values)), lambda: 0)
-
+        self.probes = Probes(
+            settings,
+            self.listing,
+            self.counters,
+            open_call,
+            lambda name, values: self.told.append((name, values)),
+            lambda: 0,
+        )
 
     def watched(self):
         """A watch that has spoken: of s-2, in version 6."""
@@ -92,13 +111,19 @@
     watch.piece(watch, b"")
     watch.says(8, target("s-1", state="DELETED"), target("s-2"))
     watch.close(End.RESET)
-    assert service.extended == [watch] * 3      # each line, an empty one too, moves the deadline for silence
-    assert service.told == [("listed", ("update", [(0, "draining")])),
-                            ("listed", ("update", [(0, "gone"), (1, "ready")])), ("list_failed",)]
-
-
-@pytest.mark.parametrize("first", [lambda w: w.piece(w, b""), lambda w: w.says(5), lambda w: w.says(3, all=True)],
-                         ids=["an empty line", "no change", "an older list"])
+    assert service.extended == [watch] * 3  # each line, an empty one too, moves the deadline for silence
+    assert service.told == [
+        ("listed", ("update", [(0, "draining")])),
+        ("listed", ("update", [(0, "gone"), (1, "ready")])),
+        ("list_failed",),
+    ]
+
+
+@pytest.mark.parametrize(
+    "first",
+    [lambda w: w.piece(w, b""), lambda w: w.says(5), lambda w: w.says(3, all=True)],
+    ids=["an empty line", "no change", "an older list"],
+)
 def test_a_watch_with_no_news_is_an_answer_too(service, first):
     service.discovery.observe(True)
     first(service.calls[-1])
@@ -110,7 +135,11 @@
 def test_a_watch_that_cannot_be_read_has_failed(service, said):
     service.discovery.observe(True)
     service.calls[-1].piece(service.calls[-1], said)
-    assert service.told == [("list_failed",)] and service.calls[-1].end is End.UNREADABLE and service.listing.rev == 5
+    assert (
+        service.told == [("list_failed",)]
+        and service.calls[-1].end is End.UNREADABLE
+        and service.listing.rev == 5
+    )
 
 
 @pytest.mark.parametrize("purpose", ["observe", "fetch"])
@@ -136,8 +165,12 @@
     d, old = service.discovery, service.watched()
     d.move()
     new = service.calls[-1]
-    old.says(7, target("s-3"))      # changes go on at the old one meanwhile
-    assert new.path.endswith("after=0") and old.end is None and service.told[-1] == ("listed", ("update", [(2, "ready")]))
+    old.says(7, target("s-3"))  # changes go on at the old one meanwhile
+    assert (
+        new.path.endswith("after=0")
+        and old.end is None
+        and service.told[-1] == ("listed", ("update", [(2, "ready")]))
+    )
     new.says(7, target("s-3"))
     assert old.end is End.SUPERSEDED and new.end is None and ("list_failed",) not in service.told
     new.says(8, target("s-2", state="DRAINING"))
@@ -150,7 +183,7 @@
     service.watched().close(End.RESET)
     d.move()
     service.calls[-1].says(2, target("s-2"), all=whole)
-    if not whole:       # changes since which version of ours can't be told: the next call asks for all
+    if not whole:  # changes since which version of ours can't be told: the next call asks for all
         d.observe(True)
         assert service.calls[-1].path.endswith("after=0")
         service.calls[-1].says(2, target("s-2"), all=True)
@@ -173,15 +206,15 @@
     d, old = service.discovery, service.watched()
     d.move()
     service.calls[-1].close(End.REFUSED)
-    d.observe(True)                     # the module asks again
+    d.observe(True)  # the module asks again
     old.says(7, target("s-3"))
     assert old.end is None and service.told[-1] == ("listed", ("update", [(2, "ready")]))
     new = service.calls[-1]
-    new.piece(new, b"<html>")           # no answer
+    new.piece(new, b"<html>")  # no answer
     assert old.end is None and new.end is End.UNREADABLE
     d.observe(True)
     service.calls[-1].piece(service.calls[-1], b"")
-    assert old.end is None              # its list is still to come
+    assert old.end is None  # its list is still to come
     service.calls[-1].says(3, target("s-3"), all=True)
     assert old.end is End.SUPERSEDED and list(service.listing.entries) == [2]
 
@@ -203,7 +236,9 @@
     service.calls[-1].close(End.REFUSED)
     old.says(7, target("s-3"))
     old.close(End.CLOSED)
-    assert len(service.calls) == 2 and [RETRY_DELAY / 2 <= wait <= RETRY_DELAY for wait in service.again] == [True]
+    assert len(service.calls) == 2 and [RETRY_DELAY / 2 <= wait <= RETRY_DELAY for wait in service.again] == [
+        True
+    ]
     d.begin_if_due()
     assert service.calls[-1].purpose == "watch" and service.calls[-1].path.endswith("after=0")
     service.calls[-1].close(End.REFUSED)
@@ -223,7 +258,11 @@
     d.move()
     service.calls[-1].says(2, target("s-1"), all=True)
     fetch.answers(50, target("s-2"))
-    assert service.listing.rev == 2 and list(service.listing.entries) == [0] and service.told[-1] == ("list_failed",)
+    assert (
+        service.listing.rev == 2
+        and list(service.listing.entries) == [0]
+        and service.told[-1] == ("list_failed",)
+    )
 
 
 @pytest.mark.parametrize("rev", [5, 9])
@@ -235,7 +274,10 @@
     d.move()
     assert service.calls[-1].path.endswith("after=0")
     service.calls[-1].says(rev, target("s-1", state="DRAINING"), target("s-2"))
-    assert service.told[-1] == ("listed", ("update", [(0, "draining"), (1, "ready")])) and service.listing.rev == rev
+    assert (
+        service.told[-1] == ("listed", ("update", [(0, "draining"), (1, "ready")]))
+        and service.listing.rev == rev
+    )
 
 
 def test_a_fetch_that_crosses_the_watch(service):
@@ -243,12 +285,14 @@
     service.discovery.fetch()
     watch, fetch = service.calls
     watch.says(7, target("s-2"))
-    fetch.answers(6, target("s-1"))                 # older than what the watch has brought
+    fetch.answers(6, target("s-1"))  # older than what the watch has brought
     assert service.told[-1] == ("listed", ("update", [])) and sorted(service.listing.entries) == [0, 1]
     service.discovery.fetch()
-    service.calls[-1].answers(9, target("s-2"))     # newer: it removes s-1
-    watch.says(8, target("s-1"))                    # what the watch says of the time before is old
-    assert service.told[-1] == ("listed", ("replace", [(1, "ready")])) and list(service.listing.entries) == [1]
+    service.calls[-1].answers(9, target("s-2"))  # newer: it removes s-1
+    watch.says(8, target("s-1"))  # what the watch says of the time before is old
+    assert service.told[-1] == ("listed", ("replace", [(1, "ready")])) and list(service.listing.entries) == [
+        1
+    ]
     watch.says(10, target("s-3"))
     assert service.told[-1] == ("listed", ("update", [(2, "ready")]))
 
@@ -264,16 +308,24 @@
 
 def test_an_endpoint_listed_twice_counts_once_as_it_was_said_last(service):
     service.discovery.fetch()
-    service.calls[-1].answers(6, target("s-1", az="a"), target("s-2"), target("s-1", az="b", state="DRAINING"))
+    service.calls[-1].answers(
+        6, target("s-1", az="a"), target("s-2"), target("s-1", az="b", state="DRAINING")
+    )
     assert {index: (entry[1], entry[4]) for index, entry in service.listing.entries.items()} == {
-        0: (1, "draining"), 1: (0, "ready")}
+        0: (1, "draining"),
+        1: (0, "ready"),
+    }
     assert service.told[-1][1][1] == [(0, "draining"), (1, "ready")]
 
 
 def test_a_list_that_goes_back_changes_nothing_and_is_an_answer(service):
     service.discovery.fetch()
     service.calls[-1].answers(4, target("s-2"))
-    assert sorted(service.listing.entries) == [0] and service.listing.rev == 5 and service.counters["lists_old"] == 1
+    assert (
+        sorted(service.listing.entries) == [0]
+        and service.listing.rev == 5
+        and service.counters["lists_old"] == 1
+    )
     assert service.told == [("listed", ("update", []))]
 
 
@@ -283,11 +335,11 @@
     d.observe(True)
     service.calls[-1].says(9, target("s-2"))
     service.now += 6 * SECOND
-    service.calls[-1].says(3, target("s-1"), all=True)      # as late as lists may be
+    service.calls[-1].says(3, target("s-1"), all=True)  # as late as lists may be
     assert service.listing.rev == 9 and sorted(service.listing.entries) == [0, 1]
     service.now += 25 * SECOND
     service.calls[-1].says(4, target("s-1", state="DRAINING"), all=whole)
-    if not whole:       # changes to a list that we do not have: it asks for all
+    if not whole:  # changes to a list that we do not have: it asks for all
         assert service.calls[-1].end is End.UNREADABLE and service.told[-1] == ("list_failed",)
         d.observe(True)
         assert service.calls[-1].path.endswith("after=0")
@@ -299,8 +351,12 @@
 
 def test_a_change_of_what_was_never_listed_is_taken_and_its_end_forgotten(service):
     service.discovery.begin()
-    service.calls[-1].says(6, target("s-9", state="DELETED"), target("s-2", boot_ms=4e12))     # gone; starts in the future
-    assert [e[4] for e in service.listing.entries.values()] == ["ready", "ready"] and not service.counters["list_entries_broken"]
+    service.calls[-1].says(
+        6, target("s-9", state="DELETED"), target("s-2", boot_ms=4e12)
+    )  # gone; starts in the future
+    assert [e[4] for e in service.listing.entries.values()] == ["ready", "ready"] and not service.counters[
+        "list_entries_broken"
+    ]
 
 
 def test_a_pushed_list_is_watched_by_the_pilot_itself():
@@ -314,10 +370,17 @@
 
 # --- probes ---
 
-@pytest.mark.parametrize("end, body, values", [
-    (End.ANSWERED, b"inflight=7,queue=2", (0, True, 0, (7.0,))), (End.ANSWERED, b"queue=2", (0, True, 0, ())),
-    (End.DECLINED, b"inflight=7", (0, False, 0, ())), (End.REFUSED, b"", (0, False, 0, ())),
-    (End.SILENT, b"", (0, False, 0, ()))])
+
+@pytest.mark.parametrize(
+    "end, body, values",
+    [
+        (End.ANSWERED, b"inflight=7,queue=2", (0, True, 0, (7.0,))),
+        (End.ANSWERED, b"queue=2", (0, True, 0, ())),
+        (End.DECLINED, b"inflight=7", (0, False, 0, ())),
+        (End.REFUSED, b"", (0, False, 0, ())),
+        (End.SILENT, b"", (0, False, 0, ())),
+    ],
+)
 def test_each_probe_has_one_answer(service, end, body, values):
     service.probes.begin(0)
     probe = service.calls[-1]
@@ -335,13 +398,16 @@
 
 # --- the round ---
 
+
 class Play:
     def __init__(self, states=("SERVING", "SERVING"), **service):
         settings = provisioning(SETTINGS)
         settings["service"].update(service)
         self.counters, self.now, self.out, self.sent = Counters(), 100 * SECOND, [], Sent(2, True)
         self.listing = Listing(lambda: self.now, self.sent.holds)
-        self.listing.take("replace", 1, [(self.listing.endpoint(f"s-{n}"), 0, 0, 0, "ready", 4.0, 0) for n in (1, 2)], {})
+        self.listing.take(
+            "replace", 1, [(self.listing.endpoint(f"s-{n}"), 0, 0, 0, "ready", 4.0, 0) for n in (1, 2)], {}
+        )
         self.rounds = Rounds(settings, 7, self.listing, self.sent, self.counters)
         self.rounds.begin()
         self.run()
@@ -350,7 +416,9 @@
         for name, values in news:
             self.rounds.hear(name, values)
         self.out = []
-        return self.rounds.run(self.now, lambda proxy, message, ticket: self.out.append((proxy, message.decode())))
+        return self.rounds.run(
+            self.now, lambda proxy, message, ticket: self.out.append((proxy, message.decode()))
+        )
 
 
 def join(proxy, fresh=True):
@@ -384,13 +452,13 @@
     p.run(join(0))
     p.now += 20 * SECOND
     listed = ("listed", ("update", ((0, 0, 0, 0, "draining", 4.0, 0),)))
-    p.rounds.controller.write = lambda *_: None     # the table keeps the line, so it must be let back later
+    p.rounds.controller.write = lambda *_: None  # the table keeps the line, so it must be let back later
     p.run(listed)
     assert "out=s-1" in p.out[0][1]
     p.run(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, 0),))))
     p.rounds.controller.channel.waiting = 0.0
     p.rounds.controller.channel.open.clear()
-    p.rounds.controller.round = lambda now, news, orders: orders.mark(5, True)      # charges nothing
+    p.rounds.controller.round = lambda now, news, orders: orders.mark(5, True)  # charges nothing
     p.run()
     assert p.counters["lines_beyond_charge"] == 1 + 3 == p.rounds.controller.channel.waiting
 
@@ -399,7 +467,11 @@
     p = play()
     p.run(join(0))
     p.run(("applied", (0, 1, 1000)), join(1))
-    assert p.out and p.counters["lines_written"] == p.counters["lines_charged"] and not p.counters["lines_beyond_charge"]
+    assert (
+        p.out
+        and p.counters["lines_written"] == p.counters["lines_charged"]
+        and not p.counters["lines_beyond_charge"]
+    )
 
 
 def test_doubts_are_settled_as_the_channel_has_room(play):
@@ -422,6 +494,7 @@
     def fail(now, news, orders):
         orders.line(0, 0, 0)
         raise RuntimeError("no such thing")
+
     failed.round = fail
     assert p.run(("left", (1,))) is None and not p.out and p.counters["module_failures"] == 1
     calls = p.run()
@@ -434,11 +507,11 @@
     p = play()
     p.run(join(0), join(1))
     p.now += 5 * SECOND
-    p.rounds.controller.write = lambda *_: None     # the tables keep the line, so the withdrawal has to go out
-    names, p.listing.names = p.listing.names, []    # no message can be made
+    p.rounds.controller.write = lambda *_: None  # the tables keep the line, so the withdrawal has to go out
+    names, p.listing.names = p.listing.names, []  # no message can be made
     assert p.run(("listed", ("update", ((0, 0, 0, 0, "draining", 4.0, 0),)))) is None and not p.out
     p.listing.names = names
-    p.sent.bench(0, True)       # the new module has heard the list, and bound nobody yet
+    p.sent.bench(0, True)  # the new module has heard the list, and bound nobody yet
     assert [(proxy, parts[0].out) for proxy, parts in p.sent.messages()] == [(0, [0]), (1, [0])]
 
 
@@ -447,7 +520,9 @@
     p.run(join(0), join(1))
     channel, waited = p.rounds.controller.channel, p.rounds.controller.channel.unproved()
     assert waited
-    p.rounds.controller.follow_list = lambda orders: channel.charge([0], 50) or 1 / 0   # half a round is charged
+    p.rounds.controller.follow_list = lambda orders: (
+        channel.charge([0], 50) or 1 / 0
+    )  # half a round is charged
     assert p.run(("listed", ("update", ()))) is None
     assert p.rounds.controller.channel is channel and channel.unproved() == waited and not channel.round
     p.run()
@@ -459,6 +534,7 @@
 
 # --- the loop's turns, with a clock and a loop set by hand ---
 
+
 class Loop:
     """Calls wait until the test lets them go; `late` seconds pass before the next one is played."""
 
@@ -507,7 +583,9 @@
     loop.play(1)
     played, seen = [], pilot.rounds.controller.round
     pilot.rounds.controller.round = lambda now, news, orders: (
-        played.append((now, sum(name == "asked" for name, _ in news))), seen(now, news, orders))
+        played.append((now, sum(name == "asked" for name, _ in news))),
+        seen(now, news, orders),
+    )
     for _ in range(4):
         pilot.news("asked", (1, 0, 5, 0, SECOND))
     loop.play(0.0)
@@ -529,6 +607,7 @@
         began.append(now)
         seen(now, news, orders)
         loop.now += 30_000
+
     pilot.rounds.controller.round = long
     for n in range(40):
         pilot.counters["accepted"] += come
@@ -543,7 +622,8 @@
     woken = []
     pilot.rounds.controller.round = lambda now, news, orders: (
         woken.extend((now, v[0]) for name, v in news if name == "woken"),
-        [orders.wake(now - 5, "past"), orders.wake(now + 50_000, "soon")] if not woken else None)
+        [orders.wake(now - 5, "past"), orders.wake(now + 50_000, "soon")] if not woken else None,
+    )
     start = loop.now
     pilot.news("asked", (1, 0, 5, 0, SECOND))
     loop.play(0.2)
@@ -553,7 +633,7 @@
 
 def test_a_deadline_that_fails_stops_no_other(begun):
     pilot, loop = begun
-    pilot.set_deadline(("silent",), loop.now + 10)      # names no slot
+    pilot.set_deadline(("silent",), loop.now + 10)  # names no slot
     pilot.set_deadline(("wake", 0, "mine"), loop.now + 20)
     loop.play(1)
     assert pilot.counters["deadlines_failed"] == 1 and pilot.counters["rounds"] > 2
@@ -566,18 +646,22 @@
     pilot.listing.endpoint("s-1")
     loop.play(0.1)
     controller, messages = pilot.rounds.controller, pilot.counters["messages_sent"]
-    texts = [Wrong("expected JSON"), Wrong("expected JSON"), GOOD | {"discovery": "127.0.0.1:99", "limits": {"sockets": 99},
-                                                                     "known": {"rev": 1, "targets": []}}]
+    texts = [
+        Wrong("expected JSON"),
+        Wrong("expected JSON"),
+        GOOD | {"discovery": "127.0.0.1:99", "limits": {"sockets": 99}, "known": {"rev": 1, "targets": []}},
+    ]
 
     def again():
         said = texts.pop(0)
         if isinstance(said, Wrong):
             raise said
         return said
+
     pilot.again = again
     pilot.reload()
     assert pilot.discovery.watch.host == GOOD["discovery"] and pilot.counters["reloads_failed"] == 1
-    loop.play(2)        # half written at first, whole in the end
+    loop.play(2)  # half written at first, whole in the end
     assert pilot.discovery.watch.host == "127.0.0.1:99" and pilot.counters["reloads"] == 1 and not texts
     assert pilot.rounds.controller is controller and list(pilot.sent.proxies) == [1] and messages
     assert pilot.counters["messages_sent"] == messages and pilot.configuration["limits"] == GOOD["limits"]
@@ -596,14 +680,23 @@
     new = pilot.discovery.watch
     assert new is not old and old.end is End.SUPERSEDED and (new.slot, new.end) == (old.slot, None)
     loop.play(10)
-    assert new.end is End.SILENT        # its own deadline holds
-
-
-@pytest.mark.parametrize("change, told", [
-    ({"azs": ["dc-north", "dc-south"]}, "settings.azs: expected those that this pilot serves, a, b, not dc-north, dc-south"),
-    ({"classes": [{"name": "toll"}, {"name": "pay"}]}, "settings.classes: expected those that this pilot serves, look, pay"),
-    ({"azs": ["a"]}, "settings.azs"),
-])
+    assert new.end is End.SILENT  # its own deadline holds
+
+
+@pytest.mark.parametrize(
+    "change, told",
+    [
+        (
+            {"azs": ["dc-north", "dc-south"]},
+            "settings.azs: expected those that this pilot serves, a, b, not dc-north, dc-south",
+        ),
+        (
+            {"classes": [{"name": "toll"}, {"name": "pay"}]},
+            "settings.classes: expected those that this pilot serves, look, pay",
+        ),
+        ({"azs": ["a"]}, "settings.azs"),
+    ],
+)
 def test_a_reload_of_another_customers_configuration_changes_nothing(begun, change, told):
     pilot, loop = begun
     before = pilot.configuration
@@ -613,7 +706,9 @@
     pilot.reload()
     loop.play(0.01)
     assert pilot.configuration is before
-    assert pilot.counters["reloads_failed"] == 1 and not pilot.counters["reloads"] and not pilot.discovery.moves
+    assert (
+        pilot.counters["reloads_failed"] == 1 and not pilot.counters["reloads"] and not pilot.discovery.moves
+    )
 
 
 def test_a_second_reload_takes_the_place_of_one_that_waits_for_its_next_read(begun):
@@ -625,10 +720,11 @@
         if len(reads) < 3:
             raise Wrong("expected JSON")
         return GOOD | {"discovery": "127.0.0.1:99"}
+
     pilot.again = again
     pilot.reload()
     loop.play(0.3)
-    pilot.reload()      # a second SIGHUP, and a third that brings the whole file
+    pilot.reload()  # a second SIGHUP, and a third that brings the whole file
     pilot.reload()
     loop.play(3)
     assert len(reads) == 3 and pilot.counters["reloads"] == 1 and ("reload",) not in pilot.deadlines.at
@@ -637,11 +733,15 @@
 def test_a_reload_with_more_classes_and_zones_is_the_same_deployments(begun):
     pilot, _ = begun
     more = SETTINGS | {"azs": ["c", "b", "a"], "classes": [{"name": "new"}, *SETTINGS["classes"]]}
-    new, waiting = configuration.renewed(pilot.configuration, GOOD | {"discovery": "127.0.0.1:99", "settings": more})
+    new, waiting = configuration.renewed(
+        pilot.configuration, GOOD | {"discovery": "127.0.0.1:99", "settings": more}
+    )
     assert new["discovery"] == "127.0.0.1:99" and waiting == ["settings.azs", "settings.classes"]
 
 
-@pytest.mark.parametrize("late, spoke, end", [(6.0, True, None), (6.0, False, End.SILENT), (0.0, False, End.SILENT)])
+@pytest.mark.parametrize(
+    "late, spoke, end", [(6.0, True, None), (6.0, False, End.SILENT), (0.0, False, End.SILENT)]
+)
 def test_a_pilot_that_stood_still_reads_before_it_takes_others_for_silent(begun, late, spoke, end):
     pilot, loop = begun
     pilot.discovery.observe(True)
@@ -650,7 +750,7 @@
     pilot.timer = None
     pilot.deadlines.heap, pilot.deadlines.at = [], {}
     pilot.set_deadline(("call", call), loop.now + SECOND)
-    if spoke:       # its line lay in the socket while the process stood still
+    if spoke:  # its line lay in the socket while the process stood still
         loop.waiting.append((loop.now + SECOND + 1, lambda: pilot.extend(call, 5 * SECOND)))
     loop.play(2 + late, late=late)
     assert call.end is end
@@ -658,20 +758,35 @@
 
 # --- the configuration, the log, the clock ---
 
-GOOD = {"name": "n3", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": SETTINGS,
-        "known": {"rev": 4, "all": True, "targets": [target("s-1"), target("s-2", "b")]}}
-
-
-@pytest.mark.parametrize("change, told", [
-    ({"listen": "here"}, "listen: expected host:port"), ({"discovery": None}, "discovery: expected host:port"),
-    ({"discovery": "h:99999"}, "discovery: expected host:port"), ({"seed": "xyz"}, "seed: expected hexadecimal"),
-    ({"settings": []}, "settings: expected an object"), ({"settings": {"azs": ["a"]}}, "settings.classes"),
-    ({"settings": SETTINGS | {"classes": ["a"]}}, "settings.classes: expected objects"),
-    ({"limits": 5}, "limits: expected an object"), ({"limits": {"sockets": "9"}}, "limits.sockets"),
-    ({"peers": "a"}, "peers: expected a list"), ({"peers": ["a"]}, "peers[0]: expected host:port"),
-    ({"peer_listen": 7}, "peer_listen"), ({"known": {"rev": 4}}, "known: expected"),
-])
+GOOD = {
+    "name": "n3",
+    "listen": "127.0.0.1:0",
+    "discovery": "127.0.0.1:1",
+    "seed": "8c1f30d27a5be964",
+    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+    "settings": SETTINGS,
+    "known": {"rev": 4, "all": True, "targets": [target("s-1"), target("s-2", "b")]},
+}
+
+
+@pytest.mark.parametrize(
+    "change, told",
+    [
+        ({"listen": "here"}, "listen: expected host:port"),
+        ({"discovery": None}, "discovery: expected host:port"),
+        ({"discovery": "h:99999"}, "discovery: expected host:port"),
+        ({"seed": "xyz"}, "seed: expected hexadecimal"),
+        ({"settings": []}, "settings: expected an object"),
+        ({"settings": {"azs": ["a"]}}, "settings.classes"),
+        ({"settings": SETTINGS | {"classes": ["a"]}}, "settings.classes: expected objects"),
+        ({"limits": 5}, "limits: expected an object"),
+        ({"limits": {"sockets": "9"}}, "limits.sockets"),
+        ({"peers": "a"}, "peers: expected a list"),
+        ({"peers": ["a"]}, "peers[0]: expected host:port"),
+        ({"peer_listen": 7}, "peer_listen"),
+        ({"known": {"rev": 4}}, "known: expected"),
+    ],
+)
 def test_a_wrong_configuration_names_its_field(tmp_path, change, told):
     file = tmp_path / "config.json"
     file.write_text(json.dumps(GOOD | change))
@@ -679,7 +794,9 @@
         configuration.read(str(file), {})
 
 
-@pytest.mark.parametrize("text, told", [(None, "config.json: No such file"), ("{", "expected JSON"), ("[]", "expected an object")])
+@pytest.mark.parametrize(
+    "text, told", [(None, "config.json: No such file"), ("{", "expected JSON"), ("[]", "expected an object")]
+)
 def test_a_configuration_that_is_none(tmp_path, text, told):
     file = tmp_path / "config.json"
     if text is not None:
@@ -692,8 +809,12 @@
 
 def test_variables_fill_in_what_the_file_leaves_out(tmp_path):
     file = tmp_path / "config.json"
-    file.write_text(json.dumps({k: v for k, v in GOOD.items() if k not in ("listen", "name")} | {"colour": "blue"}))
-    read = configuration.read(str(file), {"RELAY_LISTEN": "127.0.0.1:5", "RELAY_NAME": "n7", "RELAY_DISCOVERY": "x"})
+    file.write_text(
+        json.dumps({k: v for k, v in GOOD.items() if k not in ("listen", "name")} | {"colour": "blue"})
+    )
+    read = configuration.read(
+        str(file), {"RELAY_LISTEN": "127.0.0.1:5", "RELAY_NAME": "n7", "RELAY_DISCOVERY": "x"}
+    )
     assert (read["listen"], read["name"], read["discovery"]) == ("127.0.0.1:5", "n7", "127.0.0.1:1")
     assert "n7" in configuration.summary(read)
 
@@ -731,6 +852,7 @@
 
 # --- the program itself, on loopback ---
 
+
 class Line:
     """A connection to the pilot, read line by line."""
 
@@ -748,8 +870,12 @@
 
 def begin(file):
     """Starts the pilot at a port that the system gives, and waits until it says which."""
-    running = subprocess.Popen([sys.executable, "-m", "ravenshelf", "serve"], stderr=subprocess.PIPE, text=True,
-                               env=os.environ | {"RELAY_CONFIG": str(file)})
+    running = subprocess.Popen(
+        [sys.executable, "-m", "ravenshelf", "serve"],
+        stderr=subprocess.PIPE,
+        text=True,
+        env=os.environ | {"RELAY_CONFIG": str(file)},
+    )
     while "serves at" not in (line := running.stderr.readline()):
         assert running.poll() is None, line
     return running, int(line.rpartition(":")[2])
@@ -763,7 +889,7 @@
     file = tmp_path / "config.json"
     file.write_text(json.dumps(GOOD | {"discovery": f"127.0.0.1:{discovery.getsockname()[1]}"}))
     running, port = begin(file)
-    watch, _ = discovery.accept()       # the first round has been played
+    watch, _ = discovery.accept()  # the first round has been played
     yield running, port, watch
     running.kill()
     running.communicate()
@@ -787,16 +913,20 @@
     proxy.say("ACK proxy=1 mark=1 took_ms=3.5")
     asked = watch.recv(4096)
     assert asked.startswith(b"GET /catalog/members?watch=1&after=4 HTTP/1.1\r\n")
-    watch.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                  + chunk({"rev": 5, "all": False, "targets": [target("s-3"), target("s-1", state="DRAINING")]}))
+    watch.sendall(
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        + chunk({"rev": 5, "all": False, "targets": [target("s-3"), target("s-1", state="DRAINING")]})
+    )
     changed = proxy.hear()
     assert "s-3:1000" in changed and "s-1:0" in changed
     moved = socket.create_server(("127.0.0.1", 0))
     moved.settimeout(20)
-    file.write_text(json.dumps(json.loads(file.read_text()) | {"discovery": f"127.0.0.1:{moved.getsockname()[1]}"}))
+    file.write_text(
+        json.dumps(json.loads(file.read_text()) | {"discovery": f"127.0.0.1:{moved.getsockname()[1]}"})
+    )
     running.send_signal(signal.SIGHUP)
     watch, _ = moved.accept()
-    assert b"after=0" in watch.recv(4096)      # the versions of the address before say nothing here
+    assert b"after=0" in watch.recv(4096)  # the versions of the address before say nothing here
     watch.close()
     moved.close()
     bad = Line(port).say("SUBSCRIBE proxy=9 zone=a weight=1 fresh=1")
@@ -823,15 +953,26 @@
         again.communicate()
 
 
-@pytest.mark.parametrize("arguments, code, told", [
-    (["version"], 0, "ravenshelf 0."), (["--help"], 0, "serve"), (["check", "-c", "{good}"], 0, "known endpoints 2"),
-    (["check", "-c", "{bad}"], 2, "listen: expected host:port, not None"), (["serve", "-c", "{bad}"], 2, "ravenshelf: listen"),
-    (["serve", "-c", "{good}", "--log-level", "loud"], 2, "expected one of DEBUG"),
-])
+@pytest.mark.parametrize(
+    "arguments, code, told",
+    [
+        (["version"], 0, "ravenshelf 0."),
+        (["--help"], 0, "serve"),
+        (["check", "-c", "{good}"], 0, "known endpoints 2"),
+        (["check", "-c", "{bad}"], 2, "listen: expected host:port, not None"),
+        (["serve", "-c", "{bad}"], 2, "ravenshelf: listen"),
+        (["serve", "-c", "{good}", "--log-level", "loud"], 2, "expected one of DEBUG"),
+    ],
+)
 def test_the_command_line(tmp_path, arguments, code, told):
     for name, said in (("good", GOOD), ("bad", {k: v for k, v in GOOD.items() if k != "listen"})):
         (tmp_path / name).write_text(json.dumps(said))
     arguments = [a.format(good=tmp_path / "good", bad=tmp_path / "bad") for a in arguments]
-    done = subprocess.run([sys.executable, "-m", "ravenshelf", *arguments], capture_output=True, text=True, timeout=60,
-                          env={k: v for k, v in os.environ.items() if not k.startswith("RELAY_")})
+    done = subprocess.run(
+        [sys.executable, "-m", "ravenshelf", *arguments],
+        capture_output=True,
+        text=True,
+        timeout=60,
+        env={k: v for k, v in os.environ.items() if not k.startswith("RELAY_")},
+    )
     assert done.returncode == code and told in done.stdout + done.stderr and "Traceback" not in done.stderr
--- a/tests/test_request_world.py
+++ b/tests/test_request_world.py
@@ -1,4 +1,5 @@
 """The parts of the world of requests, each by itself: queues, levels, shunning, tries, channel, late lines."""
+
 import random
 
 import pytest
@@ -23,11 +24,12 @@
 
 # --- endpoints ---
 
+
 def test_an_endpoint_queues_work_refuses_what_has_no_place_and_takes_again_when_a_try_ends():
     server = QueueServer("s", 0, 2.0, cores=2, places=2)
     first, second, third = (server.offer(0, 1.0, False) for _ in range(3))
     assert (first.outcome, first.after) == (Outcome.SERVED, SECOND)
-    assert (second.outcome, second.after) == (Outcome.SERVED, SECOND)       # two cores
+    assert (second.outcome, second.after) == (Outcome.SERVED, SECOND)  # two cores
     assert third.outcome is Outcome.REFUSED
     server.release(server.processes)
     assert server.offer(0, 1.0, False).after == round(1.5 * SECOND)
@@ -55,6 +57,7 @@
 
 # --- proxies ---
 
+
 def test_levels_come_with_messages_and_a_whole_table_forgets_them():
     held = proxy()
     held.obey("CONFIG classes=post level=0.25 retry=1\r\n")
@@ -67,7 +70,9 @@
 def test_a_level_lets_in_a_share_or_so_many_a_second(kind, most):
     held, chance = proxy(kind), random.Random(1)
     held.obey(f"CONFIG level={most} retry=1\r\n")
-    let_in = sum(held.lets_in("view", n * SECOND // 100, chance) for n in range(10_000))     # 100 a second for 100 s
+    let_in = sum(
+        held.lets_in("view", n * SECOND // 100, chance) for n in range(10_000)
+    )  # 100 a second for 100 s
     assert let_in == pytest.approx(2500 if kind == "fraction" else 200, rel=0.06)
 
 
@@ -79,15 +84,16 @@
     held.note("b", True, 0, chance)
     held.note("b", False, 0, chance)
     held.note("b", True, 0, chance)
-    assert set(held.usable(0)) == {"a", "b"}        # not in a row
+    assert set(held.usable(0)) == {"a", "b"}  # not in a row
     held.note("b", True, 0, chance)
     assert set(held.usable(0)) == {"a"} and set(held.usable(3 * SECOND)) == {"a", "b"}
     held.obey("CONFIG out=a\r\n")
-    assert set(held.usable(0)) == {"b"}             # it shuns all that it has
+    assert set(held.usable(0)) == {"b"}  # it shuns all that it has
 
 
 # --- the channel ---
 
+
 class Receiver:
     def __init__(self, events):
         self.events, self.got = events, []
@@ -97,7 +103,12 @@
 
 
 def test_lines_of_a_message_are_counted_with_its_head():
-    assert line_count("CONFIG whole=1 lines=a:1,b:2 level=1 retry=1 more=1\r\nCONFIG out=c back=d,e ticket=4\r\n", 3) == 11
+    assert (
+        line_count(
+            "CONFIG whole=1 lines=a:1,b:2 level=1 retry=1 more=1\r\nCONFIG out=c back=d,e ticket=4\r\n", 3
+        )
+        == 11
+    )
 
 
 def test_messages_leave_one_after_another_and_arrive_in_order_at_a_proxy():
@@ -105,7 +116,7 @@
     receiver, began = Receiver(events), events.now
     channel = BoundedChannel(events, receiver, 10.0, 3, (100_000, 400_000), random.Random(1))
     for name in "abc":
-        channel.send(proxy(), f"CONFIG lines={name}:1,x:1\r\n", None, {})       # half a second each
+        channel.send(proxy(), f"CONFIG lines={name}:1,x:1\r\n", None, {})  # half a second each
     events.advance(events.now + 3 * SECOND)
     arrivals = [at - began for at, _, _ in receiver.got]
     assert [message[13] for _, message, _ in receiver.got] == ["a", "b", "c"]
@@ -125,6 +136,7 @@
 
 # --- late lines ---
 
+
 def test_what_does_not_fit_into_a_period_adds_up_and_the_oldest_go_first():
     intake = Intake(0)
     for number in (1, 2, 3):
@@ -132,13 +144,14 @@
     assert [key.proxy for key, _ in intake.take(SECOND, 2)] == [1, 2]
     for number in (1, 3):
         intake.count(UsageKey(number, 0), failed=True)
-    (key, tally), = intake.take(2 * SECOND, 1)
+    ((key, tally),) = intake.take(2 * SECOND, 1)
     assert (key.proxy, tally.tries, tally.failed, tally.since) == (3, 2, 1, 0)
     assert [(key.proxy, tally.since) for key, tally in intake.take(3 * SECOND, 9)] == [(1, SECOND)]
 
 
 # --- the world ---
 
+
 def test_the_same_seed_gives_the_same_world_and_another_one_another():
     small, release = Parameters(pilots=2, proxies=5, servers=3), Release(watched=3 * SECOND)
     first, again, other = (play(small, release, seed) for seed in (1, 1, 2))
@@ -156,7 +169,9 @@
     assert gone and all(p.pilot is None and p.table == held[p.number] for p in gone)
     world.run(1.1)
     reborn = world.pilots[0]
-    assert reborn is not killed and reborn.starts == 1 and len(reborn.known_starts) == 6     # the old list: all of them
+    assert (
+        reborn is not killed and reborn.starts == 1 and len(reborn.known_starts) == 6
+    )  # the old list: all of them
     world.discovery.down = False
     world.run(14)
     assert all(p.pilot is reborn for p in gone) and len(reborn.known_starts) == 5
@@ -170,9 +185,16 @@
     world.run(1.1)
     for number in (0, 1):
         table = world.proxies[number].table
-        assert len(table) == 4 and set(table.values()) == {1.0} and all(name.startswith(f"s-{number}") for name in table)
+        assert (
+            len(table) == 4
+            and set(table.values()) == {1.0}
+            and all(name.startswith(f"s-{number}") for name in table)
+        )
     world.run(6)
-    assert all(world.proxies[n].pilot is not None and world.proxies[n].table_from is world.proxies[n].pilot for n in (0, 1))
+    assert all(
+        world.proxies[n].pilot is not None and world.proxies[n].table_from is world.proxies[n].pilot
+        for n in (0, 1)
+    )
 
 
 @pytest.mark.parametrize("mode, tries", [(0, 1), (1, 1), (2, 2), (3, 3)])
@@ -190,11 +212,17 @@
     parameters, traces = Parameters(pilots=2, proxies=10, servers=4, load=0.5), []
     release = Release(killed=Killed.NONE, returning=1 / 8, watched=5 * SECOND)
     name = next(iter(play(parameters, release, 1).ledger.sent)).endpoint
-    play(parameters, release, 1, lambda world: traces.append(Trace(world, name, mean_work(parameters.classes))))
+    play(
+        parameters, release, 1, lambda world: traces.append(Trace(world, name, mean_work(parameters.classes)))
+    )
     rows = traces[0].rows
     assert [round(row.age * 4) for row in rows] == list(range(len(rows))) and len(rows) >= 20
     assert all(early.ramp < late.ramp and early.can_do < late.can_do for early, late in zip(rows, rows[1:]))
-    assert rows[0].holding == 0 < rows[-1].holding and rows[-1].believed and rows[-1].foreign == rows[-1].unjoined == 0
+    assert (
+        rows[0].holding == 0 < rows[-1].holding
+        and rows[-1].believed
+        and rows[-1].foreign == rows[-1].unjoined == 0
+    )
     assert sum(share * count for share, count in rows[-1].table_shares) > 0 and "times" in str(rows[-1])
 
 
