--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,18 +10,31 @@
 EVEN = [[1.0] * 3 for _ in range(3)]
 
 
-@pytest.mark.parametrize("demand, capacity, curves, sends", [
-    ([5, 5, 5], [1, 1, 1], [FLAT] * 3, [0, 0, 0]),
-    ([14, 5, 5], [1, 1, 1], [FLAT] * 3, [1, 0, 0]),
-    ([11, 11, 2], [1, 1, 1], [FLAT] * 3, [1, 1, 0]),
-    ([19, 18, 17], [1, 1, 1], [FLAT] * 3, None),
-    ([5, 5, 5], [0, 1, 1], [FLAT] * 3, [1, 0, 0]),
-    ([5, 5, 5], [0, 0, 0], [FLAT] * 3, [0, 0, 0]),
-    ([19, 5, 5], [1, 1, 1], [None] * 3, [0, 0, 0]),
-    ([19, 5, 5], [1, 1, 1], [FLAT, None, None], [0, 0, 0]),
-    ([0, 0, 0], [1, 1, 1], [FLAT] * 3, [0, 0, 0]),
-], ids=["nothing", "one short", "several short", "infeasible", "no servers", "none anywhere", "no data",
-        "receivers without data", "no demand"])
+@pytest.mark.parametrize(
+    "demand, capacity, curves, sends",
+    [
+        ([5, 5, 5], [1, 1, 1], [FLAT] * 3, [0, 0, 0]),
+        ([14, 5, 5], [1, 1, 1], [FLAT] * 3, [1, 0, 0]),
+        ([11, 11, 2], [1, 1, 1], [FLAT] * 3, [1, 1, 0]),
+        ([19, 18, 17], [1, 1, 1], [FLAT] * 3, None),
+        ([5, 5, 5], [0, 1, 1], [FLAT] * 3, [1, 0, 0]),
+        ([5, 5, 5], [0, 0, 0], [FLAT] * 3, [0, 0, 0]),
+        ([19, 5, 5], [1, 1, 1], [None] * 3, [0, 0, 0]),
+        ([19, 5, 5], [1, 1, 1], [FLAT, None, None], [0, 0, 0]),
+        ([0, 0, 0], [1, 1, 1], [FLAT] * 3, [0, 0, 0]),
+    ],
+    ids=[
+        "nothing",
+        "one short",
+        "several short",
+        "infeasible",
+        "no servers",
+        "none anywhere",
+        "no data",
+        "receivers without data",
+        "no demand",
+    ],
+)
 def test_solve_spill(demand, capacity, curves, sends):
     share = solve_spill(demand, capacity, curves, EVEN)
     out = [1 - share[i][i] > 1e-9 for i in range(3)]
@@ -36,7 +49,7 @@
 def test_spill_is_the_least_that_keeps_the_target():
     share = solve_spill([14, 2, 2], [1, 1, 1], [FLAT] * 3, EVEN)
     kept = 14 * share[0][0]
-    assert kept * 1.2 <= 10.8 < (kept + 0.28) * 1.2     # a quantum more at home and the zone misses over 5%
+    assert kept * 1.2 <= 10.8 < (kept + 0.28) * 1.2  # a quantum more at home and the zone misses over 5%
 
 
 def test_a_farther_zone_takes_less():
@@ -44,10 +57,17 @@
     assert near[0][1] > near[0][2]
 
 
-@pytest.mark.parametrize("heard, least, most", [
-    ([(5, 0), (10, 0.4), (20, 0.5)], 0.45, 3.0),      # flat where the zone is jammed: more load still costs more
-    ([(5, 0.3), (10, 0.0), (20, 0.5)], 0.3, 3.0),     # falls: a long tail at little load
-])
+@pytest.mark.parametrize(
+    "heard, least, most",
+    [
+        (
+            [(5, 0), (10, 0.4), (20, 0.5)],
+            0.45,
+            3.0,
+        ),  # flat where the zone is jammed: more load still costs more
+        ([(5, 0.3), (10, 0.0), (20, 0.5)], 0.3, 3.0),  # falls: a long tail at little load
+    ],
+)
 def test_curves_rise_and_are_convex(heard, least, most):
     curve = Curve()
     for x, share in heard:
@@ -58,23 +78,35 @@
     assert min(steps) > -1e-9 and least <= read_curve(points, 20) < read_curve(points, 39) < most
 
 
-@pytest.mark.parametrize("demands, budget, level", [
-    ([1, 1, 1], 3.1, None), ([1, 1, 10], 6, 4), ([4, 4], 4, 2), ([], 1, None), ([3], 0, 0)])
+@pytest.mark.parametrize(
+    "demands, budget, level",
+    [([1, 1, 1], 3.1, None), ([1, 1, 10], 6, 4), ([4, 4], 4, 2), ([], 1, None), ([3], 0, 0)],
+)
 def test_water_level(demands, budget, level):
     assert water_level(demands, budget) == (None if level is None else pytest.approx(level))
 
 
 def test_channel_keeps_to_its_lines_and_messages():
-    channel = Channel({"lines_per_s": 100.0, "envelope": 3.0, "most_waiting": 100, "messages_most": 6,
-                       "counted_over_us": 10 * SECOND, "late_most_us": SECOND})
+    channel = Channel(
+        {
+            "lines_per_s": 100.0,
+            "envelope": 3.0,
+            "most_waiting": 100,
+            "messages_most": 6,
+            "counted_over_us": 10 * SECOND,
+            "late_most_us": SECOND,
+        }
+    )
     kept = type("Marks", (), {"mark": lambda self, number: None})()
-    assert not channel.room(60, [1], False) and channel.room(60, [1], True) and not channel.room(90, [1], True)
+    assert (
+        not channel.room(60, [1], False) and channel.room(60, [1], True) and not channel.room(90, [1], True)
+    )
     for n in range(4):
         assert channel.room(1, [1], True)
         channel.charge([1], 1)
         channel.settle(n * SECOND, kept)
         channel.drain((n + 1) * SECOND)
-    assert not channel.room(1, [1], True)               # what is left of the six is for withdrawals
+    assert not channel.room(1, [1], True)  # what is left of the six is for withdrawals
     assert channel.room(1, [1], 2)
     channel.drain(30 * SECOND)
     assert channel.room(1, [1], True)
@@ -83,7 +115,7 @@
 def test_withdrawals_keep_to_the_messages_of_a_proxy_too(pilot):
     p = pilot("rrrr", service={"messages_most": 6, "counted_over_us": 10 * SECOND})
     times = []
-    for n in range(40):     # a flapping list: each change would be a message of its own
+    for n in range(40):  # a flapping list: each change would be a message of its own
         p.now += SECOND // 4
         before = list(p.controller.channel.sent.get(0, ()))
         p.hear(listed("drrr" if n % 2 else "rrrr", how="update"))
@@ -95,7 +127,9 @@
 
 def test_answers_are_booked_to_their_own_round_however_many_wait():
     """A mass join makes a round a tick; at full size 258 of them waited, and numbers that came again hid 250."""
-    channel = Channel({"lines_per_s": 1500.0, "envelope": 3.0, "most_waiting": 26_300, "late_most_us": SECOND})
+    channel = Channel(
+        {"lines_per_s": 1500.0, "envelope": 3.0, "most_waiting": 26_300, "late_most_us": SECOND}
+    )
     marks = []
     orders = type("Marks", (), {"mark": lambda self, number: marks.append(number)})()
     for n in range(600):
@@ -109,7 +143,9 @@
 
 
 def test_channel_learns_a_slow_pace_from_its_acks():
-    channel = Channel({"lines_per_s": 1000.0, "envelope": 3.0, "most_waiting": 2000, "late_most_us": SECOND // 2})
+    channel = Channel(
+        {"lines_per_s": 1000.0, "envelope": 3.0, "most_waiting": 2000, "late_most_us": SECOND // 2}
+    )
     channel.charge(range(20), 46)
     channel.settle(0, type("Marks", (), {"mark": lambda self, number: None})())
     channel.drain(SECOND)
@@ -119,24 +155,33 @@
 
 def test_what_is_not_answered_for_still_waits_whatever_the_pace():
     marks = type("Marks", (), {"mark": lambda self, number: None})()
-    channel = Channel({"lines_per_s": 1000.0, "envelope": 3.0, "most_waiting": 2000, "late_most_us": SECOND // 2})
+    channel = Channel(
+        {"lines_per_s": 1000.0, "envelope": 3.0, "most_waiting": 2000, "late_most_us": SECOND // 2}
+    )
     for number in (1, 2):
         channel.charge(range(10), 46)
         channel.settle(0, marks)
     assert channel.waiting == 1000
     channel.drain(SECOND // 4)
-    assert channel.waiting == 750       # not answered for yet, and need not be
+    assert channel.waiting == 750  # not answered for yet, and need not be
     channel.drain(10 * SECOND)
-    assert channel.waiting == 1000      # the channel stands still, or nearly
+    assert channel.waiting == 1000  # the channel stands still, or nearly
     channel.applied(3, 2, 10 * SECOND)
     channel.drain(10 * SECOND)
-    assert channel.waiting == 450       # what was ordered before it has passed, answered for or not
+    assert channel.waiting == 450  # what was ordered before it has passed, answered for or not
     channel.drain(21 * SECOND)
-    assert channel.waiting == 0         # answers that are lost don't hold the queue for ever
-
-
-@pytest.mark.parametrize("change, benched", [
-    (listed("drrr"), {0}), (listed("-rrr"), {0}), (listed("g", how="update"), {0}), (listed("ddrr"), {0, 1})])
+    assert channel.waiting == 0  # answers that are lost don't hold the queue for ever
+
+
+@pytest.mark.parametrize(
+    "change, benched",
+    [
+        (listed("drrr"), {0}),
+        (listed("-rrr"), {0}),
+        (listed("g", how="update"), {0}),
+        (listed("ddrr"), {0, 1}),
+    ],
+)
 def test_drains_are_benched_at_once_and_leave_the_tables(pilot, change, benched):
     p = pilot()
     p.hear(change)
@@ -161,7 +206,9 @@
     assert p.load(0) == pytest.approx(0.5, abs=0.1)
 
 
-@pytest.mark.parametrize("rules, share", [({"warm_after_us": 16 * SECOND}, 1.0), ({}, 0.6), ({"warm_after_us": 90 * SECOND}, 0.6)])
+@pytest.mark.parametrize(
+    "rules, share", [({"warm_after_us": 16 * SECOND}, 1.0), ({}, 0.6), ({"warm_after_us": 90 * SECOND}, 0.6)]
+)
 def test_an_endpoint_counts_in_full_once_it_is_promised_to_be_warm(pilot, rules, share):
     c = pilot(rules=rules | {"cold_share": 0.2, "fall_multiple": 4.0}).controller
     c.work, e = 0.2, c.endpoints[0]
@@ -194,7 +241,7 @@
 
 
 def test_a_restarted_pilot_holds_a_zone_back_that_returns_cold(pilot):
-    p = pilot("-rrr")       # no curve yet, and the first endpoint of the zone to return would get all
+    p = pilot("-rrr")  # no curve yet, and the first endpoint of the zone to return would get all
     p.hear(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, p.now), (1, 0, 0, 0, "gone", 4.0, 0)))))
     assert 0 < p.load(0) < 0.3
 
@@ -250,10 +297,20 @@
 
 
 def busy_fleet(second, latency=900_000, report=(30,), flows=200):
-    return ([met(z, 2 * z + i, tries=100, dropped=30, latency=latency if second > 4 else 200_000,
-                 report=report if second > 4 else (2,)) if second > 4 else met(z, 2 * z + i, report=(2,))
-             for z in (0, 1) for i in (0, 1)]
-            + [("asked", (p, g, flows if second > 4 else 10, 0, SECOND)) for p in range(4) for g in (0, 1)])
+    return [
+        met(
+            z,
+            2 * z + i,
+            tries=100,
+            dropped=30,
+            latency=latency if second > 4 else 200_000,
+            report=report if second > 4 else (2,),
+        )
+        if second > 4
+        else met(z, 2 * z + i, report=(2,))
+        for z in (0, 1)
+        for i in (0, 1)
+    ] + [("asked", (p, g, flows if second > 4 else 10, 0, SECOND)) for p in range(4) for g in (0, 1)]
 
 
 def test_overload_is_refused_by_utility_and_repeats_nothing(pilot):
@@ -261,7 +318,7 @@
     p.run(30, busy_fleet)
     levels = {g: v for (t, g), v in p.kept.levels.items() if t == p.controller.current[0, 0]}
     assert levels[1][0] < 200 and levels[1][0] <= levels.get(2, (1e6, 1))[0]
-    assert all(tries == 1 for _, tries in p.kept.levels.values())     # only after proof: no effect twice
+    assert all(tries == 1 for _, tries in p.kept.levels.values())  # only after proof: no effect twice
 
 
 def test_levels_as_a_share(pilot):
@@ -274,9 +331,23 @@
 def test_failures_alike_are_hardly_a_lack_of_endpoints_while_they_hold_little(pilot, held, least):
     p = pilot()
     for second in range(24):
-        p.run(1, lambda s: [met(z, 2 * z + i, tries=40, dropped=0 if second < 8 else 20,
-                                report=(2 if second < 8 else held,)) for z in (0, 1) for i in (0, 1)]
-              + [("asked", (i, g, 7, 0, SECOND)) for i in range(4) for g in (0, 1)])
+        p.run(
+            1,
+            lambda s: (
+                [
+                    met(
+                        z,
+                        2 * z + i,
+                        tries=40,
+                        dropped=0 if second < 8 else 20,
+                        report=(2 if second < 8 else held,),
+                    )
+                    for z in (0, 1)
+                    for i in (0, 1)
+                ]
+                + [("asked", (i, g, 7, 0, SECOND)) for i in range(4) for g in (0, 1)]
+            ),
+        )
     parts = [p.controller.alike, 1.0]
     assert least <= min(parts) and (p.controller.alike < 1) == (held == 2)
 
@@ -284,16 +355,29 @@
 @pytest.mark.parametrize("dropped, least, most", [(16, 0.9, 1.01), (95, 0.5, 0.8)], ids=["a hang?", "a jam"])
 def test_the_estimate_of_capacity_falls_the_further_the_more_miss(pilot, dropped, least, most):
     p = pilot()
-    p.run(20, lambda s: [met(z, 2 * z + i, tries=100, dropped=dropped if s > 8 else 0, report=(30 if s > 8 else 2,))
-                         for z in (0, 1) for i in (0, 1)]
-          + [("asked", (i, g, 7, 0, SECOND)) for i in range(4) for g in (0, 1)])
+    p.run(
+        20,
+        lambda s: (
+            [
+                met(z, 2 * z + i, tries=100, dropped=dropped if s > 8 else 0, report=(30 if s > 8 else 2,))
+                for z in (0, 1)
+                for i in (0, 1)
+            ]
+            + [("asked", (i, g, 7, 0, SECOND)) for i in range(4) for g in (0, 1)]
+        ),
+    )
     assert least <= p.controller.trust / p.controller.carried < most
 
 
 def test_a_pilot_that_was_never_calm_does_not_refuse_ever_more(pilot):
     p = pilot()
-    p.run(60, lambda s: [met(z, 2 * z + i, tries=100, dropped=50, report=(30,)) for z in (0, 1) for i in (0, 1)]
-          + [("asked", (i, g, 7, 0, SECOND)) for i in range(4) for g in (0, 1)])
+    p.run(
+        60,
+        lambda s: (
+            [met(z, 2 * z + i, tries=100, dropped=50, report=(30,)) for z in (0, 1) for i in (0, 1)]
+            + [("asked", (i, g, 7, 0, SECOND)) for i in range(4) for g in (0, 1)]
+        ),
+    )
     assert p.controller.trust > 0.2
 
 
@@ -303,13 +387,33 @@
     assert not [v for (t, g), v in p.kept.levels.items() if v[0] < 6]
 
 
-@pytest.mark.parametrize("news", [
-    ("joined", (0, 0, 1.0, True)), ("left", (77,)), met(0, 99), met(0, 0, tries=0), met(0, 0, latency=0),
-    met(0, 0, tries=2, dropped=9), met(1, 0, report=()), ("asked", (77, 0, 1, 0, SECOND)),
-    ("asked", (0, 9, 1, 0, SECOND)), ("asked", (0, 0, 5, 0, 0)), ("applied", (0, 4321, 10)), ("list_failed", ()),
-    listed(""), listed("dddd"), listed("rrrr", start=10**12), ("woken", ("other",)), ("probed", (0, False, 5, ())),
-    ("told", (1, b"x")), ("granted", (1, True)), ("stored", (1, 0, 1.0)), ("slice_asked", (1, 0, 1, 0, SECOND)),
-], ids=lambda n: n[0])
+@pytest.mark.parametrize(
+    "news",
+    [
+        ("joined", (0, 0, 1.0, True)),
+        ("left", (77,)),
+        met(0, 99),
+        met(0, 0, tries=0),
+        met(0, 0, latency=0),
+        met(0, 0, tries=2, dropped=9),
+        met(1, 0, report=()),
+        ("asked", (77, 0, 1, 0, SECOND)),
+        ("asked", (0, 9, 1, 0, SECOND)),
+        ("asked", (0, 0, 5, 0, 0)),
+        ("applied", (0, 4321, 10)),
+        ("list_failed", ()),
+        listed(""),
+        listed("dddd"),
+        listed("rrrr", start=10**12),
+        ("woken", ("other",)),
+        ("probed", (0, False, 5, ())),
+        ("told", (1, b"x")),
+        ("granted", (1, True)),
+        ("stored", (1, 0, 1.0)),
+        ("slice_asked", (1, 0, 1, 0, SECOND)),
+    ],
+    ids=lambda n: n[0],
+)
 def test_odd_but_legal_news(pilot, news):
     p = pilot()
     p.hear(news, news)
@@ -318,9 +422,18 @@
     assert sorted(p.kept.bound) == [0, 1, 2, 3] and not p.kept.emptied and not p.kept.out
 
 
-@pytest.mark.parametrize("changes", [
-    {"zones": ["only"]}, {"zones": [], "traffic_groups": []}, {"service": {}, "rules": {}}, {"weights": "none"},
-    {"service": {"by_zone": False, "messages_most": 12}}, {"telemetry": {"columns": []}}, {"telemetry": {}}])
+@pytest.mark.parametrize(
+    "changes",
+    [
+        {"zones": ["only"]},
+        {"zones": [], "traffic_groups": []},
+        {"service": {}, "rules": {}},
+        {"weights": "none"},
+        {"service": {"by_zone": False, "messages_most": 12}},
+        {"telemetry": {"columns": []}},
+        {"telemetry": {}},
+    ],
+)
 def test_other_deployments(pilot, changes):
     p = pilot(**changes)
     p.run(30, busy_fleet)
@@ -330,14 +443,25 @@
 def test_unheard_zones_are_estimated_from_what_is_usual_whatever_comes_here(pilot):
     p = pilot(proxies=2)
     before = p.controller.demands()[1][1]
-    p.run(10, lambda s: [("asked", (i, 0, 100, 0, SECOND)) for i in (0, 1)])    # a shift may have brought it here
+    p.run(
+        10, lambda s: [("asked", (i, 0, 100, 0, SECOND)) for i in (0, 1)]
+    )  # a shift may have brought it here
     assert before == p.controller.demands()[1][1] == pytest.approx(20)
 
 
-@pytest.mark.parametrize("needs, strengths, elsewhere", [
-    ([1, 1], [1, 1], 0), ([1, 1.1], [1, 1], 0), ([1, 1], [1, 0], 0.5), ([1, 1], [0.3, 1], 0.22), ([3, 1], [1, 1], 0.15),
-    ([0, 0], [1, 1], 0), ([1, 0, 0], [1, 1, 1], 0.6)],
-    ids=["even", "nearly", "failed", "cold", "heavy proxy", "nothing asked", "all in one"])
+@pytest.mark.parametrize(
+    "needs, strengths, elsewhere",
+    [
+        ([1, 1], [1, 1], 0),
+        ([1, 1.1], [1, 1], 0),
+        ([1, 1], [1, 0], 0.5),
+        ([1, 1], [0.3, 1], 0.22),
+        ([3, 1], [1, 1], 0.15),
+        ([0, 0], [1, 1], 0),
+        ([1, 0, 0], [1, 1, 1], 0.6),
+    ],
+    ids=["even", "nearly", "failed", "cold", "heavy proxy", "nothing asked", "all in one"],
+)
 def test_what_a_part_of_a_zone_lacks_lies_elsewhere(needs, strengths, elsewhere):
     rows = spread(needs, strengths)
     asked = sum(needs) or 1
@@ -349,62 +473,81 @@
 
 def test_full_size_keeps_tables_short_few_and_shared(pilot):
     zones, many = ["a", "b", "c"], tuple((i, i % 3, i % 2, 0, "ready", 4.0, 0) for i in range(120))
-    p = pilot("", 0, zones=zones, pilots=2, service={"proxy_count": 440, "by_zone": False, "most_waiting": 9000,
-                                                     "lines_per_s": 6000.0})
+    p = pilot(
+        "",
+        0,
+        zones=zones,
+        pilots=2,
+        service={"proxy_count": 440, "by_zone": False, "most_waiting": 9000, "lines_per_s": 6000.0},
+    )
     p.hear(("listed", ("replace", many)))
     p.hear(*[("joined", (i, i % 3, 1.0 + i % 7, True)) for i in range(220)])
     p.run(6, lambda s: [met(i % 3, i) for i in range(120)])
     tables = [set(p.kept.tables[t]) for t in p.kept.bound.values()]
     assert len(tables) == 220 and 3 <= min(map(len, tables)) <= max(map(len, tables)) <= 8
     assert len(set(p.kept.bound.values())) < 220 / 5 and len(set.union(*tables)) == 120
-    part = [e for e in many if e[0] in tables[0]]       # all that one table holds restarts: its flows go elsewhere
+    part = [e for e in many if e[0] in tables[0]]  # all that one table holds restarts: its flows go elsewhere
     p.hear(("listed", ("update", tuple((*e[:6], p.now) for e in part))))
     lines = p.kept.tables[p.kept.bound[0]]
     assert sum(lines.get(e[0], 0) for e in part) < 0.35 * sum(lines.values()) and not p.kept.emptied
 
 
 def test_a_zone_that_returns_is_cold_as_a_whole_though_only_part_of_it_is_listed_so(pilot):
-    p = pilot("rrrr", proxies=2)        # as after a restart: nothing was heard of the zone's own endpoints
+    p = pilot("rrrr", proxies=2)  # as after a restart: nothing was heard of the zone's own endpoints
     p.hear(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, p.now),))))
     assert p.load(0) + p.load(1) < 0.65 and p.load(0) == pytest.approx(p.load(1))
 
 
 def test_a_cold_endpoint_is_not_the_best_of_a_failing_zone(pilot):
     p = pilot()
-    p.run(10, lambda s: [met(0, i, dropped=16) for i in (0, 1)])    # caps on connections, say
+    p.run(10, lambda s: [met(0, i, dropped=16) for i in (0, 1)])  # caps on connections, say
     p.hear(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, p.now),))))
     assert p.load(0) < 0.5 * p.load(1)
 
 
-@pytest.mark.parametrize("fells, failing, shuns, least, most", [
-    (4.0, 0, 3, 0.12, 0.2), (2.5, 0, 3, 0.05, 0.12), (2.5, 16, 0, 0.001, 0.12), (2.5, 16, 3, 0, 0)])
+@pytest.mark.parametrize(
+    "fells, failing, shuns, least, most",
+    [(4.0, 0, 3, 0.12, 0.2), (2.5, 0, 3, 0.05, 0.12), (2.5, 16, 0, 0.001, 0.12), (2.5, 16, 3, 0, 0)],
+)
 def test_a_cold_endpoint_gets_less_where_little_fells_it_and_where_others_are_shunned(
-        pilot, fells, failing, shuns, least, most):
+    pilot, fells, failing, shuns, least, most
+):
     p = pilot(rules={"cold_share": 0.2, "fall_multiple": fells}, service={"outlier_after": shuns})
     p.run(10, lambda s: [met(0, i, dropped=failing) for i in (0, 1)])
     p.hear(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, p.now),))))
     assert least <= p.load(0) <= most and not p.kept.emptied
 
 
-@pytest.mark.parametrize("flows, warm, shuns, held_back", [
-    (100.0, 3, 5, True),        # 33 a second for each warm line: shunned within a second of failing
-    (10.0, 3, 5, False),        # light proxies: the late sums tell sooner
-    (100.0, 2, 5, False),       # too few warm ones to do without it
-    (100.0, 3, 0, False)])      # nobody shuns
-def test_a_cold_endpoint_waits_where_heavy_proxies_may_shun_all_the_others(pilot, flows, warm, shuns, held_back):
+@pytest.mark.parametrize(
+    "flows, warm, shuns, held_back",
+    [
+        (100.0, 3, 5, True),  # 33 a second for each warm line: shunned within a second of failing
+        (10.0, 3, 5, False),  # light proxies: the late sums tell sooner
+        (100.0, 2, 5, False),  # too few warm ones to do without it
+        (100.0, 3, 0, False),
+    ],
+)  # nobody shuns
+def test_a_cold_endpoint_waits_where_heavy_proxies_may_shun_all_the_others(
+    pilot, flows, warm, shuns, held_back
+):
     p = pilot("", service={"outlier_after": shuns})
     entries = [(i, 0, 0, 0, "ready", 4.0, 0) for i in range(warm)] + [(warm, 0, 0, 0, "ready", 4.0, p.now)]
     p.hear(("listed", ("replace", tuple(entries))), *[("joined", (i, 0, flows, True)) for i in range(2)])
     p.run(1)
     assert (p.load(warm) == 0) is held_back
-    p.run(20)       # warm by then
+    p.run(20)  # warm by then
     assert p.load(warm) == pytest.approx(1 / (warm + 1), abs=0.05) and not p.kept.emptied
 
 
 def test_the_first_of_a_failing_zone_that_is_half_warm_is_not_left_alone_with_it(pilot):
     """bahir-dar-credit, zone, seed 21: all of a zone came back cold and failed; the first past half of its ramp got all."""
     p = pilot("rrrr", service={"outlier_after": 3})
-    p.hear(("listed", ("update", tuple((i, 0, 0, 0, "ready", 4.0, p.now - (6 - 5 * i) * SECOND) for i in (0, 1)))))
+    p.hear(
+        (
+            "listed",
+            ("update", tuple((i, 0, 0, 0, "ready", 4.0, p.now - (6 - 5 * i) * SECOND) for i in (0, 1))),
+        )
+    )
     for _ in range(16):
         p.run(1, lambda s: [met(0, i, dropped=14) for i in (0, 1)])
         assert 0 < p.load(0) < 6 * p.load(1)
@@ -422,7 +565,7 @@
     before = p.controller.channel.waiting
     p.hear(listed("drrr"))
     spent = p.controller.channel.waiting - before
-    assert p.kept.out == {0} and 0 < spent < 4 * (3 + 1 + 3) + 4    # four of eight: a head, a mark, few lines
+    assert p.kept.out == {0} and 0 < spent < 4 * (3 + 1 + 3) + 4  # four of eight: a head, a mark, few lines
 
 
 def test_a_proxy_that_joins_behind_a_queue_of_table_changes_is_bound_at_once(pilot):
@@ -432,7 +575,7 @@
     assert 2 in p.kept.bound
     p.controller.channel.beyond(0.7 * p.controller.channel.most)
     p.hear(listed("rrdr", how="update"))
-    assert 2 in p.kept.out and p.controller.held      # the withdrawal goes, tables wait for their turn
+    assert 2 in p.kept.out and p.controller.held  # the withdrawal goes, tables wait for their turn
 
 
 def test_a_table_that_waits_for_room_is_written_alone_and_others_do_not_drift(pilot):
@@ -470,13 +613,14 @@
     answers = [met(0, i) for i in (0, 1)]
     p.run(10, lambda s: answers)
     p.run(8, lambda s: [met(0, i, tries=20, dropped=20) for i in (0, 1)])
-    assert p.load(2) + p.load(3) > 0.4                  # its flows go where no failure was heard of
+    assert p.load(2) + p.load(3) > 0.4  # its flows go where no failure was heard of
     at = p.controller.curves[0].buckets
     assert sum(d.read(p.now)[1] for d in at.values()) < 0.5 * sum(d.read(p.now)[0] for d in at.values())
 
 
 # --- the signal from beside ---
 
+
 def four(pilot):
     """All four endpoints in one zone, so that there is a middle."""
     entries = tuple((i, 0, 0, 0, "ready", 4.0, 0) for i in range(4))
@@ -489,20 +633,35 @@
 def test_a_machine_busier_than_its_zones_middle_costs_weight_within_bounds(pilot):
     made = four(pilot)
     before = made.load(0)
-    made.run(10, lambda s: [("noticed", (e, 0.95 if e == 0 else 0.3, 0)) for e in range(4)] + [met(0, e) for e in range(4)])
+    made.run(
+        10,
+        lambda s: (
+            [("noticed", (e, 0.95 if e == 0 else 0.3, 0)) for e in range(4)] + [met(0, e) for e in range(4)]
+        ),
+    )
     after = made.load(0)
     assert 0.45 * before < after < 0.75 * before
-    made.run(120, lambda s: [("noticed", (e, 1.0 if e == 0 else 0.0, 0)) for e in range(4)] + [met(0, e) for e in range(4)])
-    assert made.load(0) > 0.45 * before     # a host that lies for ever does not shut it out
+    made.run(
+        120,
+        lambda s: (
+            [("noticed", (e, 1.0 if e == 0 else 0.0, 0)) for e in range(4)] + [met(0, e) for e in range(4)]
+        ),
+    )
+    assert made.load(0) > 0.45 * before  # a host that lies for ever does not shut it out
     made.run(60, lambda s: [met(0, e) for e in range(4)])
-    assert made.load(0) == pytest.approx(before, rel=0.15)    # silence proves nothing: it fades, but for small moves
+    assert made.load(0) == pytest.approx(
+        before, rel=0.15
+    )  # silence proves nothing: it fades, but for small moves
 
 
 @pytest.mark.parametrize("told", [[0], [0, 1], []])
 def test_a_signal_of_too_few_changes_nothing(pilot, told):
     made = four(pilot)
     before = made.load(0)
-    made.run(10, lambda s: [("noticed", (e, 1.0 if e == 0 else 0.0, 0)) for e in told] + [met(0, e) for e in range(4)])
+    made.run(
+        10,
+        lambda s: [("noticed", (e, 1.0 if e == 0 else 0.0, 0)) for e in told] + [met(0, e) for e in range(4)],
+    )
     assert made.load(0) == pytest.approx(before, rel=0.02)
 
 
@@ -510,8 +669,14 @@
 def test_what_is_out_of_range_or_old_changes_nothing(pilot, busy, age):
     made = four(pilot)
     before = made.load(0)
-    made.run(10, lambda s: [("noticed", (e, busy if e == 0 else 0.3, age)) for e in range(4)] + [("noticed", (99, 1.0, 0))]
-             + [met(0, e) for e in range(4)])
+    made.run(
+        10,
+        lambda s: (
+            [("noticed", (e, busy if e == 0 else 0.3, age)) for e in range(4)]
+            + [("noticed", (99, 1.0, 0))]
+            + [met(0, e) for e in range(4)]
+        ),
+    )
     assert made.load(0) == pytest.approx(before, rel=0.02)
 
 
@@ -519,8 +684,13 @@
     loads = []
     for told in (0, 4):
         made = four(pilot)
-        made.run(10, lambda s: [("noticed", (e, 0.0 if e == 0 else 0.5, 0)) for e in range(told)]
-                 + [met(0, e, dropped=20 if e == 0 else 0) for e in range(4)])
+        made.run(
+            10,
+            lambda s: (
+                [("noticed", (e, 0.0 if e == 0 else 0.5, 0)) for e in range(told)]
+                + [met(0, e, dropped=20 if e == 0 else 0) for e in range(4)]
+            ),
+        )
         loads.append(made.load(0))
     assert loads[0] < 0.1 and loads[1] == pytest.approx(loads[0], rel=0.01)
 
@@ -537,7 +707,9 @@
 
 def test_what_can_wait_is_not_ordered_behind_a_long_queue():
     """Where the settings let 17 s of lines wait, what would be stale by its turn is decided when its turn comes."""
-    channel = Channel({"lines_per_s": 1500.0, "envelope": 3.0, "most_waiting": 26_300, "late_most_us": SECOND})
+    channel = Channel(
+        {"lines_per_s": 1500.0, "envelope": 3.0, "most_waiting": 26_300, "late_most_us": SECOND}
+    )
     for waiting, free in ((900, (0, 1, 3, 4)), (1200, (1, 3, 4)), (3000, (3, 4)), (7000, (4,))):
         channel.beyond(waiting - channel.waiting)
         assert tuple(u for u in (0, 1, 3, 4) if channel.room(10, [1], u)) == free
@@ -564,13 +736,24 @@
     def pairs():
         takes = [any(share[i][j] > 1e-9 for i in zones if i != j) for j in zones]
         sends = [share[i][i] < 1 - 1e-9 for i in zones]
-        return [(i, j) for i in live if curves[i] and not takes[i] and share[i][i] >= rules.QUANTUM and demand[i]
-                for j in live if j != i and curves[j] and not sends[j]]
+        return [
+            (i, j)
+            for i in live
+            if curves[i] and not takes[i] and share[i][i] >= rules.QUANTUM and demand[i]
+            for j in live
+            if j != i and curves[j] and not sends[j]
+        ]
 
     while any(m > rules.TARGET for m, d in zip(misses(share), demand) if d):
         before = sum(d * m for d, m in zip(demand, misses(share)))
-        best = max(((before - sum(d * m for d, m in zip(demand, misses(moved(i, j))))) / demand[i], i, j)
-                   for i, j in pairs()) if pairs() else (0.0,)
+        best = (
+            max(
+                ((before - sum(d * m for d, m in zip(demand, misses(moved(i, j))))) / demand[i], i, j)
+                for i, j in pairs()
+            )
+            if pairs()
+            else (0.0,)
+        )
         if best[0] <= 1e-9:
             break
         share = moved(*best[1:])
@@ -582,7 +765,9 @@
     chance = random.Random(seed)
     zones = chance.randint(2, 4)
     demand, capacity = ([chance.uniform(60, 170) for _ in range(zones)] for _ in "ab")
-    curves = [[(0.3, 0.1 + 0.1 * z), (0.9, 0.4 + 0.1 * z), (1.4, 1.2 + 0.1 * z)] for z in range(zones)]  # none is feasible
+    curves = [
+        [(0.3, 0.1 + 0.1 * z), (0.9, 0.4 + 0.1 * z), (1.4, 1.2 + 0.1 * z)] for z in range(zones)
+    ]  # none is feasible
     stretch = [[1 + chance.uniform(0, 0.3) * (i != j) for j in range(zones)] for i in range(zones)]
     found = solve_spill(demand, capacity, curves, stretch)
     assert found == [pytest.approx(row, abs=1e-6) for row in plain_spill(demand, capacity, curves, stretch)]
@@ -597,10 +782,13 @@
         if count[0] > 500_000:
             raise AssertionError("too much work")
         return read(points, x)
+
     monkeypatch.setattr(rules, "read_curve", counted)
     demand = [110 * chance.uniform(0.3, 1.7) for _ in range(32)]
     curves = [[(0.5, 0.01), (0.8, 0.03), (1.0, 0.1), (1.3, 0.5)]] * 32
-    share = solve_spill(demand, [100.0] * 32, curves, [[1 + 0.01 * (i != j) for j in range(32)] for i in range(32)])
+    share = solve_spill(
+        demand, [100.0] * 32, curves, [[1 + 0.01 * (i != j) for j in range(32)] for i in range(32)]
+    )
     assert all(sum(row) == pytest.approx(1) and min(row) > -1e-9 for row in share)
 
 
@@ -618,15 +806,22 @@
     p, chance = pilot(proxies=0), random.Random(5)
     for n in range(400):
         proxy = chance.randrange(12)
-        news = chance.choice([("joined", (proxy, proxy % 2, 10.0, True)), ("left", (proxy,)), ("left", (proxy, True)),
-                              met(proxy % 2, chance.randrange(4), 20, chance.randrange(20))])
+        news = chance.choice(
+            [
+                ("joined", (proxy, proxy % 2, 10.0, True)),
+                ("left", (proxy,)),
+                ("left", (proxy, True)),
+                met(proxy % 2, chance.randrange(4), 20, chance.randrange(20)),
+            ]
+        )
         p.now += SECOND // 8
         p.hear(news)
         scanned = {}
         for index, one in p.controller.proxies.items():
             scanned.setdefault(one.table, []).append(index)
         assert {t: sorted(users) for t, users in p.controller.users.items() if users} == {
-            t: sorted(users) for t, users in scanned.items()}
+            t: sorted(users) for t, users in scanned.items()
+        }
 
 
 def test_a_call_in_vain_is_repeated_ever_more_seldom_and_at_a_time_of_its_own(pilot):
@@ -635,9 +830,9 @@
     for _ in range(5):
         p.hear(("list_failed", ()))
         waits.append((p.controller.ask_again - p.now) / SECOND)
-        p.run(5)        # it asks again meanwhile
+        p.run(5)  # it asks again meanwhile
     assert all(least <= wait <= 2 * least for least, wait in zip((0.5, 1, 2, 2, 2), waits))
-    assert len({wait for wait in waits[2:]}) == 3       # drawn anew each time
+    assert len({wait for wait in waits[2:]}) == 3  # drawn anew each time
     p.hear(("listed", ("update", ())))
     assert not p.controller.ask_again
     p.hear(("list_failed", ()))
@@ -648,11 +843,11 @@
     """The page: what waits for a stream that the pilot ends goes on counting; for one that breaks it does not."""
     p = pilot(proxies=3)
     channel = p.controller.channel
-    p.hear(("joined", (3, 1, 10.0, True)))      # in the same instant: its bind waits behind the others'
+    p.hear(("joined", (3, 1, 10.0, True)))  # in the same instant: its bind waits behind the others'
     waited = channel.unproved()
     assert channel.open[-1].lines[3] and channel.open[-1].soonest > p.now
     p.hear(("left", (3, True)), ("joined", (3, 1, 10.0, True)))
-    assert channel.unproved() > waited      # bound on the next stream
+    assert channel.unproved() > waited  # bound on the next stream
     p.hear(("left", (3,)))
     assert channel.unproved() >= waited
 
@@ -711,14 +906,19 @@
     cold = 47
     made.hear(("listed", ("update", ((cold, 1, 0, 0, "ready", 4.0, made.now - 6 * SECOND),))))
     made.run(1)
-    holding = {table: share_after_withdrawals(made, table, cold) for table in set(made.kept.bound.values())
-               if cold in made.kept.tables[table]}
+    holding = {
+        table: share_after_withdrawals(made, table, cold)
+        for table in set(made.kept.bound.values())
+        if cold in made.kept.tables[table]
+    }
     largest = max(holding.values())
     made.controller.channel.beyond(2000)
     draining = {k for table in holding for k in made.kept.tables[table]} - {cold}
     made.hear(("listed", ("update", tuple((i, i // 24, 0, 0, "draining", 4.0, 0) for i in sorted(draining)))))
     assert draining <= made.kept.out
-    assert all(share_after_withdrawals(made, table, cold) < 2 * largest for table in set(made.kept.bound.values()))
+    assert all(
+        share_after_withdrawals(made, table, cold) < 2 * largest for table in set(made.kept.bound.values())
+    )
 
 
 def test_no_table_starves_while_the_list_changes_again_and_again(pilot):
@@ -734,12 +934,15 @@
 
     controller.write = watched_write
     for change in range(12):
-        entries = tuple((i, i // 24, 0, 0, "ready", 4.0, made.now - (2 + change % 3) * SECOND)
-                        for i in range(48) if i % 8 == change % 8)
+        entries = tuple(
+            (i, i // 24, 0, 0, "ready", 4.0, made.now - (2 + change % 3) * SECOND)
+            for i in range(48)
+            if i % 8 == change % 8
+        )
         made.now += SECOND // 8
         controller.channel = Channel(controller.service)
         controller.channel.drain(made.now)
-        controller.channel.beyond(1400)     # of the 1,500 behind which a table waits
+        controller.channel.beyond(1400)  # of the 1,500 behind which a table waits
         made.hear(("listed", ("update", entries)))
     assert set(made.kept.bound.values()) <= written
 
@@ -747,7 +950,9 @@
 def test_proxies_that_come_while_many_endpoints_leave_are_given_tables_and_not_each_withdrawal(pilot):
     """A pilot that is left alone gets all proxies during a release: a withdrawal for each would fill its channel for good."""
     made = fleet_of_small_tables(pilot, proxy_count=400, most_waiting=8000)
-    made.controller.channel.beyond(4500)    # 4.5 s of queue: nobody is bound behind that as long as nothing drains
+    made.controller.channel.beyond(
+        4500
+    )  # 4.5 s of queue: nobody is bound behind that as long as nothing drains
     draining = tuple((i, i // 24, 0, 0, "draining", 4.0, 0) for i in range(48) if i % 3 == 0)
     comers = [("joined", (n, n % 2, 10.0, False)) for n in range(100, 250)]
     made.hear(*comers, ("listed", ("update", draining)))
@@ -760,7 +965,7 @@
 def test_a_cold_endpoint_that_started_before_the_pilot_gets_little(pilot):
     """A pilot that was killed and starts again knows neither what others send it nor what the fleet can do."""
     shares = []
-    for age in (2 * SECOND, -1 * SECOND):   # the endpoint's start before and after the first report
+    for age in (2 * SECOND, -1 * SECOND):  # the endpoint's start before and after the first report
         made = pilot(proxies=4, rules={"cold_share": 0.2, "fall_multiple": 2.5, "warm_after_us": 16 * SECOND})
         started = made.now - age
         made.run(1, lambda second: [met(z, i) for z, i in ((0, 0), (0, 1), (1, 2), (1, 3))])
@@ -777,7 +982,7 @@
     made = pilot()
     made.run(2, lambda second: [met(z, i) for z, i in ((0, 0), (0, 1), (1, 2), (1, 3))])
     table = made.controller.current[0, 0]
-    made.controller.write = lambda *rest: made.controller.held.setdefault(table, 2)     # no room for any table
+    made.controller.write = lambda *rest: made.controller.held.setdefault(table, 2)  # no room for any table
     made.hear(listed("grrr", how="update"))
     assert made.kept.out == {0} and 0 in made.kept.tables[table]
     made.hear(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, made.now),))))
@@ -795,10 +1000,12 @@
     made.run(1)
     table = next(t for t in set(made.kept.bound.values()) if made.kept.tables[t].get(cold, 0) > 10)
     dominant = next(k for k in made.kept.tables[table] if k != cold)
-    made.controller.channel.beyond(2000)    # no room for whole tables, only for what cannot wait
+    made.controller.channel.beyond(2000)  # no room for whole tables, only for what cannot wait
     draining = set(made.kept.tables[table]) - {cold, dominant}
     made.hear(("listed", ("update", tuple((i, i // 24, 0, 0, "draining", 4.0, 0) for i in sorted(draining)))))
     left = {k for k in made.kept.tables[table] if k not in made.kept.out}
     assert table in made.controller.held and left == {dominant}
     made.run(8, lambda second: [met(i // 24, i) for i in range(48) if i not in draining])
-    assert any(cold in made.kept.tables[t] for t in set(made.kept.bound.values()))     # it comes with the whole table
+    assert any(
+        cold in made.kept.tables[t] for t in set(made.kept.bound.values())
+    )  # it comes with the whole table
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -3,6 +3,7 @@
 The pilot is whole; sockets are in memory, and what it dials is answered here by a registry with versions of its own at
 each address. What must hold at every step, and once things have settled, is checked; put-back faults must be found.
 """
+
 import json
 import random
 import re
@@ -26,7 +27,11 @@
     """A loop whose future can be kept."""
 
     def create_future(self):
-        return type("Future", (), {"over": False, "done": lambda f: f.over, "set_result": lambda f, _: setattr(f, "over", True)})()
+        return type(
+            "Future",
+            (),
+            {"over": False, "done": lambda f: f.over, "set_result": lambda f, _: setattr(f, "over", True)},
+        )()
 
 
 class Registry:
@@ -43,7 +48,9 @@
         return self.line([uid], state)
 
     def line(self, uids, state=None, whole=False):
-        entries = [target(uid, "ab"[int(uid[2:]) % 2], state or self.states.get(uid, "DELETED")) for uid in uids]
+        entries = [
+            target(uid, "ab"[int(uid[2:]) % 2], state or self.states.get(uid, "DELETED")) for uid in uids
+        ]
         text = json.dumps({"rev": self.rev, "all": whole, "targets": entries}).encode() + b"\n"
         return b"%x\r\n%s\r\n" % (len(text), text)
 
@@ -65,7 +72,7 @@
         self.pilot = Pilot(GOOD, self.loop, lambda: self.loop.now)
         self.opened, open_call = {}, self.pilot.open_call
         self.pilot.discovery.open_call = lambda *said: self.open(open_call(*said))
-        self.watches, self.spoke, self.silent = {}, {}, set()     # by call: its transport; when it last spoke
+        self.watches, self.spoke, self.silent = {}, {}, set()  # by call: its transport; when it last spoke
         self.proxies, self.tables = {}, {}
         self.pilot.again = lambda: self.pilot.configuration
         played = self.pilot.rounds.run
@@ -83,6 +90,7 @@
             if call.end is End.SILENT and self.loop.now - self.spoke[call] < IDLE_TIMEOUT - 1000:
                 self.wrong.append("a call that had just begun or spoken was ended as silent")
             done(call)
+
         call.done = ended
         return call
 
@@ -114,12 +122,15 @@
     def join(self):
         number = self.chance.randrange(4)
         if number in self.proxies and self.chance.random() < 0.5:
-            self.leave(number)      # else the new stream comes before the old one is seen to end
+            self.leave(number)  # else the new stream comes before the old one is seen to end
         stream = Accepted(self.pilot.buffers, self.pilot.door)
         stream.connection_made(Wire())
         table, out = self.tables.get(number, ({}, set()))
         self.proxies[number], self.tables[number] = (stream, 0), (table, out)
-        feed(stream, f"SUBSCRIBE proxy={number} zone={'ab'[number % 2]} weight=5 fresh={int(not table)}\r\n".encode())
+        feed(
+            stream,
+            f"SUBSCRIBE proxy={number} zone={'ab'[number % 2]} weight=5 fresh={int(not table)}\r\n".encode(),
+        )
 
     def leave(self, number=None):
         number = number if number is not None else self.chance.choice([*self.proxies, 0])
@@ -142,9 +153,15 @@
 
     def end_watch(self):
         for call in self.chance.sample(self.alive(), min(1, len(self.alive()))):
-            self.chance.choice([lambda: call.connection_lost(None), lambda: call.connection_lost(ConnectionResetError()),
-                                lambda: self.silent.add(call), lambda: self.say(call, b"5\r\n<html\r\n1\r\n\n\r\n"),
-                                lambda: self.say(call, b"0\r\n\r\n")])()
+            self.chance.choice(
+                [
+                    lambda: call.connection_lost(None),
+                    lambda: call.connection_lost(ConnectionResetError()),
+                    lambda: self.silent.add(call),
+                    lambda: self.say(call, b"5\r\n<html\r\n1\r\n\n\r\n"),
+                    lambda: self.say(call, b"0\r\n\r\n"),
+                ]
+            )()
 
     def move(self):
         """Another address, with the same list under versions lower, equal or higher; the old one goes on for a while."""
@@ -199,13 +216,18 @@
             self.wrong.append("a call without an owner")
         if any(c.end is not None for c in pilot.slots.held.values()):
             self.wrong.append("a slot without an owner")
-        due = (pilot.rounds.controller.ask_again or ("watch",) in pilot.deadlines.at
-               or "list_failed" in [name for name, _ in pilot.rounds.news])
+        due = (
+            pilot.rounds.controller.ask_again
+            or ("watch",) in pilot.deadlines.at
+            or "list_failed" in [name for name, _ in pilot.rounds.news]
+        )
         if pilot.discovery.watch is None and not due:
             self.wrong.append("no watch is open and none is due")
 
     def step(self, what):
-        before = [c for c in self.alive() if self.spoke[c] > self.opened[c] or c is self.pilot.discovery.former]
+        before = [
+            c for c in self.alive() if self.spoke[c] > self.opened[c] or c is self.pilot.discovery.former
+        ]
         what()
         ours = [c for c in before if c.end is End.SUPERSEDED]
         if ours and not self.pilot.discovery.answered:
@@ -222,8 +244,20 @@
                     self.step(lambda: self.say(call, b"1\r\n\n\r\n"))
 
     def run(self):
-        acts = [self.join, self.join, self.leave, self.change, self.change, self.end_watch, self.move, self.toggle,
-                self.close_old, self.accept, self.accept, self.pilot.reload]
+        acts = [
+            self.join,
+            self.join,
+            self.leave,
+            self.change,
+            self.change,
+            self.end_watch,
+            self.move,
+            self.toggle,
+            self.close_old,
+            self.accept,
+            self.accept,
+            self.pilot.reload,
+        ]
         for _ in range(self.chance.randrange(5, 25)):
             self.step(self.chance.choice(acts))
             if self.chance.random() < 0.6:
@@ -260,7 +294,13 @@
         for number, (stream, at) in self.proxies.items():
             said = stream.transport.written[at:].decode()
             holds = self.tables[number][0].get(serving[0]) and serving[0] not in self.tables[number][1]
-            if heard and holds and f"{serving[0]}:0" not in said and f"out={serving[0]}" not in said and "whole=1" not in said:
+            if (
+                heard
+                and holds
+                and f"{serving[0]}:0" not in said
+                and f"out={serving[0]}" not in said
+                and "whole=1" not in said
+            ):
                 self.wrong.append(f"proxy {number} was not told of the drain that was heard")
             if said and not said.endswith("\r\n"):
                 self.wrong.append("a message ends half-way")
@@ -308,15 +348,24 @@
     discovery.begin()
 
 
-@pytest.mark.parametrize("fault", ["deadlines by number", "the former given up", "moved away from what speaks",
-                                   "nobody sees to a watch", "no last round"])
+@pytest.mark.parametrize(
+    "fault",
+    [
+        "deadlines by number",
+        "the former given up",
+        "moved away from what speaks",
+        "nobody sees to a watch",
+        "no last round",
+    ],
+)
 def test_faults_that_were_there_are_found(monkeypatch, fault):
     if fault == "deadlines by number":
         from ravenshelf.memory.deadlines import Deadlines
+
         due, set_ = Deadlines.due, Deadlines.set
         monkeypatch.setattr(Deadlines, "due", lambda self, now: list(due(self, now)))
         monkeypatch.setattr(Pilot, "meet", meet_by_number)
-        number = lambda key: (key[0], Numbered(key[1])) if key[0] == "call" else key       # noqa: E731
+        number = lambda key: (key[0], Numbered(key[1])) if key[0] == "call" else key  # noqa: E731
         monkeypatch.setattr(Deadlines, "set", lambda self, key, at: set_(self, number(key), at))
         monkeypatch.setattr(Deadlines, "drop", lambda self, key: self.at.pop(number(key), None))
     elif fault == "the former given up":
@@ -326,5 +375,7 @@
     elif fault == "nobody sees to a watch":
         monkeypatch.setattr(Discovery, "_schedule_watch", lambda self: None)
     else:
-        monkeypatch.setattr(Pilot, "round", lambda self, seen=Pilot.round: None if self.stopping else seen(self))
+        monkeypatch.setattr(
+            Pilot, "round", lambda self, seen=Pilot.round: None if self.stopping else seen(self)
+        )
     assert any(Play(seed).run() for seed in range(400))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,5 @@
 """Segments: what was acknowledged is there, whatever is cut, damaged, full or killed."""
+
 import errno
 import os
 import signal
@@ -42,7 +43,7 @@
         store = Segments(folder, 10**6, 10**5)
         whole = [body for at, body in records if at + 16 + len(body) <= cut]
         assert len(store) == len(whole)
-        store.append([b"after"])        # and it goes on
+        store.append([b"after"])  # and it goes on
         assert bodies(store) == whole + [b"after"]
 
 
@@ -76,7 +77,7 @@
     def write(self, handle, data):
         if self.room <= 0:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        wrote = super().write(handle, data[:min(self.short, self.room)])
+        wrote = super().write(handle, data[: min(self.short, self.room)])
         self.room -= wrote
         return wrote
 
@@ -113,7 +114,8 @@
     program = (
         "import sys\nfrom pathlib import Path\nfrom ravenshelf.store.segments import Segments\n"
         "store = Segments(Path(sys.argv[1]), 10**7, 20000)\n"
-        "for n in range(10**6):\n    store.append([b'%d' % n * 9])\n    print(n, flush=True)\n")
+        "for n in range(10**6):\n    store.append([b'%d' % n * 9])\n    print(n, flush=True)\n"
+    )
     for after in (1, 40, 333):
         folder = tmp_path / str(after)
         process = subprocess.Popen([sys.executable, "-c", program, str(folder)], stdout=subprocess.PIPE)
@@ -122,5 +124,5 @@
         said += [int(line) for line in process.stdout.read().split(b"\n")[:-1] if line]
         process.wait()
         found = bodies(Segments(folder, 10**7, 20000))
-        assert found[:len(said)] == [b"%d" % n * 9 for n in said]
+        assert found[: len(said)] == [b"%d" % n * 9 for n in said]
         assert len(found) <= len(said) + 1
