--- a/Makefile
+++ b/Makefile
@@ -1,12 +1,18 @@
-# make try: a toy world and a pilot, until Ctrl-C. make test: all tests. Each makes the environment that it needs.
+# make try: a toy world and a pilot, until Ctrl-C. make test: all tests. make check: formatter, linter and type
+# checker. Each makes the environment that it needs.
 VENV := .venv-dev
 PYTHON := $(VENV)/bin/python
 
-.PHONY: try test pages bench-short
+.PHONY: try check test pages bench-short
 
 try: $(VENV)/made
 	@exec $(PYTHON) -m examples.toy --with-pilot
 
+check: $(VENV)/made
+	$(PYTHON) -m ruff format --check --no-cache .
+	$(PYTHON) -m ruff check --no-cache .
+	$(PYTHON) -m mypy --cache-dir=/dev/null
+
 test: $(VENV)/made
 	$(PYTHON) -m pytest -q -p no:cacheprovider
 
--- a/benchmarks/measuring.py
+++ b/benchmarks/measuring.py
@@ -2,7 +2,8 @@
 
 import json
 import sys
-from typing import NoReturn, Sequence
+from collections.abc import Sequence
+from typing import NoReturn
 
 
 def quantile(values: Sequence[float], part: float) -> float:
--- a/ravenshelf/background/scheduler.py
+++ b/ravenshelf/background/scheduler.py
@@ -1,7 +1,7 @@
 """Gives background jobs their turns on the loop, slice by slice, behind the rounds of table lines."""
 
 import time
-from typing import Callable, Iterator
+from collections.abc import Callable, Iterator
 
 from ravenshelf import events
 from ravenshelf.background.decisions import PRIORITIES, Agenda, Job
--- a/ravenshelf/collectd/decisions.py
+++ b/ravenshelf/collectd/decisions.py
@@ -20,8 +20,8 @@
 """
 
 from collections import OrderedDict
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
-from typing import Callable, Iterable, Sequence
 
 from ravenshelf.collectd.types import Source
 from ravenshelf.collectd.wire import ABSOLUTE, DERIVE, GAUGE, ValueList
--- a/ravenshelf/collectd/listener.py
+++ b/ravenshelf/collectd/listener.py
@@ -2,7 +2,7 @@
 
 import asyncio
 from collections import deque
-from typing import Callable, Iterator
+from collections.abc import Callable, Iterator
 
 import xxhash
 
--- a/ravenshelf/collectd/wire.py
+++ b/ravenshelf/collectd/wire.py
@@ -9,8 +9,8 @@
 import hashlib
 import hmac
 import struct
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
-from typing import Callable, Iterable, Sequence
 
 HOST, TIME, PLUGIN, PLUGIN_INSTANCE, TYPE, TYPE_INSTANCE, VALUES, INTERVAL = range(8)
 TIME_HR, INTERVAL_HR, MESSAGE, SEVERITY, SIGNATURE, ENCRYPTION = (
--- a/ravenshelf/commands.py
+++ b/ravenshelf/commands.py
@@ -2,7 +2,7 @@
 
 import json
 from pathlib import Path
-from typing import Annotated, Optional
+from typing import Annotated
 
 import typer
 
@@ -13,9 +13,9 @@
     help="ravenshelf tells forwarders where work goes.", no_args_is_help=True, add_completion=False
 )
 Config = Annotated[
-    Optional[Path], typer.Option("--config", "-c", help="The configuration; else RELAY_CONFIG names it.")
+    Path | None, typer.Option("--config", "-c", help="The configuration; else RELAY_CONFIG names it.")
 ]
-OperatorFile = Annotated[Optional[Path], typer.Option("--operator", "-o", help="The operator file (TOML).")]
+OperatorFile = Annotated[Path | None, typer.Option("--operator", "-o", help="The operator file (TOML).")]
 Form = Annotated[str, typer.Option("--form", help="table, markdown or json.")]
 
 
@@ -166,8 +166,8 @@
 @controllers.command()
 def handover(
     admin: Admin,
-    to: Annotated[Optional[str], typer.Option(help="Who is to have them first.")] = None,
-    shard: Annotated[Optional[list[int]], typer.Option(help="Which; without it all.")] = None,
+    to: Annotated[str | None, typer.Option(help="Who is to have them first.")] = None,
+    shard: Annotated[list[int] | None, typer.Option(help="Which; without it all.")] = None,
 ):
     """Give shards up at once, all or some."""
     given = asked(admin, {"ask": "handover", "to": to, "shards": shard or None})["given"]
--- a/ravenshelf/graphite/decisions.py
+++ b/ravenshelf/graphite/decisions.py
@@ -6,9 +6,9 @@
 
 import random
 from collections import deque
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 from itertools import islice
-from typing import Callable, Iterable, Sequence
 
 import xxhash
 
--- a/ravenshelf/graphite/formats.py
+++ b/ravenshelf/graphite/formats.py
@@ -7,7 +7,7 @@
 import pickle
 import re
 import struct
-from typing import Iterator, Sequence
+from collections.abc import Iterator, Sequence
 
 FRAME_POINTS = 500  # carbon refuses frames over 1 MiB; a path is bounded by MOST_PATH
 SLICE_POINTS = 200  # formatted in a slice of background work
--- a/ravenshelf/graphite/gather.py
+++ b/ravenshelf/graphite/gather.py
@@ -6,8 +6,8 @@
 """
 
 from collections import defaultdict
+from collections.abc import Callable, Iterator, Mapping
 from math import exp
-from typing import Callable, Iterator, Mapping
 
 from hdrh.histogram import HdrHistogram
 
--- a/ravenshelf/graphite/link.py
+++ b/ravenshelf/graphite/link.py
@@ -1,7 +1,7 @@
 """One connection to a carbon receiver: written to by whole lines or frames, told when the system has taken them."""
 
 import socket
-from typing import Callable
+from collections.abc import Callable
 
 from ravenshelf.memory.buffers import Buffers
 from ravenshelf.net.reading import Reading
--- a/ravenshelf/graphite/outlet.py
+++ b/ravenshelf/graphite/outlet.py
@@ -2,7 +2,7 @@
 
 import asyncio
 import socket
-from typing import Callable, Iterator
+from collections.abc import Callable, Iterator
 
 from ravenshelf import events
 from ravenshelf.background.decisions import BACKFILL, PRESENT
@@ -112,7 +112,7 @@
                         DIAL_BY / SECOND / len(found),
                     )
                     return
-                except (OSError, asyncio.TimeoutError):
+                except (TimeoutError, OSError):
                     if link.end is not None:
                         return
             link.close(End.REFUSED)
@@ -260,7 +260,7 @@
             self.spool_busy = False
             if outcome is None:
                 self.spool_rests_until = self.clock() + SECOND  # empty: asked again with the next figures
-                return
+                return None
             if isinstance(outcome, Exception):
                 return self._spool_failed(outcome)
             number, batches, skipped = outcome
--- a/ravenshelf/graphite/service.py
+++ b/ravenshelf/graphite/service.py
@@ -2,9 +2,9 @@
 
 import asyncio
 import random
+from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
-from typing import Callable
 
 from ravenshelf import events
 from ravenshelf.background.scheduler import Background
--- a/ravenshelf/graphite/spool.py
+++ b/ravenshelf/graphite/spool.py
@@ -5,9 +5,9 @@
 """
 
 import hashlib
+from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
-from typing import Callable
 
 import msgspec
 
--- a/ravenshelf/leadership/adapter.py
+++ b/ravenshelf/leadership/adapter.py
@@ -1,7 +1,7 @@
 """Between the pilot and its leadership: the decisions see only proxies of owned shards, and no order leaves without
 its right. The judging is `ShardGate`'s, `Inherited`'s and `Member`'s; here their answers meet the streams."""
 
-from typing import Callable, Iterable
+from collections.abc import Callable, Iterable
 
 from ravenshelf.leadership.decisions import GRANTING, KEEPING, Member
 from ravenshelf.leadership.dividing import shard_of
--- a/ravenshelf/leadership/admin.py
+++ b/ravenshelf/leadership/admin.py
@@ -4,7 +4,7 @@
 import json
 import os
 import socket
-from typing import Callable
+from collections.abc import Callable
 
 WORDS = ("status", "drain", "undrain", "handover")
 
@@ -45,7 +45,7 @@
             line = await asyncio.wait_for(reader.readline(), 5)
             asked = json.loads(line)
             told = answer_to(asked if isinstance(asked, dict) else {})
-        except (ValueError, asyncio.TimeoutError, ConnectionError):
+        except (TimeoutError, ValueError, ConnectionError):
             told = {"error": "expected one JSON object a line"}
         writer.write(json.dumps(told).encode() + b"\n")
         writer.close()
--- a/ravenshelf/leadership/decisions.py
+++ b/ravenshelf/leadership/decisions.py
@@ -16,8 +16,9 @@
 
 import random
 from collections import deque
+from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
-from typing import Any, Iterable, Protocol, Sequence
+from typing import Any, Protocol
 
 from ravenshelf.leadership.dividing import capacity, divide
 
--- a/ravenshelf/leadership/dividing.py
+++ b/ravenshelf/leadership/dividing.py
@@ -5,8 +5,8 @@
 steps by whoever has too much.
 """
 
+from collections.abc import Mapping, Sequence
 from math import ceil, log
-from typing import Mapping, Sequence
 
 import xxhash
 
--- a/ravenshelf/leadership/gate.py
+++ b/ravenshelf/leadership/gate.py
@@ -6,8 +6,8 @@
 """
 
 from collections import deque
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
-from typing import Callable, Iterable
 
 from ravenshelf.leadership.record import Record
 
--- a/ravenshelf/leadership/inheritance.py
+++ b/ravenshelf/leadership/inheritance.py
@@ -5,8 +5,8 @@
 microseconds.
 """
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Iterable
 
 from ravenshelf.leadership.record import Record
 
--- a/ravenshelf/leadership/link.py
+++ b/ravenshelf/leadership/link.py
@@ -7,7 +7,8 @@
 
 import asyncio
 import ssl
-from typing import Any, Callable
+from collections.abc import Callable
+from typing import Any
 
 import msgspec
 
--- a/ravenshelf/leadership/record.py
+++ b/ravenshelf/leadership/record.py
@@ -24,7 +24,7 @@
 
     All keys are names: indices differ between controllers."""
 
-    __slots__ = ("tries", "levels", "drains", "ramps", "rest", "version")
+    __slots__ = ("drains", "levels", "ramps", "rest", "tries", "version")
 
     def __init__(self, tries=None, levels=None, drains=None, ramps=None, rest=None, version=VERSION):
         self.tries: dict[str, int] = dict(tries or {})
--- a/ravenshelf/leadership/service.py
+++ b/ravenshelf/leadership/service.py
@@ -3,8 +3,9 @@
 import asyncio
 import random
 import time
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any, Callable
+from typing import Any
 
 from ravenshelf import events
 from ravenshelf.leadership import link as links
@@ -230,7 +231,7 @@
                         self.dials,
                         DIAL_BY,
                     )
-                except (OSError, ValueError, asyncio.TimeoutError):
+                except (TimeoutError, OSError, ValueError):
                     pass
             await asyncio.sleep(DIAL_EVERY / SECOND)
 
--- a/ravenshelf/memory/deadlines.py
+++ b/ravenshelf/memory/deadlines.py
@@ -1,7 +1,7 @@
 """The one ordered structure in which all deadlines hang."""
 
 import heapq
-from typing import Hashable, Iterator
+from collections.abc import Hashable, Iterator
 
 
 class Deadlines:
--- a/ravenshelf/memory/listing.py
+++ b/ravenshelf/memory/listing.py
@@ -1,6 +1,6 @@
 """The list of endpoints as this pilot holds it; ids become small indices here, and stay so over restarts."""
 
-from typing import Callable
+from collections.abc import Callable
 
 REST = (
     600_000_000  # an index is given to another endpoint no sooner after its own has gone: evidence has faded
--- a/ravenshelf/memory/sent.py
+++ b/ravenshelf/memory/sent.py
@@ -2,8 +2,8 @@
 
 Tables, levels and withdrawals are kept once; the orders of a round become one message for each proxy concerned."""
 
+from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Callable
 
 from ravenshelf.interface import EVERYWHERE
 
--- a/ravenshelf/net/accepted.py
+++ b/ravenshelf/net/accepted.py
@@ -1,6 +1,7 @@
 """A connection that came to the pilot's address: bytes in pieces into lines, messages out."""
 
-from typing import Callable, Protocol
+from collections.abc import Callable
+from typing import Protocol
 
 from ravenshelf.memory.buffers import SIZE, Buffers
 from ravenshelf.net.ends import STRANGER, STREAM, End
@@ -71,7 +72,7 @@
 
     def write(self, data: bytes) -> None:
         if self.end is not None:
-            return
+            return None
         if self.transport.get_write_buffer_size() > MOST_UNSENT:
             return self.close(End.UNREAD)
         self.transport.write(data)
--- a/ravenshelf/net/catalog.py
+++ b/ravenshelf/net/catalog.py
@@ -1,7 +1,7 @@
 """Discovery's JSON into entries of the list."""
 
 import json
-from typing import Callable
+from collections.abc import Callable
 
 STATES = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
 NEVER_IN_A_NAME = set(" \t\r\n,:=")  # what no order on a stream could name
--- a/ravenshelf/net/datagrams.py
+++ b/ravenshelf/net/datagrams.py
@@ -1,7 +1,7 @@
 """Datagrams between pilots: the sender's address tells which pilot spoke."""
 
 import asyncio
-from typing import Callable
+from collections.abc import Callable
 
 MOST = 256  # a longer one voids the run
 
--- a/ravenshelf/net/http.py
+++ b/ravenshelf/net/http.py
@@ -1,7 +1,7 @@
 """One HTTP/1.1 call: dial, ask, read the answer, whole or line by line."""
 
 import asyncio
-from typing import Callable
+from collections.abc import Callable
 
 import httptools
 
--- a/ravenshelf/net/lines.py
+++ b/ravenshelf/net/lines.py
@@ -1,6 +1,6 @@
 """Lines of the streams: what proxies and collectors say into the module's calls, messages into lines."""
 
-from typing import Callable, Iterable
+from collections.abc import Callable, Iterable
 
 from ravenshelf.provisioning import LOAD_WORDS
 
--- a/ravenshelf/printing.py
+++ b/ravenshelf/printing.py
@@ -2,7 +2,7 @@
 
 import json
 import sys
-from typing import Sequence
+from collections.abc import Sequence
 
 FORMS = ("table", "markdown", "json")
 
--- a/ravenshelf/process/configuration.py
+++ b/ravenshelf/process/configuration.py
@@ -2,7 +2,8 @@
 
 import json
 import os
-from typing import Any, Mapping
+from collections.abc import Mapping
+from typing import Any
 
 from ravenshelf.net.catalog import Catalog, Unreadable
 from ravenshelf.net.datagrams import address
--- a/ravenshelf/process/discovery.py
+++ b/ravenshelf/process/discovery.py
@@ -1,7 +1,7 @@
 """Discovery as the pilot asks it: one answer for each call, changes while a watch lasts, its end told once."""
 
 import random
-from typing import Callable
+from collections.abc import Callable
 
 from ravenshelf import events
 from ravenshelf.memory.counters import Counters
--- a/ravenshelf/process/door.py
+++ b/ravenshelf/process/door.py
@@ -1,6 +1,6 @@
 """Who comes to the pilot's address: strangers, collectors, and the streams of proxies."""
 
-from typing import Callable
+from collections.abc import Callable
 
 from ravenshelf import events
 from ravenshelf.memory.counters import Counters
--- a/ravenshelf/process/logs.py
+++ b/ravenshelf/process/logs.py
@@ -5,8 +5,8 @@
 import sys
 import threading
 import time
-from datetime import timezone
-from typing import Callable
+from collections.abc import Callable
+from datetime import UTC
 
 from loguru import logger
 
@@ -67,7 +67,7 @@
 def as_json(record: dict, lost: int = 0) -> str:
     """One object: when, level, the event's stable name, its fields, its words."""
     said = {
-        "at": record["time"].astimezone(timezone.utc).isoformat(timespec="milliseconds"),
+        "at": record["time"].astimezone(UTC).isoformat(timespec="milliseconds"),
         "level": record["level"].name,
         "event": "",
         **record["extra"],
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -7,7 +7,7 @@
 import os
 import random
 import resource
-from typing import Callable
+from collections.abc import Callable
 
 from ravenshelf import events
 from ravenshelf.background.decisions import PRESENT, UPKEEP, Agenda
--- a/ravenshelf/process/pilot.py
+++ b/ravenshelf/process/pilot.py
@@ -4,7 +4,7 @@
 import random
 import signal
 import time
-from typing import Callable
+from collections.abc import Callable
 
 from ravenshelf import events
 from ravenshelf.memory.buffers import Buffers
--- a/ravenshelf/process/probes.py
+++ b/ravenshelf/process/probes.py
@@ -1,6 +1,6 @@
 """Probes: one answer for each, from /_load where the deployment has reports, else from /ping."""
 
-from typing import Callable
+from collections.abc import Callable
 
 from ravenshelf.memory.counters import Counters
 from ravenshelf.memory.listing import Listing
--- a/ravenshelf/process/rounds.py
+++ b/ravenshelf/process/rounds.py
@@ -1,6 +1,6 @@
 """The round: what came in goes to the module in one call, what it ordered goes out as one message a proxy."""
 
-from typing import Callable
+from collections.abc import Callable
 
 from ravenshelf import events
 from ravenshelf.memory.counters import Counters
--- a/ravenshelf/process/run.py
+++ b/ravenshelf/process/run.py
@@ -2,7 +2,7 @@
 
 import gc
 import signal
-from typing import Callable
+from collections.abc import Callable
 
 import uvloop
 
--- a/ravenshelf/rules.py
+++ b/ravenshelf/rules.py
@@ -503,7 +503,7 @@
         for e, v in known.items():  # one of which little was heard is not the best of a failing zone
             ramp, most, z = self.ramp(e), median(warm[e.zone], v), e.zone  # if all shun the rest, it falls
             soon = len(warm[z]) >= PART_ENDPOINTS and heavy * max(1, self.parts[z]) > shuns * len(warm[z])
-            spared = shuns and warm[z] and (ramp < 1 and soon or ramp <= LUKEWARM and most <= FAILING)
+            spared = shuns and warm[z] and ((ramp < 1 and soon) or (ramp <= LUKEWARM and most <= FAILING))
             if not spared:  # else all cold
                 if ramp < 1:  # of what started before it heard anything a pilot knows no capacity
                     v = min(v, most) / (self.frail if e.start < (self.first or self.now) else 1.0)
--- a/ravenshelf/store/committer.py
+++ b/ravenshelf/store/committer.py
@@ -1,8 +1,9 @@
 """Group commit: what comes while the disk is at work goes to it together, on a thread of its own."""
 
 import threading
+from collections.abc import Callable
 from queue import SimpleQueue
-from typing import Any, Callable
+from typing import Any
 
 from ravenshelf.store.journal import Journal
 
--- a/ravenshelf/store/journal.py
+++ b/ravenshelf/store/journal.py
@@ -8,8 +8,9 @@
 
 import fcntl
 import os
+from collections.abc import Callable, Iterable, Mapping
 from pathlib import Path
-from typing import Any, Callable, Iterable, Mapping
+from typing import Any
 
 import msgspec
 
--- a/standins/carbon.py
+++ b/standins/carbon.py
@@ -9,8 +9,8 @@
 import pickle
 import socket
 import struct
+from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import Sequence
 
 
 @dataclass(frozen=True)
--- a/standins/collectd.py
+++ b/standins/collectd.py
@@ -9,8 +9,8 @@
 import os
 import random
 import struct
+from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
-from typing import Iterable, Iterator
 
 HOST, TIME, PLUGIN, PLUGIN_INSTANCE, TYPE, TYPE_INSTANCE, VALUES, INTERVAL, TIME_HR, INTERVAL_HR = range(10)
 COUNTER, GAUGE, DERIVE, ABSOLUTE = range(4)
--- a/standins/controllers.py
+++ b/standins/controllers.py
@@ -369,7 +369,7 @@
             node = self.nodes[to]
             return self.later(10, lambda: node.hear(sender, message), node)
         if (sender, to) in self.cuts or self.chance.random() < self.drop:
-            return
+            return None
         for _ in range(2 if self.chance.random() < 0.02 else 1):
             delay = (
                 self.chance.randrange(200, 3 * MS)
--- a/standins/distribution/network.py
+++ b/standins/distribution/network.py
@@ -35,17 +35,17 @@
     """One child's connection to one parent."""
 
     __slots__ = (
-        "network",
+        "bytes_per_second",
         "child",
-        "upstream",
-        "parent",
         "delay",
-        "open",
         "free_at",
         "last_down",
         "last_up",
+        "network",
+        "open",
+        "parent",
         "pump_at",
-        "bytes_per_second",
+        "upstream",
     )
 
     def __init__(self, network: "Network", child: "Node", upstream: str, parent: "Node"):
--- a/standins/fleet/budget.py
+++ b/standins/fleet/budget.py
@@ -5,9 +5,9 @@
 """
 
 from collections import deque
+from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from math import sqrt
-from typing import Iterable, Iterator
 
 SECOND = 1_000_000
 INFORMED_LEAST = 2 / 3  # of the work in a window, for the excess to be the pilots' fault
--- a/standins/fleet/clock.py
+++ b/standins/fleet/clock.py
@@ -2,7 +2,7 @@
 
 import heapq
 import itertools
-from typing import Callable
+from collections.abc import Callable
 
 SECOND = 1_000_000
 TICK = SECOND // 20  # how often pilots look for work
--- a/standins/fleet/discovery.py
+++ b/standins/fleet/discovery.py
@@ -15,7 +15,7 @@
 
     def __init__(self, world: "Simulation", a_second: float, patience: int = 2 * SECOND):
         self.world, self.each, self.patience = world, round(SECOND / a_second), patience
-        self.queue: deque[tuple[int, "Pilot"]] = deque()
+        self.queue: deque[tuple[int, Pilot]] = deque()
         self.free, self.down = 0, False
         self.calls: list[tuple[int, int, str]] = []  # when, by whom, and what came of it
 
--- a/standins/fleet/pilots.py
+++ b/standins/fleet/pilots.py
@@ -1,6 +1,7 @@
 """A pilot: the control plane's module behind its own rounds."""
 
-from typing import TYPE_CHECKING, Callable, Mapping
+from collections.abc import Callable, Mapping
+from typing import TYPE_CHECKING
 
 from ravenshelf.memory.counters import Counters
 from ravenshelf.memory.listing import Listing
--- a/standins/fleet/proxies.py
+++ b/standins/fleet/proxies.py
@@ -2,9 +2,9 @@
 
 import random
 from bisect import bisect
+from collections.abc import Mapping
 from dataclasses import dataclass
 from itertools import accumulate
-from typing import Mapping
 
 from standins.fleet.clock import SECOND
 from standins.world import obeyed
--- a/standins/fleet/scenarios.py
+++ b/standins/fleet/scenarios.py
@@ -1,9 +1,9 @@
 """Scripted days of a `RequestWorld`: endpoints return cold while most pilots or proxies are killed."""
 
+from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
 from math import ceil
-from typing import Callable
 
 from standins.fleet.clock import SECOND
 from standins.fleet.parameters import Parameters, Span
--- a/standins/fleet/simulation.py
+++ b/standins/fleet/simulation.py
@@ -1,10 +1,10 @@
 """What every small fleet has: a clock, pilots, proxies, discovery, and the faults a script may set off."""
 
 import random
-from typing import Callable
+from collections.abc import Callable
 
 from standins.fleet.channels import Channel, FixedChannel
-from standins.fleet.clock import TICK, SECOND, EventQueue
+from standins.fleet.clock import SECOND, TICK, EventQueue
 from standins.fleet.discovery import Discovery
 from standins.fleet.pilots import Pilot
 from standins.fleet.proxies import Proxy
--- a/standins/histories.py
+++ b/standins/histories.py
@@ -9,7 +9,7 @@
 Contents: ("bind",), ("try", key), ("out", endpoint, version), ("back", endpoint, version), ("level", group, level).
 """
 
-from typing import Iterable
+from collections.abc import Iterable
 
 RULES = ("one granter", "order of terms", "try twice", "drain dropped", "let in at once", "takeover late")
 
--- a/standins/installation.py
+++ b/standins/installation.py
@@ -136,6 +136,6 @@
         for process in self.processes.values():
             try:
                 await asyncio.wait_for(process.wait(), 5)
-            except asyncio.TimeoutError:
+            except TimeoutError:
                 process.kill()
                 await process.wait()
--- a/standins/proxies.py
+++ b/standins/proxies.py
@@ -5,7 +5,7 @@
 
 import asyncio
 import time
-from typing import Callable
+from collections.abc import Callable
 
 from standins.world import obeyed
 
--- a/standins/world.py
+++ b/standins/world.py
@@ -4,7 +4,7 @@
 import asyncio
 import json
 import time
-from typing import Callable
+from collections.abc import Callable
 
 
 class Discovery:
@@ -22,7 +22,7 @@
 
     @property
     def address(self) -> str:
-        return "127.0.0.1:{}".format(self.server.sockets[0].getsockname()[1])
+        return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     async def _asked(self, reader, writer) -> None:
         try:
@@ -49,7 +49,7 @@
             try:
                 async with self.changed:
                     await asyncio.wait_for(self.changed.wait_for(lambda: self.rev > seen), 2)
-            except asyncio.TimeoutError:
+            except TimeoutError:
                 continue  # an empty line every 2 s
             news = [entry for rev, entry in self.changes if rev > seen]
             seen, said = self.rev, json.dumps({"rev": self.rev, "all": False, "targets": news})
--- a/tests/test_collectd.py
+++ b/tests/test_collectd.py
@@ -126,6 +126,23 @@
         (sender.part(0, b"h\0h\0"), "none", "malformed"),
         (sender.part(0, b"\xff\0"), "none", "malformed"),
     ],
+    ids=[
+        "plain where signatures are required",
+        "plain where encryption is required",
+        "signed where encryption is required",
+        "signed with another user's password",
+        "signed by an unknown user",
+        "signed and altered",
+        "signed and the user replaced",
+        "encrypted with another user's password",
+        "encrypted by an unknown user",
+        "bytes behind an encrypted part",
+        "an encrypted part behind plain ones",
+        "empty",
+        "values without a type",
+        "a zero byte inside a text",
+        "a text that is not UTF-8",
+    ],
 )
 def test_what_is_refused_and_why(packet, least, reason):
     assert refused(packet, least) == reason
--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -33,7 +33,7 @@
     from cryptography.hazmat.primitives.asymmetric import ec
     from cryptography.x509.oid import NameOID
 
-    now = datetime.datetime.now(datetime.timezone.utc)
+    now = datetime.datetime.now(datetime.UTC)
     top_file = folder / "ca.key"
 
     def make(name, key, issuer, signer, top):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -8,7 +8,6 @@
 import socket
 import subprocess
 import sys
-import threading
 import time
 
 import pytest
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -40,7 +40,7 @@
         super().plan(orders, urgent, only)
         away = self.now // (5 * SECOND) % 2
         self.share = [
-            [float((j == (i + away) % self.zones)) for j in range(self.zones)] for i in range(self.zones)
+            [float(j == (i + away) % self.zones) for j in range(self.zones)] for i in range(self.zones)
         ]
         for z in range(self.zones):
             for n, lines in enumerate(self.wanted(z, self.strengths(), self.needs()[z])):
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -262,7 +262,7 @@
 
 @pytest.mark.parametrize("words", [("check",), ("format", "--check")], ids=["linter", "formatter"])
 def test_the_linter_and_the_formatter_find_nothing(words):
-    """Over what pyproject.toml includes so far; the rest follows with the policy in files by concern."""
+    """Over the whole tree; pyproject.toml lists by module what does not pass yet."""
     done = subprocess.run(
         [str(Path(sys.executable).parent / "ruff"), *words, "--no-cache"],
         cwd=ROOT,
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -16,8 +16,8 @@
 from ravenshelf.net.catalog import Catalog
 from ravenshelf.net.ends import End
 from ravenshelf.process import configuration, logs
-from ravenshelf.process.configuration import Wrong
 from ravenshelf.process.clock import Clock
+from ravenshelf.process.configuration import Wrong
 from ravenshelf.process.discovery import RETRY_DELAY, Discovery
 from ravenshelf.process.pilot import Pilot
 from ravenshelf.process.probes import Probes
@@ -25,7 +25,6 @@
 from ravenshelf.provisioning import provisioning
 from ravenshelf.rules import SECOND
 
-
 # --- discovery ---
 
 
