--- a/ravenshelf/policy/commands.py
+++ b/ravenshelf/policy/commands.py
@@ -1,4 +1,4 @@
-"""What the controller orders: a writer for proxy state, and types for the commands that are carried out later.
+"""What the controller orders: a writer for proxy state, and types for commands carried out later.
 
 Orders about tables and proxies go to a `CommandWriter`, method by method, because a control cycle may give
 thousands of them. The rest are rare; whoever implements the writer may keep them as the types below.
