--- a/benchmarks/neighbour.py
+++ b/benchmarks/neighbour.py
@@ -9,7 +9,18 @@
 import random
 
 from benchmarks.measuring import close, quantile
+from ravenshelf.policy.events import (
+    DemandReport,
+    EndpointsListed,
+    EndpointState,
+    HostLoadSampled,
+    ListedEndpoint,
+    ListKind,
+    LoadReport,
+    ProxyJoined,
+)
 from ravenshelf.rules import SECOND, Controller
+from ravenshelf.settings import ServiceSettings, Settings, TrafficGroup
 
 ENDPOINTS, PROXIES, BEGINS, ENDS = 12, 24, 60, 120
 HURT = 0  # the endpoint with the neighbour
@@ -26,13 +37,13 @@
     def __init__(self):
         self.tables, self.bound = {}, {}
 
-    def line(self, table, endpoint, weight):
+    def set_weight(self, table, endpoint, weight):
         self.tables.setdefault(table, {})[endpoint] = weight
 
-    def clear(self, table):
+    def clear_table(self, table):
         self.tables[table] = {}
 
-    def bind(self, proxy, table, groups=0):
+    def bind_proxy(self, proxy, table, groups=0):
         self.bound[proxy] = table
 
     def share(self, endpoint: int) -> float:
@@ -43,21 +54,19 @@
         return lambda *values: None
 
 
-def settings() -> dict:
-    return {
-        "zones": ["a"],
-        "traffic_groups": [{"name": "read", "utility": 1.0, "latency_budget_us": SECOND}],
-        "rules": {},
-        "discovery": "pushed",
-        "telemetry": {"columns": []},
-        "service": {
-            "lines_per_s": 2000.0,
-            "envelope": 3.0,
-            "most_waiting": 2000,
-            "proxy_count": PROXIES,
-            "by_zone": True,
-        },
-    }
+def settings() -> Settings:
+    return Settings(
+        zones=("a",),
+        traffic_groups=(TrafficGroup("read", latency_objective_us=SECOND),),
+        discovery="pushed",
+        service=ServiceSettings(
+            lines_per_second=2000.0,
+            message_overhead_lines=3.0,
+            queue_limit_lines=2000,
+            proxy_count=PROXIES,
+            proxies_join_by_zone=True,
+        ),
+    )
 
 
 def play(seed: int, signal: bool, lying: bool = False) -> dict:
@@ -68,8 +77,11 @@
     pilot.round(
         now,
         [
-            ("listed", ("restored", tuple((i, 0, 0, 0, "ready", 4.0, 0) for i in range(ENDPOINTS)))),
-            *(("joined", (p, 0, 20.0, True)) for p in range(PROXIES)),
+            EndpointsListed(
+                ListKind.RESTORED,
+                tuple(ListedEndpoint(i, 0, 0, 0, EndpointState.READY, 4.0, 0) for i in range(ENDPOINTS)),
+            ),
+            *(ProxyJoined(p, 0, 20.0, True) for p in range(PROXIES)),
         ],
         kept,
     )
@@ -82,16 +94,19 @@
                 slow = 1 + (SLOWED - 1) * hurt if e == HURT and not lying else 1.0
                 mean = 80_000 * slow * chance.uniform(0.93, 1.07)
                 waiting.append(
-                    (second + SUMS_LATE, ("heard", (0, e, 100, 0, round(mean), SUMS_EVERY * SECOND, ())))
+                    (second + SUMS_LATE, LoadReport(0, e, 100, 0, round(mean), SUMS_EVERY * SECOND, ()))
                 )
             waiting += [
-                (second + SUMS_LATE, ("asked", (p, 0, 100, 0, SUMS_EVERY * SECOND))) for p in range(PROXIES)
+                (second + SUMS_LATE, DemandReport(p, 0, 100, 0, SUMS_EVERY * SECOND)) for p in range(PROXIES)
             ]
         if signal and quarter % (4 * READ_EVERY) == 0:
             for e in range(ENDPOINTS):
                 busy = 0.95 if e == HURT and second > BEGINS else chance.uniform(0.35, 0.5)
                 waiting.append(
-                    (second + READ_LATE, ("noticed", (e, busy, round((READ_LATE + READ_EVERY / 2) * SECOND))))
+                    (
+                        second + READ_LATE,
+                        HostLoadSampled(e, busy, round((READ_LATE + READ_EVERY / 2) * SECOND)),
+                    )
                 )
         news = [what for at, what in waiting if at <= second]
         waiting = [(at, what) for at, what in waiting if at > second]
--- a/benchmarks/scale/agreement.py
+++ b/benchmarks/scale/agreement.py
@@ -9,7 +9,8 @@
 import msgspec
 
 from benchmarks.scale.pilots import HollowPilot
-from ravenshelf.provisioning import provisioning
+from ravenshelf.policy.events import ListKind, ProxyJoined
+from ravenshelf.settings import decode_settings
 from ravenshelf.state.endpoint_registry import Listing
 from standins.installation import ports
 from standins.world import Discovery, Proxy, configuration, entry
@@ -102,17 +103,19 @@
 
 def _hollow(script: Script) -> list[bytes]:
     """What the same news make a hollow pilot send."""
-    pilot = HollowPilot(0, 0, 1, provisioning(script.configuration("127.0.0.1:1", "127.0.0.1:0")["settings"]))
+    pilot = HollowPilot(
+        0, 0, 1, decode_settings(script.configuration("127.0.0.1:1", "127.0.0.1:0")["settings"])
+    )
     states = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
     listing: Listing = pilot.listing
     first = [(listing.endpoint(one["uid"]), 0, 0, 0, states[one["state"]], 1.0, 0) for one in script.entries]
-    pilot.rounds.hear("listed", listing.take("replace", 2, first, {}))
+    pilot.rounds.hear(listing.take(ListKind.REPLACE, 2, first, {}))
     pilot.round()
-    pilot.rounds.hear("joined", (0, 0, USUAL, True))
+    pilot.rounds.hear(ProxyJoined(0, 0, USUAL, True))
     _settle(pilot)
     for revision, (uid, state) in enumerate(script.changes, 3):
         change = (listing.endpoint(uid), 0, 0, 0, states[state], 1.0, 0)
-        pilot.rounds.hear("listed", listing.take("update", revision, [change], {}))
+        pilot.rounds.hear(listing.take(ListKind.UPDATE, revision, [change], {}))
         _settle(pilot)
     return [message.rstrip(b"\r\n") for _, message in pilot.written]
 
--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -37,8 +37,8 @@
     decode,
     encode,
 )
-from ravenshelf.provisioning import provisioning
 from ravenshelf.rules import SECOND
+from ravenshelf.settings import decode_settings
 
 START = 1000 * SECOND
 SERVICE_ENDPOINTS = 30  # 36,000 endpoints over 1,200 services
@@ -170,7 +170,7 @@
 
 def planner(zones: int, endpoints: int = SERVICE_ENDPOINTS, seed: int = 1) -> ServicePlanner:
     """A service's planner with subscribers in every zone."""
-    made = ServicePlanner("service-1", provisioning(settings(zones, zones)), seed)
+    made = ServicePlanner("service-1", decode_settings(settings(zones, zones)), seed)
     made.configure({f"service-1-{n:03d}": EndpointEntry(n % zones, True, 4.0) for n in range(endpoints)})
     for zone in range(zones):
         made.subscribe_zone(zone, 100.0)
--- a/benchmarks/scale/pilots.py
+++ b/benchmarks/scale/pilots.py
@@ -8,9 +8,18 @@
 from benchmarks.scale.fits import Measurement, measure
 from benchmarks.scale.isolated import resident_bytes
 from ravenshelf.net.endpoint_codec import Catalog
+from ravenshelf.policy.events import (
+    BatchAcknowledged,
+    DemandReport,
+    EndpointState,
+    ListedEndpoint,
+    ListKind,
+    LoadReport,
+    ProxyJoined,
+)
 from ravenshelf.process.control_cycle import Rounds
-from ravenshelf.provisioning import provisioning
 from ravenshelf.rules import SECOND, solve_spill
+from ravenshelf.settings import Settings, decode_settings
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.endpoint_registry import Listing
 from ravenshelf.state.proxy_tables import Sent
@@ -52,26 +61,34 @@
 class HollowPilot:
     """The decision, listing and sending modules of one pilot behind its own rounds, on a virtual clock."""
 
-    def __init__(self, endpoints: int, proxies: int, zones: int, provisioned: dict | None = None):
-        """`provisioned`: other settings than those of such a size."""
+    def __init__(self, endpoints: int, proxies: int, zones: int, deployment: Settings | None = None):
+        """`deployment`: other settings than those of such a size."""
         self.now, self.zones, self.proxies = START, zones, proxies
-        self.settings = provisioned or provisioning(settings(zones, proxies))
+        self.settings = deployment or decode_settings(settings(zones, proxies))
         self.counters, self.sent = Counters(), Sent(1, True)
         self.listing = Listing(lambda: self.now, self.sent.holds)
         self.rounds = Rounds(self.settings, 7, self.listing, self.sent, self.counters)
         self.chance = random.Random(5)
         entries = [
-            (self.listing.endpoint(f"endpoint-{n:06d}.zone-{n % zones}"), n % zones, 0, 0, "ready", 4.0, 0)
+            ListedEndpoint(
+                self.listing.endpoint(f"endpoint-{n:06d}.zone-{n % zones}"),
+                n % zones,
+                0,
+                0,
+                EndpointState.READY,
+                4.0,
+                0,
+            )
             for n in range(endpoints)
         ]
         self.endpoints = [entry[0] for entry in entries]
         addresses = {
             index: f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}:8080" for index in self.endpoints
         }
-        self.listing.take("replace", 1, entries, addresses)
+        self.listing.take(ListKind.REPLACE, 1, entries, addresses)
         self.rounds.begin()
         for number in range(proxies):
-            self.rounds.hear("joined", (number, number % zones, 40.0, True))
+            self.rounds.hear(ProxyJoined(number, number % zones, 40.0, True))
         self.written: list[tuple[int, bytes]] = []
 
     def round(self) -> None:
@@ -80,7 +97,7 @@
         answered: list[tuple[int, int]] = []
         self.rounds.run(self.now, lambda proxy, message, mark: self._write(proxy, message, mark, answered))
         for proxy, mark in answered:
-            self.rounds.hear("applied", (proxy, mark, 1000))
+            self.rounds.hear(BatchAcknowledged(proxy, mark, 1000))
 
     def _write(self, proxy: int, message: bytes, mark: int | None, answered: list[tuple[int, int]]) -> None:
         self.written.append((proxy, message))
@@ -91,8 +108,7 @@
         """A second's late sums: of a part of the endpoints, and of every proxy."""
         for index in self.chance.sample(self.endpoints, round(REPORTED_SHARE * len(self.endpoints))):
             self.rounds.hear(
-                "heard",
-                (
+                LoadReport(
                     index % self.zones,
                     index,
                     40,
@@ -100,10 +116,10 @@
                     self.chance.randint(150_000, 250_000),
                     SECOND,
                     (self.chance.randint(1, 5),),
-                ),
+                )
             )
         for number in range(self.proxies):
-            self.rounds.hear("asked", (number, 0, self.chance.randint(30, 50), 0, SECOND))
+            self.rounds.hear(DemandReport(number, 0, self.chance.randint(30, 50), 0, SECOND))
 
     def run(self, seconds: int) -> "HollowPilot":
         for _ in range(seconds):
@@ -116,10 +132,10 @@
     def change_list(self, count: int) -> None:
         """So many endpoints start again, as an update of the list tells it."""
         entries = [
-            (index, index % self.zones, 0, 0, "ready", 4.0, self.now)
+            ListedEndpoint(index, index % self.zones, 0, 0, EndpointState.READY, 4.0, self.now)
             for index in self.chance.sample(self.endpoints, count)
         ]
-        self.rounds.hear("listed", self.listing.take("update", self.listing.rev + 1, entries, {}))
+        self.rounds.hear(self.listing.take(ListKind.UPDATE, self.listing.rev + 1, entries, {}))
 
 
 def cpu_a_second(endpoints: int, proxies: int, zones: int, seconds: int = 10) -> float:
@@ -165,11 +181,11 @@
     """Seconds to read a whole list and to take it into the listing, as the pilot does it."""
     body = json.dumps({"rev": 1, "all": True, "targets": _catalogue(endpoints)}).encode()
     listing = Listing(lambda: START, lambda index: False)
-    catalog = Catalog(provisioning(settings(64, 1)), listing.endpoint, listing.index.get)
+    catalog = Catalog(decode_settings(settings(64, 1)), listing.endpoint, listing.index.get)
     began = time.process_time()
     said = catalog.read(body)
     entries, addresses, _ = catalog.entries(said["targets"])
-    listing.take("replace", said["rev"], entries, addresses)
+    listing.take(ListKind.REPLACE, said["rev"], entries, addresses)
     return time.process_time() - began
 
 
--- a/ravenshelf/collectd/listener.py
+++ b/ravenshelf/collectd/listener.py
@@ -13,6 +13,7 @@
 from ravenshelf.collectd.decisions import Replays, Signals
 from ravenshelf.collectd.users import Users
 from ravenshelf.collectd.wire import MOST_PACKET, Refused
+from ravenshelf.policy.events import HostLoadSampled
 from ravenshelf.state.counters import Counters
 
 MOST_WAITING = 1024  # packets; beyond it the newest are dropped: what waits is the older half of one read
@@ -30,7 +31,7 @@
         background: Background,
         counters: Counters,
         clock: Callable[[], int],
-        news: Callable[[str, tuple], None],
+        news: Callable[[HostLoadSampled], None],
     ):
         self.table, self.users, self.signals, self.background = table, users, signals, background
         self.counters, self.clock, self.news = counters, clock, news
@@ -69,7 +70,7 @@
         self.queued = False
         for signal in self.signals.signals(self.clock()):
             self.counters["collectd_signals"] += 1
-            self.news("noticed", signal)
+            self.news(HostLoadSampled(*signal))
         for host, ahead in self.signals.clocks():
             log_events.HOST_CLOCK(host=host, ahead=ahead)
 
--- a/ravenshelf/distribution/decisions/deciding.py
+++ b/ravenshelf/distribution/decisions/deciding.py
@@ -20,6 +20,7 @@
     zone_topic,
 )
 from ravenshelf.distribution.messages import EndpointEntry, Entry, Report, TableLine
+from ravenshelf.settings import Settings
 
 ROUND_EVERY = SECOND // 4
 WARM_AFTER_SUMS = 5 * SECOND  # two beats with sums
@@ -54,9 +55,9 @@
 class ServiceDecisions:
     """All services that one controller owns. Give `content` to its `Owner`, then attach that."""
 
-    def __init__(self, provisioning: dict, listed: Callable[[str], Service], seed: int):
-        """`provisioning` as `ServicePlanner` takes it; `listed` tells what is listed of a service now."""
-        self.provisioning, self.listed, self.seed = provisioning, listed, seed
+    def __init__(self, deployment: Settings, listed: Callable[[str], Service], seed: int):
+        """`deployment` as `ServicePlanner` takes it; `listed` tells what is listed of a service now."""
+        self.deployment, self.listed, self.seed = deployment, listed, seed
         self.owner: Owner | None = None
         self.planned: dict[str, _Planned] = {}
         self.aggregator = Aggregator("owner")
@@ -119,7 +120,7 @@
         planned = self.planned.get(service)
         if planned is None:
             planned = self.planned[service] = _Planned(
-                ServicePlanner(service, self.provisioning, self.seed), now
+                ServicePlanner(service, self.deployment, self.seed), now
             )
         listed = self.listed(service)
         if listed != planned.listed:
--- a/ravenshelf/distribution/decisions/pilot_controller.py
+++ b/ravenshelf/distribution/decisions/pilot_controller.py
@@ -10,6 +10,7 @@
 from ravenshelf.distribution.decisions.fallback import Source
 from ravenshelf.distribution.messages import TableLine
 from ravenshelf.rules import Channel, Controller
+from ravenshelf.settings import Settings
 
 TABLE_TOTAL = 1000.0  # weights of a table add up to this, as in the pilot's own
 ALL = 0.999  # of the requests: less is what allowances of cold endpoints leave over
@@ -22,7 +23,7 @@
 
     def __init__(
         self,
-        provisioning: dict,
+        settings: Settings,
         seed: int,
         channel: Channel | None = None,
         *,
@@ -30,7 +31,7 @@
         index_of: Callable[[str], int | None],
     ):
         """`index_of` gives a listed endpoint's index."""
-        super().__init__(provisioning, seed, channel)
+        super().__init__(settings, seed, channel)
         self.owners_table, self.index_of = owners_table, index_of
 
     def wanted(
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -8,8 +8,10 @@
 
 from ravenshelf.distribution.decisions.allowance import largest_share
 from ravenshelf.distribution.messages import AdmissionLevel, EndpointEntry, Entry, Report, Setting, TableLine
-from ravenshelf.interface import EVERYWHERE
+from ravenshelf.policy import events
+from ravenshelf.policy.commands import ALL_TABLES
 from ravenshelf.rules import Controller
+from ravenshelf.settings import Settings
 
 ENDPOINT, LINE, LEVEL, SETTING = "e:", "t:", "l:", "c:"  # prefixes of a topic's keys
 USUAL_UNKNOWN = 1.0  # requests a second of a zone of which nothing was heard yet
@@ -36,7 +38,7 @@
         self.shut_out: set[int] = set()
         self.marks: list[int] = []
 
-    def line(self, table: int, endpoint: int, weight: float) -> None:
+    def set_weight(self, table: int, endpoint: int, weight: float) -> None:
         """Sets a line; weight 0 removes it."""
         lines = self.tables.setdefault(table, {})
         if weight:
@@ -44,42 +46,42 @@
         else:
             lines.pop(endpoint, None)
 
-    def clear(self, table: int) -> None:
+    def clear_table(self, table: int) -> None:
         """Empties a table."""
         self.tables[table], self.levels[table] = {}, {}
 
-    def bench(self, endpoint: int, out: bool) -> None:
+    def set_ejected(self, endpoint: int, out: bool) -> None:
         """Shuts an endpoint out of all tables, or lets it back."""
         (self.shut_out.add if out else self.shut_out.discard)(endpoint)
 
-    def bind(self, proxy: int, table: int, groups: int = 0) -> None:
+    def bind_proxy(self, proxy: int, table: int, groups: int = 0) -> None:
         """Leads a zone to a table."""
         self.bound[proxy] = table
 
-    def level(self, table: int, groups: int, level: float, tries: int) -> None:
+    def set_admission_level(self, table: int, groups: int, level: float, tries: int) -> None:
         """Sets the admission level of the groups in the bit mask (0: all)."""
         held = self.levels.setdefault(table, {})
         for group in range(self.groups):
             if not groups or groups >> group & 1:
                 held[group] = (level, tries)
 
-    def mark(self, number: int, everyone: bool = False) -> None:
+    def request_acknowledgement(self, number: int, everyone: bool = False) -> None:
         """Asks for an acknowledgement; the distribution counts its own versions, so it is given at once."""
         self.marks.append(number)
 
-    def wake(self, at: int, key: str) -> None:
+    def start_timer(self, at: int, key: str) -> None:
         """The owner calls a round each quarter second anyway."""
 
-    def observe(self, on: bool) -> None:
+    def watch_endpoints(self, on: bool) -> None:
         """The list comes from the service's own configuration."""
 
-    def fetch(self) -> None:
+    def fetch_endpoints(self) -> None:
         """As `observe`."""
 
-    def probe(self, endpoint: int) -> None:
+    def check_health(self, endpoint: int) -> None:
         """Owners do not probe."""
 
-    def tell(self, peer: int | None, octets: bytes) -> None:
+    def send_peer_message(self, peer: int | None, octets: bytes) -> None:
         """Owners tell each other nothing of tables."""
 
     def log(self, text: str) -> None:
@@ -92,24 +94,24 @@
 
     def levels_of(self, proxy: int) -> dict[int, tuple[float, int]]:
         """The levels of a zone."""
-        return {**self.levels.get(EVERYWHERE, {}), **self.levels.get(self.bound.get(proxy, -1), {})}
+        return {**self.levels.get(ALL_TABLES, {}), **self.levels.get(self.bound.get(proxy, -1), {})}
 
 
 class ServicePlanner:
     """Decides the tables of one service for the proxy zones that have subscribers."""
 
-    def __init__(self, service: str, provisioning: dict, seed: int):
-        """`provisioning` as `provisioning.provisioning` makes it: zones, traffic groups, rules; levels are fractions."""
+    def __init__(self, service: str, deployment: Settings, seed: int):
+        """`deployment`: its zones, traffic groups and rules are used; admission levels are fractions."""
         self.service = service
         self.endpoints: dict[str, EndpointEntry] = {}
         self.settings: dict[str, str] = {}
         self.zones: set[int] = set()  # proxy zones with subscribers
         self._indices: dict[str, int] = {}
         self._names: list[str] = []
-        self._news: list[tuple[str, tuple]] = []
-        self._listed_zones = max(1, len(provisioning.get("zones", [])))
-        self.orders = TableOrders(len(provisioning.get("traffic_groups", [])))
-        self.controller = Controller(provisioning, seed)
+        self._news: list[events.Event] = []
+        self._listed_zones = max(1, len(deployment.zones))
+        self.orders = TableOrders(len(deployment.traffic_groups))
+        self.controller = Controller(deployment, seed)
 
     # --- what comes in ---
 
@@ -122,18 +124,18 @@
             self.endpoints.pop(name)
         self.endpoints.update(endpoints)
         entries = tuple(
-            (
+            events.ListedEndpoint(
                 self._index(name),
                 entry.zone,
                 0,
                 0,
-                "ready" if entry.ready else "draining",
+                events.EndpointState.READY if entry.ready else events.EndpointState.DRAINING,
                 entry.weight,
                 entry.started,
             )
             for name, entry in self.endpoints.items()
         )
-        self._news.append(("listed", ("replace", entries)))
+        self._news.append(events.EndpointsListed(events.ListKind.REPLACE, entries))
 
     def _index(self, name: str) -> int:
         if name not in self._indices:
@@ -145,13 +147,13 @@
         """The first pilot of a zone subscribes. `usual`: requests a second until sums come."""
         if zone not in self.zones:
             self.zones.add(zone)
-            self._news.append(("joined", (zone, zone, usual, True)))
+            self._news.append(events.ProxyJoined(zone, zone, usual, True))
 
     def unsubscribe_zone(self, zone: int) -> None:
         """The last pilot of a zone has gone: it costs nothing any more."""
         if zone in self.zones:
             self.zones.discard(zone)
-            self._news.append(("left", (zone,)))
+            self._news.append(events.ProxyLeft(zone))
 
     def report(self, report: Report, window: int) -> None:
         """Sums from a zone's proxies over a window of so many microseconds."""
@@ -160,22 +162,21 @@
             if index is not None:
                 answered = max(1, sums.tries - sums.failures)
                 self._news.append(
-                    (
-                        "heard",
-                        (
-                            report.zone,
-                            index,
-                            sums.tries,
-                            sums.failures,
-                            sums.latency_sum // answered,
-                            window,
-                            (),
-                        ),
+                    events.LoadReport(
+                        report.zone,
+                        index,
+                        sums.tries,
+                        sums.failures,
+                        sums.latency_sum // answered,
+                        window,
+                        (),
                     )
                 )
         if report.zone in self.zones:
             for group, asked in report.groups.items():
-                self._news.append(("asked", (report.zone, group, asked.requests, asked.unanswered, window)))
+                self._news.append(
+                    events.DemandReport(report.zone, group, asked.requests, asked.unanswered, window)
+                )
 
     # --- what goes out ---
 
@@ -212,7 +213,7 @@
 
     def _line(self, index: int, weight: float, share: float) -> TableLine:
         endpoint = self.controller.endpoints[index]
-        multiple = self.controller.rules.get("fall_multiple", 4.0)
+        multiple = self.controller.rules.overload_multiple
         return TableLine(weight, round(largest_share(share, self.controller.ramp(endpoint), multiple), 4))
 
 
--- a/ravenshelf/distribution/pilot_service.py
+++ b/ravenshelf/distribution/pilot_service.py
@@ -15,6 +15,7 @@
 from ravenshelf.distribution.subscription_service import SubscriptionService
 from ravenshelf.distribution.timers import Timers
 from ravenshelf.distribution.upstreams import Clock
+from ravenshelf.policy.events import DemandReport, Event, LoadReport, ProxyJoined, ProxyLeft
 
 REPORT = "report"
 
@@ -90,20 +91,20 @@
 
     # --- sums ---
 
-    def heard(self, name: str, values: tuple, now: int) -> None:
+    def heard(self, event: Event, now: int) -> None:
         """Takes what the pilot's decisions are told."""
-        if name == "joined":
-            self._joined(values[0], values[1])
-        elif name == "left":
-            self.proxies.pop(values[0], None)
-        elif name == "heard":
-            zone, index, tries, dropped, latency = values[:5]
-            answered = max(0, tries - dropped)
-            self._add(zone, {self.name_of(index): EndpointSums(tries, dropped, answered * latency)}, {})
-        elif name == "asked":
-            proxy, group, requests, unanswered = values[:4]
-            if proxy in self.proxies:
-                self._add(self.proxies[proxy], {}, {group: GroupSums(requests, unanswered)})
+        match event:
+            case ProxyJoined(proxy, zone):
+                self._joined(proxy, zone)
+            case ProxyLeft(proxy):
+                self.proxies.pop(proxy, None)
+            case LoadReport(zone, endpoint, attempts, failed, latency):
+                succeeded = max(0, attempts - failed)
+                sums = EndpointSums(attempts, failed, succeeded * latency)
+                self._add(zone, {self.name_of(endpoint): sums}, {})
+            case DemandReport(proxy, group, requests, unanswered):
+                if proxy in self.proxies:
+                    self._add(self.proxies[proxy], {}, {group: GroupSums(requests, unanswered)})
 
     def _joined(self, proxy: int, zone: int) -> None:
         self.proxies[proxy] = zone
--- a/ravenshelf/graphite/gather.py
+++ b/ravenshelf/graphite/gather.py
@@ -14,6 +14,18 @@
 from ravenshelf.graphite import figures
 from ravenshelf.graphite.figures import DETAIL, ESSENTIAL, USEFUL, Figure
 from ravenshelf.graphite.formats import word
+from ravenshelf.policy.events import (
+    BatchAcknowledged,
+    DemandReport,
+    EndpointsListed,
+    EndpointState,
+    Event,
+    ListKind,
+    LoadReport,
+    ProxyJoined,
+    ProxyLeft,
+)
+from ravenshelf.settings import Settings
 
 SECOND = 1_000_000
 LONGEST = 600 * SECOND  # of a distribution's values; two digits: 1% and some KB each
@@ -80,15 +92,15 @@
 
 
 class Gatherer:
-    def __init__(self, provisioning: dict, prefix: str, now: int):
-        self.groups = provisioning.get("traffic_groups", [])
-        self.zones = [word(str(z)) for z in provisioning.get("zones", [])]
-        self.names = [word(str(g.get("name"))) for g in self.groups]
-        self.budgets = [g.get("latency_budget_us") or 10 * SECOND for g in self.groups]
-        self.fraction = provisioning.get("service", {}).get("level_kind") == "fraction"
-        self.most_waiting = provisioning.get("service", {}).get("most_waiting") or 0
+    def __init__(self, settings: Settings, prefix: str, now: int):
+        self.groups = settings.traffic_groups
+        self.zones = [word(zone) for zone in settings.zones]
+        self.names = [word(group.name) for group in self.groups]
+        self.budgets = [group.latency_objective_us or 10 * SECOND for group in self.groups]
+        self.fraction = settings.service.admission_level_kind == "fraction"
+        self.most_waiting = settings.service.queue_limit_lines or 0
         self.prefix = prefix
-        self.place: dict[int, tuple[int, str]] = {}  # endpoint: zone, state
+        self.place: dict[int, tuple[int, EndpointState]] = {}  # endpoint: zone, state
         self.proxies: dict[int, int] = {}  # proxy: zone
         self.last_sum: dict[int, int] = {}  # zone: when its last sum came
         self.level_of: Callable[[int, int], float | None] = lambda proxy, group: None
@@ -106,39 +118,43 @@
 
     # --- told by the pilot ---
 
-    def heard(self, name: str, values: tuple, now: int) -> None:
-        handler = getattr(self, f"_{name}", None)
-        if handler is not None:
-            handler(now, *values)
-
-    def _listed(self, now: int, how: str, entries) -> None:
+    def heard(self, event: Event, now: int) -> None:
+        match event:
+            case EndpointsListed():
+                self._listed(now, event)
+            case ProxyJoined(proxy, zone):
+                self.proxies[proxy] = zone
+            case ProxyLeft(proxy):
+                self.proxies.pop(proxy, None)
+                self.drains.answered(proxy, None)
+            case LoadReport():
+                self._heard(now, event)
+            case DemandReport():
+                self._asked(now, event)
+            case BatchAcknowledged():
+                self._applied(now, event)
+
+    def _listed(self, now: int, event: EndpointsListed) -> None:
         seen = set()
-        for index, zone, _, _, state, _, _ in entries:
-            self._placed(now, index, zone, state)
-            seen.add(index)
-        if how != "update":
+        for entry in event.entries:
+            self._placed(now, entry.endpoint, entry.zone, entry.state)
+            seen.add(entry.endpoint)
+        if event.kind is not ListKind.UPDATE:
             for index, (zone, _) in list(self.place.items()):
                 if index not in seen:
-                    self._placed(now, index, zone, "gone")
+                    self._placed(now, index, zone, EndpointState.GONE)
 
-    def _placed(self, now: int, index: int, zone: int, state: str) -> None:
+    def _placed(self, now: int, index: int, zone: int, state: EndpointState) -> None:
         had = self.place.get(index)
-        if state == "ready":
+        if state is EndpointState.READY:
             self.drains.ended(index)
-        elif had is not None and had[1] == "ready" and self.drains.began(index, now):
+        elif had is not None and had[1] is EndpointState.READY and self.drains.began(index, now):
             self.now.drains += 1
-        if state == "gone":
+        if state is EndpointState.GONE:
             self.place.pop(index, None)
         else:
             self.place[index] = (zone, state)
 
-    def _joined(self, now: int, proxy: int, zone: int, usual: float, fresh: bool) -> None:
-        self.proxies[proxy] = zone
-
-    def _left(self, now: int, proxy: int, ended: bool = False) -> None:
-        self.proxies.pop(proxy, None)
-        self.drains.answered(proxy, None)
-
     def _sum(self, now: int, zone: int, window: int) -> None:
         self.now.sums += 1
         self._took(figures.SUMS_AGE, window / 2)
@@ -146,10 +162,10 @@
             self._took(figures.SUMS_GAP, now - self.last_sum[zone])
         self.last_sum[zone] = now
 
-    def _heard(
-        self, now: int, zone: int, endpoint: int, tries: int, failed: int, mean: int, window: int, _
-    ) -> None:
-        self._sum(now, zone, window)
+    def _heard(self, now: int, event: LoadReport) -> None:
+        zone, endpoint, mean = event.zone, event.endpoint, event.mean_latency
+        tries, failed = event.attempts, event.failed
+        self._sum(now, zone, event.window)
         delivered = tries - failed
         here = self.now.zone.setdefault(self.place.get(endpoint, (zone,))[0], [0.0, 0.0, 0.0])
         here[0], here[1], here[2] = here[0] + tries, here[1] + failed, here[2] + delivered * mean
@@ -159,7 +175,9 @@
         for g, budget in enumerate(self.budgets if delivered and mean else (), 1):
             within[g] += delivered * (1 - exp(-budget / mean))
 
-    def _asked(self, now: int, proxy: int, group: int, flows: int, unanswered: int, window: int) -> None:
+    def _asked(self, now: int, event: DemandReport) -> None:
+        proxy, group, window = event.proxy, event.group, event.window
+        flows, unanswered = event.requests, event.unanswered
         zone = self.proxies.get(proxy, 0)
         self._sum(now, zone, window)
         level, blocked = self.level_of(proxy, group), 0.0
@@ -169,9 +187,9 @@
         had = self.now.group.setdefault((zone, group), [0.0, 0.0, 0.0])
         had[0], had[1], had[2] = had[0] + flows, had[1] + unanswered, had[2] + blocked
 
-    def _applied(self, now: int, proxy: int, mark: int, took: int) -> None:
-        self._took(figures.MARKS, took)
-        for began in self.drains.answered(proxy, mark):
+    def _applied(self, now: int, event: BatchAcknowledged) -> None:
+        self._took(figures.MARKS, event.elapsed)
+        for began in self.drains.answered(event.proxy, event.marker):
             self._took(figures.DRAINS_TOOK, now - began)
 
     def sent(self, proxy: int, parts: list, mark: int | None) -> None:
@@ -207,8 +225,8 @@
         put(figures.DRAINS_OPEN, len(self.drains.open))
         put(figures.SUMS, was.sums / seconds)
         states = [state for _, state in self.place.values()]
-        for state in ("ready", "draining"):
-            put(figures.STATES, states.count(state), state=state)
+        for state in (EndpointState.READY, EndpointState.DRAINING):
+            put(figures.STATES, states.count(state), state=state.value)
         yield
         self._spread(was, out)
         yield
@@ -243,7 +261,7 @@
             put(figures.BLOCKED, blocked / seconds, group=name)
             put(figures.DELIVERED, max(0.0, came - dropped - blocked) / seconds, group=name)
             put(figures.WITHIN_BUDGET, within / seconds, group=name)
-            put(figures.UTILITY, within * self.groups[g].get("utility", 1.0) / seconds, group=name)
+            put(figures.UTILITY, within * self.groups[g].priority_weight / seconds, group=name)
 
     def _spread(self, was: Interval, out: dict) -> None:
         """Quantiles of what came in this interval; where nothing came there is no point, not a 0."""
--- a/ravenshelf/leadership/adapter.py
+++ b/ravenshelf/leadership/adapter.py
@@ -2,12 +2,14 @@
 its right. The judging is `ShardGate`'s, `Inherited`'s and `Member`'s; here their answers meet the streams."""
 
 from collections.abc import Callable, Iterable
+from dataclasses import replace
 
 from ravenshelf.leadership.decisions import GRANTING, KEEPING, Member
 from ravenshelf.leadership.dividing import shard_of
 from ravenshelf.leadership.gate import Needs, ShardGate
 from ravenshelf.leadership.inheritance import Inherited
 from ravenshelf.leadership.record import Record, Unreadable
+from ravenshelf.policy.events import EndpointsListed, EndpointState, Event, ProxyJoined, ProxyLeft
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.proxy_tables import Part
 
@@ -30,7 +32,7 @@
         groups: list[str],
         counters: Counters,
         *,
-        news: Callable[[str, tuple], None],
+        news: Callable[[Event], None],
         write: Callable[[int, bytes, int | None, int], None],
         put: Callable[[int, bytes], int | None],
         names: Callable[[int], str],
@@ -43,26 +45,28 @@
         self.news, self.write, self.put, self.names = news, write, put, names
         self.version, self.index, self.ramps, self.warm = version, index, ramps, warm
         self.shards = member.ways.shards
-        self.present: dict[int, tuple] = {}  # every proxy with a stream here
+        self.present: dict[int, ProxyJoined] = {}  # every proxy with a stream here
         self.bound: set[int] = set()  # those that the decisions know
         self.owned: dict[int, Owned] = {}
 
     # --- news on their way to the decisions ---
 
-    def heard(self, name: str, values: tuple) -> bool:
+    def heard(self, event: Event) -> bool:
         """Whether the decisions are to hear it now."""
-        if name == "joined":
-            self.present[values[0]] = values
-            if shard_of(values[0], self.shards) in self.owned:
-                self.bound.add(values[0])
+        if isinstance(event, ProxyJoined):
+            self.present[event.proxy] = event
+            if shard_of(event.proxy, self.shards) in self.owned:
+                self.bound.add(event.proxy)
                 return True
             return False
-        if name == "left":
-            self.present.pop(values[0], None)
-            self.bound.discard(values[0])
+        if isinstance(event, ProxyLeft):
+            self.present.pop(event.proxy, None)
+            self.bound.discard(event.proxy)
             return True
-        if name == "listed":
-            ready = [self.names(entry[0]) for entry in values[1] if entry[4] == "ready"]
+        if isinstance(event, EndpointsListed):
+            ready = [
+                self.names(entry.endpoint) for entry in event.entries if entry.state is EndpointState.READY
+            ]
             for shard, owned in self.owned.items():
                 owned.inherited.listed(self.version(), ready)
                 if owned.gate.returned(e for e in ready if not owned.inherited.drained(e)):
@@ -85,17 +89,17 @@
             return self.release(shard)
         self.owned[shard] = Owned(term, record, self.clock(), self.version())
         self.warm(self.owned[shard].inherited.starts())
-        for proxy, values in list(self.present.items()):
+        for proxy, joined in list(self.present.items()):
             if shard_of(proxy, self.shards) == shard and proxy not in self.bound:
                 self.bound.add(proxy)
-                self.news("joined", (*values[:3], False))
+                self.news(replace(joined, is_fresh=False))
 
     def lost(self, shard: int) -> None:
         if self.owned.pop(shard, None) is None:
             return
         for proxy in [p for p in self.bound if shard_of(p, self.shards) == shard]:
             self.bound.discard(proxy)
-            self.news("left", (proxy, True))
+            self.news(ProxyLeft(proxy, True))
 
     # --- orders on their way out ---
 
@@ -180,8 +184,8 @@
             owned.gate.crowded.discard(proxy)
             owned.gate.waiting.pop(proxy, None)
             if proxy in self.bound:  # the decisions believe in an order that never left: it is bound anew
-                self.news("left", (proxy, True))
-                self.news("joined", (*self.present[proxy][:3], False))
+                self.news(ProxyLeft(proxy, True))
+                self.news(replace(self.present[proxy], is_fresh=False))
 
     def released(self) -> None:
         for shard in list(self.owned):
--- a/ravenshelf/net/connection_end.py
+++ b/ravenshelf/net/connection_end.py
@@ -2,6 +2,8 @@
 
 from enum import Enum
 
+from ravenshelf.policy.events import HealthCheckCompleted, ProxyLeft, WatchFailed
+
 
 class End(Enum):
     ANSWERED = "answered in full"
@@ -37,14 +39,16 @@
 )  # ends of a stream by the pilot, for a proxy that may be well
 
 
-def outcome(purpose: str, end: End) -> str | None:
-    """The call by which the module hears of the end of a connection, or None where it hears nothing."""
+def outcome(
+    purpose: str, end: End
+) -> type[ProxyLeft] | type[HealthCheckCompleted] | type[WatchFailed] | None:
+    """The type of event that reports a connection's end, or None where the controller is told nothing."""
     if end is End.STOPPING:
         return None
     if purpose == PROBE:
-        return "probed"
+        return HealthCheckCompleted
     if purpose == STREAM:
-        return "left"
+        return ProxyLeft
     if end is End.SUPERSEDED or (purpose == FETCH and end is End.ANSWERED):
         return None
-    return "list_failed" if purpose in (WATCH, FETCH) else None
+    return WatchFailed if purpose in (WATCH, FETCH) else None
--- a/ravenshelf/net/endpoint_codec.py
+++ b/ravenshelf/net/endpoint_codec.py
@@ -3,7 +3,14 @@
 import json
 from collections.abc import Callable
 
-STATES = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
+from ravenshelf.policy.events import EndpointState, ListedEndpoint
+from ravenshelf.settings import Settings
+
+STATES = {
+    "SERVING": EndpointState.READY,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.GONE,
+}
 NEVER_IN_A_NAME = set(" \t\r\n,:=")  # what no order on a stream could name
 
 
@@ -13,11 +20,11 @@
 
 class Catalog:
     def __init__(
-        self, provisioning: dict, endpoint: Callable[[str], int], known: Callable[[str], int | None]
+        self, settings: Settings, endpoint: Callable[[str], int], known: Callable[[str], int | None]
     ):
         """`endpoint` gives a listed name its index, `known` only that of a name that has one."""
-        self.zones = {name: n for n, name in enumerate(provisioning.get("zones", []))}
-        self.kinds = {name: n for n, name in enumerate(provisioning.get("kinds", []))}
+        self.zones = {name: n for n, name in enumerate(settings.zones)}
+        self.kinds = {name: n for n, name in enumerate(settings.machine_kinds)}
         self.endpoint, self.known = endpoint, known
 
     def read(self, text: bytes | str) -> dict:
@@ -33,7 +40,9 @@
             raise Unreadable("expected an object with rev and targets")
         return said
 
-    def entries(self, targets: list) -> tuple[list[tuple], dict[int, str], list[tuple[int | None, str]]]:
+    def entries(
+        self, targets: list
+    ) -> tuple[list[ListedEndpoint], dict[int, str], list[tuple[int | None, str]]]:
         """Entries for the module, addresses by index, and what was broken: (index if it can be told, why)."""
         entries, addresses, broken = {}, {}, []
         for target in targets:
@@ -47,12 +56,12 @@
                 broken.append((self.known(name), f"{name}: {type(why).__name__} {why}"))
                 continue
             index = self.endpoint(name)
-            entries[index] = (index, *entry)
+            entries[index] = ListedEndpoint(index, *entry)
             if isinstance(target.get("endpoint"), str):
                 addresses[index] = target["endpoint"]
         return list(entries.values()), addresses, broken
 
-    def _entry(self, target: dict) -> tuple[int, int, int, str, float, int]:
+    def _entry(self, target: dict) -> tuple[int, int, int, EndpointState, float, int]:
         weight, start = float(target.get("capacity_hint", 1.0)), float(target.get("boot_ms") or 0)
         if not 0 <= weight < float("inf") or not 0 <= start < 1e15:
             raise ValueError(f"capacity_hint {weight}, boot_ms {start}")
--- a/ravenshelf/net/stream_codec.py
+++ b/ravenshelf/net/stream_codec.py
@@ -1,8 +1,19 @@
 """Lines of the streams: what proxies and collectors say into the module's calls, messages into lines."""
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Sequence
 
-from ravenshelf.provisioning import LOAD_WORDS
+from ravenshelf.policy.events import BatchAcknowledged, DemandReport, LoadReport, ProxyJoined
+from ravenshelf.settings import Settings
+
+# what load reports on streams call the columns of the settings' telemetry
+LOAD_WORDS = {
+    "inflight": "active",
+    "queue": "waiting",
+    "util": "cpu",
+    "latency_ms": "avg_ms",
+    "qps": "rps",
+    "eps": "err_rps",
+}
 
 MOST_LINE = 1024 * 1024  # a message holds no more
 MOST_PARTS = 64
@@ -89,7 +100,7 @@
     return said[name] == "1"
 
 
-def load_report(pairs: Iterable[tuple[str, str]], columns: list[str]) -> tuple[float, ...]:
+def load_report(pairs: Iterable[tuple[str, str]], columns: Sequence[str]) -> tuple[float, ...]:
     """The columns of a load report by name; one that lacks a column, or says it badly, is none."""
     had = {}
     for name, text in pairs:
@@ -109,15 +120,15 @@
 
 
 class Reader:
-    """Turns a message into (call name, values) for the module, by the names that the settings give."""
+    """Turns a message into an event for the controller, by the names that the settings give."""
 
-    def __init__(self, provisioning: dict, endpoint: Callable[[str], int | None]):
-        self.zones = {name: n for n, name in enumerate(provisioning.get("zones", []))}
-        self.groups = {g.get("name"): n for n, g in enumerate(provisioning.get("traffic_groups", []))}
-        self.proxies = int(provisioning.get("service", {}).get("proxy_count") or 65536)
-        longest = max([g.get("expiry_us", 0) for g in provisioning.get("traffic_groups", [])], default=0)
+    def __init__(self, settings: Settings, endpoint: Callable[[str], int | None]):
+        self.zones = {name: n for n, name in enumerate(settings.zones)}
+        self.groups = {group.name: n for n, group in enumerate(settings.traffic_groups)}
+        self.proxies = settings.service.proxy_count or 65536
+        longest = max([group.deadline_us for group in settings.traffic_groups], default=0)
         self.longest = NOISE * longest / 1000 or MOST_SPAN  # no try outlasts the longest expiry
-        self.columns = provisioning.get("telemetry", {}).get("columns", [])
+        self.columns = settings.telemetry.columns
         self.endpoint = endpoint
 
     def zone(self, said: dict[str, str]) -> int:
@@ -132,22 +143,22 @@
     def proxy(self, said: dict[str, str]) -> int:
         return whole(said, "proxy", self.proxies)
 
-    def joined(self, said: dict[str, str]) -> tuple[int, int, float, bool]:
+    def joined(self, said: dict[str, str]) -> ProxyJoined:
         """A proxy of which no usual rate is known may say none."""
-        return (
+        return ProxyJoined(
             self.proxy(said),
             self.zone(said),
             number({"weight": "0"} | said, "weight"),
             flag(said, "fresh"),
         )
 
-    def applied(self, said: dict[str, str]) -> tuple[int, int, int]:
-        return self.proxy(said), whole(said, "mark", 65536), micros(said, "took_ms")
+    def applied(self, said: dict[str, str]) -> BatchAcknowledged:
+        return BatchAcknowledged(self.proxy(said), whole(said, "mark", 65536), micros(said, "took_ms"))
 
-    def asked(self, said: dict[str, str]) -> tuple[int, int, int, int, int]:
-        return self.proxy(said), self._named(said, "class", self.groups), *counted(said)
+    def asked(self, said: dict[str, str]) -> DemandReport:
+        return DemandReport(self.proxy(said), self._named(said, "class", self.groups), *counted(said))
 
-    def heard(self, said: dict[str, str]) -> tuple | None:
+    def heard(self, said: dict[str, str]) -> LoadReport | None:
         """None where the endpoint was never listed: that says nothing against the line."""
         zone, (tries, failed, span) = self.zone(said), counted(said)
         if failed > tries:  # of RATE it may be so: what failed may have come in the window before
@@ -159,7 +170,7 @@
             raise Malformed("expected server=")
         index = self.endpoint(said["server"])
         report = load_report(pairs(said.get("load", ""), ":"), self.columns)
-        return None if index is None else (zone, index, tries, failed, mean, span, report)
+        return None if index is None else LoadReport(zone, index, tries, failed, mean, span, report)
 
 
 def figure(value: float) -> str:
--- a/ravenshelf/policy/events.py
+++ b/ravenshelf/policy/events.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndpointEntry:
+class ListedEndpoint:
     """One endpoint as the registry lists it."""
 
     endpoint: int
@@ -43,7 +43,7 @@
     """The registry has sent a list of endpoints, or changes to it."""
 
     kind: ListKind
-    entries: tuple[EndpointEntry, ...]
+    entries: tuple[ListedEndpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
--- a/ravenshelf/process/acceptor.py
+++ b/ravenshelf/process/acceptor.py
@@ -7,6 +7,7 @@
 from ravenshelf.net.accepted import Accepted
 from ravenshelf.net.connection_end import COLLECTOR, OURS, STRANGER, STREAM, End, outcome
 from ravenshelf.net.stream_codec import Malformed, Reader, Unreadable
+from ravenshelf.policy.events import Event, ProxyLeft
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.deadlines import Deadlines
 from ravenshelf.state.slots import Slots
@@ -27,7 +28,7 @@
         counters: Counters,
         set_deadline: Callable,
         clock: Callable[[], int],
-        news: Callable[[str, tuple], None],
+        news: Callable[[Event], None],
         next_turn: Callable[[Callable], None],
     ):
         self.reader, self.slots, self.reserve, self.deadlines = reader, slots, reserve, deadlines
@@ -121,9 +122,10 @@
         self.collectors = {zone: c for zone, c in self.collectors.items() if c is not connection}
         if connection.purpose == STREAM and self.streams.get(connection.proxy) is connection:
             del self.streams[connection.proxy]
-            name = outcome(STREAM, connection.end)
-            if name is not None:  # what waits for a stream that the pilot ended goes on counting
-                self.news(name, (connection.proxy, True) if connection.end in OURS else (connection.proxy,))
+            if (
+                outcome(STREAM, connection.end) is not None
+            ):  # what waits for a stream that the pilot ended goes on counting
+                self.news(ProxyLeft(connection.proxy, connection.end in OURS))
 
     def stop(self, all_closed: Callable[[], None]) -> None:
         """Nobody is heard any more; `all_closed` is told when all have what was written to them."""
@@ -183,8 +185,8 @@
                 self.counters[f"spoilt_{kind.lower()}"] += 1
 
     def _subscribe(self, connection: Accepted, said: dict) -> None:
-        values = self.reader.joined(said)
-        proxy = values[0]
+        joined = self.reader.joined(said)
+        proxy = joined.proxy
         if connection.purpose == COLLECTOR or connection.proxy not in (None, proxy):
             raise Unreadable("expected one proxy to a stream")
         old = self.streams.get(proxy)
@@ -194,13 +196,13 @@
         if (
             old is connection
         ):  # the stream has not broken: what was written to it is still on its way and answered for
-            self.news("left", (proxy, True))
+            self.news(ProxyLeft(proxy, True))
         self.streams[proxy] = connection
         connection.proxy, connection.fences = proxy, said.get("term") == "1"
         self._known(connection, STREAM)
         if old is not None and old is not connection:
             self._followed(old)  # its end, late as it may come, changes nothing any more
-        self.news("joined", values)
+        self.news(joined)
 
     def _source(self, connection: Accepted, said: dict) -> None:
         zone = self.reader.zone(said)
@@ -215,34 +217,34 @@
     def _load(self, connection: Accepted, said: dict) -> None:
         if connection.purpose != COLLECTOR:
             raise Malformed("expected SOURCE before reports")
-        values = self.reader.heard(said)
+        report = self.reader.heard(said)
         if self.reader.zone(said) != connection.zone:
             raise Malformed("expected the zone of its collector")
-        if values is None:
+        if report is None:
             self.counters["reports_of_unknown"] += 1
             return
-        self.news("heard", values)
+        self.news(report)
 
     def _rate(self, connection: Accepted, said: dict) -> None:
-        values = self.reader.asked(said)
-        if self._stale(connection, values[0]):
+        report = self.reader.asked(said)
+        if self._stale(connection, report.proxy):
             return
-        self.news("asked", values)
+        self.news(report)
 
     def _ack(self, connection: Accepted, said: dict) -> None:
-        values = self.reader.applied(said)
+        acknowledged = self.reader.applied(said)
         if connection.purpose == COLLECTOR:
             raise Malformed("expected marks on the stream of their proxy")
-        if self._stale(connection, values[0]):
+        if self._stale(connection, acknowledged.proxy):
             return
-        written = connection.tickets.get(values[1])
+        written = connection.tickets.get(acknowledged.marker)
         if written is None:
             self.counters["acks_unasked"] += 1
             return
-        if values[2] > self.clock() - written + LATE:
+        if acknowledged.elapsed > self.clock() - written + LATE:
             raise Malformed("expected took_ms up to the time since the mark was written")
-        del connection.tickets[values[1]]
-        self.news("applied", values)
+        del connection.tickets[acknowledged.marker]
+        self.news(acknowledged)
 
     def _stale(self, connection: Accepted, proxy: int) -> bool:
         """Whether this comes on a stream that is not (any more) the proxy's; then it says nothing of it."""
--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -1,51 +1,54 @@
 """The round: what came in goes to the module in one call, what it ordered goes out as one message a proxy."""
 
 from collections.abc import Callable
+from dataclasses import replace
 
 from ravenshelf import log_events
 from ravenshelf.net import stream_codec
+from ravenshelf.policy import commands, events
 from ravenshelf.rules import Controller
+from ravenshelf.settings import Settings
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.endpoint_registry import Listing
 from ravenshelf.state.proxy_tables import Sent
 
 
 class Rounds:
-    def __init__(self, provisioning: dict, seed: int, listing: Listing, sent: Sent, counters: Counters):
-        self.provisioning, self.seed = provisioning, seed
+    def __init__(self, settings: Settings, seed: int, listing: Listing, sent: Sent, counters: Counters):
+        self.settings, self.seed = settings, seed
         self.listing, self.sent, self.counters = listing, sent, counters
-        self.names = [g.get("name") for g in provisioning.get("traffic_groups", [])]
-        self.head = provisioning.get("service", {}).get("envelope", 0)
-        self.joined: dict[int, tuple] = {}  # what was last said of each joined proxy
-        self.news: list[tuple[str, tuple]] = []
+        self.names = [group.name for group in settings.traffic_groups]
+        self.head = settings.service.message_overhead_lines or 0
+        self.joined: dict[int, events.ProxyJoined] = {}  # by proxy
+        self.news: list[events.Event] = []
         self.failures = 0
         self.tap = None  # told of each message where figures are sent
         self.gate = None  # judges what may leave, where several controllers share the fleet
         self.make_controller = Controller
-        self.controller = Controller(provisioning, seed)
+        self.controller = Controller(settings, seed)
 
     def decide_with(self, make_controller: Callable[..., Controller]) -> None:
         """Another kind of controller decides from now on; called before `begin`."""
         self.make_controller = make_controller
-        self.controller = make_controller(self.provisioning, self.seed)
+        self.controller = make_controller(self.settings, self.seed)
 
     def begin(self) -> None:
         """The list as this pilot last had it comes first, then whoever is joined already."""
-        self.news = [("listed", ("restored", self.listing.whole()))]
-        self.news += [("joined", (*values[:3], False)) for values in self.joined.values()]
+        self.news = [events.EndpointsListed(events.ListKind.RESTORED, self.listing.whole())]
+        self.news += [replace(joined, is_fresh=False) for joined in self.joined.values()]
 
-    def hear(self, name: str, values: tuple) -> None:
-        if name == "joined":
-            if values[0] in self.joined:
-                self.hear("left", (values[0],))
-            self.joined[values[0]] = values
-            self.sent.joined(values[0], values[3])
-        elif name == "left":
-            self.joined.pop(values[0], None)
-            self.sent.left(values[0])
-        self.news.append((name, values))
+    def hear(self, event: events.Event) -> None:
+        if isinstance(event, events.ProxyJoined):
+            if event.proxy in self.joined:
+                self.hear(events.ProxyLeft(event.proxy))
+            self.joined[event.proxy] = event
+            self.sent.joined(event.proxy, event.is_fresh)
+        elif isinstance(event, events.ProxyLeft):
+            self.joined.pop(event.proxy, None)
+            self.sent.left(event.proxy)
+        self.news.append(event)
 
-    def run(self, now: int, write: Callable[[int, bytes, int | None], None]) -> list[tuple] | None:
+    def run(self, now: int, write: Callable[[int, bytes, int | None], None]) -> list[commands.Command] | None:
         """Plays a round; gives the calls that are not messages, or None where the module failed."""
         news, self.news = self.news, []
         channel = self.controller.channel
@@ -57,7 +60,7 @@
             calls, wakes, ticket = self.sent.calls, self.sent.wakes, self.sent.ticket
             messages = self.sent.messages(self._made)
         except Exception:
-            log_events.MODULE_FAILED.raised(calls=str([name for name, _ in news][:20]))
+            log_events.MODULE_FAILED.raised(calls=str([type(event).__name__ for event in news[:20]]))
             self._start_over()
             return None
         written = 0
@@ -81,7 +84,7 @@
             self.counters["lines_beyond_charge"] += written - charged
             channel.beyond(written - charged)
         self.counters["rounds"] += 1
-        return [*calls, *(("wake", at, key) for at, key in wakes)]
+        return [*calls, *wakes]
 
     def _made(self, proxy: int, parts: list) -> bytes:
         if self.gate is not None:
@@ -105,6 +108,6 @@
         self.counters["module_failures"] += 1
         channel = self.controller.channel  # what waits in it waits on, and its marks are not given again
         channel.drop()
-        self.controller = self.make_controller(self.provisioning, self.seed + self.failures, channel)
+        self.controller = self.make_controller(self.settings, self.seed + self.failures, channel)
         self.sent.forget()
         self.begin()
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -12,12 +12,13 @@
 from ravenshelf.net.connection_end import End
 from ravenshelf.net.endpoint_codec import Catalog
 from ravenshelf.net.http import Call
+from ravenshelf.policy import commands, events
 from ravenshelf.process.acceptor import Door
 from ravenshelf.process.configuration import Wrong, renewed
 from ravenshelf.process.control_cycle import Rounds
 from ravenshelf.process.discovery import Discovery
 from ravenshelf.process.health_checks import Probes
-from ravenshelf.provisioning import provisioning
+from ravenshelf.settings import decode_settings
 from ravenshelf.state.buffers import Buffers
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.deadlines import Deadlines
@@ -37,16 +38,16 @@
 class Pilot:
     def __init__(self, configuration: dict, loop: asyncio.AbstractEventLoop, clock: Callable[[], int]):
         self.configuration, self.loop, self.clock = configuration, loop, clock
-        settings = provisioning(configuration["settings"])
-        limits, sockets = settings.get("limits", {}), configuration.get("limits", {}).get("sockets", 1024)
-        pilots = int(settings.get("pilots") or 1)
-        proxies = int(settings.get("service", {}).get("proxy_count") or 0)
-        self.tick = int(settings.get("tick_us") or 1000)
+        settings = decode_settings(configuration["settings"])
+        sockets = configuration.get("limits", {}).get("sockets", 1024)
+        pilots = settings.server_count or 1
+        proxies = settings.service.proxy_count
+        self.tick = settings.tick_us or 1000
         self.counters, self.deadlines, self.buffers = Counters(), Deadlines(), Buffers()
         calls = min(CALLS, sockets // 16)
         accepted = sockets - OWN - calls
         self.slots, self.calls = Slots(accepted), Slots(calls)
-        self.sent = Sent(len(settings.get("traffic_groups", [])), pilots == 1)
+        self.sent = Sent(len(settings.traffic_groups), pilots == 1)
         self.listing = Listing(clock, self.sent.holds, self.sent.given_away, self.sent.returned)
         self.catalog = Catalog(settings, self.listing.endpoint, self.listing.index.get)
         self.rounds = Rounds(
@@ -58,7 +59,7 @@
             self.counters,
             self.open_call,
             self.news,
-            settings.get("discovery") == "pushed",
+            settings.discovery == "pushed",
             self.rounds.controller.chance,
         )
         self.discovery.extend, self.discovery.schedule = self.extend, self._schedule_watch
@@ -78,7 +79,7 @@
             loop.call_soon,
         )
         self.peers: datagrams.Datagrams | None = None
-        self.may_tell = bool(limits.get("peer_messages"))
+        self.may_tell = settings.limits.peer_messages_allowed
         self.server: asyncio.Server | None = None
         self.timer: asyncio.Handle | None = None
         self.timer_at: int | None = None
@@ -144,7 +145,7 @@
 
     def meet(self, key: tuple, now: int) -> None:
         if key[0] == "wake":
-            self.news("woken", (key[2],))
+            self.news(events.TimerExpired(key[2]))
         elif key[0] == "silent":
             self.door.silent(key[1])
         elif key[0] == "call":
@@ -166,16 +167,16 @@
         at = self.deadlines.at.get(("round",))
         return at is not None and at[0] <= self.clock()
 
-    def news(self, name: str, values: tuple) -> None:
-        if self.gate is None or self.gate.heard(name, values):
-            self.tell(name, values)
+    def news(self, event: events.Event) -> None:
+        if self.gate is None or self.gate.heard(event):
+            self.tell(event)
 
-    def tell(self, name: str, values: tuple) -> None:
-        self.rounds.hear(name, values)
+    def tell(self, event: events.Event) -> None:
+        self.rounds.hear(event)
         if self.tap is not None:
-            self.tap.heard(name, values, self.clock())
+            self.tap.heard(event, self.clock())
         if self.sums is not None:
-            self.sums.heard(name, values, self.clock())
+            self.sums.heard(event, self.clock())
         if self.ready and ("round",) not in self.deadlines.at:
             self.round_at = max(self.clock(), self.last_round + self.tick)
             self.set_deadline(("round",), self.round_at)
@@ -199,23 +200,24 @@
         self.counters.most("round_most_us", took)
         if self.tap is not None:
             self.tap.played(late, took)
-        for name, *values in calls or () if not self.stopping else ():
-            self.do(name, values)
-
-    def do(self, name: str, values: list) -> None:
-        if name == "wake":
-            self.set_deadline(("wake", *values), values[0])  # met in a later turn, even where it is past
-        elif name == "log":
-            log_events.DECISIONS(text=values[0])
-        elif name == "observe":
-            self.discovery.observe(values[0])
-        elif name == "fetch":
-            self.discovery.fetch()
-        elif name == "probe":
-            self.probes.begin(values[0])
-        elif name == "tell":
-            sent = self.may_tell and self.peers is not None and self.peers.send(*values)
-            self.counters["datagrams_sent" if sent else "datagrams_not_sent"] += 1
+        for command in calls or () if not self.stopping else ():
+            self.do(command)
+
+    def do(self, command: commands.Command) -> None:
+        match command:
+            case commands.StartTimer(at, key):
+                self.set_deadline(("wake", at, key), at)  # met in a later turn, even where it is past
+            case commands.LogMessage(text):
+                log_events.DECISIONS(text=text)
+            case commands.WatchEndpoints(enabled):
+                self.discovery.observe(enabled)
+            case commands.FetchEndpoints():
+                self.discovery.fetch()
+            case commands.CheckHealth(endpoint):
+                self.probes.begin(endpoint)
+            case commands.SendPeerMessage(peer, payload):
+                sent = self.may_tell and self.peers is not None and self.peers.send(peer, payload)
+                self.counters["datagrams_sent" if sent else "datagrams_not_sent"] += 1
 
     # --- calls to others ---
 
@@ -255,7 +257,7 @@
             self.counters["datagrams_of_strangers"] += 1
         else:
             self.counters["datagrams_taken"] += 1
-            self.news("told", (peer, data))
+            self.news(events.PeerMessageReceived(peer, data))
 
     # --- start and stop ---
 
@@ -264,7 +266,12 @@
         known = self.configuration.get("known")
         if known is not None:
             entries, addresses, broken = self.catalog.entries(known["targets"])
-            self.listing.take("replace", known["rev"], [e for e in entries if e[4] != "gone"], addresses)
+            self.listing.take(
+                events.ListKind.REPLACE,
+                known["rev"],
+                [e for e in entries if e.state is not events.EndpointState.GONE],
+                addresses,
+            )
             for _, why in broken:
                 log_events.KNOWN_BROKEN(why=why)
         self.rounds.begin()
--- a/ravenshelf/process/controller.py
+++ b/ravenshelf/process/controller.py
@@ -17,7 +17,7 @@
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.process import logs
 from ravenshelf.process.relay import limits
-from ravenshelf.provisioning import provisioning
+from ravenshelf.settings import decode_settings
 from ravenshelf.state.counters import Counters
 
 SECOND = 1_000_000
@@ -29,8 +29,8 @@
 
     def __init__(self, configuration: dict, operator: Operator, loop: asyncio.AbstractEventLoop):
         """Reads the services; raises ServicesFileError."""
-        table, settings = operator.distribution, provisioning(configuration["settings"])
-        self.file, self.zones = Path(table.services), len(settings.get("zones", []))
+        table, settings = operator.distribution, decode_settings(configuration["settings"])
+        self.file, self.zones = Path(table.services), len(settings.zones)
         self.services = services_file.read(self.file, self.zones)
         self.loop, self.listen = loop, table.listen
         self.ended = loop.create_future()
--- a/ravenshelf/process/discovery.py
+++ b/ravenshelf/process/discovery.py
@@ -7,8 +7,9 @@
 from ravenshelf.net.connection_end import FETCH, WATCH, End, outcome
 from ravenshelf.net.endpoint_codec import Catalog, Unreadable
 from ravenshelf.net.http import Call
+from ravenshelf.policy.events import EndpointsListed, ListKind, WatchFailed
 from ravenshelf.state.counters import Counters
-from ravenshelf.state.endpoint_registry import Listing
+from ravenshelf.state.endpoint_registry import Listing, VersionGapError
 
 LIST = "/catalog/members"
 CALL_TIMEOUT = 5_000_000  # a call that is not answered by then has failed
@@ -129,22 +130,24 @@
             if self.moved:  # only its whole list tells where it stands
                 call.close(End.UNREADABLE)
                 return
-        taken = self._take(said, "update" if changes else "replace", self.after if changes else None)
-        if taken == "gap":
+        kind = ListKind.UPDATE if changes else ListKind.REPLACE
+        try:
+            taken = self._take(said, kind, self.after if changes else None)
+        except VersionGapError:
             self.counters["discovery_gaps"] += 1
             call.close(End.UNREADABLE)
             return
         self.after = max(self.after, said["rev"])
         self._answers(call, taken)
 
-    def _answers(self, call: Call, taken: tuple | None = None) -> None:
+    def _answers(self, call: Call, taken: EndpointsListed | None = None) -> None:
         """What a watch brought is news; the first it says is its answer, and lets the former go, even with no news."""
         first = call is self.watch and not self.answered
         if first:
             self.answered = True
             self._leave_former()
         if taken is not None or first:
-            self.news("listed", taken or ("update", ()))
+            self.news(taken or EndpointsListed(ListKind.UPDATE, ()))
 
     def _watch_ended(self, call: Call) -> None:
         if call is self.former:
@@ -167,31 +170,36 @@
             log_events.LIST_UNREADABLE(why=str(why))
             self._failed(FETCH, End.UNREADABLE, call)
             return
-        taken = self._take(said, "replace" if said.get("all", True) else "update", None)
-        self.news("listed", taken or ("update", ()))
+        taken = self._take(said, ListKind.REPLACE if said.get("all", True) else ListKind.UPDATE, None)
+        self.news(taken or EndpointsListed(ListKind.UPDATE, ()))
         self._schedule_watch()
 
     def _failed(self, purpose: str, end: End, call: Call) -> None:
-        name = outcome(purpose, end)
-        if name is None:
+        if outcome(purpose, end) is None:
             return
         self.counters[f"discovery_{end.name.lower()}"] += 1
         log_events.DISCOVERY_ENDED(
             purpose=purpose, end=end.value, status=f" ({call.status})" if call.status else ""
         )
         if not self.pushed:
-            self.news(name, ())
+            self.news(WatchFailed())
 
-    def _take(self, said: dict, how: str, after: int | None):
+    def _take(self, said: dict, kind: ListKind, after: int | None) -> EndpointsListed | None:
         entries, addresses, broken = self.catalog.entries(said["targets"])
         for index, why in broken:
             self.counters["list_entries_broken"] += 1
             log_events.ENTRY_BROKEN(why=why)
-            if how == "replace" and index in self.listing.entries:  # kept as it was: a slip is no removal
+            if (
+                kind is ListKind.REPLACE and index in self.listing.entries
+            ):  # kept as it was: a slip is no removal
                 entries.append(self.listing.entries[index])
-        if how == "replace" and any(index is None for index, _ in broken):
-            had = {entry[0] for entry in entries}
+        if kind is ListKind.REPLACE and any(index is None for index, _ in broken):
+            had = {entry.endpoint for entry in entries}
             entries += [entry for index, entry in self.listing.entries.items() if index not in had]
-        taken = self.listing.take(how, said["rev"], entries, addresses, after)
+        try:
+            taken = self.listing.take(kind, said["rev"], entries, addresses, after)
+        except VersionGapError:
+            self.counters["lists_taken"] += 1
+            raise
         self.counters["lists_taken" if taken else "lists_old"] += 1
         return taken
--- a/ravenshelf/process/health_checks.py
+++ b/ravenshelf/process/health_checks.py
@@ -5,6 +5,8 @@
 from ravenshelf.net.connection_end import PROBE, End, outcome
 from ravenshelf.net.http import Call
 from ravenshelf.net.stream_codec import load_report, pairs
+from ravenshelf.policy.events import HealthCheckCompleted
+from ravenshelf.settings import Settings
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.endpoint_registry import Listing
 
@@ -14,18 +16,17 @@
 class Probes:
     def __init__(
         self,
-        provisioning: dict,
+        settings: Settings,
         listing: Listing,
         counters: Counters,
         open_call: Callable,
         news: Callable,
         clock: Callable[[], int],
     ):
-        limits, telemetry = provisioning.get("limits", {}), provisioning.get("telemetry", {})
-        self.allowed = bool(limits.get("probing"))
-        self.by = int(limits.get("dial_timeout_us") or 250_000) + ANSWER_MORE
-        self.reports = telemetry.get("how", "none") != "none"
-        self.columns = telemetry.get("columns", [])
+        self.allowed = settings.limits.health_checks_allowed
+        self.by = (settings.limits.dial_timeout_us or 250_000) + ANSWER_MORE
+        self.reports = settings.telemetry.source != "none"
+        self.columns = settings.telemetry.columns
         self.listing, self.counters, self.open_call = listing, counters, open_call
         self.news, self.clock = news, clock
 
@@ -34,17 +35,16 @@
         if not self.allowed or address is None:
             self.counters["probes_not_sent"] += 1
             if self.allowed:
-                self.news("probed", (endpoint, False, 0, ()))
+                self.news(HealthCheckCompleted(endpoint, False, 0, ()))
             return
         self.counters["probes_sent"] += 1
         began, path = self.clock(), "/_load" if self.reports else "/ping"
         self.open_call(PROBE, path, lambda call: self._ended(call, endpoint, began), None, self.by, address)
 
     def _ended(self, call: Call, endpoint: int, began: int) -> None:
-        name = outcome(PROBE, call.end)
-        if name is None:
+        if outcome(PROBE, call.end) is None:
             return
         good = call.end is End.ANSWERED
         text = call.body.decode("utf-8", "replace").strip() if good and self.reports else ""
         report = load_report(pairs(text, "="), self.columns)
-        self.news(name, (endpoint, good, self.clock() - began, report))
+        self.news(HealthCheckCompleted(endpoint, good, self.clock() - began, report))
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -8,11 +8,13 @@
 import random
 import resource
 from collections.abc import Callable
+from dataclasses import replace
 
 from ravenshelf import log_events
 from ravenshelf.background.decisions import PRESENT, UPKEEP, Agenda
 from ravenshelf.background.scheduler import Background
 from ravenshelf.operator_config.tables import Operator
+from ravenshelf.policy.events import EndpointsListed, ListKind
 
 SECOND = 1_000_000
 USERS_EVERY = 10 * SECOND  # the file of collectd's users is looked at so often
@@ -125,9 +127,9 @@
         """Endpoints that have started of late, with their starts."""
         since = self.clock() - 60 * SECOND
         return {
-            self.pilot.listing.names[index]: entry[6]
+            self.pilot.listing.names[index]: entry.started_at
             for index, entry in self.pilot.listing.entries.items()
-            if entry[6] > since
+            if entry.started_at > since
         }
 
     def _warm(self, starts: dict[str, int]) -> None:
@@ -135,10 +137,10 @@
         listing, news = self.pilot.listing, []
         for name, start in starts.items():
             entry = listing.entries.get(listing.index.get(name))
-            if entry is not None and entry[6] < start:
-                news.append((*entry[:6], start))
+            if entry is not None and entry.started_at < start:
+                news.append(replace(entry, started_at=start))
         if news:
-            self.pilot.tell("listed", ("update", tuple(news)))
+            self.pilot.tell(EndpointsListed(ListKind.UPDATE, tuple(news)))
 
     # --- Graphite ---
 
@@ -147,11 +149,11 @@
         from ravenshelf.graphite.service import Graphite
 
         pilot, table = self.pilot, self.operator.graphite
-        self.gatherer = Gatherer(pilot.rounds.provisioning, self._prefix(table), self.clock())
+        self.gatherer = Gatherer(pilot.rounds.settings, self._prefix(table), self.clock())
         self.gatherer.level_of, self.gatherer.name_of = pilot.sent.level_of, lambda n: pilot.listing.names[n]
-        self.gatherer.heard("listed", ("restored", pilot.listing.whole()), self.clock())
-        for values in pilot.rounds.joined.values():
-            self.gatherer.heard("joined", values, self.clock())
+        self.gatherer.heard(EndpointsListed(ListKind.RESTORED, pilot.listing.whole()), self.clock())
+        for joined in pilot.rounds.joined.values():
+            self.gatherer.heard(joined, self.clock())
         self.graphite = Graphite(
             table,
             self.chance,
--- a/ravenshelf/rules.py
+++ b/ravenshelf/rules.py
@@ -1,4 +1,4 @@
-"""Every decision of ravenshelf, called as `interface.py` says; times are microseconds."""
+"""Every decision of ravenshelf, told `policy.events`; times are microseconds."""
 
 import random
 from bisect import insort
@@ -6,6 +6,22 @@
 from itertools import accumulate, count, takewhile
 from math import exp, log
 
+from ravenshelf.policy.events import (
+    BatchAcknowledged,
+    DemandReport,
+    EndpointsListed,
+    EndpointState,
+    HostLoadSampled,
+    ListKind,
+    LoadReport,
+    ProxyJoined,
+    ProxyLeft,
+    WatchFailed,
+)
+from ravenshelf.settings import Settings
+
+READY, GONE = EndpointState.READY, EndpointState.GONE
+
 SECOND = 1_000_000
 BEAT, STEP, STAGE_PART = 5 * SECOND // 2, SECOND // 4, 0.2  # the solver's beat; steps of a staging
 DEMAND_SPAN = 5 * SECOND // 2  # fades as old, on the mean, as what a window of 5 s holds
@@ -50,7 +66,7 @@
     """What is listed of an endpoint and what was heard of it."""
 
     def __init__(self, index, start):
-        self.index, self.zone, self.kind, self.state = index, 0, 0, "unknown"
+        self.index, self.zone, self.kind, self.state = index, 0, 0, None
         self.weight, self.start, self.benched, self.order = 1.0, start, False, None
         self.noticed = Decaying(NOTICED_SPAN, 2)  # readings of its machine, busy share
         self.forget()
@@ -99,10 +115,11 @@
     proves only what lies before it in order and by its place: lines ordered less those dropped as if slow."""
 
     def __init__(self, service):
-        self.pace = self.usual = max(1.0, service.get("lines_per_s") or 1e9)
-        self.head, self.most = service.get("envelope", 6.0), service.get("most_waiting") or 1e9
-        self.messages, self.over = service.get("messages_most", 0), service.get("counted_over_us", 10**7)
-        self.late_most, self.slowest = service.get("late_most_us", SECOND), SLOWEST / self.usual * SECOND
+        self.pace = self.usual = max(1.0, service.lines_per_second or 1e9)
+        self.head = 6.0 if service.message_overhead_lines is None else service.message_overhead_lines
+        self.most = service.queue_limit_lines or 1e9
+        self.messages, self.over = service.messages_per_proxy_limit, service.message_count_window_us
+        self.late_most, self.slowest = service.longest_delivery_us, SLOWEST / self.usual * SECOND
         self.waiting, self.at, self.sent, self.round, self.number = 0.0, 0, {}, {}, 0
         self.open, self.total, self.placed = deque(), 0.0, 0.0  # not proved to have left; their lines; places
         self.free, self.latest, self.asked = 0.0, 0.0, 0.0  # all through at the soonest, latest; this round's
@@ -178,7 +195,7 @@
         self.latest = min(self.latest + sending.total * self.slowest, now + self.most * self.slowest)
         sending.latest = max(self.latest, now + UNHEARD)
         if orders is not None:
-            orders.mark((self.number - 1) % MARKS + 1)
+            orders.request_acknowledgement((self.number - 1) % MARKS + 1)
             self.marks[self.number] = sending
             for p in self.round:
                 self.sent.setdefault(p, deque()).append(now)
@@ -359,14 +376,13 @@
 
 
 class Controller:
-    def __init__(self, provisioning, seed, channel=None):
-        self.provisioning, self.groups = provisioning, provisioning.get("traffic_groups", [])
-        self.service, self.rules = provisioning.get("service", {}), provisioning.get("rules", {})
-        self.spare = max(1.0, self.rules.get("fall_multiple", 4.0) / 2)  # over its plan: half of what fells
-        self.frail = max(1.0, 3 / max(0.1, self.rules.get("fall_multiple", 4.0) - 1))  # cold ones fall
-        self.zones, self.chance = max(1, len(provisioning.get("zones", []))), random.Random(seed)
+    def __init__(self, settings: Settings, seed, channel=None):
+        self.settings, self.groups = settings, settings.traffic_groups
+        self.service, self.rules = settings.service, settings.warm_up
+        self.spare = max(1.0, self.rules.overload_multiple / 2)  # over its plan: half of what fells
+        self.frail = max(1.0, 3 / max(0.1, self.rules.overload_multiple - 1))  # cold ones fall
+        self.zones, self.chance = max(1, len(settings.zones)), random.Random(seed)
         self.channel = channel or Channel(self.service)  # one that another module has filled goes on
-        self.applied = self.channel.applied
         self.endpoints, self.proxies, self.lines, self.levels, self.logged = {}, {}, {}, {}, (False, [])
         self.written_at, self.users = {}, defaultdict(dict)  # by table, None: proxies not bound yet
         self.curves = [Curve() for _ in range(self.zones)]
@@ -375,56 +391,78 @@
         self.least, self.loads, self.held = {}, {}, {}  # latencies by (from, to); demand per weight; urgency
         self.gap = [[0] * self.zones for _ in range(self.zones)]
         self.first, self.bound, self.medians, self.work, self.alike = 0, None, [], None, 1.0
-        self.ask_again = int(provisioning.get("discovery") == "on_request")
+        self.ask_again = int(settings.discovery == "on_request")
         self.met = Decaying(2 * SECOND, 2)  # delivered, delivered x latency
-        self.trust = UNLIMITED if provisioning.get("weights") == "none" else TRUST  # in weight over it
-        self.budget = min([g.get("latency_budget_us") or 10 * SECOND for g in self.groups], default=SECOND)
-        self.in_hand = [*provisioning.get("telemetry", {}).get("columns", []), "active"].index("active")
+        self.trust = UNLIMITED if settings.weight_kind == "none" else TRUST  # in weight over it
+        self.budget = min([g.latency_objective_us or 10 * SECOND for g in self.groups], default=SECOND)
+        self.in_hand = [*settings.telemetry.columns, "active"].index("active")
+        self.handlers = {  # other events decide nothing
+            EndpointsListed: self.listed,
+            WatchFailed: self.list_failed,
+            ProxyJoined: self.joined,
+            ProxyLeft: self.left,
+            LoadReport: self.heard,
+            DemandReport: self.asked,
+            HostLoadSampled: self.noticed,
+            BatchAcknowledged: self.applied,
+        }
         self.now = self.next_beat = self.next_step = self.changed = self.carried = self.calm = self.vain = 0
 
     # --- the news ---
-    def listed(self, how, entries):
-        seen = {entry[0] for entry in entries}
-        for index, zone, kind, _, state, weight, start in entries:
+    def listed(self, event):
+        how, entries = event.kind, event.entries
+        seen = {entry.endpoint for entry in entries}
+        for entry in entries:
+            index, start, state = entry.endpoint, entry.started_at, entry.state
             e = self.endpoints.get(index) or self.endpoints.setdefault(index, Endpoint(index, start))
             if start > e.start:  # another process: what was heard of the old one says nothing
                 e.start, self.changed = start, NEEDED
                 e.forget()
             if e.order is None:  # a successor takes the place of one that has gone
-                taken = {o.order for o in self.endpoints.values() if o.zone == zone and o.state != "gone"}
+                taken = {
+                    o.order for o in self.endpoints.values() if o.zone == entry.zone and o.state is not GONE
+                }
                 e.order = next(n for n in range(len(taken) + 1) if n not in taken)
-            e.zone, e.kind, e.weight = min(zone, self.zones - 1), kind, max(weight, 1e-3)
+            e.zone, e.kind = min(entry.zone, self.zones - 1), entry.machine_kind
+            e.weight = max(entry.weight, 1e-3)
             if e.state != state:
-                e.state, self.changed = state, max(self.changed, 1 if state == "ready" else NEEDED)
-        whole = how != "update"  # then what it does not name is gone
-        for e in [e for e in self.endpoints.values() if whole and e.index not in seen and e.state != "gone"]:
-            e.state, self.changed = "gone", NEEDED
-        self.ask_again, self.vain = self.ask_again if how == "restored" else 0, 0
-
-    def list_failed(self):  # a broken subscription is silent: ask again, not all pilots at one time
+                e.state, self.changed = state, max(self.changed, 1 if state is READY else NEEDED)
+        whole = how is not ListKind.UPDATE  # then what it does not name is gone
+        for e in [
+            e for e in self.endpoints.values() if whole and e.index not in seen and e.state is not GONE
+        ]:
+            e.state, self.changed = GONE, NEEDED
+        self.ask_again, self.vain = self.ask_again if how is ListKind.RESTORED else 0, 0
+
+    def list_failed(self, _):  # a broken subscription is silent: ask again, not all pilots at one time
         self.vain, soon = min(self.vain + 1, 3), (self.ask_again or self.now) + SECOND  # 6 s after its call
         self.ask_again = min(soon, self.now + round(SECOND * 2**self.vain * self.chance.uniform(0.25, 0.5)))
 
-    def joined(self, proxy, zone, usual, fresh):
-        self.left(proxy, True)
-        self.proxies[proxy] = Proxy(min(zone, self.zones - 1), usual, len(self.groups))
+    def joined(self, event):
+        proxy = event.proxy
+        self._forget_proxy(proxy, True)
+        self.proxies[proxy] = Proxy(min(event.zone, self.zones - 1), event.usual_rate, len(self.groups))
         self.users[None][proxy] = None
         self.channel.sent[proxy], self.channel.came[proxy] = deque(), next(self.channel.turns)
 
-    def left(self, proxy, ended=False):
+    def left(self, event):
+        self._forget_proxy(event.proxy, event.ended_here)
+
+    def _forget_proxy(self, proxy, ended):
         if proxy in self.proxies:
             del self.users[self.proxies.pop(proxy).table][proxy]
         self.channel.left(proxy, ended)
 
-    def heard(self, zone, index, tries, dropped, latency, window, report):
-        e, now = self.endpoints.get(index), self.now
+    def heard(self, event):
+        e, now = self.endpoints.get(event.endpoint), self.now
+        tries, latency = event.attempts, event.mean_latency
         if e is None or tries <= 0:
             return
-        zone = min(zone, self.zones - 1)
-        delivered = tries - (dropped := min(max(dropped, 0), tries))
+        zone = min(event.zone, self.zones - 1)
+        delivered = tries - (dropped := min(max(event.failed, 0), tries))
         e.tries.add(now, tries, dropped)
-        if len(report) > self.in_hand:
-            e.busy.add(now, 1.0, report[self.in_hand] / e.weight)
+        if len(event.load) > self.in_hand:
+            e.busy.add(now, 1.0, event.load[self.in_hand] / e.weight)
         if delivered and latency > 0:
             e.latency.add(now, delivered, delivered * latency)
             self.least.setdefault((zone, e.zone), []).append((now, latency))
@@ -440,28 +478,31 @@
             soft = dropped + (delivered * min(1.0, latency / self.bound) ** 4 if self.bound else 0)
             self.curves[zone].add(now, self.loads[zone], e.fade(now) * tries, e.fade(now) * soft)
 
-    def asked(self, proxy, group, flows, unanswered, window):
-        if (p := self.proxies.get(proxy)) is not None and group < len(self.groups):
+    def asked(self, event):
+        group = event.group
+        if (p := self.proxies.get(event.proxy)) is not None and group < len(self.groups):
             more = [0.0] * (2 * len(self.groups))
-            more[group], more[len(self.groups) + group], p.read = max(flows, 0), window / SECOND, None
+            more[group], more[len(self.groups) + group] = max(event.requests, 0), event.window / SECOND
+            p.read = None
             p.flows.add(self.now, *more)
 
-    def noticed(self, index, busy, age):
+    def noticed(self, event):
         """How busy an endpoint's machine was, as told beside its sums; the older, the less it counts."""
-        if (e := self.endpoints.get(index)) is not None and 0 <= busy <= 1:
-            part = exp(-max(0, age) / NOTICED_SPAN)
+        if (e := self.endpoints.get(event.endpoint)) is not None and 0 <= event.busy <= 1:
+            part = exp(-max(0, event.age) / NOTICED_SPAN)
             e.noticed.sums = [x * (1 - 0.7 * part) for x in e.noticed.read(self.now)]  # the newest counts
-            e.noticed.add(self.now, part, part * busy)
+            e.noticed.add(self.now, part, part * event.busy)
 
-    woken = probed = told = granted = stored = slice_asked = lambda *_: None  # these decide nothing
+    def applied(self, event):
+        self.channel.applied(event.proxy, event.marker, event.elapsed)
 
     # --- estimates ---
     def ramp(self, e):
         """A new endpoint comes in over the ramp, from the share promised, or less where little fells it."""
         if e.start <= 0:
             return 1.0
-        cold = self.rules.get("cold_share", 0.2) / self.frail * (1.0 if self.work else BLIND)
-        span = min(RAMP, self.rules.get("warm_after_us") or RAMP)  # by then it is promised to be warm
+        cold = self.rules.cold_capacity_share / self.frail * (1.0 if self.work else BLIND)
+        span = min(RAMP, self.rules.warm_after_us or RAMP)  # by then it is promised to be warm
         return min(1.0, cold + (1 - cold) * max(0, self.now - e.start) / span)
 
     def crowding(self, z):
@@ -480,8 +521,8 @@
 
     def open(self, e):
         """Whether tables may hold it; where removal does not bind, only draining shuts an endpoint out."""
-        kept = e.state == "gone" and not e.benched and self.rules.get("removal_not_binding", False)
-        return e.state == "ready" or bool(kept)
+        kept = e.state is GONE and not e.benched and self.rules.removal_is_not_binding
+        return e.state is READY or kept
 
     def usable(self):
         return [e for e in self.endpoints.values() if self.open(e)]
@@ -499,7 +540,7 @@
         known.update((e, known[e] * part) for z in range(self.zones) for e, part in self.crowding(z).items())
         warm = [[v for e, v in known.items() if e.zone == z and self.ramp(e) == 1] for z in range(self.zones)]
         flows = [max(p.usual, sum(p.demand(self.now) or ())) for p in self.proxies.values()]
-        heavy, shuns = sum(f * f for f in flows) / (sum(flows) or 1), self.service.get("outlier_after", 0)
+        heavy, shuns = sum(f * f for f in flows) / (sum(flows) or 1), self.service.outlier_after_failures
         for e, v in known.items():  # one of which little was heard is not the best of a failing zone
             ramp, most, z = self.ramp(e), median(warm[e.zone], v), e.zone  # if all shun the rest, it falls
             soon = len(warm[z]) >= PART_ENDPOINTS and heavy * max(1, self.parts[z]) > shuns * len(warm[z])
@@ -515,8 +556,10 @@
         own, count = [0.0] * self.zones, Counter(p.zone for p in self.proxies.values())
         for p in self.proxies.values():
             own[p.zone] += sum(p.demand(self.now) or [p.usual])
-        total, heard = self.service.get("proxy_count", 0), max(1, len(self.proxies))
-        zoned = self.service.get("by_zone")  # whole zones are unheard then, and only what is usual counts:
+        total, heard = self.service.proxy_count, max(1, len(self.proxies))
+        zoned = (
+            self.service.proxies_join_by_zone
+        )  # then whole zones are unheard, and only what is usual counts:
         lack = [max(0.0, total / self.zones - count[z]) if zoned else 1.0 for z in range(self.zones)]
         each = sum(p.usual for p in self.proxies.values()) if zoned else sum(own)
         scale = max(0, total - len(self.proxies)) * each / heard / max(sum(lack), 1e-9)
@@ -542,8 +585,8 @@
 
     def needs(self):
         """Flows a second by zone and table; those to come count evenly: else the first had all on one."""
-        pilots = 1 if self.service.get("by_zone") else max(1, self.provisioning.get("pilots", 1))
-        proxies = max(self.service.get("proxy_count", 0) / pilots, len(self.proxies)) / self.zones
+        pilots = 1 if self.service.proxies_join_by_zone else max(1, self.settings.server_count)
+        proxies = max(self.service.proxy_count / pilots, len(self.proxies)) / self.zones
         for z in range(self.zones):
             here = sum(e.zone == z for e in self.usable())
             most = int(min(here // PART_ENDPOINTS, proxies // PART_PROXIES))
@@ -586,7 +629,7 @@
             if not changes or not self.channel.room(len(changes), users, WITHDRAWAL):
                 return
         for k, w in changes:
-            orders.line(table, k, w)
+            orders.set_weight(table, k, w)
             had[k] = w
         self.lines[table], self.written_at[table] = {k: w for k, w in had.items() if w}, self.now
         self.channel.charge(users if changes else (), len(changes))
@@ -607,7 +650,7 @@
         cost = 1 + len(self.levels.get(table, ())) + sum(1 + self.endpoints[k].benched for k in lines or ())
         if not lines or not self.channel.room(cost, [index], urgent):
             return False
-        orders.bind(index, table)
+        orders.bind_proxy(index, table)
         self.channel.charge([index], cost)
         del self.users[self.proxies[index].table][index]
         self.users[table][index], self.proxies[index].table = None, table
@@ -626,7 +669,7 @@
             ]
             if self.channel.room(1, holding, 1 if e.benched else WITHDRAWAL):
                 e.benched = not e.benched
-                orders.bench(e.index, e.benched)
+                orders.set_ejected(e.index, e.benched)
                 self.channel.charge(holding, 1)
 
     def plan(self, orders, urgent, only=()):
@@ -682,7 +725,7 @@
         elif not old:  # else the last staging is not over: two splits would clash
             moved = sum(abs(lines.get(k, 0) - had.get(k, 0)) for k in set(lines) | set(had)) / 2000
             if moved >= WORTH_LINES:
-                orders.clear(table ^ 1)
+                orders.clear_table(table ^ 1)
                 self.lines[table ^ 1], self.levels[table ^ 1] = {}, {}
                 self.write_levels(table ^ 1, levels, orders)
                 self.write(table ^ 1, lines, orders, False)
@@ -716,14 +759,14 @@
 
     def plan_levels(self, allowed):
         """Levels by utility: the group worth least is let in last."""
-        kind, levels, left = self.service.get("level_kind"), {}, allowed
+        kind, levels, left = self.service.admission_level_kind, {}, allowed
         asked = [
             [(p.demand(self.now) or [0.0] * len(self.groups))[g] for p in self.proxies.values()]
             for g in range(len(self.groups))
         ]
         if kind not in ("per_second", "fraction") or allowed >= 0.99 * sum(map(sum, asked)):
             return {}
-        for g in sorted(range(len(self.groups)), key=lambda g: -self.groups[g].get("utility", 1.0)):
+        for g in sorted(range(len(self.groups)), key=lambda g: -self.groups[g].priority_weight):
             total, part = sum(asked[g]), max(left, KEPT_IN * min(allowed, sum(asked[g])))
             left -= total
             if part < 0.999 * total:
@@ -738,7 +781,7 @@
             if abs(old - new) > LEVEL_MOVES * min(old, new):
                 if users and not self.channel.room(1, users, True):
                     return
-                orders.level(table, 1 << g, new, 1)
+                orders.set_admission_level(table, 1 << g, new, 1)
                 self.channel.charge(users, 1)
                 had[g] = new
 
@@ -754,11 +797,13 @@
     def round(self, now, news, orders):
         self.now = now
         self.channel.drain(now)
-        for name, values in news:
-            getattr(self, name)(*values)
+        for event in news:
+            handler = self.handlers.get(type(event))
+            if handler is not None:
+                handler(event)
         self.next_beat = self.next_beat or now + BEAT
         if self.ask_again and now >= self.ask_again:
-            orders.observe(True)
+            orders.watch_endpoints(True)
             self.ask_again = now + 5 * SECOND
         new = list(self.users[None])
         if any(self.proxies[i].part is None for i in new):
@@ -778,5 +823,5 @@
             if held:  # these alone: weights that drift while a queue drains would keep it full
                 self.plan(orders, max(held.values()), held)
             self.stage(orders)
-            orders.wake(self.next_step, "step")
+            orders.start_timer(self.next_step, "step")
         self.channel.settle(now, orders)
--- a/ravenshelf/simulator/decode.py
+++ b/ravenshelf/simulator/decode.py
@@ -3,11 +3,27 @@
 import base64
 import binascii
 import json
+from dataclasses import dataclass
+from typing import Any
 
-from ravenshelf.provisioning import provisioning
+from ravenshelf.policy import events
 
-STATES = ("ready", "draining", "gone")
-LISTS = ("update", "replace", "restored", "unavailable")
+STATES = {state.value: state for state in events.EndpointState}
+LIST_KINDS = {kind.value: kind for kind in events.ListKind}
+UNAVAILABLE = "unavailable"
+
+
+@dataclass(frozen=True, slots=True)
+class Boot:
+    """An instance starts; its settings are still the JSON object."""
+
+    seed: int
+    settings: dict[str, Any]
+
+
+@dataclass(frozen=True, slots=True)
+class Exit:
+    """An instance ends."""
 
 
 class Malformed(Exception):
@@ -43,42 +59,52 @@
 
 
 def heard(ids, v):
-    return "heard", (int(v[0]), ids(v[2]), int(v[5]), int(v[1]), micros(v[3]), micros(v[4]), report(v[6]))
+    return events.LoadReport(
+        int(v[0]), ids(v[2]), int(v[5]), int(v[1]), micros(v[3]), micros(v[4]), report(v[6])
+    )
 
 
 def joined(ids, v):
-    return "joined", (int(v[3]), int(v[2]), 0.0 if v[0] == "-" else number(v[0]), flag(v[1]))
+    return events.ProxyJoined(int(v[3]), int(v[2]), 0.0 if v[0] == "-" else number(v[0]), flag(v[1]))
 
 
 def asked(ids, v):
-    return "asked", (int(v[0]), int(v[1]), int(v[2]), int(v[3]), micros(v[4]))
+    return events.DemandReport(int(v[0]), int(v[1]), int(v[2]), int(v[3]), micros(v[4]))
 
 
 def probed(ids, v):
-    return "probed", (ids(v[0]), v[1] == "OK", micros(v[2]), report(v[3]))
+    return events.HealthCheckCompleted(ids(v[0]), v[1] == "OK", micros(v[2]), report(v[3]))
 
 
 def slice_asked(ids, v):
-    return "slice_asked", (int(v[4]), int(v[3]), int(v[2]), int(v[1]), micros(v[0]))
+    return events.SliceDemandReport(int(v[4]), int(v[3]), int(v[2]), int(v[1]), micros(v[0]))
 
 
 # event: (values it must have after the instance, how they become a call, the form named in a complaint)
 EVENTS = {
     "enrolled": (4, joined, "share on rack-zone proxy"),
-    "detached": (1, lambda ids, v: ("left", (int(v[0]),)), "proxy"),
+    "detached": (1, lambda ids, v: events.ProxyLeft(int(v[0])), "proxy"),
     "tally": (7, heard, "rack-zone unanswered endpoint cost-time-ms window-ms number metrics"),
     "proxy_stats": (5, asked, "proxy grade number unanswered window-ms"),
     "acked": (
         3,
-        lambda ids, v: ("applied", (int(v[0]), int(v[1]), micros(v[2]))),
+        lambda ids, v: events.BatchAcknowledged(int(v[0]), int(v[1]), micros(v[2])),
         "proxy version cost-time-ms",
     ),
-    "due": (1, lambda ids, v: ("woken", (v[0],)), "key-back"),
+    "due": (1, lambda ids, v: events.TimerExpired(v[0]), "key-back"),
     "checked": (4, probed, "endpoint rc cost-time-ms metrics"),
-    "neighbour_says": (2, lambda ids, v: ("told", (int(v[0]), octets(v[1]))), "neighbour octets"),
+    "neighbour_says": (
+        2,
+        lambda ids, v: events.PeerMessageReceived(int(v[0]), octets(v[1])),
+        "neighbour octets",
+    ),
     "slice_load": (5, slice_asked, "window-ms unanswered number grade tbl"),
-    "handed": (2, lambda ids, v: ("granted", (int(v[0]), flag(v[1]))), "tbl on"),
-    "in_store": (3, lambda ids, v: ("stored", (int(v[1]), ids(v[0]), number(v[2]))), "endpoint tbl share"),
+    "handed": (2, lambda ids, v: events.SliceAssigned(int(v[0]), flag(v[1])), "tbl on"),
+    "in_store": (
+        3,
+        lambda ids, v: events.SliceWeightStored(int(v[1]), ids(v[0]), number(v[2])),
+        "endpoint tbl share",
+    ),
 }
 
 
@@ -87,7 +113,9 @@
     try:
         if v[0] != "endpoint" or len(v) < 8 or v[5] not in STATES:
             raise ValueError("no entry")
-        return (ids(v[1]), int(v[2]), int(v[3]), int(v[4]), v[5], number(v[6]), micros(v[7]))
+        return events.ListedEndpoint(
+            ids(v[1]), int(v[2]), int(v[3]), int(v[4]), STATES[v[5]], number(v[6]), micros(v[7])
+        )
     except ValueError as why:
         raise Malformed(
             f"line {text!r}: expected 'endpoint' name rack-zone family-type unit-group "
@@ -95,34 +123,43 @@
         ) from why
 
 
+def _boot(text: str) -> tuple[int, Boot]:
+    try:
+        _, i, seed, env = text.split(" ", 3)
+        settings = json.loads(env)
+        if not isinstance(settings, dict):
+            raise ValueError("no map")
+        return int(i), Boot(int(seed), settings)
+    except ValueError as why:
+        raise Malformed(f"line {text[:120]!r}: expected boot i rng-seed env (a JSON object)") from why
+
+
 def event(text, ids_of, following):
-    """One event: (instance, call name, values). `following` gives the list entries that belong to it."""
+    """One line of a batch: the instance, and `Boot`, `Exit` or an event of the policy.
+
+    `following` gives the next line, for the list entries that belong to an event.
+    """
     v = text.split(" ")
     name = v[0]
     if name == "boot":
-        try:
-            _, i, seed, env = text.split(" ", 3)
-            settings = json.loads(env)
-            if not isinstance(settings, dict):
-                raise ValueError("no map")
-            return int(i), "boot", (int(seed), provisioning(settings))
-        except ValueError as why:
-            raise Malformed(f"line {text[:120]!r}: expected boot i rng-seed env (a JSON object)") from why
+        return _boot(text)
     if name == "exit":
         try:
-            return int(v[1]), "exit", ()
+            return int(v[1]), Exit()
         except (ValueError, IndexError) as why:
             raise Malformed(f"line {text!r}: expected exit i") from why
     if name == "topology":
         try:
             i, how, _, count = int(v[1]), v[2], int(v[3]), int(v[4]) if len(v) > 4 else 0
-            if how not in LISTS or count < 0:
+            if (how not in LIST_KINDS and how != UNAVAILABLE) or count < 0:
                 raise ValueError("no such list")
         except (ValueError, IndexError) as why:
             raise Malformed(f"line {text!r}: expected topology i kind version members-list") from why
         ids = ids_of(i, text)
         entries = tuple(entry(ids, following()) for _ in range(count))
-        return (i, "list_failed", ()) if how == "unavailable" else (i, "listed", (how, entries))
+        if how == UNAVAILABLE:
+            return i, events.WatchFailed()
+        return i, events.EndpointsListed(LIST_KINDS[how], entries)
     if name not in EVENTS:
         raise Malformed(f"line {text[:120]!r}: expected an event of the wire, or eob")
     width, make, form = EVENTS[name]
@@ -130,6 +167,6 @@
         if len(v) < width + 2:
             raise ValueError("too short")
         i = int(v[1])
-        return i, *make(ids_of(i, text), v[2:])
+        return i, make(ids_of(i, text), v[2:])
     except ValueError as why:
         raise Malformed(f"line {text!r}: expected {name} i {form}") from why
--- a/ravenshelf/simulator/encode.py
+++ b/ravenshelf/simulator/encode.py
@@ -9,37 +9,37 @@
     def __init__(self, instance, names):
         self.i, self.names, self.out = instance, names, []
 
-    def line(self, table, endpoint, weight):
+    def set_weight(self, table, endpoint, weight):
         self.out.append(f"set_line {self.i} {self.names[endpoint]} {table} {weight:.6g}")
 
-    def clear(self, table):
+    def clear_table(self, table):
         self.out.append(f"truncate {self.i} {table}")
 
-    def bench(self, endpoint, out):
+    def set_ejected(self, endpoint, out):
         self.out.append(f"bench {self.i} {int(out)} {self.names[endpoint]}")
 
-    def bind(self, proxy, table, groups=0):
+    def bind_proxy(self, proxy, table, groups=0):
         self.out.append(f"subscribe_to {self.i} {proxy} {table} {groups}")
 
-    def level(self, table, groups, level, tries):
+    def set_admission_level(self, table, groups, level, tries):
         self.out.append(f"set_level {self.i} {level:.6g} {groups} {table} {tries}")
 
-    def mark(self, number, everyone=False):
+    def request_acknowledgement(self, number, everyone=False):
         self.out.append(f"mark {self.i} {number} {int(everyone)}")
 
-    def wake(self, at, key):
+    def start_timer(self, at, key):
         self.out.append(f"sleep {self.i} {at / 1000:.3f} {key}")
 
-    def observe(self, on):
+    def watch_endpoints(self, on):
         self.out.append(f"observe {self.i} {int(on)}")
 
-    def fetch(self):
+    def fetch_endpoints(self):
         self.out.append(f"get_list {self.i}")
 
-    def probe(self, endpoint):
+    def check_health(self, endpoint):
         self.out.append(f"poll {self.i} {self.names[endpoint]}")
 
-    def tell(self, peer, octets):
+    def send_peer_message(self, peer, octets):
         text = base64.b64encode(octets).decode() or "-"
         self.out.append(f"announce {self.i} {'*' if peer is None else peer} {text}")
 
--- a/ravenshelf/simulator/host.py
+++ b/ravenshelf/simulator/host.py
@@ -1,6 +1,7 @@
 """Hosts the instances: one controller each, nothing shared between them."""
 
 from ravenshelf.rules import Controller
+from ravenshelf.settings import decode_settings
 from ravenshelf.simulator import decode
 from ravenshelf.simulator.encode import Writer
 
@@ -10,6 +11,7 @@
 
     def __init__(self, number):
         self.number, self.names, self.index, self.controller, self.news = number, [], {}, None, []
+        self.boot: decode.Boot | None = None
 
     def endpoint(self, name):
         if name not in self.index:
@@ -40,18 +42,18 @@
             raise decode.Malformed(f"line {head[:120]!r}: expected clock t-ms frame") from why
         touched = {}
         while (text := lines()) != "eob":
-            i, name, values = decode.event(text, self._ids, lines)
-            if name == "boot":
+            i, event = decode.event(text, self._ids, lines)
+            if isinstance(event, decode.Boot):
                 touched[i] = self.instances[i] = Instance(i)
-                touched[i].news = [("boot", values)]
+                touched[i].boot = event
                 continue
             self._ids(i, text)
-            if name == "exit":
+            if isinstance(event, decode.Exit):
                 del self.instances[i]
                 touched.pop(i, None)
                 continue
             touched[i] = self.instances[i]
-            touched[i].news.append((name, values))
+            touched[i].news.append(event)
         out = []
         for instance in touched.values():
             out += self._round(now, instance)
@@ -63,9 +65,9 @@
         news, instance.news = instance.news, []
         writer = Writer(instance.number, instance.names)
         try:
-            if news[0][0] == "boot":
-                seed, provisioning = news.pop(0)[1]
-                instance.controller = Controller(provisioning, seed)
+            boot, instance.boot = instance.boot, None
+            if boot is not None:
+                instance.controller = Controller(decode_settings(boot.settings), boot.seed)
             instance.controller.round(now, news, writer)
         except Exception as why:  # the wire asks for the cause in its own words, never for silence
             writer.out.clear()
--- a/ravenshelf/state/endpoint_registry.py
+++ b/ravenshelf/state/endpoint_registry.py
@@ -2,12 +2,23 @@
 
 from collections.abc import Callable
 
+from ravenshelf.errors import RavenshelfError
+from ravenshelf.policy.events import EndpointsListed, EndpointState, ListedEndpoint, ListKind
+
 REST = (
     600_000_000  # an index is given to another endpoint no sooner after its own has gone: evidence has faded
 )
 FORMER = 65_536  # names remembered of those whose index is another's
 
 
+class VersionGapError(RavenshelfError):
+    """Changes start at a version beyond the one held, so some were missed."""
+
+    def __init__(self, held: int, after: int):
+        super().__init__(f"expected changes that follow version {held}, not {after}")
+        self.held, self.after = held, after
+
+
 class Listing:
     def __init__(
         self,
@@ -21,7 +32,7 @@
         self.former: dict[str, None] = {}  # names whose index is another's, oldest first
         self.taken = clock()  # when a list or a change was last taken
         self.rev, self.names, self.index = 0, [], {}
-        self.entries: dict[int, tuple] = {}  # what the module was last told of each listed endpoint
+        self.entries: dict[int, ListedEndpoint] = {}  # what the module was last told of each listed endpoint
         self.addresses: dict[int, str] = {}
         self.left: dict[int, int] = {}  # when an index that is not listed any more left, oldest first
 
@@ -56,23 +67,31 @@
         return None
 
     def take(
-        self, how: str, rev: int, entries: list[tuple], addresses: dict[int, str], after: int | None = None
-    ):
-        """What of a list or of changes is news: (how, entries) for the module, or None.
+        self,
+        kind: ListKind,
+        rev: int,
+        entries: list[ListedEndpoint],
+        addresses: dict[int, str],
+        after: int | None = None,
+    ) -> EndpointsListed | None:
+        """Take a list, or changes to it; gives what of it is new to the controller, or None.
 
-        A list older than ours overwrites nothing. `after` is the version that changes start from: where it lies
-        beyond ours, something was missed, and only a whole list helps ("gap")."""
-        if rev < self.rev or (how == "update" and rev == self.rev and rev != 0):
+        A list older than the one held changes nothing. `after` is the version that changes start from: raises
+        `VersionGapError` where it lies beyond the version held, for then something was missed and only a
+        complete list helps.
+        """
+        is_update = kind is ListKind.UPDATE
+        if rev < self.rev or (is_update and rev == self.rev and rev != 0):
             return None
-        if how == "update" and after is not None and after > self.rev:
-            return "gap"
+        if is_update and after is not None and after > self.rev:
+            raise VersionGapError(self.rev, after)
         self.rev, self.taken = rev, self.clock()
-        if how != "update":
+        if not is_update:
             self.entries = {}
         for entry in entries:
-            self.entries[entry[0]] = entry
-            if entry[4] == "gone":
-                del self.entries[entry[0]]
+            self.entries[entry.endpoint] = entry
+            if entry.state is EndpointState.GONE:
+                del self.entries[entry.endpoint]
         self.addresses.update(addresses)
         for index in range(len(self.names)):
             if index in self.entries:
@@ -80,7 +99,7 @@
             else:
                 self.left.setdefault(index, self.clock())
                 self.addresses.pop(index, None)
-        return how, tuple(entries)
+        return EndpointsListed(kind, tuple(entries))
 
-    def whole(self) -> tuple:
+    def whole(self) -> tuple[ListedEndpoint, ...]:
         return tuple(self.entries.values())
--- a/ravenshelf/state/proxy_tables.py
+++ b/ravenshelf/state/proxy_tables.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ravenshelf.interface import EVERYWHERE
+from ravenshelf.policy import commands
+from ravenshelf.policy.commands import ALL_TABLES
 
 
 @dataclass
@@ -70,8 +71,8 @@
         self.leveled: dict[int, set[int]] = {}
         self.cleared: set[int] = set()
         self.ticket, self.ticket_for_all = None, False
-        self.wakes: list[tuple[int, str]] = []
-        self.calls: list[tuple] = []
+        self.wakes: list[commands.StartTimer] = []
+        self.calls: list[commands.Command] = []
         for held in [self.proxies[p] for p in self.dirty if p in self.proxies]:
             held.rebound, held.asked = set(), set()
         self.dirty.clear()
@@ -95,7 +96,7 @@
 
     # --- the orders ---
 
-    def line(self, table: int, endpoint: int, weight: float) -> None:
+    def set_weight(self, table: int, endpoint: int, weight: float) -> None:
         if not 0 <= weight < float("inf"):
             raise ValueError(f"weight {weight!r} of a line")
         lines = self.tables.setdefault(table, {})
@@ -105,13 +106,13 @@
         else:
             lines.pop(endpoint, None)
 
-    def clear(self, table: int) -> None:
+    def clear_table(self, table: int) -> None:
         self.tables[table], self.levels[table] = {}, {}
         self.touched.pop(table, None)
         self.leveled.pop(table, None)
         self.cleared.add(table)
 
-    def bench(self, endpoint: int, out: bool) -> None:
+    def set_ejected(self, endpoint: int, out: bool) -> None:
         (self.benched.add if out else self.benched.discard)(endpoint)
         if out:  # whoever is bound to it later in the round is told with the table
             concerned = self._holders(endpoint)
@@ -131,7 +132,7 @@
         self.proxies[proxy].asked.update(endpoints)
         self.dirty.add(proxy)
 
-    def bind(self, proxy: int, table: int, groups: int = 0) -> None:
+    def bind_proxy(self, proxy: int, table: int, groups: int = 0) -> None:
         held = self.proxies.get(proxy)
         if held is None:
             return
@@ -148,7 +149,7 @@
             self.doubtful.add(proxy)
         self.dirty.add(proxy)
 
-    def level(self, table: int, groups: int, level: float, tries: int) -> None:
+    def set_admission_level(self, table: int, groups: int, level: float, tries: int) -> None:
         if not 0 <= level < float("inf") or tries not in (0, 1, 2, 3):
             raise ValueError(f"level {level!r} with tries {tries!r}")
         for g in self.groups:
@@ -156,26 +157,26 @@
                 self.levels.setdefault(table, {})[g] = (level, tries)
                 self.leveled.setdefault(table, set()).add(g)
 
-    def mark(self, number: int, everyone: bool = False) -> None:
+    def request_acknowledgement(self, number: int, everyone: bool = False) -> None:
         self.ticket, self.ticket_for_all = number, everyone
 
-    def wake(self, at: int, key: str) -> None:
-        self.wakes.append((at, key))
+    def start_timer(self, at: int, key: str) -> None:
+        self.wakes.append(commands.StartTimer(at, key))
 
-    def observe(self, on: bool) -> None:
-        self.calls.append(("observe", on))
+    def watch_endpoints(self, on: bool) -> None:
+        self.calls.append(commands.WatchEndpoints(on))
 
-    def fetch(self) -> None:
-        self.calls.append(("fetch",))
+    def fetch_endpoints(self) -> None:
+        self.calls.append(commands.FetchEndpoints())
 
-    def probe(self, endpoint: int) -> None:
-        self.calls.append(("probe", endpoint))
+    def check_health(self, endpoint: int) -> None:
+        self.calls.append(commands.CheckHealth(endpoint))
 
-    def tell(self, peer: int | None, octets: bytes) -> None:
-        self.calls.append(("tell", peer, octets))
+    def send_peer_message(self, peer: int | None, octets: bytes) -> None:
+        self.calls.append(commands.SendPeerMessage(peer, octets))
 
     def log(self, text: str) -> None:
-        self.calls.append(("log", text))
+        self.calls.append(commands.LogMessage(text))
 
     def holds(self, endpoint: int) -> bool:
         return any(endpoint in lines for lines in self.tables.values())
@@ -246,7 +247,7 @@
 
     def _concerned(self) -> list[int]:
         """Proxies that orders of this round may concern, in the order in which they joined."""
-        if self.ticket_for_all or EVERYWHERE in self.leveled:
+        if self.ticket_for_all or ALL_TABLES in self.leveled:
             return list(self.proxies)
         moved = [self.users.get(t, ()) for t in {*self.touched, *self.leveled, *self.cleared}]
         for proxy in set().union(*(self.users.get(t, ()) for t in self.touched)):
@@ -257,7 +258,7 @@
     def _effective(self, table: int, group: int) -> tuple[float, int] | None:
         """The lower level wins, and the table's own way of trying again."""
         own = self.levels.get(table, {}).get(group)
-        all_ = self.levels.get(EVERYWHERE, {}).get(group)
+        all_ = self.levels.get(ALL_TABLES, {}).get(group)
         return (min(own[0], all_[0]), own[1]) if own and all_ else own or all_
 
     def level_of(self, proxy: int, group: int) -> float | None:
@@ -296,7 +297,7 @@
 
     def _levels(self, table: int | None, fresh: list[int], known: list[int], parts: list[Part]) -> None:
         """Levels that are new for these groups; a whole table has forgotten them, so they travel with it."""
-        moved = self.leveled.get(table, set()) | self.leveled.get(EVERYWHERE, set())
+        moved = self.leveled.get(table, set()) | self.leveled.get(ALL_TABLES, set())
         same: dict[tuple[float, int], list[int]] = {}
         for g in sorted([*(fresh if table is not None else ()), *(g for g in known if g in moved)]):
             level = self._effective(table, g)
--- a/standins/fleet/discovery.py
+++ b/standins/fleet/discovery.py
@@ -3,6 +3,7 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
+from ravenshelf.policy.events import ListKind, WatchFailed
 from standins.fleet.clock import SECOND, TICK
 
 if TYPE_CHECKING:
@@ -30,7 +31,7 @@
         for pilot in self.world.living():
             if pilot.watching:
                 pilot.watching = False
-                pilot.hear("list_failed")
+                pilot.hear(WatchFailed())
 
     def turn(self, now: int) -> None:
         while self.queue and (self.down or self.free <= now):
@@ -43,10 +44,10 @@
                     self.free if self.free > now - TICK else now
                 ) + self.each  # several calls fit in a tick
             if failed:
-                pilot.hear("list_failed")
+                pilot.hear(WatchFailed())
             else:
                 pilot.watching = True
-                pilot.hear("listed", *pilot.take("replace"))
+                pilot.hear(pilot.take(ListKind.REPLACE))
 
     def most(self, span: int = SECOND // 4) -> int:
         """Most calls that came within a span."""
--- a/standins/fleet/flow_world.py
+++ b/standins/fleet/flow_world.py
@@ -2,7 +2,8 @@
 
 from collections import defaultdict
 
-from ravenshelf.provisioning import provisioning
+from ravenshelf.policy.events import DemandReport, LoadReport
+from ravenshelf.settings import Settings, decode_settings
 from standins.fleet.clock import SECOND
 from standins.fleet.proxies import Proxy
 from standins.fleet.servers import COLD, WARM, Server
@@ -12,8 +13,8 @@
 FLOW_PERIOD = SECOND // 4
 
 
-def flow_settings(pilots: int, zones: int, proxies: int, changes: dict) -> dict:
-    return provisioning(
+def flow_settings(pilots: int, zones: int, proxies: int, changes: dict) -> Settings:
+    return decode_settings(
         {
             "azs": [f"z{n}" for n in range(zones)],
             "balancers": pilots,
@@ -110,11 +111,13 @@
                 index = pilot.listing.index.get(server.name)
                 if index is not None and (tries := round(met)):
                     pilot.hear(
-                        "heard", zone, index, tries, round(tries * failed), took, SECOND, (server.load / 10,)
+                        LoadReport(
+                            zone, index, tries, round(tries * failed), took, SECOND, (server.load / 10,)
+                        )
                     )
         for proxy in self.proxies:
             if proxy.pilot.alive:
-                proxy.pilot.hear("asked", proxy.number, 0, round(proxy.flows), 0, SECOND)
+                proxy.pilot.hear(DemandReport(proxy.number, 0, round(proxy.flows), 0, SECOND))
 
     # --- what checks over the fleet read ---
 
--- a/standins/fleet/parameters.py
+++ b/standins/fleet/parameters.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, replace
 
-from ravenshelf.provisioning import provisioning
+from ravenshelf.settings import Settings, decode_settings
 
 MILLISECOND = 1000
 SECOND = 1_000_000
@@ -85,9 +85,9 @@
     def all_proxies(self) -> int:
         return self.pilots * self.proxies
 
-    def settings(self) -> dict:
+    def settings(self) -> Settings:
         """The settings that pilots of such a fleet are given."""
-        return provisioning(
+        return decode_settings(
             {
                 "azs": [f"z{n}" for n in range(self.zones)],
                 "balancers": self.pilots,
--- a/standins/fleet/pilots.py
+++ b/standins/fleet/pilots.py
@@ -3,7 +3,17 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
 
+from ravenshelf.policy.commands import StartTimer, WatchEndpoints
+from ravenshelf.policy.events import (
+    BatchAcknowledged,
+    EndpointsListed,
+    EndpointState,
+    Event,
+    ListedEndpoint,
+    ListKind,
+)
 from ravenshelf.process.control_cycle import Rounds
+from ravenshelf.settings import Settings
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.endpoint_registry import Listing
 from ravenshelf.state.proxy_tables import Sent
@@ -24,7 +34,7 @@
     def __init__(
         self,
         number: int,
-        settings: dict,
+        settings: Settings,
         world: "Simulation",
         channel: Callable[["Pilot"], Channel],
         restored: ListSnapshot,
@@ -35,7 +45,7 @@
         self.starts = starts
         self.rev = 0  # of the list that it was told
         self.called = False  # whether a call waits for its answer
-        self.counters, self.sent = Counters(), Sent(len(settings["traffic_groups"]), False)
+        self.counters, self.sent = Counters(), Sent(len(settings.traffic_groups), False)
         self.listing = Listing(lambda: world.now, self.sent.holds)
         seed = FIRST_SEED + number + SEEDS_BETWEEN_STARTS * starts
         self.rounds = Rounds(settings, seed, self.listing, self.sent, self.counters)
@@ -43,41 +53,49 @@
         self.known_starts: Mapping[str, int] = {}  # endpoint: its newest start that this pilot was told
         self.known_since: dict[tuple[str, int], int] = {}
         self.channel = channel(self)
-        self._take("replace", restored)
+        self._take(ListKind.REPLACE, restored)
         self.rounds.begin()
         self.round()
 
-    def take(self, how: str) -> tuple:
+    def take(self, kind: ListKind) -> EndpointsListed | None:
         """Takes the present list; gives what the module is to be told."""
-        return self._take(how, self.world.snapshot())
+        return self._take(kind, self.world.snapshot())
 
-    def _take(self, how: str, snapshot: ListSnapshot) -> tuple:
+    def _take(self, kind: ListKind, snapshot: ListSnapshot) -> EndpointsListed | None:
         self.rev, self._restored = snapshot.rev, snapshot
         entries = [
-            (self.listing.endpoint(entry.name), entry.zone, 0, 0, entry.state, entry.weight, entry.started)
+            ListedEndpoint(
+                self.listing.endpoint(entry.name),
+                entry.zone,
+                0,
+                0,
+                EndpointState(entry.state),
+                entry.weight,
+                entry.started,
+            )
             for entry in snapshot.entries
         ]
         self.known_starts = {entry.name: entry.started for entry in snapshot.entries}
         for start in self.known_starts.items():
             self.known_since.setdefault(start, self.world.now)
-        return self.listing.take(how, snapshot.rev + 1, entries, {})
+        return self.listing.take(kind, snapshot.rev + 1, entries, {})
 
     def restored_list(self) -> ListSnapshot:
         """The list as its next process finds it."""
         return self._restored
 
-    def hear(self, name: str, *values) -> None:
-        self.rounds.hear(name, values)
+    def hear(self, event: Event) -> None:
+        self.rounds.hear(event)
 
     def due(self) -> bool:
         return bool(self.rounds.news) or any(at <= self.world.now for at in self.wakes)
 
     def round(self) -> None:
         self.wakes = [at for at in self.wakes if at > self.world.now]
-        for name, *values in self.rounds.run(self.world.now, self.write) or ():
-            if name == "wake":
-                self.wakes.append(values[0])
-            elif name == "observe":
+        for command in self.rounds.run(self.world.now, self.write) or ():
+            if isinstance(command, StartTimer):
+                self.wakes.append(command.at)
+            elif isinstance(command, WatchEndpoints):
                 self.watching = False
                 self.world.discovery.call(self)
 
@@ -98,7 +116,7 @@
 
     def _answered(self, proxy: Proxy, ticket: int, took: int) -> None:
         if proxy.pilot is self:
-            self.hear("applied", proxy.number, ticket, took)
+            self.hear(BatchAcknowledged(proxy.number, ticket, took))
 
     def has_known(self, name: str, started: int, span: int) -> bool:
         """Whether it was told of a start so long ago."""
--- a/standins/fleet/request_world.py
+++ b/standins/fleet/request_world.py
@@ -3,6 +3,7 @@
 from collections import Counter
 from math import ceil
 
+from ravenshelf.policy.events import DemandReport, LoadReport, ProxyJoined, ProxyLeft
 from standins.fleet.budget import BudgetRule, SentWork
 from standins.fleet.channels import BoundedChannel
 from standins.fleet.clock import SECOND
@@ -120,7 +121,7 @@
         if proxy.table_from is None and not proxy.table:
             proxy.restart(self._standing_table(proxy))
             proxy.pilot = self.chance.choice(self.living())
-            proxy.pilot.hear("joined", proxy.number, proxy.zone, proxy.flows, True)
+            proxy.pilot.hear(ProxyJoined(proxy.number, proxy.zone, proxy.flows, True))
         else:
             super().join(proxy)
 
@@ -178,16 +179,16 @@
         if not home.alive or proxy.pilot is home or proxy.number in self.traffic.down:
             return
         if proxy.pilot is not None:
-            proxy.pilot.hear("left", proxy.number)
+            proxy.pilot.hear(ProxyLeft(proxy.number))
         proxy.pilot = home
-        home.hear("joined", proxy.number, proxy.zone, proxy.flows, False)
+        home.hear(ProxyJoined(proxy.number, proxy.zone, proxy.flows, False))
 
     def kill_proxies(self, numbers: list[int], away: tuple[int, int]) -> None:
         """They start again with standing tables, and dial."""
         for number in numbers:
             proxy = self.proxies[number]
             if proxy.pilot is not None:
-                proxy.pilot.hear("left", number)
+                proxy.pilot.hear(ProxyLeft(number))
             proxy.pilot = None
             self.traffic.down.add(number)
             self.later(self.streams["faults"].randint(*away), lambda proxy=proxy: self._proxy_up(proxy))
@@ -200,7 +201,7 @@
 
     def _dial_fresh(self, proxy: RequestProxy) -> None:
         proxy.pilot = self.chance.choice(self.living())
-        proxy.pilot.hear("joined", proxy.number, proxy.zone, proxy.flows, True)
+        proxy.pilot.hear(ProxyJoined(proxy.number, proxy.zone, proxy.flows, True))
 
     # --- what requests tell ---
 
@@ -255,9 +256,9 @@
             window = max(1, ended - tally.since)
             if isinstance(key, UsageKey):
                 if self.proxies[key.proxy].pilot is pilot:
-                    pilot.hear("asked", key.proxy, key.group, tally.tries, tally.failed, window)
+                    pilot.hear(DemandReport(key.proxy, key.group, tally.tries, tally.failed, window))
             elif (index := pilot.listing.index.get(key.endpoint)) is not None:
                 latency = round(
                     tally.mean_latency() * lognormal(self.streams["noise"], 1.0, self.parameters.noise)
                 )
-                pilot.hear("heard", key.zone, index, tally.tries, tally.failed, latency, window, ())
+                pilot.hear(LoadReport(key.zone, index, tally.tries, tally.failed, latency, window, ()))
--- a/standins/fleet/simulation.py
+++ b/standins/fleet/simulation.py
@@ -3,6 +3,8 @@
 import random
 from collections.abc import Callable
 
+from ravenshelf.policy.events import ListKind, ProxyJoined
+from ravenshelf.settings import Settings
 from standins.fleet.channels import Channel, FixedChannel
 from standins.fleet.clock import SECOND, TICK, EventQueue
 from standins.fleet.discovery import Discovery
@@ -17,7 +19,7 @@
 class Simulation:
     def __init__(
         self,
-        settings: dict,
+        settings: Settings,
         servers: list[Server],
         proxies: list[Proxy],
         pilots: int,
@@ -56,7 +58,7 @@
 
     def join(self, proxy: Proxy) -> None:
         proxy.pilot = self.chance.choice(self.living())
-        proxy.pilot.hear("joined", proxy.number, proxy.zone, proxy.flows, not proxy.table)
+        proxy.pilot.hear(ProxyJoined(proxy.number, proxy.zone, proxy.flows, not proxy.table))
 
     def lose(self, pilot: Pilot) -> None:
         """Killed: all of its proxies come to the others at once."""
@@ -105,7 +107,7 @@
 
     def _tell(self, pilot: Pilot) -> None:
         if pilot.alive and pilot.watching and pilot.rev < self.rev:
-            pilot.hear("listed", *pilot.take("replace"))
+            pilot.hear(pilot.take(ListKind.REPLACE))
 
     # --- time passes ---
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,6 +2,7 @@
 
 It also passes over the tests of `KNOWN-RED.txt`, which fail for a fault that is known, and prints them with their cause."""
 
+from dataclasses import replace
 from pathlib import Path
 
 import pytest
@@ -9,9 +10,25 @@
 
 from ravenshelf.net.accepted import Accepted
 from ravenshelf.net.stream_codec import Reader
+from ravenshelf.policy.events import (
+    EndpointsListed,
+    EndpointState,
+    ListedEndpoint,
+    ListKind,
+    LoadReport,
+    ProxyJoined,
+)
 from ravenshelf.process.acceptor import Door
-from ravenshelf.provisioning import provisioning
 from ravenshelf.rules import SECOND, Controller
+from ravenshelf.settings import (
+    Idempotency,
+    ServiceSettings,
+    Settings,
+    TelemetrySettings,
+    TrafficGroup,
+    WarmUpSettings,
+    decode_settings,
+)
 from ravenshelf.state.buffers import Buffers
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.deadlines import Deadlines
@@ -50,22 +67,10 @@
         terminalreporter.write_line(f"known red, not run: {test}: {cause}")
 
 
-GROUPS = [
-    {
-        "name": "look",
-        "utility": 1.0,
-        "effect": "retriable",
-        "latency_budget_us": 1_200_000,
-        "expiry_us": 3_000_000,
-    },
-    {
-        "name": "pay",
-        "utility": 5.0,
-        "effect": "non-retriable",
-        "latency_budget_us": 1_000_000,
-        "expiry_us": 4_000_000,
-    },
-]
+GROUPS = (
+    TrafficGroup("look", 1.0, 1_200_000, 3_000_000, Idempotency.IDEMPOTENT),
+    TrafficGroup("pay", 5.0, 1_000_000, 4_000_000, Idempotency.NON_IDEMPOTENT),
+)
 
 
 class Kept:
@@ -74,7 +79,7 @@
     def __init__(self):
         self.tables, self.out, self.bound, self.levels, self.calls, self.emptied = {}, set(), {}, {}, [], []
 
-    def line(self, table, endpoint, weight):
+    def set_weight(self, table, endpoint, weight):
         lines = self.tables.setdefault(table, {})
         lines[endpoint] = weight
         if not weight:
@@ -82,19 +87,19 @@
         if not lines and table in self.bound.values():
             self.emptied.append(table)
 
-    def clear(self, table):
+    def clear_table(self, table):
         self.tables[table] = {}
         self.levels = {k: v for k, v in self.levels.items() if k[0] != table}
         if table in self.bound.values():
             self.emptied.append(table)
 
-    def bench(self, endpoint, out):
+    def set_ejected(self, endpoint, out):
         (self.out.add if out else self.out.discard)(endpoint)
 
-    def bind(self, proxy, table, groups=0):
+    def bind_proxy(self, proxy, table, groups=0):
         self.bound[proxy] = table
 
-    def level(self, table, groups, level, tries):
+    def set_admission_level(self, table, groups, level, tries):
         self.levels[table, groups] = (level, tries)
 
     def __getattr__(self, name):
@@ -103,28 +108,27 @@
 
 class Pilot:
     def __init__(self, **changes):
-        service = {
-            "lines_per_s": 1000.0,
-            "envelope": 3.0,
-            "most_waiting": 2000,
-            "proxy_count": 4,
-            "by_zone": True,
-            "level_kind": "per_second",
-            "late_us": 100_000,
-            "late_most_us": 300_000,
-        }
-        provisioning = {
-            "zones": ["a", "b"],
-            "traffic_groups": GROUPS,
-            "rules": {"cold_share": 0.2, "warm_after_us": 16 * SECOND, "fall_multiple": 3.0},
-            "discovery": "pushed",
-            "telemetry": {"columns": ["active"]},
-            "service": service,
-        }
-        service.update(changes.pop("service", {}))
-        provisioning.update(changes)
+        service = ServiceSettings(
+            lines_per_second=1000.0,
+            message_overhead_lines=3.0,
+            queue_limit_lines=2000,
+            proxy_count=4,
+            proxies_join_by_zone=True,
+            admission_level_kind="per_second",
+            longest_delivery_us=300_000,
+        )
+        settings = Settings(
+            zones=("a", "b"),
+            traffic_groups=GROUPS,
+            discovery="pushed",
+            telemetry=TelemetrySettings(columns=("active",)),
+            service=replace(service, **changes.pop("service", {})),
+            warm_up=WarmUpSettings(
+                **changes.pop("warm_up", {"warm_after_us": 16 * SECOND, "overload_multiple": 3.0})
+            ),
+        )
         self.now, self.kept = 100 * SECOND, Kept()
-        self.controller = Controller(provisioning, 7)
+        self.controller = Controller(replace(settings, **changes), 7)
 
     def hear(self, *news):
         self.controller.round(self.now, list(news), self.kept)
@@ -141,25 +145,27 @@
         return lines.get(index, 0.0) / sum(lines.values())
 
 
-def listed(states="rrrr", how="replace", start=0):
+def listed(states="rrrr", how=ListKind.REPLACE, start=0):
     """Endpoints 0, 1 in zone 0 and 2, 3 in zone 1, each with a letter for its state; '-' is left out."""
-    words = {"r": "ready", "d": "draining", "g": "gone"}
-    return "listed", (
+    words = {"r": EndpointState.READY, "d": EndpointState.DRAINING, "g": EndpointState.GONE}
+    return EndpointsListed(
         how,
-        tuple((i, i // 2, 0, 0, words[s], 4.0, start) for i, s in enumerate(states) if s != "-"),
+        tuple(
+            ListedEndpoint(i, i // 2, 0, 0, words[s], 4.0, start) for i, s in enumerate(states) if s != "-"
+        ),
     )
 
 
 def met(zone, index, tries=20, dropped=0, latency=200_000, report=()):
-    return "heard", (zone, index, tries, dropped, latency, SECOND, report)
+    return LoadReport(zone, index, tries, dropped, latency, SECOND, report)
 
 
 @pytest.fixture
 def pilot():
     def make(states="rrrr", proxies=4, **changes):
         made = Pilot(**changes)
-        made.hear(listed(states, how="restored"))
-        made.hear(*[("joined", (i, i // 2, 10.0, True)) for i in range(proxies)])
+        made.hear(listed(states, how=ListKind.RESTORED))
+        made.hear(*[ProxyJoined(i, i // 2, 10.0, True) for i in range(proxies)])
         return made
 
     return make
@@ -260,7 +266,7 @@
 
     def __init__(self, slots=64, reserve=4):
         self.now, self.told, self.counters, self.deadlines = 0, [], Counters(), Deadlines()
-        self.reader = Reader(provisioning(SETTINGS), {"s-1": 0, "s-2": 1}.get)
+        self.reader = Reader(decode_settings(SETTINGS), {"s-1": 0, "s-2": 1}.get)
         self.slots = Slots(slots)
         self.door = Door(
             self.reader,
@@ -270,7 +276,7 @@
             self.counters,
             self.deadlines.set,
             lambda: self.now,
-            lambda name, values: self.told.append((name, values)),
+            self.told.append,
             lambda call: call(),
         )
         self.buffers = Buffers()
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -7,9 +7,12 @@
 import pytest
 
 from ravenshelf.rules import SECOND, SLOWEST, Channel
+from ravenshelf.settings import ServiceSettings
 
 PROXIES, MOST, USUAL, HEAD, LATE = 500, 26_300, 1500.0, 3, SECOND
-SETTINGS = {"lines_per_s": USUAL, "envelope": HEAD, "most_waiting": MOST, "late_most_us": LATE}
+SETTINGS = ServiceSettings(
+    lines_per_second=USUAL, message_overhead_lines=HEAD, queue_limit_lines=MOST, longest_delivery_us=LATE
+)
 
 
 @dataclass
@@ -64,7 +67,7 @@
         self.slow = sorted(self.chance.sample(range(60), 2)) if seed % 2 else (0, 0)
         self.broken, self.answers, self.entered = self.chance.sample(range(4, 60), 3), [], 0
 
-    def mark(self, number: int) -> None:
+    def request_acknowledgement(self, number: int) -> None:
         self.marks.append(number)
 
     def tick(self, n: int) -> None:
@@ -154,7 +157,7 @@
 
 def ordered(channel, proxies, lines=20):
     channel.charge(proxies, lines)
-    channel.settle(channel.at, type("Marks", (), {"mark": lambda self, number: None})())
+    channel.settle(channel.at, type("Marks", (), {"request_acknowledgement": lambda self, number: None})())
     return channel.number
 
 
@@ -171,7 +174,7 @@
         for proxy in proxies:  # all but one of the first
             channel.applied(proxy, mark, SECOND)
     assert channel.unproved() > 1000  # the last of it may lie behind what was answered for
-    channel.drain(now + SETTINGS["late_most_us"] + 24 * SECOND // 150 + 1)
+    channel.drain(now + SETTINGS.longest_delivery_us + 24 * SECOND // 150 + 1)
     assert channel.unproved() == channel.waiting == 0
 
 
@@ -193,12 +196,12 @@
 def test_what_is_dropped_with_a_stream_counts_until_it_is_sure_not_to_have_left():
     channel = Channel(SETTINGS)
     channel.charge([1, 2], 96)
-    channel.settle(0, type("Marks", (), {"mark": lambda self, number: None})())
+    channel.settle(0, type("Marks", (), {"request_acknowledgement": lambda self, number: None})())
     channel.left(1)
     assert channel.waiting == channel.unproved() == 200  # it may have left, and wait for what is older
     channel.beyond(20)
     assert channel.unproved() == 220  # written beyond the charge: no answer takes it out
     channel.charge([1, 2], 96)
-    channel.settle(0, type("Marks", (), {"mark": lambda self, number: None})())
+    channel.settle(0, type("Marks", (), {"request_acknowledgement": lambda self, number: None})())
     channel.left(1)
     assert channel.unproved() == 320  # this one can't have left yet
--- a/tests/test_collectd.py
+++ b/tests/test_collectd.py
@@ -15,6 +15,7 @@
 from ravenshelf.collectd.listener import MOST_WAITING, Listener
 from ravenshelf.collectd.wire import Refused
 from ravenshelf.operator_config.tables import Collectd
+from ravenshelf.policy.events import HostLoadSampled
 from ravenshelf.state.counters import Counters
 from standins import collectd as sender
 
@@ -377,7 +378,7 @@
             self.background,
             self.counters,
             lambda: self.now,
-            lambda name, values: self.told.append((name, values)),
+            self.told.append,
         )
 
     def hear(self, *packets, seconds=0.0):
@@ -394,7 +395,7 @@
     packets = [sender.signed(host.packet(START + n), "u", "pw") for n in (0, 10, 20)]
     ear.hear(packets[0])
     ear.hear(packets[1], seconds=10)
-    assert [name for name, _ in ear.told] == ["noticed"]
+    assert [type(event) for event in ear.told] == [HostLoadSampled]
     ear.hear(packets[1], packets[0], host.packet(START + 30), seconds=10)
     assert len(ear.told) == 1
     assert ear.counters["collectd_refused_replayed"] == 2 and ear.counters["collectd_refused_unsigned"] == 1
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -52,8 +52,8 @@
     decode,
     encode,
 )
-from ravenshelf.provisioning import provisioning
 from ravenshelf.rules import solve_spill
+from ravenshelf.settings import decode_settings
 
 NOW = 1000 * SECOND
 ONE, TWO = Setting("1"), Setting("2")
@@ -506,7 +506,7 @@
 
 # --- planner, allowance, fallback ---
 
-SETTINGS = provisioning(
+SETTINGS = decode_settings(
     {
         "azs": ["a", "b"],
         "balancers": 1,
--- a/tests/test_distribution_pilot.py
+++ b/tests/test_distribution_pilot.py
@@ -16,7 +16,9 @@
 from ravenshelf.distribution.messages import Report, Setting, TableLine
 from ravenshelf.distribution.owner_service import OwnerService
 from ravenshelf.distribution.relay_service import RelayService
+from ravenshelf.policy.events import ListKind, ProxyJoined
 from ravenshelf.rules import Controller
+from ravenshelf.settings import Idempotency, ServiceSettings, Settings, TrafficGroup, WarmUpSettings
 from standins.installation import ports
 from standins.world import Discovery, Proxy, configuration, entry
 
@@ -31,27 +33,29 @@
         self.source = Source.OWNER
         self.table = {f"s-{name[1:]}": TableLine(weight) for name, weight in weights.items()}
         self.now, self.kept = 1000 * SECOND, Kept()
-        provisioning = {
-            "zones": ["a", "b"],
-            "traffic_groups": [{"name": "look", "utility": 1.0, "effect": "retriable"}],
-            "rules": {"cold_share": 0.2, "warm_after_us": 16 * SECOND, "fall_multiple": 3.0},
-            "discovery": "pushed",
-            "service": {
-                "lines_per_s": 1000.0,
-                "envelope": 3.0,
-                "most_waiting": 2000,
-                "proxy_count": 2,
-                "late_most_us": 300_000,
-            },
-        }
+        settings = Settings(
+            zones=("a", "b"),
+            traffic_groups=(TrafficGroup("look", idempotency=Idempotency.IDEMPOTENT),),
+            warm_up=WarmUpSettings(0.2, 16 * SECOND, 3.0),
+            discovery="pushed",
+            service=ServiceSettings(
+                lines_per_second=1000.0,
+                message_overhead_lines=3.0,
+                queue_limit_lines=2000,
+                proxy_count=2,
+                longest_delivery_us=300_000,
+            ),
+        )
         self.controller = DistributedController(
-            provisioning,
+            settings,
             7,
             owners_table=lambda now, zone: (self.source, self.table if zone == 0 else {}),
             index_of=INDICES.get,
         )
         self.hear(
-            listed("rrrr", how="restored"), ("joined", (0, 0, 10.0, True)), ("joined", (1, 1, 10.0, True))
+            listed("rrrr", how=ListKind.RESTORED),
+            ProxyJoined(0, 0, 10.0, True),
+            ProxyJoined(1, 1, 10.0, True),
         )
 
     def hear(self, *news) -> None:
@@ -114,11 +118,11 @@
 def test_alone_it_decides_by_kurmacost_as_a_pilot_without_distribution_does():
     pilot = Pilot(s0=900.0, s1=100.0)
     pilot.source = Source.LOCAL
-    plain = Controller(pilot.controller.provisioning, 7)
+    plain = Controller(pilot.controller.settings, 7)
     kept, now = Kept(), 1000 * SECOND
     plain.round(
         now,
-        [listed("rrrr", how="restored"), ("joined", (0, 0, 10.0, True)), ("joined", (1, 1, 10.0, True))],
+        [listed("rrrr", how=ListKind.RESTORED), ProxyJoined(0, 0, 10.0, True), ProxyJoined(1, 1, 10.0, True)],
         kept,
     )
     news = [met(0, 0, dropped=18), met(0, 1, dropped=18), met(1, 2), met(1, 3)]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -9,6 +9,7 @@
 import subprocess
 import sys
 import time
+from dataclasses import replace
 
 import pytest
 import uvloop
@@ -16,6 +17,7 @@
 from test_process import GOOD, Line, begin
 
 from ravenshelf.net.connection_end import End
+from ravenshelf.policy.events import BatchAcknowledged, EndpointsListed, EndpointState, ListKind, ProxyLeft
 from ravenshelf.process.clock import Clock
 from ravenshelf.process.control_plane import Pilot
 from ravenshelf.state.buffers import SIZE
@@ -74,10 +76,10 @@
         ):
             proxy = await joined(port)
             calls = []
-            pilot.do = lambda name, values: calls.append(name)
-            index, entry = pilot.listing.index["s-1"], pilot.listing.entries[pilot.listing.index["s-1"]]
+            pilot.do = calls.append
+            entry = pilot.listing.entries[pilot.listing.index["s-1"]]
             pilot.last_round = pilot.clock() + 10_000_000  # the next round is far away
-            pilot.news("listed", ("update", ((index, *entry[1:4], "draining", *entry[5:]),)))
+            pilot.news(EndpointsListed(ListKind.UPDATE, (replace(entry, state=EndpointState.DRAINING),)))
             assert b"s-1:0" not in proxy.read
             pilot.stop()
             heard = pilot.rounds.news
@@ -102,7 +104,7 @@
                 late := type("Late", (), {"close": lambda self, end: setattr(self, "end", end)})()
             )
             pilot.reload()
-            pilot.news("listed", ("update", ()))
+            pilot.news(EndpointsListed(ListKind.UPDATE, ()))
             pilot.set_deadline(("watch",), 0)
             pilot.stop()
             await pilot.stopped
@@ -120,7 +122,7 @@
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
         async with serving() as (pilot, port):
             proxy = await joined(port)
-            pilot.news("listed", ("update", ()))
+            pilot.news(EndpointsListed(ListKind.UPDATE, ()))
             pilot.rounds.run = lambda now, write: 1 / 0
             asyncio.get_running_loop().call_soon(pilot.stop)
             async with asyncio.timeout(20):
@@ -138,7 +140,7 @@
     stream = e.connect("SUBSCRIBE proxy=1 zone=a weight=1 fresh=1")
     e.door.write(1, b"CONFIG ticket=7\r\n", 7)
     feed(stream, b"SUBSCRIBE proxy=1 zone=a weight=1 fresh=1\r\nACK proxy=1 mark=7 took_ms=1\r\n")
-    assert e.told[-1] == ("applied", (1, 7, 1000)) and e.told[1] == ("left", (1, True))
+    assert e.told[-1] == BatchAcknowledged(1, 7, 1000) and e.told[1] == ProxyLeft(1, True)
 
 
 def test_streams_of_machines_that_vanished_keep_no_live_proxy_out(entry):
@@ -160,7 +162,7 @@
     filler = e.connect("SOURCE zone=a")
     assert filler.end is None
     newcomer = e.connect("SOURCE zone=b")
-    assert newcomer.end is None and streams[3].end is End.CROWDED and e.told[-1] == ("left", (3, True))
+    assert newcomer.end is None and streams[3].end is End.CROWDED and e.told[-1] == ProxyLeft(3, True)
     assert e.connect("SOURCE zone=a").end is None and streams[1].end is End.CROWDED
     assert streams[0].end is streams[2].end is None
     e.connect()
@@ -175,11 +177,11 @@
         async with serving() as (pilot, port):
             proxy = await joined(port)
             told = []
-            pilot.tell = lambda *news: told.append(news)
+            pilot.tell = told.append
             pilot.door.kinds["RATE"] = lambda connection, said: 1 / 0
             proxy.transport.write(b"RATE proxy=1 class=look tries=1 failed=0 span_ms=1000\r\n")
             await proxy.over
-            assert told == [("left", (1, True))]
+            assert told == [ProxyLeft(1, True)]
 
     uvloop.run(play())
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,6 +3,7 @@
 import pytest
 
 import ravenshelf.process.control_cycle as rounds
+from ravenshelf.policy.events import EndpointsListed, WatchFailed
 from ravenshelf.rules import SECOND, Controller
 from standins.fleet import Discovery, World
 
@@ -10,7 +11,7 @@
 class InStep(Controller):
     """Asks again after a fixed time, as every other pilot does."""
 
-    def list_failed(self):
+    def list_failed(self, event):
         self.ask_again = self.now + SECOND
 
 
@@ -148,8 +149,8 @@
                 "called": False,
                 "watching": False,
                 "number": n,
-                "take": lambda self, how: (how, ()),
-                "hear": lambda self, *values: heard.append((world.now, self.number, values[0])),
+                "take": lambda self, kind: EndpointsListed(kind, ()),
+                "hear": lambda self, event: heard.append((world.now, self.number, type(event))),
             },
         )()
         for n in range(3)
@@ -160,5 +161,5 @@
     for _ in range(60):
         world.now += SECOND // 20
         world.discovery.turn(world.now)
-    assert [(n, name) for _, n, name in heard] == [(0, "listed"), (1, "list_failed"), (2, "list_failed")]
+    assert [(n, kind) for _, n, kind in heard] == [(0, EndpointsListed), (1, WatchFailed), (2, WatchFailed)]
     assert heard[1][0] - began > SECOND and pilots[0].watching and not pilots[2].watching
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -14,34 +14,51 @@
 
 from ravenshelf.graphite.gather import Gatherer
 from ravenshelf.operator_config.reading import check
+from ravenshelf.policy.events import (
+    BatchAcknowledged,
+    DemandReport,
+    EndpointsListed,
+    EndpointState,
+    ListedEndpoint,
+    ListKind,
+    LoadReport,
+    ProxyJoined,
+    ProxyLeft,
+)
 from ravenshelf.process.clock import Clock
 from ravenshelf.process.control_plane import Pilot
 from ravenshelf.process.operations import Operations
 from ravenshelf.rules import SECOND
+from ravenshelf.settings import Settings, TrafficGroup
 from ravenshelf.state.proxy_tables import Part
 from standins import collectd as sender
 from standins.carbon import Carbon, Stall
 from standins.world import Discovery, Proxy, configuration, entry
 
 ROOT = Path(__file__).resolve().parent.parent
-SETTINGS = {
-    "zones": ["a", "b"],
-    "traffic_groups": [
-        {"name": "read", "utility": 1.0, "latency_budget_us": 100_000},
-        {"name": "pay", "utility": 5.0, "latency_budget_us": 400_000},
-    ],
-}
+SETTINGS = Settings(
+    zones=("a", "b"),
+    traffic_groups=(
+        TrafficGroup("read", 1.0, latency_objective_us=100_000),
+        TrafficGroup("pay", 5.0, latency_objective_us=400_000),
+    ),
+)
 
 
 class Told:
     def __init__(self):
         self.now, self.gatherer = 0, Gatherer(SETTINGS, "p", 0)
-        self.hear("listed", "restored", tuple((e, e // 2, 0, 0, "ready", 1.0, 0) for e in range(4)))
+        self.hear(
+            EndpointsListed(
+                ListKind.RESTORED,
+                tuple(ListedEndpoint(e, e // 2, 0, 0, EndpointState.READY, 1.0, 0) for e in range(4)),
+            )
+        )
         for proxy in (0, 1):
-            self.hear("joined", proxy, proxy, 10.0, True)
+            self.hear(ProxyJoined(proxy, proxy, 10.0, True))
 
-    def hear(self, name, *values):
-        self.gatherer.heard(name, values, self.now)
+    def hear(self, event):
+        self.gatherer.heard(event, self.now)
 
     def figures(self, seconds=10, counts=()):
         self.now += seconds * SECOND
@@ -55,9 +72,9 @@
 
 def test_flows_within_the_budget_are_formed_as_the_page_says():
     told = Told()
-    told.hear("heard", 0, 0, 100, 0, 100_000, SECOND, ())
-    told.hear("asked", 0, 0, 200, 20, 5 * SECOND)
-    told.hear("asked", 0, 1, 50, 0, 5 * SECOND)
+    told.hear(LoadReport(0, 0, 100, 0, 100_000, SECOND, ()))
+    told.hear(DemandReport(0, 0, 200, 20, 5 * SECOND))
+    told.hear(DemandReport(0, 1, 50, 0, 5 * SECOND))
     got = told.figures()
     assert got["group.read.demand_per_s"] == 20 and got["group.read.dropped_per_s"] == 2
     assert got["group.read.delivered_per_s"] == 18
@@ -73,8 +90,8 @@
 def test_blocked_is_what_comes_beyond_the_level():
     told = Told()
     told.gatherer.level_of = lambda proxy, group: {0: 30.0, 1: 1e6}[group]
-    told.hear("asked", 0, 0, 200, 0, 5 * SECOND)
-    told.hear("asked", 0, 1, 200, 0, 5 * SECOND)
+    told.hear(DemandReport(0, 0, 200, 0, 5 * SECOND))
+    told.hear(DemandReport(0, 1, 200, 0, 5 * SECOND))
     got = told.figures()
     assert got["group.read.blocked_per_s"] == 5 and got["group.pay.blocked_per_s"] == 0
     assert got["group.read.delivered_per_s"] == 15
@@ -82,26 +99,34 @@
 
 def test_a_drain_lasts_until_the_last_proxy_has_answered():
     told = Told()
-    told.hear("listed", "update", ((1, 0, 0, 0, "draining", 1.0, 0),))
+    told.hear(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(1, 0, 0, 0, EndpointState.DRAINING, 1.0, 0),)))
     told.gatherer.sent(0, [Part(out=[1])], 7)
     told.gatherer.sent(1, [Part(out=[1])], 7)
     told.now += 200_000
-    told.hear("applied", 0, 7, 100)
+    told.hear(BatchAcknowledged(0, 7, 100))
     got = told.figures(0)
     assert (got["drains.begun"], got["drains.open"]) == (1, 1) and "drains.took_ms.max" not in got
     told.now += 300_000
-    told.hear("applied", 1, 7, 100)
+    told.hear(BatchAcknowledged(1, 7, 100))
     got = told.figures(0)
     assert got["drains.open"] == 0 and got["drains.took_ms.max"] == pytest.approx(500, rel=0.02)
 
 
 def test_a_proxy_that_leaves_and_an_endpoint_that_returns_end_a_drain_without_a_time():
     told = Told()
-    told.hear("listed", "update", ((1, 0, 0, 0, "draining", 1.0, 0), (2, 1, 0, 0, "gone", 1.0, 0)))
+    told.hear(
+        EndpointsListed(
+            ListKind.UPDATE,
+            (
+                ListedEndpoint(1, 0, 0, 0, EndpointState.DRAINING, 1.0, 0),
+                ListedEndpoint(2, 1, 0, 0, EndpointState.GONE, 1.0, 0),
+            ),
+        )
+    )
     told.gatherer.sent(0, [Part(out=[1, 2])], 7)
-    told.hear("left", 0, True)  # ended by the pilot: the module is told so, the figures are the same
+    told.hear(ProxyLeft(0, True))  # ended by the pilot: the module is told so, the figures are the same
     told.gatherer.sent(1, [Part(out=[1])], 8)
-    told.hear("listed", "update", ((1, 0, 0, 0, "ready", 1.0, 0),))
+    told.hear(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 1.0, 0),)))
     got = told.figures()
     assert got["drains.open"] == 0 and "drains.took_ms.max" not in got
     assert got["endpoints.ready"] == 3 and got["endpoints.draining"] == 0
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -2,11 +2,12 @@
 
 import pytest
 
-from ravenshelf.interface import EVERYWHERE
+from ravenshelf.policy.commands import ALL_TABLES
+from ravenshelf.policy.events import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 from ravenshelf.state.buffers import SIZE, Buffers
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.deadlines import Deadlines
-from ravenshelf.state.endpoint_registry import REST, Listing
+from ravenshelf.state.endpoint_registry import REST, Listing, VersionGapError
 from ravenshelf.state.proxy_tables import Part, Sent
 from ravenshelf.state.slots import Slots
 
@@ -61,39 +62,54 @@
     assert counters.text() == "a=5 b=2"
 
 
-def entry(index, state="ready"):
-    return index, 0, 0, 0, state, 1.0, 0
+def entry(index, state=EndpointState.READY):
+    return ListedEndpoint(index, 0, 0, 0, state, 1.0, 0)
+
+
+GONE = entry(0, EndpointState.GONE)
+
+
+def two_listed():
+    listing = Listing(lambda: 0, lambda index: False)
+    listing.names = ["s-1", "s-2"]
+    listing.take(ListKind.REPLACE, 5, [entry(0), entry(1)], {0: "x", 1: "y"})
+    return listing
 
 
 @pytest.mark.parametrize(
-    "how, rev, after, taken, left",
+    "kind, rev, after, taken, left",
     [
-        ("update", 6, 5, ("update", (entry(0, "gone"),)), [1]),
-        ("update", 9, 4, ("update", (entry(0, "gone"),)), [1]),
-        ("update", 5, 4, None, [0, 1]),  # a watch that a fetched list has overtaken
-        ("update", 7, 6, "gap", [0, 1]),
-        ("replace", 7, None, ("replace", (entry(0, "gone"),)), []),
-        ("replace", 5, None, ("replace", (entry(0, "gone"),)), []),
-        ("replace", 4, None, None, [0, 1]),  # an older list overwrites nothing
+        (ListKind.UPDATE, 6, 5, EndpointsListed(ListKind.UPDATE, (GONE,)), [1]),
+        (ListKind.UPDATE, 9, 4, EndpointsListed(ListKind.UPDATE, (GONE,)), [1]),
+        (ListKind.UPDATE, 5, 4, None, [0, 1]),  # a watch that a fetched list has overtaken
+        (ListKind.REPLACE, 7, None, EndpointsListed(ListKind.REPLACE, (GONE,)), []),
+        (ListKind.REPLACE, 5, None, EndpointsListed(ListKind.REPLACE, (GONE,)), []),
+        (ListKind.REPLACE, 4, None, None, [0, 1]),  # an older list overwrites nothing
     ],
 )
-def test_the_list_is_followed_by_version(how, rev, after, taken, left):
-    listing = Listing(lambda: 0, lambda index: False)
-    listing.names = ["s-1", "s-2"]
-    listing.take("replace", 5, [entry(0), entry(1)], {0: "x", 1: "y"})
-    assert listing.take(how, rev, [entry(0, "gone")], {}, after) == taken
+def test_the_list_is_followed_by_version(kind, rev, after, taken, left):
+    listing = two_listed()
+    assert listing.take(kind, rev, [GONE], {}, after) == taken
     assert sorted(listing.entries) == left == sorted(listing.addresses)
 
 
+def test_changes_that_start_beyond_the_version_held_are_refused():
+    listing = two_listed()
+    with pytest.raises(VersionGapError) as raised:
+        listing.take(ListKind.UPDATE, 7, [GONE], {}, 6)
+    assert (raised.value.held, raised.value.after) == (5, 6)
+    assert sorted(listing.entries) == [0, 1] == sorted(listing.addresses)
+
+
 @pytest.mark.parametrize("waited, used, index", [(REST, set(), 1), (REST - 1, set(), 3), (REST, {1}, 3)])
 def test_an_endpoint_keeps_its_index_until_it_has_long_gone(waited, used, index):
     now = [1000]
     listing = Listing(lambda: now[0], used.__contains__)
     assert [listing.endpoint(n) for n in ("s-1", "s-2", "s-1", "s-3")] == [0, 1, 0, 2]
-    listing.take("replace", 1, [entry(0), entry(1), entry(2)], {})
-    listing.take("update", 2, [entry(1, "gone"), entry(2, "draining")], {})
+    listing.take(ListKind.REPLACE, 1, [entry(0), entry(1), entry(2)], {})
+    listing.take(ListKind.UPDATE, 2, [entry(1, EndpointState.GONE), entry(2, EndpointState.DRAINING)], {})
     now[0] += 5
-    listing.take("replace", 3, [entry(0), entry(2, "draining")], {})
+    listing.take(ListKind.REPLACE, 3, [entry(0), entry(2, EndpointState.DRAINING)], {})
     now[0] += waited - 5
     assert listing.endpoint("s-4") == index and listing.names[index] == "s-4" and listing.index["s-1"] == 0
     assert ("s-2" in listing.index) == (index == 3) and len(listing.index) == len(listing.names)
@@ -104,26 +120,26 @@
     listing = Listing(lambda: now[0], sent.holds, sent.given_away, sent.returned)
 
     def told(index):
-        sent.bench(index, False)
+        sent.set_ejected(index, False)
         for proxy in (1, 2):
-            sent.line(0, index, 1.0)
-            sent.bind(proxy, 0)
+            sent.set_weight(0, index, 1.0)
+            sent.bind_proxy(proxy, 0)
         return [(proxy, parts[0].out, parts[0].back) for proxy, parts in sent.messages()]
 
-    listing.take("replace", 1, [entry(listing.endpoint("s-1"))], {})
+    listing.take(ListKind.REPLACE, 1, [entry(listing.endpoint("s-1"))], {})
     sent.joined(1, True)
     assert told(0) == [(1, [], [])]
     sent.joined(2, True)  # holds a table of which nothing is known yet: it is told to shut s-1 out
-    sent.bench(0, True)
-    sent.line(0, 7, 1.0)
-    sent.line(0, 0, 0)
+    sent.set_ejected(0, True)
+    sent.set_weight(0, 7, 1.0)
+    sent.set_weight(0, 0, 0)
     assert dict(sent.messages())[2][0].out == [0]
-    listing.take("update", 2, [entry(0, "gone")], {})
+    listing.take(ListKind.UPDATE, 2, [entry(0, EndpointState.GONE)], {})
     now[0] += REST
     assert listing.endpoint("s-2") == 0
-    listing.take("update", 3, [entry(0)], {})
+    listing.take(ListKind.UPDATE, 3, [entry(0)], {})
     assert told(0) == [(1, [], []), (2, [], [])]  # nobody ever shut out s-2
-    listing.take("update", 4, [entry(listing.endpoint("s-1"))], {})
+    listing.take(ListKind.UPDATE, 4, [entry(listing.endpoint("s-1"))], {})
     assert listing.index["s-1"] == 1 and told(1) == [
         (1, [], [1]),
         (2, [], [1]),
@@ -140,11 +156,11 @@
     for proxy in (1, 2):
         made.joined(proxy, True)
     for endpoint in (0, 1):
-        made.line(0, endpoint, 1.5)
-    made.line(1, 2, 1.0)
-    made.bind(1, 0)
-    made.bind(2, 1)
-    made.mark(3)
+        made.set_weight(0, endpoint, 1.5)
+    made.set_weight(1, 2, 1.0)
+    made.bind_proxy(1, 0)
+    made.bind_proxy(2, 1)
+    made.request_acknowledgement(3)
     made.first = made.messages()
     return made
 
@@ -160,9 +176,9 @@
     ]
     assert said(sent) == {}
     sent.joined(3, True)
-    sent.line(0, 4, 2.0)
-    sent.bind(3, 0)
-    sent.line(0, 0, 0)
+    sent.set_weight(0, 4, 2.0)
+    sent.bind_proxy(3, 0)
+    sent.set_weight(0, 0, 0)
     assert said(sent) == {
         1: [Part(lines=[(4, 2.0), (0, 0.0)])],
         3: [Part(whole=True, lines=[(1, 1.5), (4, 2.0)])],
@@ -170,32 +186,32 @@
 
 
 def test_changes_go_to_bound_proxies_alone_and_end_with_the_stream(sent):
-    sent.line(1, 2, 3.0)
+    sent.set_weight(1, 2, 3.0)
     assert said(sent) == {2: [Part(lines=[(2, 3.0)])]}
     sent.left(2)
     sent.joined(2, False)
-    sent.line(1, 2, 4.0)
-    sent.bind(9, 1)  # has left
+    sent.set_weight(1, 2, 4.0)
+    sent.bind_proxy(9, 1)  # has left
     assert said(sent) == {}
 
 
 def test_groups_on_tables_of_their_own(sent):
-    sent.bind(1, 1, 2)
+    sent.bind_proxy(1, 1, 2)
     assert said(sent) == {1: [Part((1,), True, [(2, 1.0)])]}
-    sent.line(0, 0, 7.0)
-    sent.line(1, 2, 8.0)
+    sent.set_weight(0, 0, 7.0)
+    sent.set_weight(1, 2, 8.0)
     assert said(sent)[1] == [Part((0,), lines=[(0, 7.0)]), Part((1,), lines=[(2, 8.0)])]
 
 
 def test_levels_travel_with_whole_tables_and_the_lower_wins(sent):
-    sent.level(0, 1, 5.0, 2)
+    sent.set_admission_level(0, 1, 5.0, 2)
     assert said(sent) == {1: [Part((0,), level=(5.0, 2))]}
-    sent.level(EVERYWHERE, 0, 3.0, 1)
+    sent.set_admission_level(ALL_TABLES, 0, 3.0, 1)
     assert said(sent) == {
         1: [Part((0,), level=(3.0, 2)), Part((1,), level=(3.0, 1))],
         2: [Part(level=(3.0, 1))],
     }
-    sent.bind(2, 0)
+    sent.bind_proxy(2, 0)
     assert said(sent) == {
         2: [
             Part(whole=True, lines=[(0, 1.5), (1, 1.5)]),
@@ -204,64 +220,64 @@
         ]
     }
     sent.joined(4, True)
-    sent.level(EVERYWHERE, 0, 2.0, 0)  # reaches whom no table was given yet
+    sent.set_admission_level(ALL_TABLES, 0, 2.0, 0)  # reaches whom no table was given yet
     assert said(sent)[4] == [Part(level=(2.0, 0))]
 
 
 def test_a_table_that_is_cleared_is_sent_whole(sent):
-    sent.level(0, 0, 5.0, 2)
+    sent.set_admission_level(0, 0, 5.0, 2)
     said(sent)
-    sent.clear(0)
-    sent.line(0, 6, 1.0)
+    sent.clear_table(0)
+    sent.set_weight(0, 6, 1.0)
     assert said(sent) == {1: [Part(whole=True, lines=[(6, 1.0)])]}
 
 
 @pytest.mark.parametrize("everyone, whom", [(False, []), (True, [1, 2])])
 def test_a_mark_for_everyone_makes_a_message(sent, everyone, whom):
-    sent.mark(8, everyone)
+    sent.request_acknowledgement(8, everyone)
     assert said(sent) == {p: [Part(ticket=8)] for p in whom}
 
 
 def test_a_withdrawal_reaches_who_holds_it_and_who_holds_the_unknown(sent):
     sent.joined(3, True)
-    sent.bench(0, True)
+    sent.set_ejected(0, True)
     assert said(sent) == {1: [Part(out=[0])], 3: [Part(out=[0])]}
-    sent.bench(0, True)  # it has been said
+    sent.set_ejected(0, True)  # it has been said
     assert said(sent) == {}
-    sent.bench(0, False)
+    sent.set_ejected(0, False)
     assert said(sent) == {1: [Part(back=[0])], 3: [Part(back=[0])]}
 
 
 def test_a_withdrawal_travels_with_a_table_until_it_ends(sent):
-    sent.bench(2, True)
+    sent.set_ejected(2, True)
     said(sent)
-    sent.bind(1, 1)
+    sent.bind_proxy(1, 1)
     assert said(sent) == {1: [Part(whole=True, lines=[(2, 1.0)], out=[2])]}
-    sent.line(1, 2, 0)
-    sent.bench(2, False)
+    sent.set_weight(1, 2, 0)
+    sent.set_ejected(2, False)
     said(sent)
-    sent.line(1, 2, 1.0)
+    sent.set_weight(1, 2, 1.0)
     assert said(sent) == {p: [Part(lines=[(2, 1.0)])] for p in (1, 2)}  # they have let it back already
 
 
 def test_what_leaves_the_table_at_once_needs_no_withdrawal(sent):
-    sent.bench(0, True)
-    sent.line(0, 0, 0)
+    sent.set_ejected(0, True)
+    sent.set_weight(0, 0, 0)
     assert said(sent) == {1: [Part(lines=[(0, 0.0)])]}
-    sent.line(0, 0, 1.0)  # a line of what is withdrawn says so
+    sent.set_weight(0, 0, 1.0)  # a line of what is withdrawn says so
     assert said(sent) == {1: [Part(lines=[(0, 1.0)], out=[0])]}
-    sent.bench(0, False)
+    sent.set_ejected(0, False)
     assert said(sent) == {1: [Part(back=[0])]}
 
 
 def test_what_was_shut_out_on_an_earlier_stream_is_let_back(sent):
-    sent.bench(0, True)
+    sent.set_ejected(0, True)
     said(sent)
     for fresh in (False, True):  # fresh speaks of tables, not of withdrawals
         sent.left(1)
-        sent.bench(0, False)
+        sent.set_ejected(0, False)
         sent.joined(1, fresh)
-        sent.bind(1, 0)
+        sent.bind_proxy(1, 0)
         assert said(sent)[1] == [Part(whole=True, lines=[(0, 1.5), (1, 1.5)], back=[0])]
 
 
@@ -275,42 +291,42 @@
     sent.left(proxy)
     sent.joined(proxy, fresh)
     assert sent.doubts(proxy) == []
-    sent.bind(proxy, 0)
+    sent.bind_proxy(proxy, 0)
     assert said(sent)[proxy][0].back == [] and sent.doubts(proxy) == doubts
     sent.let_back(proxy, doubts)
     assert said(sent) == ({proxy: [Part(back=doubts)]} if doubts else {}) and sent.doubts(proxy) == []
-    sent.line(0, 7, 1.0)
+    sent.set_weight(0, 7, 1.0)
     said(sent)
     assert sent.doubts(proxy) == ([7] if doubts else [])
 
 
 def test_the_return_of_an_endpoint_says_nothing_to_those_of_whom_there_is_but_a_doubt(sent):
     sent.joined(5, False)
-    sent.bind(5, 0)
+    sent.bind_proxy(5, 0)
     sent.let_back(5, sent.doubts(5))
     said(sent)
-    sent.bench(4, True)
+    sent.set_ejected(4, True)
     said(sent)
-    sent.bench(4, False)
-    sent.line(0, 4, 1.0)
+    sent.set_ejected(4, False)
+    sent.set_weight(0, 4, 1.0)
     assert said(sent) == {p: [Part(lines=[(4, 1.0)])] for p in (1, 5)} and sent.doubts(5) == [4]
 
 
 def test_what_is_withdrawn_is_never_let_back_by_a_doubt(sent):
-    sent.bench(1, True)
+    sent.set_ejected(1, True)
     sent.joined(5, False)
-    sent.bind(5, 0)
+    sent.bind_proxy(5, 0)
     assert said(sent)[5] == [Part(whole=True, lines=[(0, 1.5), (1, 1.5)], out=[1])] and sent.doubts(5) == [0]
 
 
 @pytest.mark.parametrize(
     "order",
     [
-        ("line", 0, 1, -1.0),
-        ("line", 0, 1, float("nan")),
-        ("line", 0, 1, float("inf")),
-        ("level", 0, 0, -1.0, 1),
-        ("level", 0, 0, 1.0, 4),
+        ("set_weight", 0, 1, -1.0),
+        ("set_weight", 0, 1, float("nan")),
+        ("set_weight", 0, 1, float("inf")),
+        ("set_admission_level", 0, 0, -1.0, 1),
+        ("set_admission_level", 0, 0, 1.0, 4),
     ],
 )
 def test_figures_that_no_proxy_takes_are_refused(sent, order):
@@ -319,13 +335,13 @@
 
 
 def test_a_start_over_forgets_orders_but_not_what_proxies_hold(sent):
-    sent.bench(0, True)
+    sent.set_ejected(0, True)
     said(sent)
-    sent.line(0, 1, 9.0)
+    sent.set_weight(0, 1, 9.0)
     sent.forget()
     assert said(sent) == {} and not sent.tables
-    sent.line(0, 0, 1.0)
-    sent.bind(1, 0)
+    sent.set_weight(0, 0, 1.0)
+    sent.bind_proxy(1, 0)
     assert said(sent) == {1: [Part(whole=True, lines=[(0, 1.0)], back=[0])]}
 
 
@@ -370,14 +386,14 @@
             table, endpoint = chance.randrange(3), chance.randrange(6)
             chance.choice(
                 [
-                    lambda: sent.line(table, endpoint, chance.choice([0, 1.0, 2.5])),
-                    lambda: sent.line(table, endpoint, 1.5),
-                    lambda: sent.bench(endpoint, chance.random() < 0.6),
-                    lambda: sent.bind(chance.randrange(4), table, chance.randrange(4)),
-                    lambda: sent.level(
-                        chance.choice([table, EVERYWHERE]), chance.randrange(4), chance.random(), 1
+                    lambda: sent.set_weight(table, endpoint, chance.choice([0, 1.0, 2.5])),
+                    lambda: sent.set_weight(table, endpoint, 1.5),
+                    lambda: sent.set_ejected(endpoint, chance.random() < 0.6),
+                    lambda: sent.bind_proxy(chance.randrange(4), table, chance.randrange(4)),
+                    lambda: sent.set_admission_level(
+                        chance.choice([table, ALL_TABLES]), chance.randrange(4), chance.random(), 1
                     ),
-                    lambda: sent.clear(table),
+                    lambda: sent.clear_table(table),
                 ]
             )()
         lost = chance.choice([*sent.proxies, *[None] * 8])
@@ -394,7 +410,7 @@
             for g, table in held.bound.items():
                 meant = {e: w for e, w in sent.tables.get(table, {}).items() if e not in sent.benched}
                 assert proxies[p].picks(g) == meant
-                levels = [sent.levels.get(t, {}).get(g) for t in (table, EVERYWHERE)]
+                levels = [sent.levels.get(t, {}).get(g) for t in (table, ALL_TABLES)]
                 lowest = min((level for level, _ in filter(None, levels)), default=None)
                 assert proxies[p].levels.get(g, (None,))[0] == lowest
 
@@ -405,25 +421,25 @@
     message = sent._message
     sent._message = lambda held: looked.append(held) or message(held)
     for table in range(10):
-        sent.line(table, table, 1.0)
+        sent.set_weight(table, table, 1.0)
     for proxy in range(1000):
         sent.joined(proxy, proxy % 2 == 0)
-        sent.bind(proxy, proxy % 10)
+        sent.bind_proxy(proxy, proxy % 10)
     assert len(sent.messages()) == len(looked) == 1000
     sent.in_doubt()
     for order in (
-        lambda: sent.line(3, 77, 1.0),
-        lambda: sent.bench(3, True),
-        lambda: sent.level(3, 0, 2.0, 1),
+        lambda: sent.set_weight(3, 77, 1.0),
+        lambda: sent.set_ejected(3, True),
+        lambda: sent.set_admission_level(3, 0, 2.0, 1),
     ):
         looked.clear()
         order()
         assert [proxy for proxy, _ in sent.messages()] == list(range(3, 1000, 10)) and len(looked) == 100
-    sent.bench(3, False)
+    sent.set_ejected(3, False)
     assert len(sent.messages()) == 100
     assert [p for p, _ in sent.in_doubt()] == [p for p in range(1, 1000, 2)]
     sent.left(5)
     sent.joined(5, True)
     looked.clear()
-    sent.bench(5, True)  # one that is not bound may hold anything
+    sent.set_ejected(5, True)  # one that is not bound may hold anything
     assert [proxy for proxy, _ in sent.messages()][-1] == 5 and len(looked) == 100
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -8,7 +8,19 @@
 from ravenshelf.net import datagrams, endpoint_codec, stream_codec
 from ravenshelf.net.connection_end import COLLECTOR, FETCH, PROBE, STRANGER, STREAM, WATCH, End, outcome
 from ravenshelf.net.http import MOST_BODY, Call
-from ravenshelf.provisioning import LOAD_WORDS
+from ravenshelf.net.stream_codec import LOAD_WORDS
+from ravenshelf.policy.events import (
+    BatchAcknowledged,
+    DemandReport,
+    EndpointState,
+    HealthCheckCompleted,
+    ListedEndpoint,
+    LoadReport,
+    ProxyJoined,
+    ProxyLeft,
+    WatchFailed,
+)
+from ravenshelf.settings import Settings
 from ravenshelf.state.buffers import Buffers
 from ravenshelf.state.proxy_tables import Part
 
@@ -20,24 +32,24 @@
 @pytest.mark.parametrize(
     "first, line, call",
     [
-        (None, JOIN, ("joined", (1, 0, 21.5, True))),
-        (None, JOIN + " colour=blue", ("joined", (1, 0, 21.5, True))),
-        (None, JOIN.replace("weight=21.5 ", ""), ("joined", (1, 0, 0.0, True))),
-        ("SOURCE zone=a", LOAD, ("heard", (0, 0, 212, 3, 41_700, 1_000_000, (7.0,)))),
+        (None, JOIN, ProxyJoined(1, 0, 21.5, True)),
+        (None, JOIN + " colour=blue", ProxyJoined(1, 0, 21.5, True)),
+        (None, JOIN.replace("weight=21.5 ", ""), ProxyJoined(1, 0, 0.0, True)),
+        ("SOURCE zone=a", LOAD, LoadReport(0, 0, 212, 3, 41_700, 1_000_000, (7.0,))),
         (
             "SOURCE zone=a",
             LOAD.replace("inflight", "queue"),
-            ("heard", (0, 0, 212, 3, 41_700, 1_000_000, ())),
+            LoadReport(0, 0, 212, 3, 41_700, 1_000_000, ()),
         ),
         (
             "SOURCE zone=a",
             LOAD.replace("inflight:7", "inflight:x"),
-            ("heard", (0, 0, 212, 3, 41_700, 1_000_000, ())),
+            LoadReport(0, 0, 212, 3, 41_700, 1_000_000, ()),
         ),
-        ("SOURCE zone=a", LOAD.split(" load")[0], ("heard", (0, 0, 212, 3, 41_700, 1_000_000, ()))),
-        ("SOURCE zone=a", RATE, ("asked", (1, 1, 19, 0, 1_000_000))),
-        (JOIN, RATE, ("asked", (1, 1, 19, 0, 1_000_000))),
-        (JOIN, RATE.replace("19", "0").replace("failed=0", "failed=1"), ("asked", (1, 1, 0, 1, 1_000_000))),
+        ("SOURCE zone=a", LOAD.split(" load")[0], LoadReport(0, 0, 212, 3, 41_700, 1_000_000, ())),
+        ("SOURCE zone=a", RATE, DemandReport(1, 1, 19, 0, 1_000_000)),
+        (JOIN, RATE, DemandReport(1, 1, 19, 0, 1_000_000)),
+        (JOIN, RATE.replace("19", "0").replace("failed=0", "failed=1"), DemandReport(1, 1, 0, 1, 1_000_000)),
     ],
 )
 def test_messages_become_calls(entry, first, line, call):
@@ -91,7 +103,7 @@
     feed(bad, line.encode("latin-1") + b"\r\n" + JOIN.encode() + b"\r\n")  # nothing after it counts either
     feed(bad, JOIN.encode() + b"\r\n")  # nor does what lay in the socket still
     assert bad.end is End.UNREADABLE and bad.transport.ended == "abort" and e.counters["unreadable"] == 1
-    assert e.told[len(before) :] == ([("left", (1,))] if first == JOIN else [])
+    assert e.told[len(before) :] == ([ProxyLeft(1)] if first == JOIN else [])
     assert other.end is None and len(e.slots) == 1
 
 
@@ -135,8 +147,8 @@
     before = list(e.told)
     good = [RATE] if first == JOIN else [LOAD, RATE]
     feed(c, "".join(s + "\r\n" for s in [*good, line, *good]).encode())
-    assert [name for name, _ in e.told[len(before) :]] == [
-        "asked" if s == RATE else "heard" for s in good
+    assert [type(event) for event in e.told[len(before) :]] == [
+        DemandReport if s == RATE else LoadReport for s in good
     ] * 2
     assert c.end is None and sum(n for name, n in e.counters.items() if name.startswith("spoilt_")) == (
         0 if e.counters["acks_unasked"] or e.counters["stale"] else 1
@@ -149,7 +161,7 @@
     e.door.write(1, b"", 7)
     e.now += 700_000
     feed(c, b"ACK proxy=1 mark=7 took_ms=700\r\nACK proxy=1 mark=7 took_ms=700\r\n")
-    assert e.told[1:] == [("applied", (1, 7, 700_000))] and e.counters["acks_unasked"] == 1
+    assert e.told[1:] == [BatchAcknowledged(1, 7, 700_000)] and e.counters["acks_unasked"] == 1
 
 
 @pytest.mark.parametrize(
@@ -183,10 +195,13 @@
     stream = e.connect()
     for start in range(0, len(text), size):
         feed(stream, text[start : start + size])
-    assert [name for name, _ in e.told] == ["joined", "asked"] and stream.transport.written == b"PONG\r\n" * 2
+    assert [type(event) for event in e.told] == [
+        ProxyJoined,
+        DemandReport,
+    ] and stream.transport.written == b"PONG\r\n" * 2
     feed(stream, JOIN[:9].encode())
     stream.connection_lost(None)  # half a message is none
-    assert e.told[-1] == ("left", (1,)) and len(e.slots) == 0
+    assert e.told[-1] == ProxyLeft(1) and len(e.slots) == 0
 
 
 @pytest.mark.parametrize(
@@ -202,7 +217,7 @@
     e = entry()
     stream = e.connect(*first)
     feed(stream, b"RATE " + b"x" * (size - 5))
-    assert stream.end is end and (e.told[-1:] == [("left", (1,))]) == (end is not None and bool(first))
+    assert stream.end is end and (e.told[-1:] == [ProxyLeft(1)]) == (end is not None and bool(first))
 
 
 @pytest.mark.parametrize("lost, end", [(None, End.CLOSED), (ConnectionResetError(), End.RESET)])
@@ -211,7 +226,7 @@
     stream = e.connect(JOIN)
     stream.connection_lost(lost)
     stream.connection_lost(lost)
-    assert stream.end is end and e.told == [("joined", (1, 0, 21.5, True)), ("left", (1,))]
+    assert stream.end is end and e.told == [ProxyJoined(1, 0, 21.5, True), ProxyLeft(1)]
 
 
 def test_a_proxy_belongs_to_its_newest_stream(entry):
@@ -226,7 +241,7 @@
         new,
         b"ACK proxy=1 mark=8 took_ms=5\r\nACK proxy=1 mark=7 took_ms=5\r\nACK proxy=1 mark=7 took_ms=5\r\n",
     )
-    assert e.told[len(told) :] == [("applied", (1, 7, 5000))] and e.counters["acks_unasked"] == 2
+    assert e.told[len(told) :] == [BatchAcknowledged(1, 7, 5000)] and e.counters["acks_unasked"] == 2
     old.connection_lost(None)
     assert len(e.told) == len(told) + 1 and e.door.streams == {1: new}
 
@@ -235,7 +250,9 @@
     e = entry()
     stream = e.connect(JOIN, JOIN)
     # the stream has not broken: what waits for it goes on counting
-    assert [e.told[n][0] for n in (0, 2)] == ["joined", "joined"] and e.told[1:-1] == [("left", (1, True))]
+    assert [type(e.told[n]) for n in (0, 2)] == [ProxyJoined, ProxyJoined] and e.told[1:-1] == [
+        ProxyLeft(1, True)
+    ]
     assert e.door.streams == {1: stream}
 
 
@@ -243,7 +260,7 @@
     e = entry()
     stream = e.connect(JOIN, unsent=300_000)
     e.door.write(1, b"x", None)
-    assert stream.end is End.UNREAD and e.told[-1] == ("left", (1, True))  # what waits for it stays counted
+    assert stream.end is End.UNREAD and e.told[-1] == ProxyLeft(1, True)  # what waits for it stays counted
 
 
 @pytest.mark.parametrize("said", [b"", b"PING\r\n", b"SUBSCRIBE proxy=1 zo"])
@@ -280,7 +297,7 @@
     e.pass_time(20)
     feed(old, LOAD.encode() + b"\r\n")
     e.pass_time(20)
-    assert old.end is None and [name for name, _ in e.told] == ["heard"]
+    assert old.end is None and [type(event) for event in e.told] == [LoadReport]
     e.pass_time(11)
     assert old.end is End.SILENT and new.end is None
 
@@ -288,11 +305,11 @@
 @pytest.mark.parametrize(
     "purpose, end, told",
     [
-        (STREAM, End.CLOSED, "left"),
-        (STREAM, End.RESET, "left"),
-        (STREAM, End.UNREADABLE, "left"),
-        (STREAM, End.UNREAD, "left"),
-        (STREAM, End.TOO_LONG, "left"),
+        (STREAM, End.CLOSED, ProxyLeft),
+        (STREAM, End.RESET, ProxyLeft),
+        (STREAM, End.UNREADABLE, ProxyLeft),
+        (STREAM, End.UNREAD, ProxyLeft),
+        (STREAM, End.TOO_LONG, ProxyLeft),
         (STREAM, End.STOPPING, None),
         (COLLECTOR, End.RESET, None),
         (STRANGER, End.SILENT, None),
@@ -301,7 +318,7 @@
         (FETCH, End.ANSWERED, None),
         (PROBE, End.STOPPING, None),
         *[
-            (purpose, end, "list_failed")
+            (purpose, end, WatchFailed)
             for purpose in (WATCH, FETCH)
             for end in (
                 End.CLOSED,
@@ -314,11 +331,11 @@
                 End.TOO_LONG,
             )
         ],
-        *[(PROBE, end, "probed") for end in End if end is not End.STOPPING],
+        *[(PROBE, end, HealthCheckCompleted) for end in End if end is not End.STOPPING],
     ],
 )
 def test_each_end_has_one_outcome(purpose, end, told):
-    assert outcome(purpose, end) == told
+    assert outcome(purpose, end) is told
 
 
 @pytest.mark.parametrize(
@@ -463,13 +480,13 @@
 )
 def test_lists_that_are_none(text):
     with pytest.raises(endpoint_codec.Unreadable):
-        endpoint_codec.Catalog({}, None, None).read(text)
+        endpoint_codec.Catalog(Settings(), None, None).read(text)
 
 
 def test_entries_and_broken_ones():
     names = []
     read = endpoint_codec.Catalog(
-        {"zones": ["a", "b"], "kinds": ["m1", "m2"]},
+        Settings(zones=("a", "b"), machine_kinds=("m1", "m2")),
         lambda name: names.append(name) or len(names) - 1,
         {"s-2": 9}.get,
     )
@@ -485,7 +502,10 @@
         {"uid": "s-8"},
     ]
     entries, addresses, broken = read.entries(json.loads(json.dumps(said)))
-    assert entries == [(0, 1, 1, 3, "draining", 4.0, 1_500_500), (1, 0, 0, 0, "ready", 4.0, 0)]
+    assert entries == [
+        ListedEndpoint(0, 1, 1, 3, EndpointState.DRAINING, 4.0, 1_500_500),
+        ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 4.0, 0),
+    ]
     assert addresses == {0: "10.0.0.1:8080"} and [index for index, _ in broken] == [9] + 6 * [None]
 
 
