--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -6,12 +6,27 @@
 import subprocess
 import sys
 import threading
+from dataclasses import replace
 
 import pytest
 from conftest import SETTINGS, target
 
 from ravenshelf.net.connection_end import End
 from ravenshelf.net.endpoint_codec import Catalog
+from ravenshelf.policy.commands import WatchEndpoints
+from ravenshelf.policy.events import (
+    BatchAcknowledged,
+    DemandReport,
+    EndpointsListed,
+    EndpointState,
+    HealthCheckCompleted,
+    ListedEndpoint,
+    ListKind,
+    ProxyJoined,
+    ProxyLeft,
+    TimerExpired,
+    WatchFailed,
+)
 from ravenshelf.process import configuration, logs
 from ravenshelf.process.clock import Clock
 from ravenshelf.process.configuration import Wrong
@@ -19,8 +34,8 @@
 from ravenshelf.process.control_plane import Pilot
 from ravenshelf.process.discovery import RETRY_DELAY, Discovery
 from ravenshelf.process.health_checks import Probes
-from ravenshelf.provisioning import provisioning
 from ravenshelf.rules import SECOND
+from ravenshelf.settings import decode_settings
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.endpoint_registry import Listing
 from ravenshelf.state.proxy_tables import Sent
@@ -53,21 +68,22 @@
         self.calls, self.told, self.again = [], [], []
         self.now = 0
         self.listing = Listing(lambda: self.now, lambda index: False)
-        settings = provisioning(SETTINGS)
+        settings = decode_settings(SETTINGS)
         self.listing.take(
-            "replace", 5, [(self.listing.endpoint("s-1"), 0, 0, 0, "ready", 4.0, 0)], {0: "127.0.0.1:9"}
+            ListKind.REPLACE,
+            5,
+            [ListedEndpoint(self.listing.endpoint("s-1"), 0, 0, 0, EndpointState.READY, 4.0, 0)],
+            {0: "127.0.0.1:9"},
         )
 
         def open_call(*said):
             self.calls.append(Asked(*said))
             return self.calls[-1]
 
-        def news(name, values):
-            self.told.append(
-                (name, *(v if name != "listed" else (v[0], [(e[0], e[4]) for e in v[1]]) for v in [values]))
-                if values
-                else (name,)
-            )
+        def news(event):
+            if isinstance(event, EndpointsListed):  # of an entry only what tells the cases apart
+                event = (event.kind, [(entry.endpoint, entry.state) for entry in event.entries])
+            self.told.append(event)
 
         self.counters = Counters()
         self.discovery = Discovery(
@@ -86,7 +102,7 @@
             self.listing,
             self.counters,
             open_call,
-            lambda name, values: self.told.append((name, values)),
+            self.told.append,
             lambda: 0,
         )
 
@@ -112,9 +128,9 @@
     watch.close(End.RESET)
     assert service.extended == [watch] * 3  # each line, an empty one too, moves the deadline for silence
     assert service.told == [
-        ("listed", ("update", [(0, "draining")])),
-        ("listed", ("update", [(0, "gone"), (1, "ready")])),
-        ("list_failed",),
+        (ListKind.UPDATE, [(0, EndpointState.DRAINING)]),
+        (ListKind.UPDATE, [(0, EndpointState.GONE), (1, EndpointState.READY)]),
+        WatchFailed(),
     ]
 
 
@@ -127,7 +143,7 @@
     service.discovery.observe(True)
     first(service.calls[-1])
     service.calls[-1].piece(service.calls[-1], b"")
-    assert service.told == [("listed", ("update", []))]
+    assert service.told == [(ListKind.UPDATE, [])]
 
 
 @pytest.mark.parametrize("said", [b"{", b"[1]", b'{"rev":9}', b"\xff"])
@@ -135,7 +151,7 @@
     service.discovery.observe(True)
     service.calls[-1].piece(service.calls[-1], said)
     assert (
-        service.told == [("list_failed",)]
+        service.told == [WatchFailed()]
         and service.calls[-1].end is End.UNREADABLE
         and service.listing.rev == 5
     )
@@ -146,7 +162,7 @@
 def test_each_failed_call_has_one_answer_and_the_list_holds(service, purpose, end):
     service.discovery.observe(True) if purpose == "observe" else service.discovery.fetch()
     service.calls[-1].close(end)
-    assert service.told == [("list_failed",)] and list(service.listing.entries) == [0]
+    assert service.told == [WatchFailed()] and list(service.listing.entries) == [0]
 
 
 def test_a_new_watch_takes_the_place_of_the_old_in_silence(service):
@@ -157,7 +173,7 @@
     assert old.end is End.SUPERSEDED and service.told == []
     new.says(7)
     service.discovery.observe(False)
-    assert service.told == [("listed", ("update", []))] and new.end is End.SUPERSEDED
+    assert service.told == [(ListKind.UPDATE, [])] and new.end is End.SUPERSEDED
 
 
 def test_a_new_address_is_watched_before_the_old_one_is_let_go(service):
@@ -168,12 +184,12 @@
     assert (
         new.path.endswith("after=0")
         and old.end is None
-        and service.told[-1] == ("listed", ("update", [(2, "ready")]))
+        and service.told[-1] == (ListKind.UPDATE, [(2, EndpointState.READY)])
     )
     new.says(7, target("s-3"))
-    assert old.end is End.SUPERSEDED and new.end is None and ("list_failed",) not in service.told
+    assert old.end is End.SUPERSEDED and new.end is None and WatchFailed() not in service.told
     new.says(8, target("s-2", state="DRAINING"))
-    assert service.told[-1] == ("listed", ("update", [(1, "draining")]))
+    assert service.told[-1] == (ListKind.UPDATE, [(1, EndpointState.DRAINING)])
 
 
 @pytest.mark.parametrize("whole", [True, False])
@@ -186,7 +202,7 @@
         d.observe(True)
         assert service.calls[-1].path.endswith("after=0")
         service.calls[-1].says(2, target("s-2"), all=True)
-    assert service.listing.rev == 2 and service.told[-1] == ("listed", ("replace", [(1, "ready")]))
+    assert service.listing.rev == 2 and service.told[-1] == (ListKind.REPLACE, [(1, EndpointState.READY)])
 
 
 def test_a_new_address_that_fails_is_asked_again(service):
@@ -195,10 +211,10 @@
     old = service.calls[-1]
     d.move()
     service.calls[-1].close(End.REFUSED)
-    assert service.told[-1] == ("list_failed",)
+    assert service.told[-1] == WatchFailed()
     old.close(End.RESET)
     d.observe(True)
-    assert service.told.count(("list_failed",)) == 1 and len(service.calls) == 3
+    assert service.told.count(WatchFailed()) == 1 and len(service.calls) == 3
 
 
 def test_the_former_address_is_heard_until_the_new_one_answers_however_often_it_is_asked(service):
@@ -207,7 +223,7 @@
     service.calls[-1].close(End.REFUSED)
     d.observe(True)  # the module asks again
     old.says(7, target("s-3"))
-    assert old.end is None and service.told[-1] == ("listed", ("update", [(2, "ready")]))
+    assert old.end is None and service.told[-1] == (ListKind.UPDATE, [(2, EndpointState.READY)])
     new = service.calls[-1]
     new.piece(new, b"<html>")  # no answer
     assert old.end is None and new.end is End.UNREADABLE
@@ -225,7 +241,7 @@
     d.move()
     assert (first.end, between.end, service.calls[-1].end) == (None, End.SUPERSEDED, None)
     first.says(7, target("s-3"))
-    assert service.told[-1] == ("listed", ("update", [(2, "ready")]))
+    assert service.told[-1] == (ListKind.UPDATE, [(2, EndpointState.READY)])
 
 
 def test_lists_from_elsewhere_never_leave_the_pilot_without_a_watch(service):
@@ -260,7 +276,7 @@
     assert (
         service.listing.rev == 2
         and list(service.listing.entries) == [0]
-        and service.told[-1] == ("list_failed",)
+        and service.told[-1] == WatchFailed()
     )
 
 
@@ -274,7 +290,7 @@
     assert service.calls[-1].path.endswith("after=0")
     service.calls[-1].says(rev, target("s-1", state="DRAINING"), target("s-2"))
     assert (
-        service.told[-1] == ("listed", ("update", [(0, "draining"), (1, "ready")]))
+        service.told[-1] == (ListKind.UPDATE, [(0, EndpointState.DRAINING), (1, EndpointState.READY)])
         and service.listing.rev == rev
     )
 
@@ -285,15 +301,18 @@
     watch, fetch = service.calls
     watch.says(7, target("s-2"))
     fetch.answers(6, target("s-1"))  # older than what the watch has brought
-    assert service.told[-1] == ("listed", ("update", [])) and sorted(service.listing.entries) == [0, 1]
+    assert service.told[-1] == (ListKind.UPDATE, []) and sorted(service.listing.entries) == [
+        0,
+        1,
+    ]
     service.discovery.fetch()
     service.calls[-1].answers(9, target("s-2"))  # newer: it removes s-1
     watch.says(8, target("s-1"))  # what the watch says of the time before is old
-    assert service.told[-1] == ("listed", ("replace", [(1, "ready")])) and list(service.listing.entries) == [
-        1
-    ]
+    assert service.told[-1] == (ListKind.REPLACE, [(1, EndpointState.READY)]) and list(
+        service.listing.entries
+    ) == [1]
     watch.says(10, target("s-3"))
-    assert service.told[-1] == ("listed", ("update", [(2, "ready")]))
+    assert service.told[-1] == (ListKind.UPDATE, [(2, EndpointState.READY)])
 
 
 def test_broken_entries_remove_nothing(service):
@@ -310,11 +329,11 @@
     service.calls[-1].answers(
         6, target("s-1", az="a"), target("s-2"), target("s-1", az="b", state="DRAINING")
     )
-    assert {index: (entry[1], entry[4]) for index, entry in service.listing.entries.items()} == {
-        0: (1, "draining"),
-        1: (0, "ready"),
+    assert {index: (entry.zone, entry.state) for index, entry in service.listing.entries.items()} == {
+        0: (1, EndpointState.DRAINING),
+        1: (0, EndpointState.READY),
     }
-    assert service.told[-1][1][1] == [(0, "draining"), (1, "ready")]
+    assert service.told[-1][1] == [(0, EndpointState.DRAINING), (1, EndpointState.READY)]
 
 
 def test_a_list_that_goes_back_changes_nothing_and_is_an_answer(service):
@@ -325,7 +344,7 @@
         and service.listing.rev == 5
         and service.counters["lists_old"] == 1
     )
-    assert service.told == [("listed", ("update", []))]
+    assert service.told == [(ListKind.UPDATE, [])]
 
 
 @pytest.mark.parametrize("whole", [True, False])
@@ -339,13 +358,13 @@
     service.now += 25 * SECOND
     service.calls[-1].says(4, target("s-1", state="DRAINING"), all=whole)
     if not whole:  # changes to a list that we do not have: it asks for all
-        assert service.calls[-1].end is End.UNREADABLE and service.told[-1] == ("list_failed",)
+        assert service.calls[-1].end is End.UNREADABLE and service.told[-1] == WatchFailed()
         d.observe(True)
         assert service.calls[-1].path.endswith("after=0")
         service.calls[-1].says(4, target("s-1", state="DRAINING"), all=True)
-    assert service.listing.rev == 4 and service.told[-1] == ("listed", ("replace", [(0, "draining")]))
+    assert service.listing.rev == 4 and service.told[-1] == (ListKind.REPLACE, [(0, EndpointState.DRAINING)])
     service.calls[-1].says(5, target("s-3"))
-    assert service.told[-1] == ("listed", ("update", [(2, "ready")]))
+    assert service.told[-1] == (ListKind.UPDATE, [(2, EndpointState.READY)])
 
 
 def test_a_change_of_what_was_never_listed_is_taken_and_its_end_forgotten(service):
@@ -353,9 +372,9 @@
     service.calls[-1].says(
         6, target("s-9", state="DELETED"), target("s-2", boot_ms=4e12)
     )  # gone; starts in the future
-    assert [e[4] for e in service.listing.entries.values()] == ["ready", "ready"] and not service.counters[
-        "list_entries_broken"
-    ]
+    assert [e.state for e in service.listing.entries.values()] == [
+        EndpointState.READY
+    ] * 2 and not service.counters["list_entries_broken"]
 
 
 def test_a_pushed_list_is_watched_by_the_pilot_itself():
@@ -385,10 +404,12 @@
     probe = service.calls[-1]
     probe.body = body
     probe.close(end)
-    assert (probe.path, probe.host) == ("/_load", "127.0.0.1:9") and service.told == [("probed", values)]
+    assert (probe.path, probe.host) == ("/_load", "127.0.0.1:9") and service.told == [
+        HealthCheckCompleted(*values)
+    ]
 
 
-@pytest.mark.parametrize("allowed, told", [(True, [("probed", (7, False, 0, ()))]), (False, [])])
+@pytest.mark.parametrize("allowed, told", [(True, [HealthCheckCompleted(7, False, 0, ())]), (False, [])])
 def test_what_cannot_be_probed(service, allowed, told):
     service.probes.allowed = allowed
     service.probes.begin(7)
@@ -400,20 +421,26 @@
 
 class Play:
     def __init__(self, states=("SERVING", "SERVING"), **service):
-        settings = provisioning(SETTINGS)
-        settings["service"].update(service)
+        settings = decode_settings(SETTINGS)
+        settings = replace(settings, service=replace(settings.service, **service))
         self.counters, self.now, self.out, self.sent = Counters(), 100 * SECOND, [], Sent(2, True)
         self.listing = Listing(lambda: self.now, self.sent.holds)
         self.listing.take(
-            "replace", 1, [(self.listing.endpoint(f"s-{n}"), 0, 0, 0, "ready", 4.0, 0) for n in (1, 2)], {}
+            ListKind.REPLACE,
+            1,
+            [
+                ListedEndpoint(self.listing.endpoint(f"s-{n}"), 0, 0, 0, EndpointState.READY, 4.0, 0)
+                for n in (1, 2)
+            ],
+            {},
         )
         self.rounds = Rounds(settings, 7, self.listing, self.sent, self.counters)
         self.rounds.begin()
         self.run()
 
     def run(self, *news):
-        for name, values in news:
-            self.rounds.hear(name, values)
+        for event in news:
+            self.rounds.hear(event)
         self.out = []
         return self.rounds.run(
             self.now, lambda proxy, message, ticket: self.out.append((proxy, message.decode()))
@@ -421,7 +448,7 @@
 
 
 def join(proxy, fresh=True):
-    return "joined", (proxy, 0, 10.0, fresh)
+    return ProxyJoined(proxy, 0, 10.0, fresh)
 
 
 @pytest.fixture
@@ -442,7 +469,7 @@
     p.run(join(0))
     p.run(join(0, False))
     assert [proxy for proxy, _ in p.out] == [0] and "whole=1" in p.out[0][1]
-    p.run(("left", (0,)))
+    p.run(ProxyLeft(0))
     assert not p.out and not p.rounds.joined
 
 
@@ -450,14 +477,16 @@
     p = play()
     p.run(join(0))
     p.now += 20 * SECOND
-    listed = ("listed", ("update", ((0, 0, 0, 0, "draining", 4.0, 0),)))
+    listed = EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),))
     p.rounds.controller.write = lambda *_: None  # the table keeps the line, so it must be let back later
     p.run(listed)
     assert "out=s-1" in p.out[0][1]
-    p.run(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, 0),))))
+    p.run(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, 0),)))
     p.rounds.controller.channel.waiting = 0.0
     p.rounds.controller.channel.open.clear()
-    p.rounds.controller.round = lambda now, news, orders: orders.mark(5, True)  # charges nothing
+    p.rounds.controller.round = lambda now, news, orders: orders.request_acknowledgement(
+        5, True
+    )  # charges nothing
     p.run()
     assert p.counters["lines_beyond_charge"] == 1 + 3 == p.rounds.controller.channel.waiting
 
@@ -465,7 +494,7 @@
 def test_an_answer_in_the_round_is_no_part_of_its_charge(play):
     p = play()
     p.run(join(0))
-    p.run(("applied", (0, 1, 1000)), join(1))
+    p.run(BatchAcknowledged(0, 1, 1000), join(1))
     assert (
         p.out
         and p.counters["lines_written"] == p.counters["lines_charged"]
@@ -491,14 +520,14 @@
     failed = p.rounds.controller
 
     def fail(now, news, orders):
-        orders.line(0, 0, 0)
+        orders.set_weight(0, 0, 0)
         raise RuntimeError("no such thing")
 
     failed.round = fail
-    assert p.run(("left", (1,))) is None and not p.out and p.counters["module_failures"] == 1
+    assert p.run(ProxyLeft(1)) is None and not p.out and p.counters["module_failures"] == 1
     calls = p.run()
     assert p.rounds.controller is not failed and [proxy for proxy, _ in p.out] == [0]
-    assert "whole=1 lines=s-1:" in p.out[0][1] and ("observe", True) in calls
+    assert "whole=1 lines=s-1:" in p.out[0][1] and WatchEndpoints(True) in calls
 
 
 def test_a_withdrawal_of_a_round_that_failed_is_owed_again(play):
@@ -508,9 +537,13 @@
     p.now += 5 * SECOND
     p.rounds.controller.write = lambda *_: None  # the tables keep the line, so the withdrawal has to go out
     names, p.listing.names = p.listing.names, []  # no message can be made
-    assert p.run(("listed", ("update", ((0, 0, 0, 0, "draining", 4.0, 0),)))) is None and not p.out
+    assert (
+        p.run(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),)))
+        is None
+        and not p.out
+    )
     p.listing.names = names
-    p.sent.bench(0, True)  # the new module has heard the list, and bound nobody yet
+    p.sent.set_ejected(0, True)  # the new module has heard the list, and bound nobody yet
     assert [(proxy, parts[0].out) for proxy, parts in p.sent.messages()] == [(0, [0]), (1, [0])]
 
 
@@ -522,12 +555,12 @@
     p.rounds.controller.follow_list = lambda orders: (
         channel.charge([0], 50) or 1 / 0
     )  # half a round is charged
-    assert p.run(("listed", ("update", ()))) is None
+    assert p.run(EndpointsListed(ListKind.UPDATE, ())) is None
     assert p.rounds.controller.channel is channel and channel.unproved() == waited and not channel.round
     p.run()
     tickets = [int(text.split("ticket=")[1].split()[0]) for _, text in p.out]
     assert set(tickets) == {2} and channel.unproved() > waited
-    p.run(("applied", (0, 2, 1000)), ("applied", (1, 2, 1000)))
+    p.run(BatchAcknowledged(0, 2, 1000), BatchAcknowledged(1, 2, 1000))
     assert not channel.unproved()
 
 
@@ -582,14 +615,14 @@
     loop.play(1)
     played, seen = [], pilot.rounds.controller.round
     pilot.rounds.controller.round = lambda now, news, orders: (
-        played.append((now, sum(name == "asked" for name, _ in news))),
+        played.append((now, sum(isinstance(event, DemandReport) for event in news))),
         seen(now, news, orders),
     )
     for _ in range(4):
-        pilot.news("asked", (1, 0, 5, 0, SECOND))
+        pilot.news(DemandReport(1, 0, 5, 0, SECOND))
     loop.play(0.0)
     for _ in range(3):
-        pilot.news("asked", (1, 0, 5, 0, SECOND))
+        pilot.news(DemandReport(1, 0, 5, 0, SECOND))
     loop.play(0.1)
     assert [n for _, n in played[:2]] == [4, 3] and 4000 <= played[1][0] - played[0][0] < 4100
 
@@ -610,7 +643,7 @@
     pilot.rounds.controller.round = long
     for n in range(40):
         pilot.counters["accepted"] += come
-        pilot.news("asked", (1, 0, 5, 0, SECOND))
+        pilot.news(DemandReport(1, 0, 5, 0, SECOND))
         loop.play(0.005)
     assert len(began) > 2 and all(apart <= b - a < apart + 8000 for a, b in zip(began, began[1:]))
 
@@ -620,11 +653,13 @@
     loop.play(1)
     woken = []
     pilot.rounds.controller.round = lambda now, news, orders: (
-        woken.extend((now, v[0]) for name, v in news if name == "woken"),
-        [orders.wake(now - 5, "past"), orders.wake(now + 50_000, "soon")] if not woken else None,
+        woken.extend((now, event.key) for event in news if isinstance(event, TimerExpired)),
+        [orders.start_timer(now - 5, "past"), orders.start_timer(now + 50_000, "soon")]
+        if not woken
+        else None,
     )
     start = loop.now
-    pilot.news("asked", (1, 0, 5, 0, SECOND))
+    pilot.news(DemandReport(1, 0, 5, 0, SECOND))
     loop.play(0.2)
     assert [key for _, key in woken if key != "step"] == ["past", "soon"]
     assert woken[0][0] >= start + 4000 and dict((k, t) for t, k in woken)["soon"] >= start + 50_000
@@ -640,8 +675,8 @@
 
 def test_a_reload_moves_discovery_and_loses_nothing(begun):
     pilot, loop = begun
-    pilot.news("joined", (1, 0, 10.0, True))
-    pilot.news("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, 0),)))
+    pilot.news(ProxyJoined(1, 0, 10.0, True))
+    pilot.news(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, 0),)))
     pilot.listing.endpoint("s-1")
     loop.play(0.1)
     controller, messages = pilot.rounds.controller, pilot.counters["messages_sent"]
@@ -672,7 +707,9 @@
     loop.play(1)
     pilot.discovery.observe(True)
     old, asked = pilot.discovery.watch, []
-    pilot.rounds.controller.round = lambda now, news, orders: asked or asked.append(orders.observe(True))
+    pilot.rounds.controller.round = lambda now, news, orders: (
+        asked or asked.append(orders.watch_endpoints(True))
+    )
     pilot.extend(old, 10_000)
     pilot.set_deadline(("round",), loop.now + 9_000)
     loop.play(0.1, late=0.05)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,10 +1,31 @@
 import random
+from dataclasses import replace
 
 import pytest
 from conftest import listed, met
 
 from ravenshelf import rules
+from ravenshelf.policy.events import (
+    BatchAcknowledged,
+    DemandReport,
+    EndpointsListed,
+    EndpointState,
+    HealthCheckCompleted,
+    HostLoadSampled,
+    ListedEndpoint,
+    ListKind,
+    LoadReport,
+    PeerMessageReceived,
+    ProxyJoined,
+    ProxyLeft,
+    SliceAssigned,
+    SliceDemandReport,
+    SliceWeightStored,
+    TimerExpired,
+    WatchFailed,
+)
 from ravenshelf.rules import SECOND, Channel, Curve, read_curve, solve_spill, spread, water_level
+from ravenshelf.settings import ServiceSettings, TelemetrySettings
 
 FLAT = [(10.0, 0.0), (20.0, 1.0)]
 EVEN = [[1.0] * 3 for _ in range(3)]
@@ -88,16 +109,16 @@
 
 def test_channel_keeps_to_its_lines_and_messages():
     channel = Channel(
-        {
-            "lines_per_s": 100.0,
-            "envelope": 3.0,
-            "most_waiting": 100,
-            "messages_most": 6,
-            "counted_over_us": 10 * SECOND,
-            "late_most_us": SECOND,
-        }
+        ServiceSettings(
+            lines_per_second=100.0,
+            message_overhead_lines=3.0,
+            queue_limit_lines=100,
+            messages_per_proxy_limit=6,
+            message_count_window_us=10 * SECOND,
+            longest_delivery_us=SECOND,
+        )
     )
-    kept = type("Marks", (), {"mark": lambda self, number: None})()
+    kept = type("Marks", (), {"request_acknowledgement": lambda self, number: None})()
     assert (
         not channel.room(60, [1], False) and channel.room(60, [1], True) and not channel.room(90, [1], True)
     )
@@ -113,12 +134,12 @@
 
 
 def test_withdrawals_keep_to_the_messages_of_a_proxy_too(pilot):
-    p = pilot("rrrr", service={"messages_most": 6, "counted_over_us": 10 * SECOND})
+    p = pilot("rrrr", service={"messages_per_proxy_limit": 6, "message_count_window_us": 10 * SECOND})
     times = []
     for n in range(40):  # a flapping list: each change would be a message of its own
         p.now += SECOND // 4
         before = list(p.controller.channel.sent.get(0, ()))
-        p.hear(listed("drrr" if n % 2 else "rrrr", how="update"))
+        p.hear(listed("drrr" if n % 2 else "rrrr", how=ListKind.UPDATE))
         times += [p.now] * (list(p.controller.channel.sent[0])[-1:] != before[-1:])
     assert 3 <= len(times) <= 6
     p.run(12)
@@ -128,10 +149,15 @@
 def test_answers_are_booked_to_their_own_round_however_many_wait():
     """A mass join makes a round a tick; at full size 258 of them waited, and numbers that came again hid 250."""
     channel = Channel(
-        {"lines_per_s": 1500.0, "envelope": 3.0, "most_waiting": 26_300, "late_most_us": SECOND}
+        ServiceSettings(
+            lines_per_second=1500.0,
+            message_overhead_lines=3.0,
+            queue_limit_lines=26_300,
+            longest_delivery_us=SECOND,
+        )
     )
     marks = []
-    orders = type("Marks", (), {"mark": lambda self, number: marks.append(number)})()
+    orders = type("Marks", (), {"request_acknowledgement": lambda self, number: marks.append(number)})()
     for n in range(600):
         channel.drain(n * 6000)
         channel.charge([n], 20)
@@ -144,19 +170,29 @@
 
 def test_channel_learns_a_slow_pace_from_its_acks():
     channel = Channel(
-        {"lines_per_s": 1000.0, "envelope": 3.0, "most_waiting": 2000, "late_most_us": SECOND // 2}
+        ServiceSettings(
+            lines_per_second=1000.0,
+            message_overhead_lines=3.0,
+            queue_limit_lines=2000,
+            longest_delivery_us=SECOND // 2,
+        )
     )
     channel.charge(range(20), 46)
-    channel.settle(0, type("Marks", (), {"mark": lambda self, number: None})())
+    channel.settle(0, type("Marks", (), {"request_acknowledgement": lambda self, number: None})())
     channel.drain(SECOND)
     channel.applied(0, 1, 10 * SECOND)
     assert channel.pace < 150
 
 
 def test_what_is_not_answered_for_still_waits_whatever_the_pace():
-    marks = type("Marks", (), {"mark": lambda self, number: None})()
+    marks = type("Marks", (), {"request_acknowledgement": lambda self, number: None})()
     channel = Channel(
-        {"lines_per_s": 1000.0, "envelope": 3.0, "most_waiting": 2000, "late_most_us": SECOND // 2}
+        ServiceSettings(
+            lines_per_second=1000.0,
+            message_overhead_lines=3.0,
+            queue_limit_lines=2000,
+            longest_delivery_us=SECOND // 2,
+        )
     )
     for number in (1, 2):
         channel.charge(range(10), 46)
@@ -178,7 +214,7 @@
     [
         (listed("drrr"), {0}),
         (listed("-rrr"), {0}),
-        (listed("g", how="update"), {0}),
+        (listed("g", how=ListKind.UPDATE), {0}),
         (listed("ddrr"), {0, 1}),
     ],
 )
@@ -192,7 +228,7 @@
 
 def test_unbound_proxies_are_charged_for_a_withdrawal(pilot):
     p = pilot()
-    p.hear(("joined", (9, 0, 1.0, False)), listed("drrr"))
+    p.hear(ProxyJoined(9, 0, 1.0, False), listed("drrr"))
     assert p.controller.channel.waiting > 0 and 9 in p.controller.channel.sent and p.kept.bound[9] is not None
 
 
@@ -200,7 +236,7 @@
     p = pilot()
     p.hear(listed("grrr"))
     p.run(6)
-    p.hear(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, p.now),))))
+    p.hear(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, p.now),)))
     assert 0 not in p.kept.out and 0 < p.load(0) < 0.25
     p.run(40)
     assert p.load(0) == pytest.approx(0.5, abs=0.1)
@@ -210,7 +246,7 @@
     "rules, share", [({"warm_after_us": 16 * SECOND}, 1.0), ({}, 0.6), ({"warm_after_us": 90 * SECOND}, 0.6)]
 )
 def test_an_endpoint_counts_in_full_once_it_is_promised_to_be_warm(pilot, rules, share):
-    c = pilot(rules=rules | {"cold_share": 0.2, "fall_multiple": 4.0}).controller
+    c = pilot(warm_up=rules | {"cold_capacity_share": 0.2, "overload_multiple": 4.0}).controller
     c.work, e = 0.2, c.endpoints[0]
     e.start = c.now - 16 * SECOND
     assert c.ramp(e) == pytest.approx(share, abs=0.05)
@@ -221,7 +257,7 @@
 def test_a_restart_at_full_weight_is_cold_at_once(pilot):
     p = pilot()
     p.run(3)
-    p.hear(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, p.now),))))
+    p.hear(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, p.now),)))
     assert p.load(0) < 0.25
 
 
@@ -229,7 +265,12 @@
     p = pilot()
     p.hear(listed("ggrr"))
     p.run(6, lambda s: [met(0, i) for i in (2, 3)] + [met(1, i) for i in (2, 3)])
-    p.hear(("listed", ("update", tuple((i, 0, 0, 0, "ready", 4.0, p.now) for i in (0, 1)))))
+    p.hear(
+        EndpointsListed(
+            ListKind.UPDATE,
+            tuple(ListedEndpoint(i, 0, 0, 0, EndpointState.READY, 4.0, p.now) for i in (0, 1)),
+        )
+    )
     assert p.load(0) + p.load(1) < 0.5
 
 
@@ -242,7 +283,15 @@
 
 def test_a_restarted_pilot_holds_a_zone_back_that_returns_cold(pilot):
     p = pilot("-rrr")  # no curve yet, and the first endpoint of the zone to return would get all
-    p.hear(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, p.now), (1, 0, 0, 0, "gone", 4.0, 0)))))
+    p.hear(
+        EndpointsListed(
+            ListKind.UPDATE,
+            (
+                ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, p.now),
+                ListedEndpoint(1, 0, 0, 0, EndpointState.GONE, 4.0, 0),
+            ),
+        )
+    )
     assert 0 < p.load(0) < 0.3
 
 
@@ -257,13 +306,13 @@
 
 def test_a_list_that_must_be_asked_for_is_asked_for_again_after_a_failure(pilot):
     p = pilot(discovery="on_request")
-    assert p.kept.calls.count(("observe", (True,))) == 1
-    p.hear(("list_failed", ()))
+    assert p.kept.calls.count(("watch_endpoints", (True,))) == 1
+    p.hear(WatchFailed())
     p.run(2)
-    assert p.kept.calls.count(("observe", (True,))) == 2
+    assert p.kept.calls.count(("watch_endpoints", (True,))) == 2
     p.hear(listed())
     p.run(10)
-    assert p.kept.calls.count(("observe", (True,))) == 2
+    assert p.kept.calls.count(("watch_endpoints", (True,))) == 2
 
 
 def test_failures_fade_a_weight_that_returns_with_time(pilot):
@@ -288,7 +337,7 @@
 
 def test_staging_leads_a_zone_over_one_step_at_a_time(pilot):
     p = pilot(proxies=0, service={"proxy_count": 20})
-    p.hear(*[("joined", (i, 0, 1.0, True)) for i in range(20)])
+    p.hear(*[ProxyJoined(i, 0, 1.0, True) for i in range(20)])
     moved = []
     for _ in range(20):
         p.run(0.25, lambda s: [met(0, 0, latency=400_000), met(0, 1)])
@@ -310,7 +359,7 @@
         else met(z, 2 * z + i, report=(2,))
         for z in (0, 1)
         for i in (0, 1)
-    ] + [("asked", (p, g, flows if second > 4 else 10, 0, SECOND)) for p in range(4) for g in (0, 1)]
+    ] + [DemandReport(p, g, flows if second > 4 else 10, 0, SECOND) for p in range(4) for g in (0, 1)]
 
 
 def test_overload_is_refused_by_utility_and_repeats_nothing(pilot):
@@ -322,7 +371,7 @@
 
 
 def test_levels_as_a_share(pilot):
-    p = pilot(service={"level_kind": "fraction"})
+    p = pilot(service={"admission_level_kind": "fraction"})
     p.run(30, busy_fleet)
     assert p.kept.levels and all(0 < v < 1 for (_, g), (v, _) in p.kept.levels.items() if g == 1)
 
@@ -345,7 +394,7 @@
                     for z in (0, 1)
                     for i in (0, 1)
                 ]
-                + [("asked", (i, g, 7, 0, SECOND)) for i in range(4) for g in (0, 1)]
+                + [DemandReport(i, g, 7, 0, SECOND) for i in range(4) for g in (0, 1)]
             ),
         )
     parts = [p.controller.alike, 1.0]
@@ -363,7 +412,7 @@
                 for z in (0, 1)
                 for i in (0, 1)
             ]
-            + [("asked", (i, g, 7, 0, SECOND)) for i in range(4) for g in (0, 1)]
+            + [DemandReport(i, g, 7, 0, SECOND) for i in range(4) for g in (0, 1)]
         ),
     )
     assert least <= p.controller.trust / p.controller.carried < most
@@ -375,7 +424,7 @@
         60,
         lambda s: (
             [met(z, 2 * z + i, tries=100, dropped=50, report=(30,)) for z in (0, 1) for i in (0, 1)]
-            + [("asked", (i, g, 7, 0, SECOND)) for i in range(4) for g in (0, 1)]
+            + [DemandReport(i, g, 7, 0, SECOND) for i in range(4) for g in (0, 1)]
         ),
     )
     assert p.controller.trust > 0.2
@@ -390,29 +439,29 @@
 @pytest.mark.parametrize(
     "news",
     [
-        ("joined", (0, 0, 1.0, True)),
-        ("left", (77,)),
+        ProxyJoined(0, 0, 1.0, True),
+        ProxyLeft(77),
         met(0, 99),
         met(0, 0, tries=0),
         met(0, 0, latency=0),
         met(0, 0, tries=2, dropped=9),
         met(1, 0, report=()),
-        ("asked", (77, 0, 1, 0, SECOND)),
-        ("asked", (0, 9, 1, 0, SECOND)),
-        ("asked", (0, 0, 5, 0, 0)),
-        ("applied", (0, 4321, 10)),
-        ("list_failed", ()),
+        DemandReport(77, 0, 1, 0, SECOND),
+        DemandReport(0, 9, 1, 0, SECOND),
+        DemandReport(0, 0, 5, 0, 0),
+        BatchAcknowledged(0, 4321, 10),
+        WatchFailed(),
         listed(""),
         listed("dddd"),
         listed("rrrr", start=10**12),
-        ("woken", ("other",)),
-        ("probed", (0, False, 5, ())),
-        ("told", (1, b"x")),
-        ("granted", (1, True)),
-        ("stored", (1, 0, 1.0)),
-        ("slice_asked", (1, 0, 1, 0, SECOND)),
+        TimerExpired("other"),
+        HealthCheckCompleted(0, False, 5, ()),
+        PeerMessageReceived(1, b"x"),
+        SliceAssigned(1, True),
+        SliceWeightStored(1, 0, 1.0),
+        SliceDemandReport(1, 0, 1, 0, SECOND),
     ],
-    ids=lambda n: n[0],
+    ids=lambda event: type(event).__name__,
 )
 def test_odd_but_legal_news(pilot, news):
     p = pilot()
@@ -425,13 +474,13 @@
 @pytest.mark.parametrize(
     "changes",
     [
-        {"zones": ["only"]},
-        {"zones": [], "traffic_groups": []},
-        {"service": {}, "rules": {}},
-        {"weights": "none"},
-        {"service": {"by_zone": False, "messages_most": 12}},
-        {"telemetry": {"columns": []}},
-        {"telemetry": {}},
+        {"zones": ("only",)},
+        {"zones": (), "traffic_groups": ()},
+        {"service": {}, "warm_up": {}},
+        {"weight_kind": "none"},
+        {"service": {"proxies_join_by_zone": False, "messages_per_proxy_limit": 12}},
+        {"telemetry": TelemetrySettings(source="answers")},
+        {"telemetry": TelemetrySettings()},
     ],
 )
 def test_other_deployments(pilot, changes):
@@ -444,7 +493,7 @@
     p = pilot(proxies=2)
     before = p.controller.demands()[1][1]
     p.run(
-        10, lambda s: [("asked", (i, 0, 100, 0, SECOND)) for i in (0, 1)]
+        10, lambda s: [DemandReport(i, 0, 100, 0, SECOND) for i in (0, 1)]
     )  # a shift may have brought it here
     assert before == p.controller.demands()[1][1] == pytest.approx(20)
 
@@ -472,36 +521,44 @@
 
 
 def test_full_size_keeps_tables_short_few_and_shared(pilot):
-    zones, many = ["a", "b", "c"], tuple((i, i % 3, i % 2, 0, "ready", 4.0, 0) for i in range(120))
+    zones, many = (
+        ["a", "b", "c"],
+        tuple(ListedEndpoint(i, i % 3, i % 2, 0, EndpointState.READY, 4.0, 0) for i in range(120)),
+    )
     p = pilot(
         "",
         0,
         zones=zones,
-        pilots=2,
-        service={"proxy_count": 440, "by_zone": False, "most_waiting": 9000, "lines_per_s": 6000.0},
+        server_count=2,
+        service={
+            "proxy_count": 440,
+            "proxies_join_by_zone": False,
+            "queue_limit_lines": 9000,
+            "lines_per_second": 6000.0,
+        },
     )
-    p.hear(("listed", ("replace", many)))
-    p.hear(*[("joined", (i, i % 3, 1.0 + i % 7, True)) for i in range(220)])
+    p.hear(EndpointsListed(ListKind.REPLACE, many))
+    p.hear(*[ProxyJoined(i, i % 3, 1.0 + i % 7, True) for i in range(220)])
     p.run(6, lambda s: [met(i % 3, i) for i in range(120)])
     tables = [set(p.kept.tables[t]) for t in p.kept.bound.values()]
     assert len(tables) == 220 and 3 <= min(map(len, tables)) <= max(map(len, tables)) <= 8
     assert len(set(p.kept.bound.values())) < 220 / 5 and len(set.union(*tables)) == 120
     part = [e for e in many if e[0] in tables[0]]  # all that one table holds restarts: its flows go elsewhere
-    p.hear(("listed", ("update", tuple((*e[:6], p.now) for e in part))))
+    p.hear(EndpointsListed(ListKind.UPDATE, tuple(replace(e, started_at=p.now) for e in part)))
     lines = p.kept.tables[p.kept.bound[0]]
     assert sum(lines.get(e[0], 0) for e in part) < 0.35 * sum(lines.values()) and not p.kept.emptied
 
 
 def test_a_zone_that_returns_is_cold_as_a_whole_though_only_part_of_it_is_listed_so(pilot):
     p = pilot("rrrr", proxies=2)  # as after a restart: nothing was heard of the zone's own endpoints
-    p.hear(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, p.now),))))
+    p.hear(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, p.now),)))
     assert p.load(0) + p.load(1) < 0.65 and p.load(0) == pytest.approx(p.load(1))
 
 
 def test_a_cold_endpoint_is_not_the_best_of_a_failing_zone(pilot):
     p = pilot()
     p.run(10, lambda s: [met(0, i, dropped=16) for i in (0, 1)])  # caps on connections, say
-    p.hear(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, p.now),))))
+    p.hear(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, p.now),)))
     assert p.load(0) < 0.5 * p.load(1)
 
 
@@ -512,9 +569,12 @@
 def test_a_cold_endpoint_gets_less_where_little_fells_it_and_where_others_are_shunned(
     pilot, fells, failing, shuns, least, most
 ):
-    p = pilot(rules={"cold_share": 0.2, "fall_multiple": fells}, service={"outlier_after": shuns})
+    p = pilot(
+        warm_up={"cold_capacity_share": 0.2, "overload_multiple": fells},
+        service={"outlier_after_failures": shuns},
+    )
     p.run(10, lambda s: [met(0, i, dropped=failing) for i in (0, 1)])
-    p.hear(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, p.now),))))
+    p.hear(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, p.now),)))
     assert least <= p.load(0) <= most and not p.kept.emptied
 
 
@@ -530,9 +590,13 @@
 def test_a_cold_endpoint_waits_where_heavy_proxies_may_shun_all_the_others(
     pilot, flows, warm, shuns, held_back
 ):
-    p = pilot("", service={"outlier_after": shuns})
-    entries = [(i, 0, 0, 0, "ready", 4.0, 0) for i in range(warm)] + [(warm, 0, 0, 0, "ready", 4.0, p.now)]
-    p.hear(("listed", ("replace", tuple(entries))), *[("joined", (i, 0, flows, True)) for i in range(2)])
+    p = pilot("", service={"outlier_after_failures": shuns})
+    entries = [ListedEndpoint(i, 0, 0, 0, EndpointState.READY, 4.0, 0) for i in range(warm)] + [
+        ListedEndpoint(warm, 0, 0, 0, EndpointState.READY, 4.0, p.now)
+    ]
+    p.hear(
+        EndpointsListed(ListKind.REPLACE, tuple(entries)), *[ProxyJoined(i, 0, flows, True) for i in range(2)]
+    )
     p.run(1)
     assert (p.load(warm) == 0) is held_back
     p.run(20)  # warm by then
@@ -541,11 +605,14 @@
 
 def test_the_first_of_a_failing_zone_that_is_half_warm_is_not_left_alone_with_it(pilot):
     """bahir-dar-credit, zone, seed 21: all of a zone came back cold and failed; the first past half of its ramp got all."""
-    p = pilot("rrrr", service={"outlier_after": 3})
+    p = pilot("rrrr", service={"outlier_after_failures": 3})
     p.hear(
-        (
-            "listed",
-            ("update", tuple((i, 0, 0, 0, "ready", 4.0, p.now - (6 - 5 * i) * SECOND) for i in (0, 1))),
+        EndpointsListed(
+            ListKind.UPDATE,
+            tuple(
+                ListedEndpoint(i, 0, 0, 0, EndpointState.READY, 4.0, p.now - (6 - 5 * i) * SECOND)
+                for i in (0, 1)
+            ),
         )
     )
     for _ in range(16):
@@ -556,7 +623,7 @@
 def test_while_no_flow_is_known_a_cold_endpoint_gets_little(pilot):
     p = pilot()
     p.hear(met(0, 1, tries=2))
-    p.hear(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, p.now),))))
+    p.hear(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, p.now),)))
     assert 0 < p.load(0) < 0.06
 
 
@@ -571,10 +638,10 @@
 def test_a_proxy_that_joins_behind_a_queue_of_table_changes_is_bound_at_once(pilot):
     p = pilot(proxies=2)
     p.controller.channel.waiting = 0.7 * p.controller.channel.most
-    p.hear(("joined", (2, 0, 10.0, False)))
+    p.hear(ProxyJoined(2, 0, 10.0, False))
     assert 2 in p.kept.bound
     p.controller.channel.beyond(0.7 * p.controller.channel.most)
-    p.hear(listed("rrdr", how="update"))
+    p.hear(listed("rrdr", how=ListKind.UPDATE))
     assert 2 in p.kept.out and p.controller.held  # the withdrawal goes, tables wait for their turn
 
 
@@ -591,10 +658,10 @@
 
 
 def test_orders_that_found_no_room_are_tried_again_at_the_next_step(pilot):
-    p = pilot(service={"messages_most": 4, "counted_over_us": 2 * SECOND})
+    p = pilot(service={"messages_per_proxy_limit": 4, "message_count_window_us": 2 * SECOND})
     for states in ("drrr", "rrrr", "drrr"):
         p.now += SECOND // 10
-        p.hear(listed(states, how="update"))
+        p.hear(listed(states, how=ListKind.UPDATE))
     p.run(3)
     assert p.kept.out == {0} and all(0 not in p.kept.tables[t] for t in p.kept.bound.values())
 
@@ -623,9 +690,9 @@
 
 def four(pilot):
     """All four endpoints in one zone, so that there is a middle."""
-    entries = tuple((i, 0, 0, 0, "ready", 4.0, 0) for i in range(4))
+    entries = tuple(ListedEndpoint(i, 0, 0, 0, EndpointState.READY, 4.0, 0) for i in range(4))
     made = pilot(proxies=2)
-    made.hear(("listed", ("replace", entries)))
+    made.hear(EndpointsListed(ListKind.REPLACE, entries))
     made.run(10, lambda s: [met(0, e) for e in range(4)])
     return made
 
@@ -636,7 +703,7 @@
     made.run(
         10,
         lambda s: (
-            [("noticed", (e, 0.95 if e == 0 else 0.3, 0)) for e in range(4)] + [met(0, e) for e in range(4)]
+            [HostLoadSampled(e, 0.95 if e == 0 else 0.3, 0) for e in range(4)] + [met(0, e) for e in range(4)]
         ),
     )
     after = made.load(0)
@@ -644,7 +711,7 @@
     made.run(
         120,
         lambda s: (
-            [("noticed", (e, 1.0 if e == 0 else 0.0, 0)) for e in range(4)] + [met(0, e) for e in range(4)]
+            [HostLoadSampled(e, 1.0 if e == 0 else 0.0, 0) for e in range(4)] + [met(0, e) for e in range(4)]
         ),
     )
     assert made.load(0) > 0.45 * before  # a host that lies for ever does not shut it out
@@ -660,7 +727,9 @@
     before = made.load(0)
     made.run(
         10,
-        lambda s: [("noticed", (e, 1.0 if e == 0 else 0.0, 0)) for e in told] + [met(0, e) for e in range(4)],
+        lambda s: (
+            [HostLoadSampled(e, 1.0 if e == 0 else 0.0, 0) for e in told] + [met(0, e) for e in range(4)]
+        ),
     )
     assert made.load(0) == pytest.approx(before, rel=0.02)
 
@@ -672,8 +741,8 @@
     made.run(
         10,
         lambda s: (
-            [("noticed", (e, busy if e == 0 else 0.3, age)) for e in range(4)]
-            + [("noticed", (99, 1.0, 0))]
+            [HostLoadSampled(e, busy if e == 0 else 0.3, age) for e in range(4)]
+            + [HostLoadSampled(99, 1.0, 0)]
             + [met(0, e) for e in range(4)]
         ),
     )
@@ -687,7 +756,7 @@
         made.run(
             10,
             lambda s: (
-                [("noticed", (e, 0.0 if e == 0 else 0.5, 0)) for e in range(told)]
+                [HostLoadSampled(e, 0.0 if e == 0 else 0.5, 0) for e in range(told)]
                 + [met(0, e, dropped=20 if e == 0 else 0) for e in range(4)]
             ),
         )
@@ -698,9 +767,14 @@
 def test_the_first_proxies_of_many_find_tables_of_their_part_only(pilot):
     """At full size the first to join had all the flows known of: its table borrowed of every part, 50 lines a bind."""
     p = pilot("", proxies=0, service={"proxy_count": 400})
-    p.hear(("listed", ("replace", tuple((i, i % 2, 0, 0, "ready", 4.0, 0) for i in range(48)))))
+    p.hear(
+        EndpointsListed(
+            ListKind.REPLACE,
+            tuple(ListedEndpoint(i, i % 2, 0, 0, EndpointState.READY, 4.0, 0) for i in range(48)),
+        )
+    )
     for i in range(40):
-        p.hear(("joined", (i, i % 2, 1.0 + i % 7, False)))
+        p.hear(ProxyJoined(i, i % 2, 1.0 + i % 7, False))
     sizes = [len(p.kept.tables[p.kept.bound[i]]) for i in range(40)]
     assert max(sizes) <= 12 and sum(sizes) < 40 * 6
 
@@ -708,7 +782,12 @@
 def test_what_can_wait_is_not_ordered_behind_a_long_queue():
     """Where the settings let 17 s of lines wait, what would be stale by its turn is decided when its turn comes."""
     channel = Channel(
-        {"lines_per_s": 1500.0, "envelope": 3.0, "most_waiting": 26_300, "late_most_us": SECOND}
+        ServiceSettings(
+            lines_per_second=1500.0,
+            message_overhead_lines=3.0,
+            queue_limit_lines=26_300,
+            longest_delivery_us=SECOND,
+        )
     )
     for waiting, free in ((900, (0, 1, 3, 4)), (1200, (1, 3, 4)), (3000, (3, 4)), (7000, (4,))):
         channel.beyond(waiting - channel.waiting)
@@ -798,7 +877,7 @@
     monkeypatch.setattr(rules, "median", lambda *_: 1 / 0)
     heard = [chance.randrange(50_000, 300_000) for _ in range(301)]
     for latency in heard:
-        p.controller.heard(0, 0, 5, 0, latency, SECOND, ())
+        p.controller.heard(LoadReport(0, 0, 5, 0, latency, SECOND, ()))
     assert p.controller.bound == min(rules.BOUND_TIMES * sorted(heard)[150], p.controller.budget)
 
 
@@ -808,9 +887,9 @@
         proxy = chance.randrange(12)
         news = chance.choice(
             [
-                ("joined", (proxy, proxy % 2, 10.0, True)),
-                ("left", (proxy,)),
-                ("left", (proxy, True)),
+                ProxyJoined(proxy, proxy % 2, 10.0, True),
+                ProxyLeft(proxy),
+                ProxyLeft(proxy, True),
                 met(proxy % 2, chance.randrange(4), 20, chance.randrange(20)),
             ]
         )
@@ -828,14 +907,14 @@
     p = pilot(discovery="on_request")
     waits = []
     for _ in range(5):
-        p.hear(("list_failed", ()))
+        p.hear(WatchFailed())
         waits.append((p.controller.ask_again - p.now) / SECOND)
         p.run(5)  # it asks again meanwhile
     assert all(least <= wait <= 2 * least for least, wait in zip((0.5, 1, 2, 2, 2), waits))
     assert len({wait for wait in waits[2:]}) == 3  # drawn anew each time
-    p.hear(("listed", ("update", ())))
+    p.hear(EndpointsListed(ListKind.UPDATE, ()))
     assert not p.controller.ask_again
-    p.hear(("list_failed", ()))
+    p.hear(WatchFailed())
     assert p.controller.ask_again - p.now <= SECOND
 
 
@@ -843,19 +922,19 @@
     """The page: what waits for a stream that the pilot ends goes on counting; for one that breaks it does not."""
     p = pilot(proxies=3)
     channel = p.controller.channel
-    p.hear(("joined", (3, 1, 10.0, True)))  # in the same instant: its bind waits behind the others'
+    p.hear(ProxyJoined(3, 1, 10.0, True))  # in the same instant: its bind waits behind the others'
     waited = channel.unproved()
     assert channel.open[-1].lines[3] and channel.open[-1].soonest > p.now
-    p.hear(("left", (3, True)), ("joined", (3, 1, 10.0, True)))
+    p.hear(ProxyLeft(3, True), ProxyJoined(3, 1, 10.0, True))
     assert channel.unproved() > waited  # bound on the next stream
-    p.hear(("left", (3,)))
+    p.hear(ProxyLeft(3))
     assert channel.unproved() >= waited
 
 
 def test_a_stream_that_breaks_twice_between_two_rounds_frees_its_lines_once(pilot):
     once, twice = pilot(), pilot()
-    once.hear(("left", (0,)), ("joined", (0, 0, 10.0, True)))
-    twice.hear(*[("left", (0,)), ("joined", (0, 0, 10.0, True))] * 2)
+    once.hear(ProxyLeft(0), ProxyJoined(0, 0, 10.0, True))
+    twice.hear(*[ProxyLeft(0), ProxyJoined(0, 0, 10.0, True)] * 2)
     for name in ("waiting", "total", "placed", "free"):
         assert getattr(once.controller.channel, name) == getattr(twice.controller.channel, name), name
 
@@ -864,31 +943,40 @@
     """What discovery has to tell counts as told by then; a refusal at once still waits ever longer (above)."""
     p = pilot(discovery="on_request")
     for _ in range(4):
-        p.hear(("list_failed", ()))
+        p.hear(WatchFailed())
         p.run(4.25)
         began = p.now = p.controller.ask_again or p.now
         p.hear()
-        assert ("observe", (True,)) in p.kept.calls[-3:]
+        assert ("watch_endpoints", (True,)) in p.kept.calls[-3:]
         p.now = began + 5 * SECOND
-        p.hear(("list_failed", ()))
+        p.hear(WatchFailed())
         assert p.controller.ask_again <= began + 6 * SECOND
 
 
 def test_a_start_in_the_future_is_cold_until_then_and_breaks_nothing(pilot):
     p = pilot()
     p.run(5, lambda s: [met(i // 2, i) for i in range(4)])
-    p.hear(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, p.now + 3600 * SECOND),))))
+    p.hear(
+        EndpointsListed(
+            ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, p.now + 3600 * SECOND),)
+        )
+    )
     p.run(5, lambda s: [met(i // 2, i) for i in range(4)])
     assert 0 < p.load(0) < p.load(1) and not p.kept.emptied
 
 
 def fleet_of_small_tables(pilot, **service):
     """Two zones of 24 endpoints and 24 proxies each: tables of a few endpoints, and a channel of 1,000 lines a second."""
-    service = {"proxy_count": 48, "most_waiting": 20_000, "by_zone": False, "outlier_after": 5} | service
+    service = {
+        "proxy_count": 48,
+        "queue_limit_lines": 20_000,
+        "proxies_join_by_zone": False,
+        "outlier_after_failures": 5,
+    } | service
     made = pilot("", proxies=0, service=service)
-    entries = tuple((i, i // 24, 0, 0, "ready", 4.0, 0) for i in range(48))
-    made.hear(("listed", ("replace", entries)))
-    made.hear(*[("joined", (n, n // 24, 10.0, True)) for n in range(48)])
+    entries = tuple(ListedEndpoint(i, i // 24, 0, 0, EndpointState.READY, 4.0, 0) for i in range(48))
+    made.hear(EndpointsListed(ListKind.REPLACE, entries))
+    made.hear(*[ProxyJoined(n, n // 24, 10.0, True) for n in range(48)])
     made.run(12, lambda second: [met(i // 24, i) for i in range(48)])
     return made
 
@@ -904,7 +992,11 @@
     """A release on two busy seconds of channel: the neighbours of a cold endpoint drain, the cold one stays."""
     made = fleet_of_small_tables(pilot)
     cold = 47
-    made.hear(("listed", ("update", ((cold, 1, 0, 0, "ready", 4.0, made.now - 6 * SECOND),))))
+    made.hear(
+        EndpointsListed(
+            ListKind.UPDATE, (ListedEndpoint(cold, 1, 0, 0, EndpointState.READY, 4.0, made.now - 6 * SECOND),)
+        )
+    )
     made.run(1)
     holding = {
         table: share_after_withdrawals(made, table, cold)
@@ -914,7 +1006,12 @@
     largest = max(holding.values())
     made.controller.channel.beyond(2000)
     draining = {k for table in holding for k in made.kept.tables[table]} - {cold}
-    made.hear(("listed", ("update", tuple((i, i // 24, 0, 0, "draining", 4.0, 0) for i in sorted(draining)))))
+    made.hear(
+        EndpointsListed(
+            ListKind.UPDATE,
+            tuple(ListedEndpoint(i, i // 24, 0, 0, EndpointState.DRAINING, 4.0, 0) for i in sorted(draining)),
+        )
+    )
     assert draining <= made.kept.out
     assert all(
         share_after_withdrawals(made, table, cold) < 2 * largest for table in set(made.kept.bound.values())
@@ -935,7 +1032,7 @@
     controller.write = watched_write
     for change in range(12):
         entries = tuple(
-            (i, i // 24, 0, 0, "ready", 4.0, made.now - (2 + change % 3) * SECOND)
+            ListedEndpoint(i, i // 24, 0, 0, EndpointState.READY, 4.0, made.now - (2 + change % 3) * SECOND)
             for i in range(48)
             if i % 8 == change % 8
         )
@@ -943,22 +1040,24 @@
         controller.channel = Channel(controller.service)
         controller.channel.drain(made.now)
         controller.channel.beyond(1400)  # of the 1,500 behind which a table waits
-        made.hear(("listed", ("update", entries)))
+        made.hear(EndpointsListed(ListKind.UPDATE, entries))
     assert set(made.kept.bound.values()) <= written
 
 
 def test_proxies_that_come_while_many_endpoints_leave_are_given_tables_and_not_each_withdrawal(pilot):
     """A pilot that is left alone gets all proxies during a release: a withdrawal for each would fill its channel for good."""
-    made = fleet_of_small_tables(pilot, proxy_count=400, most_waiting=8000)
+    made = fleet_of_small_tables(pilot, proxy_count=400, queue_limit_lines=8000)
     made.controller.channel.beyond(
         4500
     )  # 4.5 s of queue: nobody is bound behind that as long as nothing drains
-    draining = tuple((i, i // 24, 0, 0, "draining", 4.0, 0) for i in range(48) if i % 3 == 0)
-    comers = [("joined", (n, n % 2, 10.0, False)) for n in range(100, 250)]
-    made.hear(*comers, ("listed", ("update", draining)))
+    draining = tuple(
+        ListedEndpoint(i, i // 24, 0, 0, EndpointState.DRAINING, 4.0, 0) for i in range(48) if i % 3 == 0
+    )
+    comers = [ProxyJoined(n, n % 2, 10.0, False) for n in range(100, 250)]
+    made.hear(*comers, EndpointsListed(ListKind.UPDATE, draining))
     assert all(n in made.kept.bound for n in range(100, 250))
     held = {k for n in made.kept.bound for k in made.kept.tables[made.kept.bound[n]]} - made.kept.out
-    assert held and not held & {entry[0] for entry in draining}
+    assert held and not held & {entry.endpoint for entry in draining}
     assert made.controller.channel.waiting < 0.88 * 8000
 
 
@@ -966,12 +1065,18 @@
     """A pilot that was killed and starts again knows neither what others send it nor what the fleet can do."""
     shares = []
     for age in (2 * SECOND, -1 * SECOND):  # the endpoint's start before and after the first report
-        made = pilot(proxies=4, rules={"cold_share": 0.2, "fall_multiple": 2.5, "warm_after_us": 16 * SECOND})
+        made = pilot(
+            proxies=4,
+            warm_up={"cold_capacity_share": 0.2, "overload_multiple": 2.5, "warm_after_us": 16 * SECOND},
+        )
         started = made.now - age
         made.run(1, lambda second: [met(z, i) for z, i in ((0, 0), (0, 1), (1, 2), (1, 3))])
-        entries = tuple((i, i // 2, 0, 0, "ready", 4.0, started if i == 0 else 0) for i in range(4))
+        entries = tuple(
+            ListedEndpoint(i, i // 2, 0, 0, EndpointState.READY, 4.0, started if i == 0 else 0)
+            for i in range(4)
+        )
         made.now = max(made.now, started + 4 * SECOND)
-        made.hear(("listed", ("replace", entries)))
+        made.hear(EndpointsListed(ListKind.REPLACE, entries))
         made.now = started + 5 * SECOND
         made.controller.plan(made.kept, 2)
         shares.append(made.load(0))
@@ -983,9 +1088,11 @@
     made.run(2, lambda second: [met(z, i) for z, i in ((0, 0), (0, 1), (1, 2), (1, 3))])
     table = made.controller.current[0, 0]
     made.controller.write = lambda *rest: made.controller.held.setdefault(table, 2)  # no room for any table
-    made.hear(listed("grrr", how="update"))
+    made.hear(listed("grrr", how=ListKind.UPDATE))
     assert made.kept.out == {0} and 0 in made.kept.tables[table]
-    made.hear(("listed", ("update", ((0, 0, 0, 0, "ready", 4.0, made.now),))))
+    made.hear(
+        EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, made.now),))
+    )
     assert made.kept.out == {0}
     del made.controller.write
     made.run(1)
@@ -996,13 +1103,22 @@
     """What a dominant line refuses is tried again at the others: two of four drained, one warm and the cold one are left."""
     made = fleet_of_small_tables(pilot)
     cold = 47
-    made.hear(("listed", ("update", ((cold, 1, 0, 0, "ready", 4.0, made.now - 6 * SECOND),))))
+    made.hear(
+        EndpointsListed(
+            ListKind.UPDATE, (ListedEndpoint(cold, 1, 0, 0, EndpointState.READY, 4.0, made.now - 6 * SECOND),)
+        )
+    )
     made.run(1)
     table = next(t for t in set(made.kept.bound.values()) if made.kept.tables[t].get(cold, 0) > 10)
     dominant = next(k for k in made.kept.tables[table] if k != cold)
     made.controller.channel.beyond(2000)  # no room for whole tables, only for what cannot wait
     draining = set(made.kept.tables[table]) - {cold, dominant}
-    made.hear(("listed", ("update", tuple((i, i // 24, 0, 0, "draining", 4.0, 0) for i in sorted(draining)))))
+    made.hear(
+        EndpointsListed(
+            ListKind.UPDATE,
+            tuple(ListedEndpoint(i, i // 24, 0, 0, EndpointState.DRAINING, 4.0, 0) for i in sorted(draining)),
+        )
+    )
     left = {k for k in made.kept.tables[table] if k not in made.kept.out}
     assert table in made.controller.held and left == {dominant}
     made.run(8, lambda second: [met(i // 24, i) for i in range(48) if i not in draining])
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -15,6 +15,7 @@
 
 from ravenshelf.net.accepted import Accepted
 from ravenshelf.net.connection_end import End
+from ravenshelf.policy.events import WatchFailed
 from ravenshelf.process.control_plane import Pilot
 from ravenshelf.process.discovery import IDLE_TIMEOUT, Discovery
 from ravenshelf.rules import SECOND
@@ -219,7 +220,7 @@
         due = (
             pilot.rounds.controller.ask_again
             or ("watch",) in pilot.deadlines.at
-            or "list_failed" in [name for name, _ in pilot.rounds.news]
+            or WatchFailed() in pilot.rounds.news
         )
         if pilot.discovery.watch is None and not due:
             self.wrong.append("no watch is open and none is due")
