--- a/ravenshelf/policy/events.py
+++ b/ravenshelf/policy/events.py
@@ -3,6 +3,9 @@
 Endpoints, proxies, zones and traffic groups are small integers that the caller assigns. Times and durations
 are integer microseconds. The controller receives the events of one control cycle as a list, in the order in
 which they arrived.
+
+Events are not changed once they are made. They are not frozen, because making a frozen dataclass takes four
+times as long, and a control cycle makes thousands.
 """
 
 from dataclasses import dataclass
@@ -25,7 +28,7 @@
     RESTORED = "restored"  # complete, and read from memory rather than from the registry
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class ListedEndpoint:
     """One endpoint as the registry lists it."""
 
@@ -38,7 +41,7 @@
     started_at: int  # 0: long ago
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class EndpointsListed:
     """The registry has sent a list of endpoints, or changes to it."""
 
@@ -46,12 +49,12 @@
     entries: tuple[ListedEndpoint, ...]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class WatchFailed:
     """A call to the registry failed; the last list is still in force."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class ProxyJoined:
     """A proxy has opened its stream."""
 
@@ -61,7 +64,7 @@
     is_fresh: bool  # it holds no table that a control plane sent
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class ProxyLeft:
     """A proxy's stream has ended."""
 
@@ -69,7 +72,7 @@
     ended_here: bool = False  # this server ended it, so what was queued for it still counts as queued
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class LoadReport:
     """What the proxies of one zone observed of one endpoint during one reporting window."""
 
@@ -82,7 +85,7 @@
     load: tuple[float, ...]  # in the order of the settings' telemetry columns; empty: not reported
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class DemandReport:
     """How many requests of one traffic group reached one proxy during one reporting window."""
 
@@ -93,7 +96,7 @@
     window: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class BatchAcknowledged:
     """A proxy has applied everything up to a batch marker."""
 
@@ -102,7 +105,7 @@
     elapsed: int  # from dispatch until it was applied
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class HealthCheckCompleted:
     """A health check has ended."""
 
@@ -112,7 +115,7 @@
     load: tuple[float, ...]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class HostLoadSampled:
     """How busy the machine of an endpoint was, measured on the machine itself."""
 
@@ -121,7 +124,7 @@
     age: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class PeerMessageReceived:
     """Another control-plane server has sent a message."""
 
@@ -129,14 +132,14 @@
     payload: bytes
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class TimerExpired:
     """A timer that the controller started has expired."""
 
     key: str
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class SliceAssigned:
     """A slice of the key space was assigned to this server, or taken from it."""
 
@@ -144,7 +147,7 @@
     assigned: bool
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class SliceWeightStored:
     """The store holds this weight of an endpoint for a slice."""
 
@@ -153,7 +156,7 @@
     weight: float
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class SliceDemandReport:
     """How many requests of one traffic group reached one slice during one reporting window."""
 
