--- a/ravenshelf/distribution/decisions/pilot_controller.py
+++ b/ravenshelf/distribution/decisions/pilot_controller.py
@@ -9,7 +9,8 @@
 from ravenshelf.distribution.decisions.allowance import shares
 from ravenshelf.distribution.decisions.fallback import Source
 from ravenshelf.distribution.messages import TableLine
-from ravenshelf.rules import Channel, Controller
+from ravenshelf.policy.flow_control import ChannelFlowControl
+from ravenshelf.rules import Controller
 from ravenshelf.settings import Settings
 
 TABLE_TOTAL = 1000.0  # weights of a table add up to this, as in the pilot's own
@@ -25,7 +26,7 @@
         self,
         settings: Settings,
         seed: int,
-        channel: Channel | None = None,
+        channel: ChannelFlowControl | None = None,
         *,
         owners_table: OwnersTable,
         index_of: Callable[[str], int | None],
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -186,7 +186,7 @@
         self.controller.round(now, news, self.orders)
         for number in self.orders.marks:  # versions of topics take the place of the channel's answers
             for zone in self.zones:
-                self.controller.channel.applied(zone, number, 0)
+                self.controller.channel.acknowledged(zone, number, 0)
         self.orders.marks.clear()
 
     def service_entries(self) -> dict[str, Entry]:
--- a/ravenshelf/graphite/gather.py
+++ b/ravenshelf/graphite/gather.py
@@ -275,7 +275,7 @@
 
     def _beliefs(self, now: int, controller, put: Callable) -> Iterator[None]:
         channel = controller.channel
-        waiting = max(0.0, channel.waiting - channel.pace * max(0, now - channel.at) / SECOND)
+        waiting = max(0.0, channel.queued_lines - channel.pace * max(0, now - channel.now) / SECOND)
         put(figures.QUEUE, waiting)
         put(figures.QUEUE_PART, waiting / self.most_waiting if self.most_waiting else 0.0)
         put(figures.PACE, channel.pace)
--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -53,8 +53,8 @@
         """Plays a round; gives the calls that are not messages, or None where the module failed."""
         news, self.news = self.news, []
         channel = self.controller.channel
-        channel.drain(now)
-        before = channel.number
+        channel.advance(now)
+        before = channel.batch_number
         try:
             self._settle(channel)
             self.controller.round(now, news, self.sent)
@@ -78,12 +78,12 @@
             if self.tap is not None:
                 self.tap.sent(proxy, parts, ticket)
         # not by what waits before and after: answers heard in this round have taken something out of that
-        charged = channel.open[-1].total if channel.number != before else 0.0
+        charged = channel.batches[-1].total_lines if channel.batch_number != before else 0.0
         self.counters["lines_charged"] += charged
         self.counters["lines_written"] += written
         if written > charged + 1e-6:  # never may the module think the queue shorter than it is
             self.counters["lines_beyond_charge"] += written - charged
-            channel.beyond(written - charged)
+            channel.record_uncharged_lines(written - charged)
         self.counters["rounds"] += 1
         return [*calls, *wakes]
 
@@ -96,8 +96,8 @@
         """Lets back what proxies may shut out by orders that are not known here, as the channel has room for it.
 
         Not with the table itself: when all proxies come at once, twice the lines would overfill the channel."""
-        for proxy, doubts in self.sent.in_doubt() if channel.room(1, (), False) else ():
-            if channel.room(len(doubts), [proxy], False):
+        for proxy, doubts in self.sent.in_doubt() if channel.fits(1, (), False) else ():
+            if channel.fits(len(doubts), [proxy], False):
                 self.sent.let_back(proxy, doubts)
                 channel.charge([proxy], len(doubts))
 
@@ -108,7 +108,7 @@
         self.failures += 1
         self.counters["module_failures"] += 1
         channel = self.controller.channel  # what waits in it waits on, and its marks are not given again
-        channel.drop()
+        channel.discard_charges()
         self.controller = self.make_controller(self.settings, self.seed + self.failures, channel)
         self.sent.forget()
         self.begin()
--- a/ravenshelf/rules.py
+++ b/ravenshelf/rules.py
@@ -2,8 +2,7 @@
 
 import random
 from bisect import insort
-from collections import Counter, defaultdict, deque
-from itertools import accumulate, count, takewhile
+from collections import Counter, defaultdict
 from math import exp, log
 
 from ravenshelf.policy.events import (
@@ -18,6 +17,7 @@
     ProxyLeft,
     WatchFailed,
 )
+from ravenshelf.policy.flow_control import ChannelFlowControl
 from ravenshelf.settings import Settings
 
 READY, GONE = EndpointState.READY, EndpointState.GONE
@@ -41,8 +41,6 @@
 PART_ENDPOINTS, PART_PROXIES = 3, 6  # least of a zone's endpoints, and of its proxies, to a table
 LUKEWARM, FAILING = 0.5, 0.6  # a colder one has no line where the zone's middle is worse
 NOTICED_SPAN, CROWDED, CROWDED_MOST = 20 * SECOND, 0.2, 0.5  # of machines: memory; excess; most loss
-WAITS = (0.7, 1.5, 1.5, 4.0, 1e9)  # seconds of queue behind which an order is stale, by urgency
-MARKS, SLOWEST, UNHEARD = 65_535, 10, 20 * SECOND  # of the wire; usual pace over slowest; passed unanswered
 SLACK, LENT_LEAST, BLIND = 0.2, 0.02, 0.25  # of a part: over its due, lent; cold while no flow is known
 
 
@@ -97,144 +95,6 @@
         return self.asks
 
 
-class Sending:
-    """What a round ordered: lines by proxy not answered for, place, when it may and must have left."""
-
-    def __init__(self, number, at, lines, begins, soonest):
-        self.number, self.at, self.lines, self.begins, self.soonest = number, at, lines, begins, soonest
-        self.total = sum(lines.values())
-        # lines behind each: once it is answered for they can't be long in coming, though answers get lost
-        self.after = {p: self.total - n for p, n in zip(lines, accumulate(lines.values()))}
-        self.ends, self.latest, self.answered, self.before = begins + self.total, 0.0, 0.0, 0.0
-
-
-class Channel:
-    """Counts lines, heads and messages before they are ordered: a full queue breaks a rule.
-
-    What waits for a stream that breaks is dropped, what is ordered later leaves sooner by that. So an answer
-    proves only what lies before it in order and by its place: lines ordered less those dropped as if slow."""
-
-    def __init__(self, service):
-        self.pace = self.usual = max(1.0, service.lines_per_second or 1e9)
-        self.head = 6.0 if service.message_overhead_lines is None else service.message_overhead_lines
-        self.most = service.queue_limit_lines or 1e9
-        self.messages, self.over = service.messages_per_proxy_limit, service.message_count_window_us
-        self.late_most, self.slowest = service.longest_delivery_us, SLOWEST / self.usual * SECOND
-        self.waiting, self.at, self.sent, self.round, self.number = 0.0, 0, {}, {}, 0
-        self.open, self.total, self.placed = deque(), 0.0, 0.0  # not proved to have left; their lines; places
-        self.free, self.latest, self.asked = 0.0, 0.0, 0.0  # all through at the soonest, latest; this round's
-        self.marks, self.proofs = {}, []  # number: its sending; what answers prove: (number, place)
-        self.came, self.turns = defaultdict(int), count()  # proxies are written to as they joined
-
-    def drain(self, now):
-        # time takes lines out at the believed pace, but none that should be answered for and is not
-        self.waiting, self.at = max(0.0, self.waiting - self.pace * (now - self.at) / SECOND), now
-        self.prove()
-        old = sum(s.total for s in takewhile(lambda s: s.at <= now - self.late_most, self.open))
-        self.waiting = max(self.waiting, old - self.open[0].answered if old else 0.0)
-
-    def unproved(self):  # lines that may wait whatever the pace; of the oldest, not those answered for
-        return self.total - self.open[0].answered if self.open else 0.0
-
-    def prove(self):
-        """Takes out, oldest first, what is proved to have left."""
-        while self.open:
-            first = self.open[0]
-            if (
-                first.answered < first.ends - first.begins
-                and first.latest >= self.at - self.late_most
-                and not any(n > first.number and place >= first.ends for n, place in self.proofs)
-            ):
-                break
-            self.total -= first.total
-            self.open.popleft()
-            if self.open:  # whose turn has come
-                following = self.at + (self.open[0].ends - self.open[0].begins) * self.slowest
-                self.open[0].latest = min(self.open[0].latest, following)
-            self.marks.pop(first.number, None)
-        self.proofs = [p for p in self.proofs if self.open and p[0] > self.open[0].number]
-        self.waiting = min(self.waiting, self.unproved())
-
-    def room(self, lines, proxies, urgent):  # whether so many to each of them fit; half is the urgent's
-        heads = sum(p not in self.round for p in proxies)
-        asked = self.asked + len(proxies) * lines + heads * (self.head + 1)
-        if (
-            self.waiting + self.asked > self.usual * WAITS[urgent]  # decided anew in turn; no join starves
-            or self.waiting + asked > self.most * (0.45, 0.65, 0.65, 0.75, 0.88)[urgent]
-            or self.unproved() + asked > self.most * (0.85, 0.85, 0.85, 0.9, 0.95)[urgent]
-        ):
-            return False
-        few = round(self.messages * (0.6, 0.7, 0.8, 0.8, 1.0)[urgent]) or 1e9  # the last for withdrawals
-        return all(p in self.round or self.count(p) < few for p in proxies)
-
-    def count(self, proxy):
-        sent = self.sent.setdefault(proxy, deque())
-        while sent and sent[0] <= self.at - 1.05 * self.over:  # written after it is ordered
-            sent.popleft()
-        return len(sent)
-
-    def charge(self, proxies, lines):
-        for p in proxies:
-            self.asked += lines + (0 if p in self.round else self.head + 1)
-            self.round[p] = self.round.get(p, self.head + 1) + lines
-
-    def drop(self):  # what a round charged that will not be ordered
-        self.round, self.asked = {}, 0.0
-
-    def beyond(self, lines):  # what was written and not charged counts as well, answered for by nobody
-        self.settle(self.at, None, {None: lines})
-
-    def settle(self, now, orders, lines=None):
-        lines = lines or {p: self.round[p] for p in sorted(self.round, key=self.came.__getitem__)}
-        if not lines:
-            return
-        self.number += 1  # a mark is given again only when its first round is long answered for
-        self.free, self.latest = max(self.free, now), max(self.latest, now)
-        sending = Sending(self.number, now, lines, self.placed, self.free)
-        self.free += sending.total * SECOND / self.usual
-        self.latest = min(self.latest + sending.total * self.slowest, now + self.most * self.slowest)
-        sending.latest = max(self.latest, now + UNHEARD)
-        if orders is not None:
-            orders.request_acknowledgement((self.number - 1) % MARKS + 1)
-            self.marks[self.number] = sending
-            for p in self.round:
-                self.sent.setdefault(p, deque()).append(now)
-            self.drop()
-        self.open.append(sending)
-        self.placed, self.total = sending.ends, self.total + sending.total
-        self.waiting += sending.total
-        sending.before = self.waiting
-
-    def applied(self, proxy, mark, took):
-        """The true pace shows in how long a message took against what lay before it, which has passed too."""
-        sending = self.marks.get(self.number - (self.number - mark) % MARKS)
-        if sending is None:
-            return
-        sending.answered += sending.lines.pop(proxy, 0)
-        sending.latest = min(sending.latest, self.at + sending.after.get(proxy, sending.ends) * self.slowest)
-        if not any(n >= sending.number and place >= sending.begins for n, place in self.proofs):
-            self.proofs = [p for p in self.proofs if p[0] > sending.number or p[1] > sending.begins]
-            self.proofs.append((sending.number, sending.begins))
-        self.prove()
-        before, spare = sending.before, took - self.late_most
-        if before and spare > 0 and before / spare * SECOND < self.pace:
-            self.pace = max(0.05 * self.usual, before / spare * SECOND)
-        elif before and took < self.late_most + before / self.usual * SECOND:
-            self.pace += (self.usual - self.pace) * 0.1
-
-    def left(self, proxy, ended=False):
-        """What waits for it is dropped, as much as may be; what this pilot `ended` itself stays counted."""
-        for sending in self.open if ended else ():
-            sending.lines[None] = sending.lines.get(None, 0) + sending.lines.pop(proxy, 0)
-        self.sent.pop(proxy, None)
-        for sending in self.open:
-            if lines := sending.lines.pop(proxy, 0):
-                self.placed, self.free = self.placed - lines * SLOWEST, self.free - lines * self.slowest
-                if sending.soonest > self.at:
-                    sending.total, self.total = sending.total - lines, self.total - lines
-        self.prove()
-
-
 class Curve:
     """Share of missed tries against a zone's demand per listed weight."""
 
@@ -382,7 +242,9 @@
         self.spare = max(1.0, self.rules.overload_multiple / 2)  # over its plan: half of what fells
         self.frail = max(1.0, 3 / max(0.1, self.rules.overload_multiple - 1))  # cold ones fall
         self.zones, self.chance = max(1, len(settings.zones)), random.Random(seed)
-        self.channel = channel or Channel(self.service)  # one that another module has filled goes on
+        self.channel = channel or ChannelFlowControl(
+            self.service
+        )  # one that another module has filled goes on
         self.endpoints, self.proxies, self.lines, self.levels, self.logged = {}, {}, {}, {}, (False, [])
         self.written_at, self.users = {}, defaultdict(dict)  # by table, None: proxies not bound yet
         self.curves = [Curve() for _ in range(self.zones)]
@@ -443,7 +305,7 @@
         self._forget_proxy(proxy, True)
         self.proxies[proxy] = Proxy(min(event.zone, self.zones - 1), event.usual_rate, len(self.groups))
         self.users[None][proxy] = None
-        self.channel.sent[proxy], self.channel.came[proxy] = deque(), next(self.channel.turns)
+        self.channel.proxy_joined(proxy)
 
     def left(self, event):
         self._forget_proxy(event.proxy, event.ended_here)
@@ -451,7 +313,7 @@
     def _forget_proxy(self, proxy, ended):
         if proxy in self.proxies:
             del self.users[self.proxies.pop(proxy).table][proxy]
-        self.channel.left(proxy, ended)
+        self.channel.proxy_left(proxy, ended)
 
     def heard(self, event):
         e, now = self.endpoints.get(event.endpoint), self.now
@@ -494,7 +356,7 @@
             e.noticed.add(self.now, part, part * event.busy)
 
     def applied(self, event):
-        self.channel.applied(event.proxy, event.marker, event.elapsed)
+        self.channel.acknowledged(event.proxy, event.marker, event.elapsed)
 
     # --- estimates ---
     def ramp(self, e):
@@ -620,13 +482,13 @@
         part = 0.15 if users else 0.0
         changes = [(k, w) for k, w in lines.items() if abs(had.get(k, 0) - w) > part * max(had.get(k, 0), w)]
         changes += [(k, 0.0) for k in had if k not in lines]  # comes last: the table always has a line
-        if users and not self.channel.room(len(changes), users, urgent):
+        if users and not self.channel.fits(len(changes), users, urgent):
             self.held[table] = max(self.held.get(table, 0), urgent)
             kept = {k: w for k, w in had.items() if self.open(self.endpoints[k])}
             pressed = self.pressed(kept, lines)
             if len(pressed) < len(kept):  # the table waits, without what would be sent too much
                 changes = [(k, 0.0) for k in pressed]
-            if not changes or not self.channel.room(len(changes), users, WITHDRAWAL):
+            if not changes or not self.channel.fits(len(changes), users, WITHDRAWAL):
                 return
         for k, w in changes:
             orders.set_weight(table, k, w)
@@ -648,7 +510,7 @@
     def bind(self, index, table, orders, urgent):
         lines = self.lines.get(table)
         cost = 1 + len(self.levels.get(table, ())) + sum(1 + self.endpoints[k].benched for k in lines or ())
-        if not lines or not self.channel.room(cost, [index], urgent):
+        if not lines or not self.channel.fits(cost, [index], urgent):
             return False
         orders.bind_proxy(index, table)
         self.channel.charge([index], cost)
@@ -667,7 +529,7 @@
                 if e.index in had
                 for i in self.users[t]
             ]
-            if self.channel.room(1, holding, 1 if e.benched else WITHDRAWAL):
+            if self.channel.fits(1, holding, 1 if e.benched else WITHDRAWAL):
                 e.benched = not e.benched
                 orders.set_ejected(e.index, e.benched)
                 self.channel.charge(holding, 1)
@@ -779,7 +641,7 @@
         for g in range(len(self.groups)):
             old, new = had.get(g, UNLIMITED), levels.get(g, UNLIMITED)
             if abs(old - new) > LEVEL_MOVES * min(old, new):
-                if users and not self.channel.room(1, users, True):
+                if users and not self.channel.fits(1, users, True):
                     return
                 orders.set_admission_level(table, 1 << g, new, 1)
                 self.channel.charge(users, 1)
@@ -796,7 +658,7 @@
 
     def round(self, now, news, orders):
         self.now = now
-        self.channel.drain(now)
+        self.channel.advance(now)
         for event in news:
             handler = self.handlers.get(type(event))
             if handler is not None:
@@ -824,4 +686,4 @@
                 self.plan(orders, max(held.values()), held)
             self.stage(orders)
             orders.start_timer(self.next_step, "step")
-        self.channel.settle(now, orders)
+        self.channel.commit_cycle(now, orders)
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from ravenshelf.rules import SECOND, SLOWEST, Channel
-from ravenshelf.settings import ServiceSettings
+from ravenshelf.policy.flow_control import SLOWEST_FACTOR, ChannelFlowControl
+from ravenshelf.settings import SECOND, ServiceSettings
 
 PROXIES, MOST, USUAL, HEAD, LATE = 500, 26_300, 1500.0, 3, SECOND
 SETTINGS = ServiceSettings(
@@ -27,9 +27,12 @@
 
 
 class Slow:
-    """Messages leave at their time, and wait until all before them have left as well; what waits for a stream
-    that breaks is dropped, and what enters later leaves sooner by that: by what it would take now, or by what it
-    took when it entered (`own`). The pages leave that open, so the limit is kept under both readings."""
+    """Messages leave at their time, and wait until all before them have left as well.
+
+    What waits for a stream that breaks is dropped, and what enters later leaves sooner by that: by what it
+    would take now, or by what it took when it entered (`own`). The pages leave that open, so the limit is
+    kept under both readings.
+    """
 
     def __init__(self, own: bool):
         self.own = own
@@ -62,7 +65,7 @@
 class Schedule:
     """A minute of joins, messages of all sizes, three times when most streams break, and a slow spell."""
 
-    def __init__(self, seed: int, channel: Channel, own: bool = False):
+    def __init__(self, seed: int, channel: ChannelFlowControl, own: bool = False):
         self.chance, self.channel, self.true, self.marks = random.Random(seed), channel, Slow(own), []
         self.slow = sorted(self.chance.sample(range(60), 2)) if seed % 2 else (0, 0)
         self.broken, self.answers, self.entered = self.chance.sample(range(4, 60), 3), [], 0
@@ -80,19 +83,19 @@
         if n % 20 == 0 and n // 20 in self.broken:
             for proxy in chance.sample(range(PROXIES), PROXIES * 7 // 10):
                 self.true.broke(proxy)
-                channel.left(proxy)
+                channel.proxy_left(proxy)
                 self.answers = [a for a in self.answers if a[1].proxy != proxy]
-        channel.drain(now)
+        channel.advance(now)
         for at, m in [a for a in self.answers if a[0] <= now]:
-            channel.applied(m.proxy, m.mark, at - m.entered)
+            channel.acknowledged(m.proxy, m.mark, at - m.entered)
         self.answers = [a for a in self.answers if a[0] > now]
         sent: dict[int, int] = {}
         for _ in range(chance.choice((1, 3, 80))):
             proxy, lines = chance.randrange(PROXIES), chance.choice((4, 12, 50))
-            if channel.room(lines, [proxy], chance.choice((0, 3, 4))):
+            if channel.fits(lines, [proxy], chance.choice((0, 3, 4))):
                 channel.charge([proxy], lines)
                 sent[proxy] = sent.get(proxy, 0) + lines
-        channel.settle(now, self)
+        channel.commit_cycle(now, self)
         for proxy, lines in sent.items():
             self.true.enter(proxy, lines + 1, self.marks[-1])
             self.entered += lines
@@ -103,45 +106,45 @@
     "seed", [*range(16), 19, 39, 1027, 1059, 1069, 1119]
 )  # the last ones broke it at some time
 def test_what_waits_never_passes_the_limit(seed, own):
-    schedule = Schedule(seed, Channel(SETTINGS), own)
+    schedule = Schedule(seed, ChannelFlowControl(SETTINGS), own)
     for n in range(1200):
         schedule.tick(n)
     assert schedule.true.most <= MOST and schedule.entered > 15_000
 
 
-class Marks250(Channel):
+class Marks250(ChannelFlowControl):
     """Numbers that come again while their first round waits."""
 
-    def applied(self, proxy, mark, took):
-        again = self.number - (self.number - mark) % 250
-        super().applied(proxy, again, took)
+    def acknowledged(self, proxy, mark, took):
+        again = self.batch_number - (self.batch_number - mark) % 250
+        super().acknowledged(proxy, again, took)
 
 
-class NoHeads(Channel):
+class NoHeads(ChannelFlowControl):
     def __init__(self, service):
         super().__init__(service)
-        self.head = -1
+        self.message_overhead = -1
 
 
-class DropsAtTheUsualPace(Channel):
+class DropsAtTheUsualPace(ChannelFlowControl):
     """What breaks is taken for ordered at the usual pace, though the channel may have been slow."""
 
-    def left(self, proxy):
-        before, free = self.placed, self.free
-        super().left(proxy)
-        self.placed, self.free = (
-            before - (before - self.placed) / SLOWEST,
-            free - (free - self.free) / SLOWEST,
+    def proxy_left(self, proxy):
+        before, free = self.next_position, self.earliest_idle
+        super().proxy_left(proxy)
+        self.next_position, self.earliest_idle = (
+            before - (before - self.next_position) / SLOWEST_FACTOR,
+            free - (free - self.earliest_idle) / SLOWEST_FACTOR,
         )
 
 
-class AnyAnswerProves(Channel):
+class AnyAnswerProves(ChannelFlowControl):
     """An answer taken as proof of all that was ordered before it, whatever broke in between."""
 
-    def left(self, proxy):
-        placed = self.placed
-        super().left(proxy)
-        self.placed = placed
+    def proxy_left(self, proxy):
+        placed = self.next_position
+        super().proxy_left(proxy)
+        self.next_position = placed
 
 
 @pytest.mark.parametrize("broken", [Marks250, NoHeads, AnyAnswerProves, DropsAtTheUsualPace])
@@ -157,51 +160,55 @@
 
 def ordered(channel, proxies, lines=20):
     channel.charge(proxies, lines)
-    channel.settle(channel.at, type("Marks", (), {"request_acknowledgement": lambda self, number: None})())
-    return channel.number
+    channel.commit_cycle(
+        channel.now, type("Marks", (), {"request_acknowledgement": lambda self, number: None})()
+    )
+    return channel.batch_number
 
 
 def test_one_lost_answer_does_not_keep_all_that_was_ordered_later_waiting():
-    """South-delivery, join, seed 11: streams broke, one answer was spoilt, 11,132 lines counted as waiting for 20 s."""
-    channel = Channel(SETTINGS)
+    """South-delivery, join, seed 11: one answer was spoilt, 11,132 lines counted as waiting for 20 s."""
+    channel = ChannelFlowControl(SETTINGS)
     first = ordered(channel, range(100))
     for proxy in range(40, 90):  # what they had waiting makes room for what comes next
-        channel.left(proxy)
+        channel.proxy_left(proxy)
     second = ordered(channel, range(200, 400), 2)
     now = 4 * SECOND
-    channel.drain(now)
+    channel.advance(now)
     for mark, proxies in (first, [*range(39), *range(90, 100)]), (second, range(200, 400)):
         for proxy in proxies:  # all but one of the first
-            channel.applied(proxy, mark, SECOND)
-    assert channel.unproved() > 1000  # the last of it may lie behind what was answered for
-    channel.drain(now + SETTINGS.longest_delivery_us + 24 * SECOND // 150 + 1)
-    assert channel.unproved() == channel.waiting == 0
+            channel.acknowledged(proxy, mark, SECOND)
+    assert channel.unproved_lines() > 1000  # the last of it may lie behind what was answered for
+    channel.advance(now + SETTINGS.longest_delivery_us + 24 * SECOND // 150 + 1)
+    assert channel.unproved_lines() == channel.queued_lines == 0
 
 
 def test_what_nobody_answers_for_waits_as_long_as_the_slowest_channel_takes():
-    channel = Channel(SETTINGS)
+    channel = ChannelFlowControl(SETTINGS)
     ordered(channel, range(2), 7)  # 22 lines: at a tenth of the pace they pass in 150 ms
-    channel.drain(20 * SECOND)
-    assert channel.unproved() == 22  # yet nothing is taken for gone before 20 s
-    channel.drain(21 * SECOND + 1)
-    assert not channel.unproved()
+    channel.advance(20 * SECOND)
+    assert channel.unproved_lines() == 22  # yet nothing is taken for gone before 20 s
+    channel.advance(21 * SECOND + 1)
+    assert not channel.unproved_lines()
     ordered(channel, range(240), 96)  # 24,000 lines take 160 s
-    began = channel.at
-    channel.drain(began + 155 * SECOND)
-    assert channel.unproved() == 24_000
-    channel.drain(began + 162 * SECOND)
-    assert not channel.unproved()
+    began = channel.now
+    channel.advance(began + 155 * SECOND)
+    assert channel.unproved_lines() == 24_000
+    channel.advance(began + 162 * SECOND)
+    assert not channel.unproved_lines()
 
 
 def test_what_is_dropped_with_a_stream_counts_until_it_is_sure_not_to_have_left():
-    channel = Channel(SETTINGS)
+    channel = ChannelFlowControl(SETTINGS)
     channel.charge([1, 2], 96)
-    channel.settle(0, type("Marks", (), {"request_acknowledgement": lambda self, number: None})())
-    channel.left(1)
-    assert channel.waiting == channel.unproved() == 200  # it may have left, and wait for what is older
-    channel.beyond(20)
-    assert channel.unproved() == 220  # written beyond the charge: no answer takes it out
+    channel.commit_cycle(0, type("Marks", (), {"request_acknowledgement": lambda self, number: None})())
+    channel.proxy_left(1)
+    assert (
+        channel.queued_lines == channel.unproved_lines() == 200
+    )  # it may have left, and wait for what is older
+    channel.record_uncharged_lines(20)
+    assert channel.unproved_lines() == 220  # written beyond the charge: no answer takes it out
     channel.charge([1, 2], 96)
-    channel.settle(0, type("Marks", (), {"request_acknowledgement": lambda self, number: None})())
-    channel.left(1)
-    assert channel.unproved() == 320  # this one can't have left yet
+    channel.commit_cycle(0, type("Marks", (), {"request_acknowledgement": lambda self, number: None})())
+    channel.proxy_left(1)
+    assert channel.unproved_lines() == 320  # this one can't have left yet
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -491,13 +491,13 @@
     p.run(listed)
     assert "out=s-1" in p.out[0][1]
     p.run(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, 0),)))
-    p.rounds.controller.channel.waiting = 0.0
-    p.rounds.controller.channel.open.clear()
+    p.rounds.controller.channel.queued_lines = 0.0
+    p.rounds.controller.channel.batches.clear()
     p.rounds.controller.round = lambda now, news, orders: orders.request_acknowledgement(
         5, True
     )  # charges nothing
     p.run()
-    assert p.counters["lines_beyond_charge"] == 1 + 3 == p.rounds.controller.channel.waiting
+    assert p.counters["lines_beyond_charge"] == 1 + 3 == p.rounds.controller.channel.queued_lines
 
 
 def test_an_answer_in_the_round_is_no_part_of_its_charge(play):
@@ -515,7 +515,7 @@
     p = play()
     p.run(join(0, False))
     assert "back=" not in p.out[0][1]
-    p.rounds.controller.channel.beyond(1e6)
+    p.rounds.controller.channel.record_uncharged_lines(1e6)
     p.run()
     assert not p.out
     p.now += 2000 * SECOND
@@ -559,18 +559,22 @@
 def test_a_module_that_starts_over_knows_what_waits_and_gives_no_mark_twice(play):
     p = play()
     p.run(join(0), join(1))
-    channel, waited = p.rounds.controller.channel, p.rounds.controller.channel.unproved()
+    channel, waited = p.rounds.controller.channel, p.rounds.controller.channel.unproved_lines()
     assert waited
     p.rounds.controller.follow_list = lambda orders: (
         channel.charge([0], 50) or 1 / 0
     )  # half a round is charged
     assert p.run(EndpointsListed(ListKind.UPDATE, ())) is None
-    assert p.rounds.controller.channel is channel and channel.unproved() == waited and not channel.round
+    assert (
+        p.rounds.controller.channel is channel
+        and channel.unproved_lines() == waited
+        and not channel.cycle_charges
+    )
     p.run()
     tickets = [int(text.split("ticket=")[1].split()[0]) for _, text in p.out]
-    assert set(tickets) == {2} and channel.unproved() > waited
+    assert set(tickets) == {2} and channel.unproved_lines() > waited
     p.run(BatchAcknowledged(0, 2, 1000), BatchAcknowledged(1, 2, 1000))
-    assert not channel.unproved()
+    assert not channel.unproved_lines()
 
 
 # --- the loop's turns, with a clock and a loop set by hand ---
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -23,7 +23,8 @@
     TimerExpired,
     WatchFailed,
 )
-from ravenshelf.rules import SECOND, Channel, Curve, read_curve, solve_spill, spread, water_level
+from ravenshelf.policy.flow_control import ChannelFlowControl
+from ravenshelf.rules import SECOND, Curve, read_curve, solve_spill, spread, water_level
 from ravenshelf.settings import ServiceSettings, TelemetrySettings
 
 FLAT = [(10.0, 0.0), (20.0, 1.0)]
@@ -107,7 +108,7 @@
 
 
 def test_channel_keeps_to_its_lines_and_messages():
-    channel = Channel(
+    channel = ChannelFlowControl(
         ServiceSettings(
             lines_per_second=100.0,
             message_overhead_lines=3.0,
@@ -119,17 +120,17 @@
     )
     kept = type("Marks", (), {"request_acknowledgement": lambda self, number: None})()
     assert (
-        not channel.room(60, [1], False) and channel.room(60, [1], True) and not channel.room(90, [1], True)
+        not channel.fits(60, [1], False) and channel.fits(60, [1], True) and not channel.fits(90, [1], True)
     )
     for n in range(4):
-        assert channel.room(1, [1], True)
+        assert channel.fits(1, [1], True)
         channel.charge([1], 1)
-        channel.settle(n * SECOND, kept)
-        channel.drain((n + 1) * SECOND)
-    assert not channel.room(1, [1], True)  # what is left of the six is for withdrawals
-    assert channel.room(1, [1], 2)
-    channel.drain(30 * SECOND)
-    assert channel.room(1, [1], True)
+        channel.commit_cycle(n * SECOND, kept)
+        channel.advance((n + 1) * SECOND)
+    assert not channel.fits(1, [1], True)  # what is left of the six is for withdrawals
+    assert channel.fits(1, [1], 2)
+    channel.advance(30 * SECOND)
+    assert channel.fits(1, [1], True)
 
 
 def test_withdrawals_keep_to_the_messages_of_a_proxy_too(pilot):
@@ -137,9 +138,9 @@
     times = []
     for n in range(40):  # a flapping list: each change would be a message of its own
         p.now += SECOND // 4
-        before = list(p.controller.channel.sent.get(0, ()))
+        before = list(p.controller.channel.sent_times.get(0, ()))
         p.hear(listed("drrr" if n % 2 else "rrrr", how=ListKind.UPDATE))
-        times += [p.now] * (list(p.controller.channel.sent[0])[-1:] != before[-1:])
+        times += [p.now] * (list(p.controller.channel.sent_times[0])[-1:] != before[-1:])
     assert 3 <= len(times) <= 6
     p.run(12)
     assert p.kept.out == {0}
@@ -147,7 +148,7 @@
 
 def test_answers_are_booked_to_their_own_round_however_many_wait():
     """A mass join makes a round a tick; at full size 258 of them waited, and numbers that came again hid 250."""
-    channel = Channel(
+    channel = ChannelFlowControl(
         ServiceSettings(
             lines_per_second=1500.0,
             message_overhead_lines=3.0,
@@ -158,17 +159,17 @@
     marks = []
     orders = type("Marks", (), {"request_acknowledgement": lambda self, number: marks.append(number)})()
     for n in range(600):
-        channel.drain(n * 6000)
+        channel.advance(n * 6000)
         channel.charge([n], 20)
-        channel.settle(n * 6000, orders)
+        channel.commit_cycle(n * 6000, orders)
     assert len(set(marks)) == 600
-    before = channel.unproved()
-    channel.applied(10, marks[10], 900_000)
-    assert before - channel.unproved() == 11 * 24 and channel.waiting > 400 * 24
+    before = channel.unproved_lines()
+    channel.acknowledged(10, marks[10], 900_000)
+    assert before - channel.unproved_lines() == 11 * 24 and channel.queued_lines > 400 * 24
 
 
 def test_channel_learns_a_slow_pace_from_its_acks():
-    channel = Channel(
+    channel = ChannelFlowControl(
         ServiceSettings(
             lines_per_second=1000.0,
             message_overhead_lines=3.0,
@@ -177,15 +178,15 @@
         )
     )
     channel.charge(range(20), 46)
-    channel.settle(0, type("Marks", (), {"request_acknowledgement": lambda self, number: None})())
-    channel.drain(SECOND)
-    channel.applied(0, 1, 10 * SECOND)
+    channel.commit_cycle(0, type("Marks", (), {"request_acknowledgement": lambda self, number: None})())
+    channel.advance(SECOND)
+    channel.acknowledged(0, 1, 10 * SECOND)
     assert channel.pace < 150
 
 
 def test_what_is_not_answered_for_still_waits_whatever_the_pace():
     marks = type("Marks", (), {"request_acknowledgement": lambda self, number: None})()
-    channel = Channel(
+    channel = ChannelFlowControl(
         ServiceSettings(
             lines_per_second=1000.0,
             message_overhead_lines=3.0,
@@ -195,17 +196,17 @@
     )
     for number in (1, 2):
         channel.charge(range(10), 46)
-        channel.settle(0, marks)
-    assert channel.waiting == 1000
-    channel.drain(SECOND // 4)
-    assert channel.waiting == 750  # not answered for yet, and need not be
-    channel.drain(10 * SECOND)
-    assert channel.waiting == 1000  # the channel stands still, or nearly
-    channel.applied(3, 2, 10 * SECOND)
-    channel.drain(10 * SECOND)
-    assert channel.waiting == 450  # what was ordered before it has passed, answered for or not
-    channel.drain(21 * SECOND)
-    assert channel.waiting == 0  # answers that are lost don't hold the queue for ever
+        channel.commit_cycle(0, marks)
+    assert channel.queued_lines == 1000
+    channel.advance(SECOND // 4)
+    assert channel.queued_lines == 750  # not answered for yet, and need not be
+    channel.advance(10 * SECOND)
+    assert channel.queued_lines == 1000  # the channel stands still, or nearly
+    channel.acknowledged(3, 2, 10 * SECOND)
+    channel.advance(10 * SECOND)
+    assert channel.queued_lines == 450  # what was ordered before it has passed, answered for or not
+    channel.advance(21 * SECOND)
+    assert channel.queued_lines == 0  # answers that are lost don't hold the queue for ever
 
 
 @pytest.mark.parametrize(
@@ -228,7 +229,11 @@
 def test_unbound_proxies_are_charged_for_a_withdrawal(pilot):
     p = pilot()
     p.hear(ProxyJoined(9, 0, 1.0, False), listed("drrr"))
-    assert p.controller.channel.waiting > 0 and 9 in p.controller.channel.sent and p.kept.bound[9] is not None
+    assert (
+        p.controller.channel.queued_lines > 0
+        and 9 in p.controller.channel.sent_times
+        and p.kept.bound[9] is not None
+    )
 
 
 def test_what_returns_is_let_in_again_from_its_cold_share(pilot):
@@ -630,18 +635,18 @@
 
 def test_withdrawals_cost_only_the_proxies_that_hold_the_endpoint(pilot):
     p = pilot(proxies=8)
-    before = p.controller.channel.waiting
+    before = p.controller.channel.queued_lines
     p.hear(listed("drrr"))
-    spent = p.controller.channel.waiting - before
+    spent = p.controller.channel.queued_lines - before
     assert p.kept.out == {0} and 0 < spent < 4 * (3 + 1 + 3) + 4  # four of eight: a head, a mark, few lines
 
 
 def test_a_proxy_that_joins_behind_a_queue_of_table_changes_is_bound_at_once(pilot):
     p = pilot(proxies=2)
-    p.controller.channel.waiting = 0.7 * p.controller.channel.most
+    p.controller.channel.queued_lines = 0.7 * p.controller.channel.queue_limit
     p.hear(ProxyJoined(2, 0, 10.0, False))
     assert 2 in p.kept.bound
-    p.controller.channel.beyond(0.7 * p.controller.channel.most)
+    p.controller.channel.record_uncharged_lines(0.7 * p.controller.channel.queue_limit)
     p.hear(listed("rrdr", how=ListKind.UPDATE))
     assert 2 in p.kept.out and p.controller.held  # the withdrawal goes, tables wait for their turn
 
@@ -782,7 +787,7 @@
 
 def test_what_can_wait_is_not_ordered_behind_a_long_queue():
     """Where the settings let 17 s of lines wait, what would be stale by its turn is decided when its turn comes."""
-    channel = Channel(
+    channel = ChannelFlowControl(
         ServiceSettings(
             lines_per_second=1500.0,
             message_overhead_lines=3.0,
@@ -791,8 +796,8 @@
         )
     )
     for waiting, free in ((900, (0, 1, 3, 4)), (1200, (1, 3, 4)), (3000, (3, 4)), (7000, (4,))):
-        channel.beyond(waiting - channel.waiting)
-        assert tuple(u for u in (0, 1, 3, 4) if channel.room(10, [1], u)) == free
+        channel.record_uncharged_lines(waiting - channel.queued_lines)
+        assert tuple(u for u in (0, 1, 3, 4) if channel.fits(10, [1], u)) == free
 
 
 def plain_spill(demand, capacity, curves, stretch):
@@ -924,19 +929,19 @@
     p = pilot(proxies=3)
     channel = p.controller.channel
     p.hear(ProxyJoined(3, 1, 10.0, True))  # in the same instant: its bind waits behind the others'
-    waited = channel.unproved()
-    assert channel.open[-1].lines[3] and channel.open[-1].soonest > p.now
+    waited = channel.unproved_lines()
+    assert channel.batches[-1].lines[3] and channel.batches[-1].earliest_start > p.now
     p.hear(ProxyLeft(3, True), ProxyJoined(3, 1, 10.0, True))
-    assert channel.unproved() > waited  # bound on the next stream
+    assert channel.unproved_lines() > waited  # bound on the next stream
     p.hear(ProxyLeft(3))
-    assert channel.unproved() >= waited
+    assert channel.unproved_lines() >= waited
 
 
 def test_a_stream_that_breaks_twice_between_two_rounds_frees_its_lines_once(pilot):
     once, twice = pilot(), pilot()
     once.hear(ProxyLeft(0), ProxyJoined(0, 0, 10.0, True))
     twice.hear(*[ProxyLeft(0), ProxyJoined(0, 0, 10.0, True)] * 2)
-    for name in ("waiting", "total", "placed", "free"):
+    for name in ("queued_lines", "unproved_total", "next_position", "earliest_idle"):
         assert getattr(once.controller.channel, name) == getattr(twice.controller.channel, name), name
 
 
@@ -1005,7 +1010,7 @@
         if cold in made.kept.tables[table]
     }
     largest = max(holding.values())
-    made.controller.channel.beyond(2000)
+    made.controller.channel.record_uncharged_lines(2000)
     draining = {k for table in holding for k in made.kept.tables[table]} - {cold}
     made.hear(
         EndpointsListed(
@@ -1038,9 +1043,9 @@
             if i % 8 == change % 8
         )
         made.now += SECOND // 8
-        controller.channel = Channel(controller.service)
-        controller.channel.drain(made.now)
-        controller.channel.beyond(1400)  # of the 1,500 behind which a table waits
+        controller.channel = ChannelFlowControl(controller.service)
+        controller.channel.advance(made.now)
+        controller.channel.record_uncharged_lines(1400)  # of the 1,500 behind which a table waits
         made.hear(EndpointsListed(ListKind.UPDATE, entries))
     assert set(made.kept.bound.values()) <= written
 
@@ -1048,7 +1053,7 @@
 def test_proxies_that_come_while_many_endpoints_leave_are_given_tables_and_not_each_withdrawal(pilot):
     """A pilot that is left alone gets all proxies during a release: a withdrawal for each would fill its channel for good."""
     made = fleet_of_small_tables(pilot, proxy_count=400, queue_limit_lines=8000)
-    made.controller.channel.beyond(
+    made.controller.channel.record_uncharged_lines(
         4500
     )  # 4.5 s of queue: nobody is bound behind that as long as nothing drains
     draining = tuple(
@@ -1059,7 +1064,7 @@
     assert all(n in made.kept.bound for n in range(100, 250))
     held = {k for n in made.kept.bound for k in made.kept.tables[made.kept.bound[n]]} - made.kept.out
     assert held and not held & {entry.endpoint for entry in draining}
-    assert made.controller.channel.waiting < 0.88 * 8000
+    assert made.controller.channel.queued_lines < 0.88 * 8000
 
 
 def test_a_cold_endpoint_that_started_before_the_pilot_gets_little(pilot):
@@ -1112,7 +1117,9 @@
     made.run(1)
     table = next(t for t in set(made.kept.bound.values()) if made.kept.tables[t].get(cold, 0) > 10)
     dominant = next(k for k in made.kept.tables[table] if k != cold)
-    made.controller.channel.beyond(2000)  # no room for whole tables, only for what cannot wait
+    made.controller.channel.record_uncharged_lines(
+        2000
+    )  # no room for whole tables, only for what cannot wait
     draining = set(made.kept.tables[table]) - {cold, dominant}
     made.hear(
         EndpointsListed(
