--- a/benchmarks/neighbour.py
+++ b/benchmarks/neighbour.py
@@ -19,8 +19,8 @@
     LoadReport,
     ProxyJoined,
 )
-from ravenshelf.rules import SECOND, Controller
-from ravenshelf.settings import ServiceSettings, Settings, TrafficGroup
+from ravenshelf.rules import Controller
+from ravenshelf.settings import SECOND, ServiceSettings, Settings, TrafficGroup
 
 ENDPOINTS, PROXIES, BEGINS, ENDS = 12, 24, 60, 120
 HURT = 0  # the endpoint with the neighbour
--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -37,8 +37,7 @@
     decode,
     encode,
 )
-from ravenshelf.rules import SECOND
-from ravenshelf.settings import decode_settings
+from ravenshelf.settings import SECOND, decode_settings
 
 START = 1000 * SECOND
 SERVICE_ENDPOINTS = 30  # 36,000 endpoints over 1,200 services
--- a/benchmarks/scale/pilots.py
+++ b/benchmarks/scale/pilots.py
@@ -17,9 +17,9 @@
     LoadReport,
     ProxyJoined,
 )
+from ravenshelf.policy.spill_solver import solve_spill
 from ravenshelf.process.control_cycle import ControlCycle
-from ravenshelf.rules import SECOND, solve_spill
-from ravenshelf.settings import Settings, decode_settings
+from ravenshelf.settings import SECOND, Settings, decode_settings
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.endpoint_registry import EndpointRegistry
 from ravenshelf.state.proxy_tables import ProxyTables
--- a/ravenshelf/rules.py
+++ b/ravenshelf/rules.py
@@ -3,8 +3,9 @@
 import random
 from bisect import insort
 from collections import Counter, defaultdict
-from math import exp, log
+from math import exp
 
+from ravenshelf.policy.decayed_sums import DecayedSums, median, median_or
 from ravenshelf.policy.events import (
     BatchAcknowledged,
     DemandReport,
@@ -18,18 +19,19 @@
     WatchFailed,
 )
 from ravenshelf.policy.flow_control import ChannelFlowControl
-from ravenshelf.settings import Settings
+from ravenshelf.policy.miss_curves import MissCurve
+from ravenshelf.policy.partition_shares import partition_shares
+from ravenshelf.policy.spill_solver import solve_spill
+from ravenshelf.policy.water_filling import water_filling_level
+from ravenshelf.settings import SECOND, Settings
 
 READY, GONE = EndpointState.READY, EndpointState.GONE
 
-SECOND = 1_000_000
 BEAT, STEP, STAGE_PART = 5 * SECOND // 2, SECOND // 4, 0.2  # the solver's beat; steps of a staging
 DEMAND_SPAN = 5 * SECOND // 2  # fades as old, on the mean, as what a window of 5 s holds
-TARGET, QUANTUM, ZONES_FINE = 0.05, 0.01, 8  # of misses; of demand; of more zones quanta are coarser
 BOUND_TIMES, BOUND_HEARD = 3, 10 * SECOND  # the bound of a miss: times the median of the first while
 RAMP, RETURN = 30 * SECOND, 10 * SECOND  # of a new endpoint; within which a zone that was lost returns
-BUCKET, CURVE_SPAN, POOLED, STEEP = 0.12, 25 * SECOND, 0.15, 0.6  # of a curve: width; memory; others; rise
-MARGIN, GAP_MOVES = 1.2, 1000  # demand may rise so until tables are in force; a gap's least move
+GAP_MOVES = 1000  # a gap's least move
 HEALTH_SPAN, HEALTH_PRIOR, FADED = 6 * SECOND, 3.0, 0.02
 PACE_SPAN, PACE_LEAST, PACE_MOST = 12 * SECOND, 0.1, 2.0
 WORTH_LINES, LEVEL_MOVES = 0.08, 0.1  # parts that must have moved for a table or a level to be sent
@@ -41,23 +43,7 @@
 PART_ENDPOINTS, PART_PROXIES = 3, 6  # least of a zone's endpoints, and of its proxies, to a table
 LUKEWARM, FAILING = 0.5, 0.6  # a colder one has no line where the zone's middle is worse
 NOTICED_SPAN, CROWDED, CROWDED_MOST = 20 * SECOND, 0.2, 0.5  # of machines: memory; excess; most loss
-SLACK, LENT_LEAST, BLIND = 0.2, 0.02, 0.25  # of a part: over its due, lent; cold while no flow is known
-
-
-class Decaying:
-    """A few sums that fade with time, brought up to date when they are read."""
-
-    def __init__(self, span, size):
-        self.span, self.at, self.sums = span, 0, [0.0] * size
-
-    def read(self, now):
-        if now > self.at:
-            fade = exp((self.at - now) / self.span)
-            self.at, self.sums = now, [x * fade for x in self.sums]
-        return self.sums
-
-    def add(self, now, *values):
-        self.sums = [x + y for x, y in zip(self.read(now), values)]
+BLIND = 0.25  # cold while no flow is known
 
 
 class Endpoint:
@@ -66,14 +52,14 @@
     def __init__(self, index, start):
         self.index, self.zone, self.kind, self.state = index, 0, 0, None
         self.weight, self.start, self.benched, self.order = 1.0, start, False, None
-        self.noticed = Decaying(NOTICED_SPAN, 2)  # readings of its machine, busy share
+        self.noticed = DecayedSums(NOTICED_SPAN, 2)  # readings of its machine, busy share
         self.forget()
 
     def forget(self):
-        self.tries = Decaying(HEALTH_SPAN, 2)  # tries, dropped
-        self.misses = Decaying(2 * SECOND, 2)  # tries, missed
-        self.busy = Decaying(2 * SECOND, 2)  # reports, load reported for each weight
-        self.latency = Decaying(PACE_SPAN, 2)  # delivered, delivered x latency
+        self.tries = DecayedSums(HEALTH_SPAN, 2)  # tries, dropped
+        self.misses = DecayedSums(2 * SECOND, 2)  # tries, missed
+        self.busy = DecayedSums(2 * SECOND, 2)  # reports, load reported for each weight
+        self.latency = DecayedSums(PACE_SPAN, 2)  # delivered, delivered x latency
 
     def fade(self, now):
         """Share of tries that come to something; never 0, and it returns as the evidence fades."""
@@ -83,7 +69,11 @@
 
 class Proxy:
     def __init__(self, zone, usual, groups):
-        self.zone, self.usual, self.flows = zone, usual, Decaying(DEMAND_SPAN, 2 * groups)  # flows, seconds
+        self.zone, self.usual, self.flows = (
+            zone,
+            usual,
+            DecayedSums(DEMAND_SPAN, 2 * groups),
+        )  # flows, seconds
         self.table = self.part = self.asks = self.read = None  # the last two: demand as last read, and when
 
     def demand(self, now):
@@ -95,146 +85,6 @@
         return self.asks
 
 
-class Curve:
-    """Share of missed tries against a zone's demand per listed weight."""
-
-    def __init__(self):
-        self.buckets = {}
-
-    def add(self, now, x, tries, missed):
-        self.buckets.setdefault(round(log(x) / BUCKET), Decaying(CURVE_SPAN, 2)).add(now, tries, missed)
-
-    @staticmethod
-    def fit(now, own, others):
-        """Points (x, share) that rise with x, from a zone's own buckets and, for little, the others'."""
-        sums = {}
-        for curve, part in [(own, 1.0)] + [(o, POOLED) for o in others]:
-            for k, decaying in curve.buckets.items():
-                tries, missed = decaying.read(now)
-                had = sums.setdefault(k, [0.0, 0.0])
-                had[0], had[1] = had[0] + part * tries, had[1] + part * missed
-        points = []  # pools adjacent violators: misses don't fall with demand, whatever a long tail says
-        for k in sorted(k for k in sums if sums[k][0] >= 1.0):
-            points.append((exp(k * BUCKET), *sums[k]))
-            while len(points) > 1 and points[-2][2] * points[-1][1] >= points[-1][2] * points[-2][1]:
-                (x0, t0, m0), (x1, t1, m1) = points[-2:]
-                points[-2:] = [((x0 * t0 + x1 * t1) / (t0 + t1), t0 + t1, m0 + m1)]
-        hull = [(0.0, 0.0)]  # convex: a jammed zone's curve goes flat and would have it given up
-        for x, tries, missed in points:
-            while len(hull) > 1 and (
-                (hull[-1][1] - hull[-2][1]) * (x - hull[-1][0])
-                > (missed / tries - hull[-1][1]) * (hull[-1][0] - hull[-2][0])
-            ):
-                hull.pop()
-            hull.append((x, missed / tries))
-        return hull[1:]
-
-
-def read_curve(points, x):
-    """Misses expected at x; past the last point they go on rising, so that more load is never free."""
-    for (x0, y0), (x1, y1) in zip([(0.0, 0.0), *points], points):
-        if x <= x1:
-            return y0 + (y1 - y0) * (x - x0) / (x1 - x0)
-    x0, y0 = points[-1]
-    return y0 + STEEP * (x / x0 - 1)
-
-
-def solve_spill(demand, capacity, curves, stretch):
-    """KurmaCost by greedy quanta: the share of each zone's demand that every zone carries.
-
-    demand: flows a second; capacity: live weight; curves: points or None; stretch: of a load by a gap."""
-    zones = range(len(demand))
-    live = [z for z in zones if capacity[z] > 0]
-    load, share = list(demand), [[float(i == j) for j in zones] for i in zones]
-    sends, takes, gains = set(), set(), {}
-    quantum = 1 / round(1 / QUANTUM / max(1, len(demand) / ZONES_FINE))  # else the work grows too fast
-
-    def missing(i, j, more=0.0):
-        x = MARGIN * (load[j] + more) / capacity[j] * stretch[i][j]
-        return read_curve(curves[j], x) if curves[j] else 0.0
-
-    def misses(i):
-        return sum(share[i][j] * missing(i, j) for j in live if share[i][j])
-
-    def at(j, i, part):
-        """Misses a second at j, were i to send so much more of its demand there."""
-        return sum(
-            demand[k] * (share[k][j] + part * (k == i)) * missing(k, j, part * demand[i])
-            for k in zones
-            if share[k][j] or k == i
-        )
-
-    def move(i, j):
-        share[i][i], share[i][j] = share[i][i] - quantum, share[i][j] + quantum
-        load[i], load[j] = load[i] - quantum * demand[i], load[j] + quantum * demand[i]
-        sends.add(i)
-        takes.add(j)
-
-    def moves(sending):
-        """Pairs between which a quantum may go: no zone both sends and receives, none without data spills."""
-        to = [j for j in live if curves[j] and j not in sends]
-        can = [i for i in sending if curves[i] and i not in takes and demand[i] and share[i][i] >= quantum]
-        return [(i, j) for i in can for j in to if j != i]
-
-    for i in [z for z in zones if live and capacity[z] <= 0]:  # no live server: sends all, to the lightest
-        for _ in range(round(1 / quantum)):
-            move(i, min(live, key=lambda j: (load[j] + quantum * demand[i]) / capacity[j] * stretch[i][j]))
-        share[i][i] = 0.0
-    while True:  # feasible: as little as brings every zone under the target
-        best = min(
-            (
-                (max(missing(i, j, quantum * demand[i]), missing(j, j, quantum * demand[i])), i, j)
-                for i, j in moves([z for z in live if misses(z) > TARGET])
-            ),
-            default=(1.0,),
-        )
-        if best[0] > TARGET:
-            break
-        move(*best[1:])
-    while any(misses(z) > TARGET for z in zones if demand[z]):  # infeasible: as few misses in all as can be
-        pairs = moves(live)
-        for i, j in [pair for pair in pairs if pair not in gains]:  # of the others nothing has moved
-            gains[i, j] = (at(i, i, 0) - at(i, i, -quantum) + at(j, i, 0) - at(j, i, quantum)) / demand[i]
-        best = max(((gains[pair], *pair) for pair in pairs), default=(0.0,))
-        if best[0] <= 1e-9:
-            break
-        move(*best[1:])
-        gains = {(i, j): gain for (i, j), gain in gains.items() if i != best[1] and j != best[2]}
-    return share
-
-
-def water_level(demands, budget):
-    """The level at which so many flows a second come in over all proxies, each let in up to that level."""
-    left, asked = budget, sorted(demands)
-    for n, d in enumerate(asked):
-        if d * (len(asked) - n) >= left:
-            return max(0.0, left / (len(asked) - n))
-        left -= d
-    return None
-
-
-def spread(needs, strengths):
-    """Which part of a zone's endpoints carries each table's flows: its own, then what others have to spare.
-
-    The more a part lacks, the more of its table lies elsewhere. Rows sum to 1."""
-    spare = [(1 + SLACK) * s / sum(strengths) for s in strengths]
-    needs, rows = [d / (sum(needs) or 1) for d in needs], []
-    for own, need in enumerate(needs):
-        rows.append([min(need, spare[own]) if own == b else 0.0 for b in range(len(spare))])
-        spare[own] -= rows[own][own]
-    for row, need in zip(rows, needs):
-        while need - sum(row) > LENT_LEAST * need:  # for less no line of another part is worth its room
-            b = max(range(len(spare)), key=spare.__getitem__)
-            more = min(need - sum(row), max(spare[b], 1e-6))
-            row[b], spare[b] = row[b] + more, spare[b] - more
-    even = [s / sum(strengths) for s in strengths]
-    return [[x / sum(row) for x in row] if need else even for row, need in zip(rows, needs)]
-
-
-def median(values, default=None):
-    return sorted(values)[len(values) // 2] if values else default
-
-
 class Controller:
     def __init__(self, settings: Settings, seed, channel=None):
         self.settings, self.groups = settings, settings.traffic_groups
@@ -247,14 +97,14 @@
         )  # one that another module has filled goes on
         self.endpoints, self.proxies, self.lines, self.levels, self.logged = {}, {}, {}, {}, (False, [])
         self.written_at, self.users = {}, defaultdict(dict)  # by table, None: proxies not bound yet
-        self.curves = [Curve() for _ in range(self.zones)]
+        self.curves = [MissCurve() for _ in range(self.zones)]
         self.parts, self.current = [0] * self.zones, {}  # (zone, part): the table that proxies are led to
         self.share = [[float(i == j) for j in range(self.zones)] for i in range(self.zones)]
         self.least, self.loads, self.held = {}, {}, {}  # latencies by (from, to); demand per weight; urgency
         self.gap = [[0] * self.zones for _ in range(self.zones)]
         self.first, self.bound, self.medians, self.work, self.alike = 0, None, [], None, 1.0
         self.ask_again = int(settings.discovery == "on_request")
-        self.met = Decaying(2 * SECOND, 2)  # delivered, delivered x latency
+        self.met = DecayedSums(2 * SECOND, 2)  # delivered, delivered x latency
         self.trust = UNLIMITED if settings.weight_kind == "none" else TRUST  # in weight over it
         self.budget = min([g.latency_objective_us or 10 * SECOND for g in self.groups], default=SECOND)
         self.in_hand = [*settings.telemetry.columns, "active"].index("active")
@@ -352,7 +202,7 @@
         """How busy an endpoint's machine was, as told beside its sums; the older, the less it counts."""
         if (e := self.endpoints.get(event.endpoint)) is not None and 0 <= event.busy <= 1:
             part = exp(-max(0, event.age) / NOTICED_SPAN)
-            e.noticed.sums = [x * (1 - 0.7 * part) for x in e.noticed.read(self.now)]  # the newest counts
+            e.noticed.scale(self.now, 1 - 0.7 * part)  # the newest counts
             e.noticed.add(self.now, part, part * event.busy)
 
     def applied(self, event):
@@ -404,7 +254,7 @@
         flows = [max(p.usual, sum(p.demand(self.now) or ())) for p in self.proxies.values()]
         heavy, shuns = sum(f * f for f in flows) / (sum(flows) or 1), self.service.outlier_after_failures
         for e, v in known.items():  # one of which little was heard is not the best of a failing zone
-            ramp, most, z = self.ramp(e), median(warm[e.zone], v), e.zone  # if all shun the rest, it falls
+            ramp, most, z = self.ramp(e), median_or(warm[e.zone], v), e.zone  # if all shun the rest, it falls
             soon = len(warm[z]) >= PART_ENDPOINTS and heavy * max(1, self.parts[z]) > shuns * len(warm[z])
             spared = shuns and warm[z] and ((ramp < 1 and soon) or (ramp <= LUKEWARM and most <= FAILING))
             if not spared:  # else all cold
@@ -469,7 +319,7 @@
             for index, s in strengths[j].items():
                 bins[self.endpoints[index].order % len(needs)][index] = s
             sums = [sum(b.values()) for b in bins]
-            rows = spread(needs, sums) if self.share[zone][j] > 0 and any(sums) else ()
+            rows = partition_shares(needs, sums) if self.share[zone][j] > 0 and any(sums) else ()
             for table, row in zip(tables, rows):
                 for part, held, total in zip(row, bins, sums):
                     for index, s in held.items() if part else ():
@@ -554,7 +404,7 @@
         # against a zone that is back cold and has no curve, as after a restart: it keeps about the mean load
         cold = any(0 < c < COLD_PART * w for c, w in zip(capacity, listed))
         mean = [(COLD_LOAD * sum(demand) / sum(capacity), 0.0)] if cold and sum(demand) else None
-        fits = [Curve.fit(self.now, c, [o for o in self.curves if o is not c]) or mean for c in self.curves]
+        fits = [c.fit(self.now, [o for o in self.curves if o is not c]) or mean for c in self.curves]
         self.gaps()
         stretch = [[1 / max(0.2, 1 - gap / (self.bound or 1e9)) for gap in row] for row in self.gap]
         self.share = solve_spill(demand, capacity, fits, stretch)
@@ -604,13 +454,13 @@
         if not learn:
             return min(1.0, self.trust / needed)
         sums = [(*e.misses.read(self.now), *e.busy.read(self.now)) for e in self.usable()]
-        missed = median([m / t for t, m, _, _ in sums if t > 1], CALM_MISSES)  # a hang is no overload
+        missed = median_or([m / t for t, m, _, _ in sums if t > 1], CALM_MISSES)  # a hang is no overload
         busy = median([load / n for _, _, n, load in sums if n > 0.2])
         if calm := missed < CALM_MISSES:
             self.carried = max(self.carried * 0.995, min(needed, self.trust))
             self.calm = max(self.calm * 0.99, busy or 0.0)
         idle = busy is not None and busy <= 1.3 * self.calm + 0.1  # and failing, for want of connections
-        self.alike = median([e.fade(self.now) for e in self.usable()], 1.0) ** 0.5 if idle else 1.0
+        self.alike = median_or([e.fade(self.now) for e in self.usable()], 1.0) ** 0.5 if idle else 1.0
         if (calm or (busy is not None and busy <= self.calm)) and needed > 0.9 * self.trust:
             self.trust *= SHED_UP
         elif missed > SHED_MISSES and not idle:
@@ -632,7 +482,7 @@
             total, part = sum(asked[g]), max(left, KEPT_IN * min(allowed, sum(asked[g])))
             left -= total
             if part < 0.999 * total:
-                level = water_level(asked[g], part) if kind == "per_second" else part / total
+                level = water_filling_level(asked[g], part) if kind == "per_second" else part / total
                 levels[g] = round(max(0.02, level), 2)
         return levels
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,8 +18,9 @@
     ProxyJoined,
 )
 from ravenshelf.process.acceptor import ConnectionAcceptor
-from ravenshelf.rules import SECOND, Controller
+from ravenshelf.rules import Controller
 from ravenshelf.settings import (
+    SECOND,
     Idempotency,
     ServiceSettings,
     Settings,
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -9,7 +9,8 @@
 import pytest
 
 import ravenshelf.process.control_cycle as rounds
-from ravenshelf.rules import SECOND, Controller
+from ravenshelf.rules import Controller
+from ravenshelf.settings import SECOND
 from standins.fleet import Parameters, RequestWorld
 from standins.fleet.scenarios import Bad, Killed, Release, play
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -52,7 +52,7 @@
     decode,
     encode,
 )
-from ravenshelf.rules import solve_spill
+from ravenshelf.policy.spill_solver import solve_spill
 from ravenshelf.settings import decode_settings
 
 NOW = 1000 * SECOND
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,8 @@
 
 import ravenshelf.process.control_cycle as rounds
 from ravenshelf.policy.events import EndpointsListed, WatchFailed
-from ravenshelf.rules import SECOND, Controller
+from ravenshelf.rules import Controller
+from ravenshelf.settings import SECOND
 from standins.fleet import Discovery, World
 
 
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -28,8 +28,7 @@
 from ravenshelf.process.clock import Clock
 from ravenshelf.process.control_plane import ControlPlaneServer
 from ravenshelf.process.operations import Operations
-from ravenshelf.rules import SECOND
-from ravenshelf.settings import Settings, TrafficGroup
+from ravenshelf.settings import SECOND, Settings, TrafficGroup
 from ravenshelf.state.proxy_tables import MessagePart
 from standins import collectd as sender
 from standins.carbon import Carbon, Stall
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -33,8 +33,7 @@
 from ravenshelf.process.control_plane import ControlPlaneServer
 from ravenshelf.process.discovery import RETRY_DELAY, RegistryClient
 from ravenshelf.process.health_checks import HealthChecks
-from ravenshelf.rules import SECOND
-from ravenshelf.settings import decode_settings
+from ravenshelf.settings import SECOND, decode_settings
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.endpoint_registry import EndpointRegistry
 from ravenshelf.state.proxy_tables import ProxyTables
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,6 +4,7 @@
 from conftest import listed, met
 
 from ravenshelf import rules
+from ravenshelf.policy import spill_solver
 from ravenshelf.policy.events import (
     BatchAcknowledged,
     DemandReport,
@@ -24,8 +25,11 @@
     WatchFailed,
 )
 from ravenshelf.policy.flow_control import ChannelFlowControl
-from ravenshelf.rules import SECOND, Curve, read_curve, solve_spill, spread, water_level
-from ravenshelf.settings import ServiceSettings, TelemetrySettings
+from ravenshelf.policy.miss_curves import MissCurve, read_curve
+from ravenshelf.policy.partition_shares import partition_shares
+from ravenshelf.policy.spill_solver import solve_spill
+from ravenshelf.policy.water_filling import water_filling_level
+from ravenshelf.settings import SECOND, ServiceSettings, TelemetrySettings
 
 FLAT = [(10.0, 0.0), (20.0, 1.0)]
 EVEN = [[1.0] * 3 for _ in range(3)]
@@ -90,10 +94,10 @@
     ],
 )
 def test_curves_rise_and_are_convex(heard, least, most):
-    curve = Curve()
+    curve = MissCurve()
     for x, share in heard:
         curve.add(SECOND, x, 100, 100 * share)
-    points = Curve.fit(SECOND, curve, [])
+    points = curve.fit(SECOND, [])
     at = [read_curve(points, x) for x in range(1, 40)]
     steps = [b - a for a, b in zip(at, at[1:])]
     assert min(steps) > -1e-9 and least <= read_curve(points, 20) < read_curve(points, 39) < most
@@ -103,8 +107,8 @@
     "demands, budget, level",
     [([1, 1, 1], 3.1, None), ([1, 1, 10], 6, 4), ([4, 4], 4, 2), ([], 1, None), ([3], 0, 0)],
 )
-def test_water_level(demands, budget, level):
-    assert water_level(demands, budget) == (None if level is None else pytest.approx(level))
+def test_water_filling_level(demands, budget, level):
+    assert water_filling_level(demands, budget) == (None if level is None else pytest.approx(level))
 
 
 def test_channel_keeps_to_its_lines_and_messages():
@@ -516,7 +520,7 @@
     ids=["even", "nearly", "failed", "cold", "heavy proxy", "nothing asked", "all in one"],
 )
 def test_what_a_part_of_a_zone_lacks_lies_elsewhere(needs, strengths, elsewhere):
-    rows = spread(needs, strengths)
+    rows = partition_shares(needs, strengths)
     asked = sum(needs) or 1
     assert all(sum(row) == pytest.approx(1) for row in rows)
     assert all(not row[b] for row in rows for b, s in enumerate(strengths) if not s)
@@ -806,8 +810,8 @@
     share = [[float(i == j) for j in zones] for i in zones]
 
     def missing(i, j, loads):
-        x = rules.MARGIN * loads[j] / capacity[j] * stretch[i][j]
-        return rules.read_curve(curves[j], x) if curves[j] else 0.0
+        x = spill_solver.DEMAND_MARGIN * loads[j] / capacity[j] * stretch[i][j]
+        return spill_solver.read_curve(curves[j], x) if curves[j] else 0.0
 
     def misses(rows):
         loads = [sum(demand[i] * rows[i][j] for i in zones) for j in zones]
@@ -815,7 +819,7 @@
 
     def moved(i, j):
         rows = [list(row) for row in share]
-        rows[i][i], rows[i][j] = rows[i][i] - rules.QUANTUM, rows[i][j] + rules.QUANTUM
+        rows[i][i], rows[i][j] = rows[i][i] - spill_solver.QUANTUM, rows[i][j] + spill_solver.QUANTUM
         return rows
 
     def pairs():
@@ -824,12 +828,12 @@
         return [
             (i, j)
             for i in live
-            if curves[i] and not takes[i] and share[i][i] >= rules.QUANTUM and demand[i]
+            if curves[i] and not takes[i] and share[i][i] >= spill_solver.QUANTUM and demand[i]
             for j in live
             if j != i and curves[j] and not sends[j]
         ]
 
-    while any(m > rules.TARGET for m, d in zip(misses(share), demand) if d):
+    while any(m > spill_solver.TARGET_MISS_SHARE for m, d in zip(misses(share), demand) if d):
         before = sum(d * m for d, m in zip(demand, misses(share)))
         best = (
             max(
@@ -860,7 +864,7 @@
 
 def test_spill_of_many_zones_takes_bounded_work(monkeypatch):
     """32 zones that all lacked capacity took 36 s: each quantum added up all misses for each pair of zones."""
-    chance, read, count = random.Random(1), rules.read_curve, [0]
+    chance, read, count = random.Random(1), spill_solver.read_curve, [0]
 
     def counted(points, x):
         count[0] += 1
@@ -868,7 +872,7 @@
             raise AssertionError("too much work")
         return read(points, x)
 
-    monkeypatch.setattr(rules, "read_curve", counted)
+    monkeypatch.setattr(spill_solver, "read_curve", counted)
     demand = [110 * chance.uniform(0.3, 1.7) for _ in range(32)]
     curves = [[(0.5, 0.01), (0.8, 0.03), (1.0, 0.1), (1.3, 0.5)]] * 32
     share = solve_spill(
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -18,7 +18,7 @@
 from ravenshelf.policy.events import WatchFailed
 from ravenshelf.process.control_plane import ControlPlaneServer
 from ravenshelf.process.discovery import IDLE_TIMEOUT, RegistryClient
-from ravenshelf.rules import SECOND
+from ravenshelf.settings import SECOND
 from standins.world import obeyed
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
