--- a/Makefile
+++ b/Makefile
@@ -12,6 +12,7 @@
 	$(PYTHON) -m ruff format --check --no-cache .
 	$(PYTHON) -m ruff check --no-cache .
 	$(PYTHON) -m mypy --cache-dir=/dev/null
+	$(PYTHON) -m tools.check_words
 
 test: $(VENV)/made
 	$(PYTHON) -m pytest -q -p no:cacheprovider
--- /dev/null
+++ b/tests/tools/test_check_words.py
@@ -0,0 +1,22 @@
+"""The check against words of the former house style."""
+
+import pytest
+
+from tools.check_words import places
+
+
+@pytest.mark.parametrize(
+    "text, words",
+    [
+        ("pilot_count = 1", ["pilot"]),
+        ("class PilotService: ...", ["pilot"]),
+        ('"""Reads octets."""', ["octets"]),
+        ("# a stranger", ["stranger"]),
+        ('"""What a pilot does."""', []),  # the operators' word may stand in a sentence
+        ("co_pilots_chance = heard", ["pilots", "chance", "heard"]),
+        ("copilot = 1", []),
+    ],
+    ids=lambda value: value if isinstance(value, str) else "",
+)
+def test_words_are_found_in_names_and_the_clearest_ones_in_sentences(text, words):
+    assert [place.word for place in places("module.py", text)] == words
