--- a/ravenshelf/background/scheduler.py
+++ b/ravenshelf/background/scheduler.py
@@ -47,7 +47,7 @@
         slices, dropped = job.work
         getattr(slices, "close", lambda: None)()
         self.counters["background_dropped"] += 1
-        log_events.BACKGROUND_DROPPED(job=job.name, priority=PRIORITIES[job.priority])
+        log_events.JOB_DROPPED(job=job.name, priority=PRIORITIES[job.priority])
         if dropped is not None:
             dropped()
 
@@ -79,7 +79,7 @@
         except Exception as why:  # one job that fails must not end the others
             done = True
             self.counters["background_failed"] += 1
-            log_events.BACKGROUND_FAILED.raised(why, job=job.name)
+            log_events.JOB_FAILED.with_traceback(why, job=job.name)
         took = (time.perf_counter_ns() - began) // 1000
         self.counters["background_us"] += took
         self.counters.most("background_slice_most_us", took)
--- a/ravenshelf/collectd/listener.py
+++ b/ravenshelf/collectd/listener.py
@@ -72,7 +72,7 @@
             self.counters["collectd_signals"] += 1
             self.news(HostLoadSampled(*signal))
         for host, ahead in self.signals.clocks():
-            log_events.HOST_CLOCK(host=host, ahead=ahead)
+            log_events.HOST_CLOCK_SKEWED(host=host, ahead=ahead)
 
     def take(self, came: int, sender: str, data: bytes) -> None:
         """One packet: opened, decoded, its values told to the decisions."""
@@ -88,7 +88,7 @@
             self.counters[f"collectd_refused_{why.reason.replace(' ', '_')}"] += 1
             if came - self.said.get(why.reason, -SAID_EVERY) >= SAID_EVERY:
                 self.said[why.reason] = came
-                log_events.COLLECTD_REFUSED(peer=sender, why=f"{why.reason}: {why}")
+                log_events.PACKET_REJECTED(peer=sender, why=f"{why.reason}: {why}")
             return
         self.counters["collectd_packets"] += 1
         self.signals.take(came, lists, vouched)
--- a/ravenshelf/graphite/outlet.py
+++ b/ravenshelf/graphite/outlet.py
@@ -131,7 +131,7 @@
         if link is not self.link:
             return link.close(ConnectionEnd.SUPERSEDED)
         self.decisions.dialled(self.clock())
-        log_events.RECEIVER_SENDING(receiver=self.receiver, waiting=self.backlog.size)
+        log_events.RECEIVER_CONNECTED(receiver=self.receiver, waiting=self.backlog.size)
         self.turn()
 
     def _over(self, link: Link) -> None:
@@ -142,7 +142,7 @@
         self.backlog.broken()
         self.decisions.failed(now)
         if link.end is not ConnectionEnd.STOPPING:
-            log_events.RECEIVER_LOST(
+            log_events.RECEIVER_DISCONNECTED(
                 receiver=self.receiver, end=link.end.value, rest=(self.decisions.until - now) / SECOND
             )
             self._next()
@@ -265,8 +265,8 @@
                 return self._spool_failed(outcome)
             number, batches, skipped = outcome
             for lost in skipped:
-                log_events.SPOOL_DAMAGED(
-                    receiver=self.receiver, octets=lost.octets, file=f"{lost.file} from {lost.offset}"
+                log_events.SPOOL_CORRUPTED(
+                    receiver=self.receiver, bytes=lost.octets, file=f"{lost.file} from {lost.offset}"
                 )
             self.from_spool[number] = len(batches)
             self.origin.update(dict.fromkeys(batches, number))
--- a/ravenshelf/graphite/service.py
+++ b/ravenshelf/graphite/service.py
@@ -100,10 +100,10 @@
             held, self.holding[receiver] = self.holding[receiver], outlet.decisions.holds_share(now)
             if held and not self.holding[receiver]:
                 batches = outlet.give_up() if any(self.holding.values()) else []
-                log_events.RECEIVER_AWAY(receiver=receiver, moved=sum(map(len, batches)))
+                log_events.RECEIVER_FAILED_OVER(receiver=receiver, moved=sum(map(len, batches)))
                 self._deal(batches)
             elif not held and self.holding[receiver]:
-                log_events.RECEIVER_BACK(receiver=receiver)
+                log_events.RECEIVER_RECOVERED(receiver=receiver)
 
     def _deal(self, batches: list[Batch]) -> None:
         for batch in batches:
--- a/ravenshelf/leadership/service.py
+++ b/ravenshelf/leadership/service.py
@@ -92,12 +92,12 @@
     def changed(self, shard: int, state: str, term: int, record: Any) -> None:
         self.counters[f"shards_{state}"] += 1
         if state == OWNER:
-            log_events.SHARD_TAKEN(shard=shard, term=term)
+            log_events.LEASE_ACQUIRED(shard=shard, term=term)
             self.adapter.took(shard, term, record)
         elif state == LAPSED:
-            log_events.SHARD_LAPSED(shard=shard, term=term)
+            log_events.LEASE_EXPIRED(shard=shard, term=term)
         elif state == NONE and shard in self.adapter.owned:
-            log_events.SHARD_LOST(shard=shard, term=term)
+            log_events.LEASE_LOST(shard=shard, term=term)
             self.adapter.lost(shard)
 
     def step(self, do: Callable[[], Any]) -> Any:
@@ -165,7 +165,7 @@
         alone = self.member.alone(now)
         if alone != self.alone:
             self.alone = alone
-            (log_events.MAJORITY_LOST if alone else log_events.MAJORITY_BACK)(shards=len(self.adapter.owned))
+            (log_events.QUORUM_LOST if alone else log_events.QUORUM_REGAINED)(shards=len(self.adapter.owned))
         self.adapter.released()
         wait = max(0.001, min(0.1, (at - clock()) / SECOND))
         expected = self.loop.time() + wait
@@ -194,7 +194,7 @@
             self.admin = await serve(self, self.table.admin)
         for member in range(self.me + 1, len(self.names)):
             self.dialing[member] = self.loop.create_task(self._keep_dialling(member))
-        log_events.CONTROLLER_STARTS(
+        log_events.MEMBER_STARTED(
             name=self.table.name,
             incarnation=self.incarnation,
             members=len(self.names),
@@ -256,7 +256,7 @@
             why = f"expected hello, not {str(hello)[:60]}"
         if why is not None:
             self.counters["members_refused"] += 1
-            log_events.MEMBER_REFUSED(peer=str(link.transport.get_extra_info("peername")), why=why)
+            log_events.MEMBER_REJECTED(peer=str(link.transport.get_extra_info("peername")), why=why)
             return why
         link.member, link.incarnation = self.names.index(name), incarnation
         self.incarnations[link.member] = incarnation
@@ -265,7 +265,7 @@
         self.links[link.member] = link
         if old is not None:
             old.close(ConnectionEnd.SUPERSEDED)
-        log_events.MEMBER_MET(name=name, incarnation=incarnation)
+        log_events.MEMBER_CONNECTED(name=name, incarnation=incarnation)
         return None
 
     def said(self, link: Link, message: list) -> None:
@@ -275,7 +275,7 @@
             self.step(lambda: self.member.hear(clock(), link.member, tuple(message), self))
         except (AttributeError, IndexError, KeyError, TypeError, ValueError) as why:
             self.counters["member_messages_unreadable"] += 1
-            log_events.MEMBER_REFUSED(
+            log_events.MEMBER_REJECTED(
                 peer=self.names[link.member], why=f"expected a message, not {str(message)[:60]} ({why})"
             )
             link.close(ConnectionEnd.UNREADABLE)
@@ -288,7 +288,7 @@
         if link.member is not None and self.links.get(link.member) is link:
             del self.links[link.member]
             if not self.closed:
-                log_events.MEMBER_LOST(name=self.names[link.member], end=link.end.value)
+                log_events.MEMBER_DISCONNECTED(name=self.names[link.member], end=link.end.value)
 
     def _back(self, call: Callable[[], None]) -> None:
         try:
--- a/ravenshelf/log_events.py
+++ b/ravenshelf/log_events.py
@@ -1,22 +1,23 @@
-"""Every event that is logged: its stable name, level, words, and its fields with their units.
+"""The catalogue of log events: the stable name, level, text and fields of each, with the fields' units.
 
-One place, so that the operators' catalogue is made from it (`ravenshelf events`) and no message is made up where
-it is said. A field's value stays a field: the text form puts it into the words, the JSON form beside them.
+Every log line is made from an entry of this catalogue; `ravenshelf events` and the operators' page list them.
+A field keeps its value: the text format inserts it into the text, the JSON format adds it as a key.
 """
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from loguru import logger
 
-CATALOGUE: dict[str, "Event"] = {}
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
-COUNTERS = "COUNTERS"  # over all others: what was asked for is printed at any level
+COUNTERS = "COUNTERS"  # above every other level: counters that were asked for are printed at any log level
 logger.level(COUNTERS, no=60)
 
 
-@dataclass(frozen=True, slots=True)
-class Event:
-    """Called with its fields by name it is logged; `fields` gives the unit or meaning of each."""
+class LogEvent(NamedTuple):
+    """A log event; calling it with its fields by name logs a line.
+
+    `fields` gives the unit or the meaning of each field.
+    """
 
     name: str
     level: str
@@ -24,171 +25,193 @@
     meaning: str
     fields: dict[str, str]
 
-    def __call__(self, **values) -> None:
+    def __call__(self, **values: object) -> None:
+        """Log a line."""
         logger.bind(event=self.name).log(self.level, self.text, **values)
 
-    def raised(self, why: BaseException | None = None, **values) -> None:
-        """As a call, with the exception's trace beside it."""
-        logger.opt(exception=why or True).bind(event=self.name).log(self.level, self.text, **values)
+    def with_traceback(self, error: BaseException | None = None, **values: object) -> None:
+        """Log a line with the traceback of `error`, or of the exception that is being handled."""
+        logger.opt(exception=error or True).bind(event=self.name).log(self.level, self.text, **values)
+
+
+CATALOGUE: dict[str, LogEvent] = {}
 
 
-def event(name: str, level: str, text: str, meaning: str, /, **fields: str) -> Event:
+def event(name: str, level: str, text: str, meaning: str, /, **fields: str) -> LogEvent:
+    """Add an event to the catalogue and return it; raises ValueError where the name is in use."""
     if name in CATALOGUE:
-        raise ValueError(f"two events are named {name}")
-    CATALOGUE[name] = made = Event(name, level, text, meaning, fields)
-    return made
+        raise ValueError(f"two log events are named {name}")
+    added = LogEvent(name, level, text, meaning, fields)
+    CATALOGUE[name] = added
+    return added
 
 
-# --- the pilot ---
+# --- control-plane server ---
 
-SERVES = event(
-    "pilot.serves",
+SERVER_LISTENING = event(
+    "server.listening",
     "INFO",
     "{name} serves at {address}",
-    "The pilot takes connections.",
-    name="the pilot's name",
+    "The server accepts connections.",
+    name="the server's name",
     address="host:port",
 )
-CANT_GO_ON = event("pilot.failed", "ERROR", "the pilot can't go on", "The process ends with code 1.")
-COUNTED = event(
-    "pilot.counters",
+SERVER_FAILED = event(
+    "server.failed",
+    "ERROR",
+    "server failed; the process exits with code 1",
+    "The process exits with code 1.",
+)
+COUNTERS_REPORTED = event(
+    "server.counters",
     COUNTERS,
     "counters: {now} {since_start}",
-    "Asked for by SIGUSR1, --counters-every, or the end.",
-    now="what is held now, counts",
+    "Requested by SIGUSR1 or --counters-every, or printed at exit.",
+    now="current sizes, counts",
     since_start="sums since the start, counts or microseconds (_us)",
 )
-DECISIONS = event(
-    "decisions.said",
+DECISION_MESSAGE = event(
+    "decisions.message",
     "INFO",
     "decisions: {text}",
-    "What the decision module says of itself.",
-    text="its words",
+    "A message from the decision module.",
+    text="the message",
 )
-MODULE_FAILED = event(
-    "decisions.failed",
+CONTROL_CYCLE_FAILED = event(
+    "control_cycle.failed",
     "ERROR",
-    "the module failed in a round with {calls}",
-    "A new module begins; all proxies are bound anew.",
-    calls="names of the round's calls",
+    "control cycle failed while handling events {events}",
+    "The controller is created anew and all proxies are bound again.",
+    events="types of the cycle's events, at most 20",
 )
-DEADLINE_FAILED = event(
-    "pilot.deadline_failed",
+TIMER_FAILED = event(
+    "server.timer_failed",
     "ERROR",
-    "the deadline {key} failed",
-    "A defect; other deadlines are met.",
-    key="the deadline's key",
+    "handler of timer {key} failed",
+    "A defect; other timers still run.",
+    key="the timer's key",
 )
-LOOP_FAILED = event(
-    "pilot.call_failed",
+CALLBACK_FAILED = event(
+    "server.callback_failed",
     "ERROR",
-    "the loop: {text}",
-    "A defect in a call of the loop; it goes on.",
-    text="the loop's words",
+    "event loop callback failed: {text}",
+    "A defect in a callback; the event loop goes on.",
+    text="the event loop's message",
 )
 
 # --- configuration ---
 
-RELOAD_REFUSED = event(
-    "reload.refused",
+CONFIGURATION_REJECTED = event(
+    "configuration.rejected",
     "WARNING",
-    "the new configuration is not taken: {why}",
-    "SIGHUP found a file that can't be used; the old one holds.",
+    "new configuration rejected, the previous one stays in force: {why}",
+    "SIGHUP found a file that is not valid; the previous configuration stays in force.",
     why="file, field, expectation",
 )
-RELOADED = event(
-    "reload.taken",
+CONFIGURATION_RELOADED = event(
+    "configuration.reloaded",
     "INFO",
-    "took a new configuration: discovery at {discovery}{waiting}",
-    "SIGHUP took the configuration.",
+    "configuration reloaded: discovery at {discovery}{waiting}",
+    "SIGHUP reloaded the configuration.",
     discovery="host:port",
-    waiting="fields that wait for a restart",
+    waiting="fields that take effect after a restart",
 )
-OPERATOR_REFUSED = event(
-    "operator.refused",
+OPERATOR_CONFIGURATION_REJECTED = event(
+    "operator_configuration.rejected",
     "WARNING",
-    "the new operator file is not taken: {why}",
-    "SIGHUP found an operator file that can't be used; the old one holds whole.",
+    "new operator file rejected, the previous one stays in force: {why}",
+    "SIGHUP found an operator file that is not valid; the previous one stays in force as a whole.",
     why="file, table, key, found, expected",
 )
-OPERATOR_TAKEN = event(
-    "operator.taken",
+OPERATOR_CONFIGURATION_RELOADED = event(
+    "operator_configuration.reloaded",
     "INFO",
-    "took the operator file: {changed}",
-    "SIGHUP took the operator file.",
+    "operator file reloaded: {changed}",
+    "SIGHUP reloaded the operator file.",
     changed="tables that changed",
 )
+RESTART_REQUIRED = event(
+    "operator_configuration.restart_required",
+    "WARNING",
+    "[{table}] changed; the change takes effect after a restart",
+    "All other tables were reloaded.",
+    table="table of the operator file",
+)
 
-# --- discovery and whoever connects ---
+# --- discovery and connections ---
 
-WATCH_UNREADABLE = event(
-    "discovery.watch_unreadable",
+WATCH_EVENT_MALFORMED = event(
+    "discovery.watch_event_malformed",
     "WARNING",
-    "discovery's watch: {why}",
-    "A line of the watch is no list; it is begun anew.",
+    "malformed watch event from discovery, watch restarted: {why}",
+    "A line of the watch is no endpoint list; the watch is restarted.",
     why="what was expected",
 )
-LIST_UNREADABLE = event(
-    "discovery.list_unreadable",
+ENDPOINT_LIST_MALFORMED = event(
+    "discovery.list_malformed",
     "WARNING",
-    "discovery's list: {why}",
-    "An answer is no list; the old one holds.",
+    "malformed endpoint list from discovery, the previous list stays in force: {why}",
+    "A response is no endpoint list; the previous list stays in force.",
     why="what was expected",
 )
-DISCOVERY_ENDED = event(
-    "discovery.failed",
+DISCOVERY_REQUEST_FAILED = event(
+    "discovery.request_failed",
     "INFO",
-    "discovery's {purpose} {end}{status}",
-    "A call at discovery came to nothing.",
+    "discovery {purpose} failed: {end}{status}",
+    "A request to discovery failed.",
     purpose="watch or fetch",
-    end="how it ended",
+    end="how the connection ended",
     status="HTTP status, if any",
 )
-ENTRY_BROKEN = event(
-    "discovery.entry_broken",
+ENDPOINT_ENTRY_MALFORMED = event(
+    "discovery.entry_malformed",
     "WARNING",
-    "a broken entry of the list: {why}",
-    "The entry is kept as it was.",
+    "malformed entry in the endpoint list: {why}",
+    "The endpoint keeps its previous entry.",
     why="the entry and what is wrong",
 )
-KNOWN_BROKEN = event(
-    "discovery.known_broken",
+RESTORED_ENTRY_MALFORMED = event(
+    "discovery.restored_entry_malformed",
     "WARNING",
-    "a broken entry of the known list: {why}",
-    "It is left out.",
+    "malformed entry in the restored endpoint list: {why}",
+    "The entry is skipped.",
     why="the entry and what is wrong",
 )
-SPOILT = event(
-    "door.spoilt",
+MESSAGE_MALFORMED = event(
+    "stream.message_malformed",
     "WARNING",
-    "{purpose} {peer} said {line}: {why}",
-    "A message is skipped or, of a stranger, ends the connection.",
-    purpose="stream, collector, stranger",
+    "malformed message from {purpose} {peer}: {line}: {why}",
+    "The message is skipped; on an unidentified connection it closes the connection.",
+    purpose="kind of connection",
     peer="address",
-    line="the first 120 octets",
+    line="the first 120 bytes",
     why="what was expected",
 )
 
-# --- background work ---
+# --- background jobs ---
 
-BACKGROUND_DROPPED = event(
-    "background.dropped",
+JOB_DROPPED = event(
+    "background.job_dropped",
     "WARNING",
-    "background job {job} ({priority}) was dropped",
-    "The agenda was full, or it had perished.",
+    "background job {job} ({priority}) dropped",
+    "The job queue was full, or the job's deadline had passed.",
     job="its name",
     priority="its priority",
 )
-BACKGROUND_FAILED = event(
-    "background.failed", "ERROR", "background job {job} failed", "A defect; others go on.", job="its name"
+JOB_FAILED = event(
+    "background.job_failed",
+    "ERROR",
+    "background job {job} failed",
+    "A defect; other jobs still run.",
+    job="its name",
 )
 
 # --- Graphite ---
 
-RECEIVER_SENDING = event(
-    "graphite.sending",
+RECEIVER_CONNECTED = event(
+    "graphite.connected",
     "INFO",
-    "Graphite receiver {receiver} takes figures; {waiting} points wait",
+    "connected to Graphite receiver {receiver}; {waiting} points queued",
     "A connection is open.",
     receiver="host:port",
     waiting="points",
@@ -196,253 +219,247 @@
 RECEIVER_STALLED = event(
     "graphite.stalled",
     "WARNING",
-    "Graphite receiver {receiver} reads nothing for {seconds:.0f} s",
+    "Graphite receiver {receiver} has read nothing for {seconds:.0f} s",
     "Nothing more is written to it until it reads.",
     receiver="host:port",
     seconds="s",
 )
-RECEIVER_LOST = event(
-    "graphite.lost",
+RECEIVER_DISCONNECTED = event(
+    "graphite.disconnected",
     "WARNING",
-    "Graphite receiver {receiver} {end}; next dial in {rest:.1f} s",
-    "It rests; its figures wait, within their bound.",
+    "connection to Graphite receiver {receiver} ended: {end}; reconnect in {rest:.1f} s",
+    "Its points stay queued within the queue's limit until the backoff has passed.",
     receiver="host:port",
     end="how the connection ended",
     rest="s",
 )
-RECEIVER_AWAY = event(
-    "graphite.away",
+RECEIVER_FAILED_OVER = event(
+    "graphite.failed_over",
     "WARNING",
-    "Graphite receiver {receiver} counts as lost; {moved} points move",
-    "Its share goes to the others until it is back.",
+    "Graphite receiver {receiver} is down; {moved} points rerouted",
+    "Its share goes to the other receivers until it has recovered.",
     receiver="host:port",
     moved="points",
 )
-RECEIVER_BACK = event(
-    "graphite.back",
+RECEIVER_RECOVERED = event(
+    "graphite.recovered",
     "INFO",
-    "Graphite receiver {receiver} has its share again",
-    "It kept its connection long enough.",
+    "Graphite receiver {receiver} recovered and gets its share again",
+    "It stayed connected long enough.",
     receiver="host:port",
 )
 POINTS_DROPPED = event(
-    "graphite.dropped",
+    "graphite.points_dropped",
     "WARNING",
-    "{points} points for {receiver} were dropped ({importance})",
-    "The bound was reached: least important first, oldest first.",
+    "{points} points for Graphite receiver {receiver} dropped ({importance})",
+    "The queue's limit was reached: the least important points go first, the oldest of these first.",
     points="points",
     receiver="host:port",
-    importance="the figures' importance",
+    importance="importance of the metrics",
 )
 SPOOL_FAILED = event(
     "graphite.spool_failed",
     "WARNING",
-    "the spool of {receiver}: {why}",
-    "The spool rests; memory's bound holds meanwhile.",
+    "spool of Graphite receiver {receiver} failed: {why}",
+    "The spool pauses; meanwhile the limit in memory applies.",
     receiver="host:port",
-    why="the system's words",
+    why="the system's error message",
 )
-SPOOL_DAMAGED = event(
-    "graphite.spool_damaged",
+SPOOL_CORRUPTED = event(
+    "graphite.spool_corrupted",
     "WARNING",
-    "the spool of {receiver}: {octets} octets of {file} are damaged",
-    "They are left out; what comes before and after is sent.",
+    "spool of Graphite receiver {receiver} is corrupted: {bytes} bytes of {file} skipped",
+    "The bytes are skipped; what precedes and follows them is sent.",
     receiver="host:port",
-    octets="octets",
+    bytes="bytes",
     file="segment",
 )
 
 # --- collectd ---
 
-COLLECTD_LISTENS = event(
-    "collectd.listens",
+COLLECTD_LISTENING = event(
+    "collectd.listening",
     "INFO",
-    "takes collectd packets at {address} ({security})",
+    "listens for collectd packets at {address} (security {security})",
     "The listener is open.",
     address="host:port",
-    security="least security that is taken",
+    security="lowest security level that is accepted",
 )
-COLLECTD_REFUSED = event(
-    "collectd.refused",
+PACKET_REJECTED = event(
+    "collectd.packet_rejected",
     "WARNING",
-    "collectd packets from {peer} are refused: {why}",
-    "Said at most once in 10 s for a reason; the counters have them all.",
+    "collectd packet from {peer} rejected: {why}",
+    "Logged at most once in 10 s for each reason; the counters have every packet.",
     peer="address",
     why="the reason",
 )
-COLLECTD_USERS = event(
-    "collectd.users", "INFO", "took {users} users of collectd", "The password file was read.", users="count"
+COLLECTD_USERS_LOADED = event(
+    "collectd.users_loaded",
+    "INFO",
+    "{users} collectd users loaded",
+    "The password file was read.",
+    users="count",
 )
-COLLECTD_USERS_REFUSED = event(
-    "collectd.users_refused",
+COLLECTD_USERS_REJECTED = event(
+    "collectd.users_rejected",
     "WARNING",
-    "collectd's users: {why}",
-    "The passwords read before hold.",
+    "collectd's password file rejected, the previous users stay in force: {why}",
+    "The passwords that were read before stay in force.",
     why="file, line, expectation",
 )
-HOST_CLOCK = event(
-    "collectd.host_clock",
+HOST_CLOCK_SKEWED = event(
+    "collectd.host_clock_skewed",
     "INFO",
-    "host {host}'s clock is ahead by {ahead:.1f} s",
-    "Its values are taken by their corrected times.",
+    "clock of host {host} is ahead by {ahead:.1f} s",
+    "The timestamps of its values are corrected.",
     host="name",
     ahead="s, below 0 where it is behind",
 )
 
+# --- leases ---
 
-# --- several controllers ---
-
-CONTROLLER_STARTS = event(
-    "leadership.starts",
+MEMBER_STARTED = event(
+    "leadership.started",
     "INFO",
-    "controller {name} of {members}, incarnation {incarnation}: {state}",
-    "It meets the others and, once its votes count, takes its part.",
+    "controller {name} started, one of {members}, incarnation {incarnation}: {state}",
+    "It connects to the others and takes part once its votes count.",
     name="its name",
     incarnation="starts since its disk was empty",
     members="count",
-    state="votes, or recovers (an empty disk: reads a majority of the others first)",
+    state="votes, or recovers (an empty disk: reads from a quorum of the others first)",
 )
-MEMBER_MET = event(
-    "leadership.met",
+MEMBER_CONNECTED = event(
+    "leadership.member_connected",
     "INFO",
-    "met {name}, incarnation {incarnation}",
+    "connected to controller {name}, incarnation {incarnation}",
     "A connection is open.",
     name="controller",
     incarnation="starts",
 )
-MEMBER_LOST = event(
-    "leadership.member_lost",
+MEMBER_DISCONNECTED = event(
+    "leadership.member_disconnected",
     "WARNING",
-    "lost {name}: {end}",
-    "Its shards go to others once their leases have lapsed.",
+    "connection to controller {name} ended: {end}",
+    "Others acquire its shards once its leases have expired.",
     name="controller",
     end="how the connection ended",
 )
-MEMBER_REFUSED = event(
-    "leadership.refused",
+MEMBER_REJECTED = event(
+    "leadership.member_rejected",
     "WARNING",
-    "{peer} is refused: {why}",
-    "Another cluster, version, name, certificate or older incarnation.",
+    "connection with controller {peer} rejected: {why}",
+    "Another cluster, version, name, certificate or an older incarnation.",
     peer="address or name",
     why="what was expected",
 )
-SHARD_TAKEN = event(
-    "leadership.taken",
+LEASE_ACQUIRED = event(
+    "leadership.lease_acquired",
     "INFO",
-    "shard {shard} is ours in term {term}",
-    "A majority has granted its lease and has its record; its proxies are bound.",
+    "lease for shard {shard} acquired in term {term}",
+    "A quorum has granted the lease and stored its record; the shard's proxies are bound.",
     shard="number",
     term="number",
 )
-SHARD_LAPSED = event(
-    "leadership.lapsed",
+LEASE_EXPIRED = event(
+    "leadership.lease_expired",
     "WARNING",
-    "the lease of shard {shard} in term {term} has lapsed",
-    "No order that allows anything new leaves any more.",
+    "lease for shard {shard} expired in term {term}",
+    "No command that allows anything new is sent any more.",
     shard="number",
     term="number",
 )
-SHARD_LOST = event(
-    "leadership.given",
+LEASE_LOST = event(
+    "leadership.lease_lost",
     "INFO",
-    "shard {shard} is ours no more, term {term}",
-    "Given away, or another has it.",
+    "lease for shard {shard} lost in term {term}",
+    "Handed over, or another controller holds it.",
     shard="number",
     term="number",
 )
-MAJORITY_LOST = event(
-    "leadership.alone",
+QUORUM_LOST = event(
+    "leadership.quorum_lost",
     "ERROR",
-    "no majority is heard; {shards} shards are kept bound as they are known",
-    "No new try, no lifted refusal, until a majority is back.",
+    "quorum lost; {shards} owned shards keep their last known tables",
+    "No new attempt is allowed and no admission limit is raised until the quorum is regained.",
     shards="count",
 )
-MAJORITY_BACK = event(
-    "leadership.together",
+QUORUM_REGAINED = event(
+    "leadership.quorum_regained",
     "INFO",
-    "a majority is heard again; {shards} shards are ours",
-    "What was kept is asked for anew.",
+    "quorum regained; {shards} shards owned",
+    "Commands that were held back are requested again.",
     shards="count",
 )
 STORE_FAILED = event(
     "store.failed",
     "ERROR",
-    "the store has failed: {why}",
-    "The controller ends: what it can't keep it must not promise.",
-    why="the system's words",
+    "store failed: {why}; the controller exits",
+    "The controller exits: what it cannot store it must not promise.",
+    why="the system's error message",
 )
-CERTIFICATES_REFUSED = event(
-    "leadership.certificates_refused",
+CERTIFICATES_REJECTED = event(
+    "leadership.certificates_rejected",
     "WARNING",
-    "the new certificates are not taken: {why}",
-    "Those read before hold.",
-    why="the system's words",
+    "new certificates rejected, the previous ones stay in force: {why}",
+    "The certificates that were read before stay in force.",
+    why="the system's error message",
 )
+
 # --- distribution ---
 
-RELAY_READY = event(
-    "distribution.ready",
+RELAY_LISTENING = event(
+    "distribution.relay_listening",
     "INFO",
     "relay {name} listens at {address}, {parents} parents",
-    "It dials its parents and takes subscribers.",
+    "It connects to its parents and accepts subscribers.",
     name="its name",
     address="host:port",
     parents="count",
 )
 RELAY_STOPPED = event(
-    "distribution.stopped",
+    "distribution.relay_stopped",
     "INFO",
-    "relay {name} stops; {snapshot_bytes} octets of snapshots were sent",
-    "All connections are ended; subscribers go to other parents.",
+    "relay {name} stopped; {snapshot_bytes} bytes of snapshots sent",
+    "All connections are closed; subscribers go to other parents.",
     name="its name",
-    snapshot_bytes="octets since its start",
+    snapshot_bytes="bytes since its start",
 )
-CONTROLLER_READY = event(
-    "distribution.controller_ready",
+SERVICE_OWNER_LISTENING = event(
+    "distribution.owner_listening",
     "INFO",
-    "controller {name} publishes at {address}; {services} services",
-    "It decides the services of the shards whose leases it gets.",
+    "service owner {name} publishes at {address}; {services} services",
+    "It decides the services of the shards whose leases it acquires.",
     name="its name",
     address="host:port",
     services="in the file",
 )
-SERVICES_TAKEN = event(
-    "distribution.services_taken",
+SERVICES_RELOADED = event(
+    "distribution.services_reloaded",
     "INFO",
-    "{services} services are in the file",
-    "SIGHUP had it read anew.",
+    "services file reloaded: {services} services",
+    "SIGHUP reloaded the services file.",
     services="count",
 )
-SERVICES_REFUSED = event(
-    "distribution.services_refused",
+SERVICES_REJECTED = event(
+    "distribution.services_rejected",
     "WARNING",
-    "the services are not taken: {why}",
-    "Those read before hold.",
+    "services file rejected, the previous services stay in force: {why}",
+    "The services that were read before stay in force.",
     why="what is wrong, and where",
 )
-RELAY_FAILED = event(
+DISTRIBUTION_FAILED = event(
     "distribution.failed",
     "ERROR",
-    "the process can't go on: {why}",
-    "It ends with code 1.",
-    why="the system's words",
-)
-
-# --- the operator file ---
-
-WAITS_FOR_RESTART = event(
-    "operator.waits",
-    "WARNING",
-    "[{table}] has changed and waits for a restart",
-    "All else was taken.",
-    table="table of the operator file",
+    "process failed: {why}",
+    "The process exits with code 1.",
+    why="the system's error message",
 )
 
 
 def markdown() -> list[str]:
-    """The catalogue as rows of a table, for the operators' page."""
-    out = ["| event | level | meaning | fields |", "| --- | --- | --- | --- |"]
-    for one in CATALOGUE.values():
-        fields = "; ".join(f"`{name}`: {unit}" for name, unit in one.fields.items())
-        out.append(f"| `{one.name}` | {one.level} | {one.meaning} | {fields} |")
-    return out
+    """Return the catalogue as the rows of a Markdown table, for the operators' page."""
+    rows = ["| event | level | meaning | fields |", "| --- | --- | --- | --- |"]
+    for entry in CATALOGUE.values():
+        fields = "; ".join(f"`{name}`: {unit}" for name, unit in entry.fields.items())
+        rows.append(f"| `{entry.name}` | {entry.level} | {entry.meaning} | {fields} |")
+    return rows
--- a/ravenshelf/process/acceptor.py
+++ b/ravenshelf/process/acceptor.py
@@ -177,7 +177,7 @@
                 self.kinds[kind](connection, stream_codec.named(said))
             self.counters[f"took_{kind.lower()}"] += 1
         except MalformedMessageError as why:
-            log_events.SPOILT(
+            log_events.MESSAGE_MALFORMED(
                 purpose=connection.purpose, peer=connection.peer, line=repr(line[:120]), why=str(why)
             )
             if isinstance(why, UnreadableConnectionError) or connection.purpose == STRANGER:
--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -61,7 +61,9 @@
             calls, wakes, ticket = self.sent.calls, self.sent.wakes, self.sent.ticket
             messages = self.sent.messages(self._made)
         except Exception:
-            log_events.MODULE_FAILED.raised(calls=str([type(event).__name__ for event in news[:20]]))
+            log_events.CONTROL_CYCLE_FAILED.with_traceback(
+                events=str([type(event).__name__ for event in news[:20]])
+            )
             self._start_over()
             return None
         written = 0
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -143,7 +143,7 @@
             self.meet(key, now)
         except Exception:  # one that fails must not take the others' turn, nor the next
             self.counters["deadlines_failed"] += 1
-            log_events.DEADLINE_FAILED.raised(key=str(key))
+            log_events.TIMER_FAILED.with_traceback(key=str(key))
 
     def meet(self, key: tuple, now: int) -> None:
         if key[0] == "wake":
@@ -210,7 +210,7 @@
             case commands.StartTimer(at, key):
                 self.set_deadline(("wake", at, key), at)  # met in a later turn, even where it is past
             case commands.LogMessage(text):
-                log_events.DECISIONS(text=text)
+                log_events.DECISION_MESSAGE(text=text)
             case commands.WatchEndpoints(enabled):
                 self.discovery.observe(enabled)
             case commands.FetchEndpoints():
@@ -275,7 +275,7 @@
                 addresses,
             )
             for _, why in broken:
-                log_events.KNOWN_BROKEN(why=why)
+                log_events.RESTORED_ENTRY_MALFORMED(why=why)
         self.rounds.begin()
         self.ready, self.round_at = True, self.clock()
         self.round()
@@ -309,14 +309,14 @@
             new, waiting = renewed(self.configuration, self.again())
         except ConfigurationError as why:
             self.counters["reloads_failed"] += 1
-            log_events.RELOAD_REFUSED(why=str(why))
+            log_events.CONFIGURATION_REJECTED(why=str(why))
             if reads > 1:
                 self.set_deadline(("reload",), self.clock() + READ_AGAIN)
             return
         self.counters["reloads"] += 1
         moved = new["discovery"] != self.configuration["discovery"]
         self.configuration = new
-        log_events.RELOADED(
+        log_events.CONFIGURATION_RELOADED(
             discovery=new["discovery"],
             waiting=f"; waits for a restart: {', '.join(waiting)}" if waiting else "",
         )
@@ -331,11 +331,13 @@
             operator = self.operator_again()
         except OperatorConfigurationError as why:
             self.counters["operator_refused"] += 1
-            log_events.OPERATOR_REFUSED(why=str(why))
+            log_events.OPERATOR_CONFIGURATION_REJECTED(why=str(why))
             return
         if self.log is not None:
             self.log.form = operator.log.format
-        self.operations.renew(operator, lambda changed: log_events.OPERATOR_TAKEN(changed=changed))
+        self.operations.renew(
+            operator, lambda changed: log_events.OPERATOR_CONFIGURATION_RELOADED(changed=changed)
+        )
 
     def stop(self) -> None:
         """Takes no more, decides what was heard, writes what is ordered, and lets the process end.
@@ -371,7 +373,7 @@
     def failed(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
         """What failed in a call of the loop ends its connection, if it was one's; the pilot goes on."""
         self.counters["calls_failed"] += 1
-        log_events.LOOP_FAILED.raised(context.get("exception"), text=str(context.get("message")))
+        log_events.CALLBACK_FAILED.with_traceback(context.get("exception"), text=str(context.get("message")))
 
     def count(self) -> None:
         usage = {
@@ -382,7 +384,7 @@
             "deadlines": len(self.deadlines.at),
         }
         now = " ".join(f"{name}={value}" for name, value in usage.items())
-        log_events.COUNTED(now=now, since_start=self.counters.text())
+        log_events.COUNTERS_REPORTED(now=now, since_start=self.counters.text())
 
 
 async def serve(
@@ -416,7 +418,7 @@
         await pilot.operations.start()
     if not pilot.stopping:
         host, port = pilot.server.sockets[0].getsockname()[:2]
-        log_events.SERVES(name=configuration.get("name"), address=f"{host}:{port}")
+        log_events.SERVER_LISTENING(name=configuration.get("name"), address=f"{host}:{port}")
     await pilot.stopped
     pilot.count()
     await asyncio.sleep(0)
--- a/ravenshelf/process/controller.py
+++ b/ravenshelf/process/controller.py
@@ -74,14 +74,14 @@
         try:
             services = services_file.read(self.file, self.zones)
         except services_file.ServicesFileError as error:
-            log_events.SERVICES_REFUSED(why=str(error))
+            log_events.SERVICES_REJECTED(why=str(error))
             return
         self.services.clear()
         self.services.update(services)
         self.leases.list_services(self.services)
         for service in self.services:
             self.publisher.refresh(service_topic(service))
-        log_events.SERVICES_TAKEN(services=len(self.services))
+        log_events.SERVICES_RELOADED(services=len(self.services))
 
     def stop(self) -> None:
         """Gives its shards up and ends all connections."""
@@ -105,14 +105,14 @@
         loop.add_signal_handler(number, controller.stop)
     loop.add_signal_handler(signal.SIGHUP, controller.reload)
     address = await controller.start()
-    log_events.CONTROLLER_READY(
+    log_events.SERVICE_OWNER_LISTENING(
         name=operator.distribution.name, address=address, services=len(controller.services)
     )
     why = await controller.ended
     controller.close()
     await asyncio.sleep(0.1)  # what was given up is told
     if why:
-        log_events.RELAY_FAILED(why=why)
+        log_events.DISTRIBUTION_FAILED(why=why)
     return 1 if why else 0
 
 
@@ -122,7 +122,7 @@
     try:
         code = uvloop.run(serve(configuration, operator))
     except OSError as error:
-        log_events.RELAY_FAILED(why=str(error))
+        log_events.DISTRIBUTION_FAILED(why=str(error))
         code = 1
     sink.finish(logs.FLUSH_TIMEOUT)
     return code
--- a/ravenshelf/process/discovery.py
+++ b/ravenshelf/process/discovery.py
@@ -117,7 +117,7 @@
         try:
             said = self.catalog.read(line)
         except UnreadableListError as why:
-            log_events.WATCH_UNREADABLE(why=str(why))
+            log_events.WATCH_EVENT_MALFORMED(why=str(why))
             call.close(ConnectionEnd.UNREADABLE)
             return
         changes, lower = not said.get("all", False), said["rev"] < self.listing.rev
@@ -173,7 +173,7 @@
         try:
             said = self.catalog.read(call.body)
         except UnreadableListError as why:
-            log_events.LIST_UNREADABLE(why=str(why))
+            log_events.ENDPOINT_LIST_MALFORMED(why=str(why))
             self._failed(FETCH, ConnectionEnd.UNREADABLE, call)
             return
         taken = self._take(said, ListKind.REPLACE if said.get("all", True) else ListKind.UPDATE, None)
@@ -184,7 +184,7 @@
         if outcome(purpose, end) is None:
             return
         self.counters[f"discovery_{end.name.lower()}"] += 1
-        log_events.DISCOVERY_ENDED(
+        log_events.DISCOVERY_REQUEST_FAILED(
             purpose=purpose, end=end.value, status=f" ({call.status})" if call.status else ""
         )
         if not self.pushed:
@@ -194,7 +194,7 @@
         entries, addresses, broken = self.catalog.entries(said["targets"])
         for index, why in broken:
             self.counters["list_entries_broken"] += 1
-            log_events.ENTRY_BROKEN(why=why)
+            log_events.ENDPOINT_ENTRY_MALFORMED(why=why)
             if (
                 kind is ListKind.REPLACE and index in self.listing.entries
             ):  # kept as it was: a slip is no removal
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -247,7 +247,7 @@
             lambda: self.listener, local_addr=address(table.listen)
         )
         host, port = transport.get_extra_info("sockname")[:2]
-        log_events.COLLECTD_LISTENS(address=f"{host}:{port}", security=table.security)
+        log_events.COLLECTD_LISTENING(address=f"{host}:{port}", security=table.security)
         if table.users:
             self.pilot.set_deadline(("users",), self.clock() + USERS_EVERY)
 
@@ -281,11 +281,11 @@
                     yield
                     known, self.users_seen = users.load(file), changed
                     self.listener.users.renew(known, self.clock())
-                    log_events.COLLECTD_USERS(users=len(known))
+                    log_events.COLLECTD_USERS_LOADED(users=len(known))
             except (OSError, users.UsersFileError) as why:
-                log_events.COLLECTD_USERS_REFUSED(why=str(why))
+                log_events.COLLECTD_USERS_REJECTED(why=str(why))
 
-        self.background.offer("collectd.users", UPKEEP, USERS_EVERY, work(), perishable=True)
+        self.background.offer("collectd.users_loaded", UPKEEP, USERS_EVERY, work(), perishable=True)
 
     # --- the pilot's calls ---
 
@@ -319,10 +319,10 @@
             try:  # certificates may have been renewed under the same names
                 self.leadership.read_certificates()
             except OSError as why:
-                log_events.CERTIFICATES_REFUSED(why=str(why))
+                log_events.CERTIFICATES_REJECTED(why=str(why))
         for name in sorted({"leadership", "store", "distribution"} & set(names)):
             if name == "distribution" or self.leadership is not None:
-                log_events.WAITS_FOR_RESTART(table=name)
+                log_events.RESTART_REQUIRED(table=name)
         done(", ".join(f"[{name}]" for name in names) or "nothing changed")
 
     def _renew_graphite(self, old, new) -> None:
@@ -351,7 +351,7 @@
         try:
             await self._start_collectd()
         except OSError as why:
-            log_events.OPERATOR_REFUSED(why=f"[collectd] listen: {why}")
+            log_events.OPERATOR_CONFIGURATION_REJECTED(why=f"[collectd] listen: {why}")
             return
         if was is not None and was.table.types == self.operator.collectd.types:
             self.listener.signals.machines = was.signals.machines
--- a/ravenshelf/process/relay.py
+++ b/ravenshelf/process/relay.py
@@ -62,7 +62,7 @@
         from ravenshelf.process.relay_figures import RelayFigures
 
         figures = RelayFigures(operator, service, loop)
-    log_events.RELAY_READY(name=table.name, address=address, parents=len(table.parents))
+    log_events.RELAY_LISTENING(name=table.name, address=address, parents=len(table.parents))
     await ended.wait()
     if admin is not None:
         admin.close()
@@ -79,7 +79,7 @@
         uvloop.run(serve(operator))
         code = 0
     except OSError as error:
-        log_events.RELAY_FAILED(why=str(error))
+        log_events.DISTRIBUTION_FAILED(why=str(error))
         code = 1
     sink.finish(logs.FLUSH_TIMEOUT)
     return code
--- a/ravenshelf/process/run.py
+++ b/ravenshelf/process/run.py
@@ -29,7 +29,7 @@
         )
         code = 0
     except Exception:
-        log_events.CANT_GO_ON.raised()
+        log_events.SERVER_FAILED.with_traceback()
         code = 1
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1):
         signal.signal(
--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -135,7 +135,7 @@
             proxy.streams[0].transport.abort()  # it comes again, and is bound from what is known
             await installation.until(lambda: proxy.table, 10)
             assert proxy.term == term
-            assert '"leadership.alone"' in (tmp_path / "c0.log").read_text()
+            assert '"leadership.quorum_lost"' in (tmp_path / "c0.log").read_text()
             await installation.run("c1")
             await installation.until(lambda: all(p.table and p.owner != 2 for p in installation.proxies), 20)
         finally:
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -230,15 +230,15 @@
                 if said["event"] == name:
                     return said
 
-        assert (await event("pilot.serves"))["name"] == "toy"
+        assert (await event("server.listening"))["name"] == "toy"
         file.write_text("[graphite]\nevery = 3\n")
         process.send_signal(signal.SIGHUP)
-        assert "did you mean every_s?" in (await event("operator.refused"))["why"]
+        assert "did you mean every_s?" in (await event("operator_configuration.rejected"))["why"]
         file.write_text(
             f"[log]\nformat = 'json'\n[graphite]\nreceivers = ['{carbon.address}']\nevery_s = 1\n"
         )
         process.send_signal(signal.SIGHUP)
-        assert (await event("operator.taken"))["changed"] == "[graphite]"
+        assert (await event("operator_configuration.reloaded"))["changed"] == "[graphite]"
         await carbon.until(lambda: carbon.points)
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -138,27 +138,30 @@
                 event = getattr(log_events, node.func.attr, None)
                 if event is not None:
                     assert {k.arg for k in node.keywords} == set(event.fields), f"{path}:{node.lineno}"
-    made = {name for name in dir(log_events) if isinstance(getattr(log_events, name), log_events.Event)}
+    made = {name for name in dir(log_events) if isinstance(getattr(log_events, name), log_events.LogEvent)}
     assert made == used
 
 
 def test_json_lines_hold_the_fields_as_values():
     lines = []
     sink = logs.start("INFO", "json", lines.append)
-    log_events.RECEIVER_LOST(receiver="a:1", end="reset", rest=1.25)
+    log_events.RECEIVER_DISCONNECTED(receiver="a:1", end="reset", rest=1.25)
     try:
         1 / 0
     except ZeroDivisionError as why:
-        log_events.BACKGROUND_FAILED.raised(why, job="x")
+        log_events.JOB_FAILED.with_traceback(why, job="x")
     sink.finish(2)
     first, second = map(json.loads, lines)
     assert (first["event"], first["level"], first["rest"], first["receiver"]) == (
-        "graphite.lost",
+        "graphite.disconnected",
         "WARNING",
         1.25,
         "a:1",
     )
-    assert first["message"] == "Graphite receiver a:1 reset; next dial in 1.2 s" and "at" in first
+    assert (
+        first["message"] == "connection to Graphite receiver a:1 ended: reset; reconnect in 1.2 s"
+        and "at" in first
+    )
     assert "ZeroDivisionError" in second["trace"] and second["job"] == "x"
 
 
