--- a/benchmarks/neighbour.py
+++ b/benchmarks/neighbour.py
@@ -9,6 +9,7 @@
 import random
 
 from benchmarks.measuring import close, quantile
+from ravenshelf.policy.controller import Controller
 from ravenshelf.policy.events import (
     DemandReport,
     EndpointsListed,
@@ -19,7 +20,6 @@
     LoadReport,
     ProxyJoined,
 )
-from ravenshelf.rules import Controller
 from ravenshelf.settings import SECOND, ServiceSettings, Settings, TrafficGroup
 
 ENDPOINTS, PROXIES, BEGINS, ENDS = 12, 24, 60, 120
@@ -74,7 +74,7 @@
     chance, kept = random.Random(seed), Tables()
     pilot, now = Controller(settings(), seed), 1000 * SECOND
     start = now
-    pilot.round(
+    pilot.run_cycle(
         now,
         [
             EndpointsListed(
@@ -111,7 +111,7 @@
         news = [what for at, what in waiting if at <= second]
         waiting = [(at, what) for at, what in waiting if at > second]
         now = start + quarter * SECOND // 4
-        pilot.round(now, news, kept)
+        pilot.run_cycle(now, news, kept)
         share = kept.share(HURT)
         if second == BEGINS - 1:
             before = share
--- a/ravenshelf/distribution/decisions/pilot_controller.py
+++ b/ravenshelf/distribution/decisions/pilot_controller.py
@@ -4,13 +4,13 @@
 staged changes, admission. Only how the requests of a zone are split over endpoints is the owner's word, while there is one.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 
 from ravenshelf.distribution.decisions.allowance import shares
 from ravenshelf.distribution.decisions.fallback import Source
 from ravenshelf.distribution.messages import TableLine
+from ravenshelf.policy.controller import Controller
 from ravenshelf.policy.flow_control import ChannelFlowControl
-from ravenshelf.rules import Controller
 from ravenshelf.settings import Settings
 
 TABLE_TOTAL = 1000.0  # weights of a table add up to this, as in the pilot's own
@@ -35,11 +35,11 @@
         super().__init__(settings, seed, channel)
         self.owners_table, self.index_of = owners_table, index_of
 
-    def wanted(
-        self, zone: int, strengths: list[dict[int, float]], needs: list[float]
+    def planned_tables(
+        self, zone: int, strengths: list[dict[int, float]], needs: Sequence[float]
     ) -> list[dict[int, float]]:
         """The lines of a zone's tables: the owner's for all of them, or the own where it has none that can be used."""
-        own = super().wanted(zone, strengths, needs)
+        own = super().planned_tables(zone, strengths, needs)
         source, table = self.owners_table(self.now, zone)
         lines = self._lines(table) if source is not Source.LOCAL else {}
         return [dict(lines) for _ in own] if lines else own
@@ -50,7 +50,7 @@
         closed = [
             name
             for name, index in indices.items()
-            if index not in self.endpoints or not self.open(self.endpoints[index])
+            if index not in self.endpoints or not self.directory.is_open(self.endpoints[index])
         ]
         received = shares(table, closed)
         if sum(received.values()) < ALL:
@@ -59,4 +59,4 @@
 
     def owners_table_changed(self) -> None:
         """The next beat is due now: its staging takes the proxies over in some tenths of a second."""
-        self.next_beat = min(self.next_beat, self.now)
+        self.next_solve_at = min(self.next_solve_at, self.now)
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -1,6 +1,6 @@
 """The tables of one service, decided once for all pilots.
 
-This is the decision module as each pilot runs it (`rules.Controller`, KurmaCost), with one proxy for each zone: that zone's
+This is the decision module as each pilot runs it (`policy.Controller`, KurmaCost), with one proxy for each zone: that zone's
 proxies together, whose sums come up the tree. What it orders is kept as the entries of the zone's topic.
 """
 
@@ -10,7 +10,7 @@
 from ravenshelf.distribution.messages import AdmissionLevel, EndpointEntry, Entry, Report, Setting, TableLine
 from ravenshelf.policy import events
 from ravenshelf.policy.commands import ALL_TABLES
-from ravenshelf.rules import Controller
+from ravenshelf.policy.controller import Controller
 from ravenshelf.settings import Settings
 
 ENDPOINT, LINE, LEVEL, SETTING = "e:", "t:", "l:", "c:"  # prefixes of a topic's keys
@@ -183,7 +183,7 @@
     def round(self, now: int) -> None:
         """Plays a round of the decisions; called each quarter second while there are subscribers."""
         news, self._news = self._news, []
-        self.controller.round(now, news, self.orders)
+        self.controller.run_cycle(now, news, self.orders)
         for number in self.orders.marks:  # versions of topics take the place of the channel's answers
             for zone in self.zones:
                 self.controller.channel.acknowledged(zone, number, 0)
@@ -209,12 +209,23 @@
     def is_warm(self, name: str) -> bool:
         """Whether a listed endpoint has reached its full capacity, as far as its start tells."""
         endpoint = self.controller.endpoints.get(self._indices.get(name, -1))
-        return endpoint is not None and self.controller.ramp(endpoint) == 1
+        return (
+            endpoint is not None
+            and self.controller.slow_start.capacity_share(endpoint, self.controller.now) == 1
+        )
 
     def _line(self, index: int, weight: float, share: float) -> TableLine:
         endpoint = self.controller.endpoints[index]
-        multiple = self.controller.rules.overload_multiple
-        return TableLine(weight, round(largest_share(share, self.controller.ramp(endpoint), multiple), 4))
+        multiple = self.controller.settings.warm_up.overload_multiple
+        return TableLine(
+            weight,
+            round(
+                largest_share(
+                    share, self.controller.slow_start.capacity_share(endpoint, self.controller.now), multiple
+                ),
+                4,
+            ),
+        )
 
 
 def table_of(entries: Mapping[str, Entry]) -> dict[str, TableLine]:
--- a/ravenshelf/graphite/gather.py
+++ b/ravenshelf/graphite/gather.py
@@ -281,13 +281,13 @@
         put(figures.PACE, channel.pace)
         put(figures.JOINED, len(controller.proxies))
         put(figures.BOUND, sum(p.table is not None for p in list(controller.proxies.values())))
-        own, _ = controller.demands()
+        own = controller.demand().own
         yield
         health: dict[int, list[float]] = defaultdict(list)
         strengths = controller.strengths()
         yield
-        for n, endpoint in enumerate(controller.usable()):
-            health[endpoint.zone].append(endpoint.fade(now))
+        for n, endpoint in enumerate(controller.usable_endpoints()):
+            health[endpoint.zone].append(endpoint.health_score(now))
             if endpoint.index in self.place:
                 name = word(self.name_of(endpoint.index))
                 put(figures.ENDPOINT_FADE, health[endpoint.zone][-1], endpoint=name)
@@ -298,6 +298,6 @@
             put(figures.ZONE_DEMAND, own[zone], zone=name)
             if health[zone]:
                 put(figures.HEALTH, sum(health[zone]) / len(health[zone]), zone=name)
-            for to, part in enumerate(controller.share[zone]):
+            for to, part in enumerate(controller.spill.shares[zone]):
                 if to != zone:
                     put(figures.SPILL, part, zone=name, to=self.zones[to])
--- a/ravenshelf/policy/miss_curves.py
+++ b/ravenshelf/policy/miss_curves.py
@@ -9,7 +9,7 @@
 from itertools import pairwise
 from math import exp, log
 
-from ravenshelf.policy.decayed_sums import DecayedSums
+from ravenshelf.policy.decayed_totals import DecayedTotals
 from ravenshelf.settings import SECOND
 
 BUCKET_WIDTH = 0.12  # of the logarithm of the load
@@ -28,34 +28,34 @@
     __slots__ = ("buckets",)
 
     def __init__(self) -> None:
-        self.buckets: dict[int, DecayedSums] = {}  # by logarithm of the load: attempts, missed
+        self.buckets: dict[int, DecayedTotals] = {}  # by logarithm of the load: attempts, missed
 
     def add(self, now: int, load: float, attempts: float, missed: float) -> None:
         """Add attempts, and those of them that missed, at a load above 0."""
         bucket = round(log(load) / BUCKET_WIDTH)
-        self.buckets.setdefault(bucket, DecayedSums(CURVE_SPAN, 2)).add(now, attempts, missed)
+        self.buckets.setdefault(bucket, DecayedTotals(CURVE_SPAN, 2)).add(now, attempts, missed)
 
     def fit(self, now: int, others: Iterable["MissCurve"]) -> list[Point]:
         """Points of the fitted curve by rising load; empty where nothing was observed.
 
         The curves of other zones count a little.
         """
-        sums = self._weighted_sums(now, others)
-        return _convex_hull(_isotonic_fit(sums))
+        totals = self._weighted_totals(now, others)
+        return _convex_hull(_isotonic_fit(totals))
 
-    def _weighted_sums(self, now: int, others: Iterable["MissCurve"]) -> list[_Pool]:
+    def _weighted_totals(self, now: int, others: Iterable["MissCurve"]) -> list[_Pool]:
         weighted = [(self, 1.0), *((other, OTHER_ZONES_SHARE) for other in others)]
-        sums: dict[int, list[float]] = {}
+        totals: dict[int, list[float]] = {}
         for curve, weight in weighted:
             for bucket, decayed in curve.buckets.items():
                 attempts, missed = decayed.read(now)
-                known = sums.setdefault(bucket, [0.0, 0.0])
+                known = totals.setdefault(bucket, [0.0, 0.0])
                 known[0] += weight * attempts
                 known[1] += weight * missed
         return [
-            (exp(bucket * BUCKET_WIDTH), sums[bucket][0], sums[bucket][1])
-            for bucket in sorted(sums)
-            if sums[bucket][0] >= MINIMUM_ATTEMPTS
+            (exp(bucket * BUCKET_WIDTH), totals[bucket][0], totals[bucket][1])
+            for bucket in sorted(totals)
+            if totals[bucket][0] >= MINIMUM_ATTEMPTS
         ]
 
 
--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -5,7 +5,7 @@
 from ravenshelf import log_events
 from ravenshelf.net import stream_codec
 from ravenshelf.policy import commands, events
-from ravenshelf.rules import Controller
+from ravenshelf.policy.controller import Controller
 from ravenshelf.settings import Settings
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.endpoint_registry import EndpointRegistry
@@ -57,7 +57,7 @@
         before = channel.batch_number
         try:
             self._settle(channel)
-            self.controller.round(now, news, self.sent)
+            self.controller.run_cycle(now, news, self.sent)
             calls, wakes, ticket = self.sent.calls, self.sent.wakes, self.sent.ticket
             messages = self.sent.messages(self._made)
         except Exception:
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -60,7 +60,7 @@
             self.open_call,
             self.news,
             settings.discovery == "pushed",
-            self.rounds.controller.chance,
+            self.rounds.controller.random_source,
         )
         self.discovery.extend, self.discovery.schedule = self.extend, self._schedule_watch
         self.probes = HealthChecks(
--- a/ravenshelf/simulator/host.py
+++ b/ravenshelf/simulator/host.py
@@ -1,6 +1,6 @@
 """Hosts the instances: one controller each, nothing shared between them."""
 
-from ravenshelf.rules import Controller
+from ravenshelf.policy.controller import Controller
 from ravenshelf.settings import decode_settings
 from ravenshelf.simulator import decode
 from ravenshelf.simulator.encode import Writer
@@ -70,7 +70,7 @@
             boot, instance.boot = instance.boot, None
             if boot is not None:
                 instance.controller = Controller(decode_settings(boot.settings), boot.seed)
-            instance.controller.round(now, news, writer)
+            instance.controller.run_cycle(now, news, writer)
         except Exception as why:  # the wire asks for the cause in its own words, never for silence
             writer.out.clear()
             writer.fault(f"{type(why).__name__}: {why}")
--- a/standins/fleet/trace.py
+++ b/standins/fleet/trace.py
@@ -103,6 +103,6 @@
         for pilot in self.world.living():
             controller = pilot.rounds.controller
             endpoint = controller.endpoints.get(pilot.listing.index.get(self.name, -1))
-            if endpoint is not None and controller.open(endpoint):
-                found.append(controller.ramp(endpoint))
+            if endpoint is not None and controller.directory.is_open(endpoint):
+                found.append(controller.slow_start.capacity_share(endpoint, controller.now))
         return tuple(sorted(found))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,6 +9,7 @@
 
 from ravenshelf.net.accepted import AcceptedConnection
 from ravenshelf.net.stream_codec import StreamDecoder
+from ravenshelf.policy.controller import Controller
 from ravenshelf.policy.events import (
     EndpointsListed,
     EndpointState,
@@ -18,7 +19,6 @@
     ProxyJoined,
 )
 from ravenshelf.process.acceptor import ConnectionAcceptor
-from ravenshelf.rules import Controller
 from ravenshelf.settings import (
     SECOND,
     Idempotency,
@@ -131,7 +131,7 @@
         self.controller = Controller(settings._replace(**changes), 7)
 
     def hear(self, *news):
-        self.controller.round(self.now, list(news), self.kept)
+        self.controller.run_cycle(self.now, list(news), self.kept)
 
     def run(self, seconds, news=lambda second: ()):
         """Quarter seconds pass; `news` says what comes in at each whole second."""
@@ -141,7 +141,7 @@
 
     def load(self, index, zone=0):
         """Weight of an endpoint in the table that a zone's proxies are led to, as a share."""
-        lines = self.kept.tables[self.controller.current[zone, 0]]
+        lines = self.kept.tables[self.controller.tables.current[zone, 0]]
         return lines.get(index, 0.0) / sum(lines.values())
 
 
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -9,7 +9,7 @@
 import pytest
 
 import ravenshelf.process.control_cycle as rounds
-from ravenshelf.rules import Controller
+from ravenshelf.policy.controller import Controller
 from ravenshelf.settings import SECOND
 from standins.fleet import Parameters, RequestWorld
 from standins.fleet.scenarios import Bad, Killed, Release, play
@@ -115,11 +115,10 @@
 class NoCare(Controller):
     """Cold endpoints get as much as warm ones, and nothing is ever refused."""
 
-    def ramp(self, e):
-        return 1.0
-
-    def let_in(self, strength, demand, learn):
-        return 1.0
+    def __init__(self, *values):
+        super().__init__(*values)
+        self.slow_start.capacity_share = lambda endpoint, now: 1.0
+        self.admission.admitted_share = lambda *_: 1.0
 
 
 @named(SHUNNING)
--- a/tests/test_distribution_pilot.py
+++ b/tests/test_distribution_pilot.py
@@ -16,8 +16,8 @@
 from ravenshelf.distribution.messages import Report, Setting, TableLine
 from ravenshelf.distribution.owner_service import OwnerService
 from ravenshelf.distribution.relay_service import RelayService
+from ravenshelf.policy.controller import Controller
 from ravenshelf.policy.events import ListKind, ProxyJoined
-from ravenshelf.rules import Controller
 from ravenshelf.settings import Idempotency, ServiceSettings, Settings, TrafficGroup, WarmUpSettings
 from standins.installation import ports
 from standins.world import Discovery, Proxy, configuration, entry
@@ -59,7 +59,7 @@
         )
 
     def hear(self, *news) -> None:
-        self.controller.round(self.now, list(news), self.kept)
+        self.controller.run_cycle(self.now, list(news), self.kept)
 
     def run(self, seconds: float, news=()) -> "Pilot":
         for quarter in range(round(seconds * 4)):
@@ -120,7 +120,7 @@
     pilot.source = Source.LOCAL
     plain = Controller(pilot.controller.settings, 7)
     kept, now = Kept(), 1000 * SECOND
-    plain.round(
+    plain.run_cycle(
         now,
         [listed("rrrr", how=ListKind.RESTORED), ProxyJoined(0, 0, 10.0, True), ProxyJoined(1, 1, 10.0, True)],
         kept,
@@ -129,8 +129,8 @@
     pilot.run(20, news)
     for quarter in range(80):
         now += SECOND // 4
-        plain.round(now, list(news) if quarter % 4 == 0 else [], kept)
-    assert pilot.controller.share == plain.share
+        plain.run_cycle(now, list(news) if quarter % 4 == 0 else [], kept)
+    assert pilot.controller.spill.shares == plain.spill.shares
     held = {e: w for e, w in kept.tables[kept.bound[0]].items() if e not in kept.out}
     assert pilot.shares() == {e: round(w / sum(held.values()), 3) for e, w in held.items()}
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,8 +3,8 @@
 import pytest
 
 import ravenshelf.process.control_cycle as rounds
+from ravenshelf.policy.controller import Controller
 from ravenshelf.policy.events import EndpointsListed, WatchFailed
-from ravenshelf.rules import Controller
 from ravenshelf.settings import SECOND
 from standins.fleet import Discovery, World
 
@@ -12,41 +12,51 @@
 class InStep(Controller):
     """Asks again after a fixed time, as every other pilot does."""
 
-    def list_failed(self, event):
-        self.ask_again = self.now + SECOND
+    def on_watch_failed(self, event):
+        self.watch.retry_at = self.now + SECOND
 
 
 class NoRamp(Controller):
-    def ramp(self, e):
-        return 1.0
+    def __init__(self, *values):
+        super().__init__(*values)
+        self.slow_start.capacity_share = lambda endpoint, now: 1.0
 
 
 class NoWithdrawals(Controller):
     """What drains only leaves the tables, when a table is worth sending."""
 
-    def follow_list(self, orders):
-        self.changed = 0
+    def __init__(self, *values):
+        super().__init__(*values)
+        self.ejections.update = lambda pending, writer: None
+
+    def on_endpoints_listed(self, event):
+        super().on_endpoints_listed(event)
+        self.list_urgency = 0
 
 
 class NoPatience(Controller):
     """Binds whoever joins only at the next beat."""
 
-    def bind(self, index, table, orders, urgent):
-        return self.now % (5 * SECOND) < SECOND // 4 and super().bind(index, table, orders, urgent)
+    def __init__(self, *values):
+        super().__init__(*values)
+        bind = self.tables.bind
+        self.tables.bind = lambda *order: self.now % (5 * SECOND) < SECOND // 4 and bind(*order)
 
 
 class Swings(Controller):
     """Sends a zone's flows to and fro, all pilots at one time."""
 
-    def plan(self, orders, urgent, only=()):
-        super().plan(orders, urgent, only)
+    def plan(self, writer, urgency, only=()):
+        super().plan(writer, urgency, only)
         away = self.now // (5 * SECOND) % 2
-        self.share = [
-            [float(j == (i + away) % self.zones) for j in range(self.zones)] for i in range(self.zones)
+        self.spill.shares = [
+            [float(j == (i + away) % self.zone_count) for j in range(self.zone_count)]
+            for i in range(self.zone_count)
         ]
-        for z in range(self.zones):
-            for n, lines in enumerate(self.wanted(z, self.strengths(), self.needs()[z])):
-                self.renew((z, n), lines, {}, orders, 1, ())
+        needs = self.partitions.needs(self.now, self.proxies)
+        for z in range(self.zone_count):
+            for n, lines in enumerate(self.planned_tables(z, self.strengths(), needs[z])):
+                self.tables.renew(self.now, (z, n), lines, {}, writer, 1, ())
 
 
 def calls_are_spread():
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -175,7 +175,12 @@
         await carbon.until(
             lambda: any(p.endswith("collectd.refused_per_s") and v for (p, _), v in carbon.points.items())
         )
-        assert [noticed[e].noticed.read(pilot.clock())[0] > 0 for e in range(4)] == [True, True, False, False]
+        assert [noticed[e].host_load.read(pilot.clock())[0] > 0 for e in range(4)] == [
+            True,
+            True,
+            False,
+            False,
+        ]
         names = {p.split(".", 2)[2] for p, _ in carbon.points}
         assert {
             "process.memory_mb",
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -243,7 +243,7 @@
 
 def test_serving_loads_nothing_that_it_does_not_use():
     modules = loaded()
-    assert "ravenshelf.rules" in modules
+    assert "ravenshelf.policy.controller" in modules
     assert not [m for m in modules if m.split(".")[0] in (*EXTRAS, "msgspec") or m.startswith(OWN)]
     assert not [m for m in modules if m.split(".")[0] in COMMAND_LINE or m == "ravenshelf.commands"]
     assert not [
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -486,13 +486,15 @@
     p.run(join(0))
     p.now += 20 * SECOND
     listed = EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),))
-    p.rounds.controller.write = lambda *_: None  # the table keeps the line, so it must be let back later
+    p.rounds.controller.tables.write = lambda *_: (
+        None
+    )  # the table keeps the line, so it must be let back later
     p.run(listed)
     assert "out=s-1" in p.out[0][1]
     p.run(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, 0),)))
     p.rounds.controller.channel.queued_lines = 0.0
     p.rounds.controller.channel.batches.clear()
-    p.rounds.controller.round = lambda now, news, orders: orders.request_acknowledgement(
+    p.rounds.controller.run_cycle = lambda now, news, orders: orders.request_acknowledgement(
         5, True
     )  # charges nothing
     p.run()
@@ -531,7 +533,7 @@
         orders.set_weight(0, 0, 0)
         raise RuntimeError("no such thing")
 
-    failed.round = fail
+    failed.run_cycle = fail
     assert p.run(ProxyLeft(1)) is None and not p.out and p.counters["module_failures"] == 1
     calls = p.run()
     assert p.rounds.controller is not failed and [proxy for proxy, _ in p.out] == [0]
@@ -543,7 +545,9 @@
     p = play()
     p.run(join(0), join(1))
     p.now += 5 * SECOND
-    p.rounds.controller.write = lambda *_: None  # the tables keep the line, so the withdrawal has to go out
+    p.rounds.controller.tables.write = lambda *_: (
+        None
+    )  # the tables keep the line, so the withdrawal has to go out
     names, p.listing.names = p.listing.names, []  # no message can be made
     assert (
         p.run(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),)))
@@ -560,7 +564,7 @@
     p.run(join(0), join(1))
     channel, waited = p.rounds.controller.channel, p.rounds.controller.channel.unproved_lines()
     assert waited
-    p.rounds.controller.follow_list = lambda orders: (
+    p.rounds.controller.ejections.update = lambda pending, writer: (
         channel.charge([0], 50) or 1 / 0
     )  # half a round is charged
     assert p.run(EndpointsListed(ListKind.UPDATE, ())) is None
@@ -625,8 +629,8 @@
 def test_news_wait_for_the_tick_and_go_in_one_call(begun):
     pilot, loop = begun
     loop.play(1)
-    played, seen = [], pilot.rounds.controller.round
-    pilot.rounds.controller.round = lambda now, news, orders: (
+    played, seen = [], pilot.rounds.controller.run_cycle
+    pilot.rounds.controller.run_cycle = lambda now, news, orders: (
         played.append((now, sum(isinstance(event, DemandReport) for event in news))),
         seen(now, news, orders),
     )
@@ -645,14 +649,14 @@
     Where none comes there is none to wait for, and news need not wait for it."""
     pilot, loop = begun
     loop.play(1)
-    began, seen = [], pilot.rounds.controller.round
+    began, seen = [], pilot.rounds.controller.run_cycle
 
     def long(now, news, orders):
         began.append(now)
         seen(now, news, orders)
         loop.now += 30_000
 
-    pilot.rounds.controller.round = long
+    pilot.rounds.controller.run_cycle = long
     for n in range(40):
         pilot.counters["accepted"] += come
         pilot.news(DemandReport(1, 0, 5, 0, SECOND))
@@ -664,7 +668,7 @@
     pilot, loop = begun
     loop.play(1)
     woken = []
-    pilot.rounds.controller.round = lambda now, news, orders: (
+    pilot.rounds.controller.run_cycle = lambda now, news, orders: (
         woken.extend((now, event.key) for event in news if isinstance(event, TimerExpired)),
         [orders.start_timer(now - 5, "past"), orders.start_timer(now + 50_000, "soon")]
         if not woken
@@ -719,7 +723,7 @@
     loop.play(1)
     pilot.discovery.observe(True)
     old, asked = pilot.discovery.watch, []
-    pilot.rounds.controller.round = lambda now, news, orders: (
+    pilot.rounds.controller.run_cycle = lambda now, news, orders: (
         asked or asked.append(orders.watch_endpoints(True))
     )
     pilot.extend(old, 10_000)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,8 +3,7 @@
 import pytest
 from conftest import listed, met
 
-from ravenshelf import rules
-from ravenshelf.policy import spill_solver
+from ravenshelf.policy import decayed_totals, latency_bounds, spill_solver
 from ravenshelf.policy.events import (
     BatchAcknowledged,
     DemandReport,
@@ -255,11 +254,11 @@
 )
 def test_an_endpoint_counts_in_full_once_it_is_promised_to_be_warm(pilot, rules, share):
     c = pilot(warm_up=rules | {"cold_capacity_share": 0.2, "overload_multiple": 4.0}).controller
-    c.work, e = 0.2, c.endpoints[0]
-    e.start = c.now - 16 * SECOND
-    assert c.ramp(e) == pytest.approx(share, abs=0.05)
-    e.start = c.now - 4 * SECOND
-    assert c.ramp(e) <= 0.2 + 0.8 * 4 / 16
+    c.service_time.seconds, e = 0.2, c.endpoints[0]
+    e.started_at = c.now - 16 * SECOND
+    assert c.slow_start.capacity_share(e, c.now) == pytest.approx(share, abs=0.05)
+    e.started_at = c.now - 4 * SECOND
+    assert c.slow_start.capacity_share(e, c.now) <= 0.2 + 0.8 * 4 / 16
 
 
 def test_a_restart_at_full_weight_is_cold_at_once(pilot):
@@ -373,7 +372,7 @@
 def test_overload_is_refused_by_utility_and_repeats_nothing(pilot):
     p = pilot()
     p.run(30, busy_fleet)
-    levels = {g: v for (t, g), v in p.kept.levels.items() if t == p.controller.current[0, 0]}
+    levels = {g: v for (t, g), v in p.kept.levels.items() if t == p.controller.tables.current[0, 0]}
     assert levels[1][0] < 200 and levels[1][0] <= levels.get(2, (1e6, 1))[0]
     assert all(tries == 1 for _, tries in p.kept.levels.values())  # only after proof: no effect twice
 
@@ -405,8 +404,8 @@
                 + [DemandReport(i, g, 7, 0, SECOND) for i in range(4) for g in (0, 1)]
             ),
         )
-    parts = [p.controller.alike, 1.0]
-    assert least <= min(parts) and (p.controller.alike < 1) == (held == 2)
+    parts = [p.controller.admission.health_discount, 1.0]
+    assert least <= min(parts) and (p.controller.admission.health_discount < 1) == (held == 2)
 
 
 @pytest.mark.parametrize("dropped, least, most", [(16, 0.9, 1.01), (95, 0.5, 0.8)], ids=["a hang?", "a jam"])
@@ -423,7 +422,7 @@
             + [DemandReport(i, g, 7, 0, SECOND) for i in range(4) for g in (0, 1)]
         ),
     )
-    assert least <= p.controller.trust / p.controller.carried < most
+    assert least <= p.controller.admission.capacity_estimate / p.controller.admission.carried < most
 
 
 def test_a_pilot_that_was_never_calm_does_not_refuse_ever_more(pilot):
@@ -435,7 +434,7 @@
             + [DemandReport(i, g, 7, 0, SECOND) for i in range(4) for g in (0, 1)]
         ),
     )
-    assert p.controller.trust > 0.2
+    assert p.controller.admission.capacity_estimate > 0.2
 
 
 def test_late_answers_of_idle_endpoints_are_no_overload(pilot):
@@ -499,11 +498,11 @@
 
 def test_unheard_zones_are_estimated_from_what_is_usual_whatever_comes_here(pilot):
     p = pilot(proxies=2)
-    before = p.controller.demands()[1][1]
+    before = p.controller.demand().total[1]
     p.run(
         10, lambda s: [DemandReport(i, 0, 100, 0, SECOND) for i in (0, 1)]
     )  # a shift may have brought it here
-    assert before == p.controller.demands()[1][1] == pytest.approx(20)
+    assert before == p.controller.demand().total[1] == pytest.approx(20)
 
 
 @pytest.mark.parametrize(
@@ -652,19 +651,19 @@
     assert 2 in p.kept.bound
     p.controller.channel.record_uncharged_lines(0.7 * p.controller.channel.queue_limit)
     p.hear(listed("rrdr", how=ListKind.UPDATE))
-    assert 2 in p.kept.out and p.controller.held  # the withdrawal goes, tables wait for their turn
+    assert 2 in p.kept.out and p.controller.tables.deferred  # the withdrawal goes, tables wait for their turn
 
 
 def test_a_table_that_waits_for_room_is_written_alone_and_others_do_not_drift(pilot):
     p = pilot()
     p.run(2, lambda s: [met(z, i) for z, i in ((0, 0), (0, 1), (1, 2), (1, 3))])
     c = p.controller
-    c.held = {c.current[0, 0]: 1}
-    written, write = [], c.write
-    c.write = lambda table, *rest: (written.append(table), write(table, *rest))
-    c.next_beat = p.now + 10 * SECOND
+    c.tables.deferred = {c.tables.current[0, 0]: 1}
+    written, write = [], c.tables.write
+    c.tables.write = lambda now, table, *rest: (written.append(table), write(now, table, *rest))
+    c.next_solve_at = p.now + 10 * SECOND
     p.run(0.5)
-    assert written == [c.current[0, 0]] and not c.held
+    assert written == [c.tables.current[0, 0]] and not c.tables.deferred
 
 
 def test_orders_that_found_no_room_are_tried_again_at_the_next_step(pilot):
@@ -691,7 +690,7 @@
     p.run(10, lambda s: answers)
     p.run(8, lambda s: [met(0, i, tries=20, dropped=20) for i in (0, 1)])
     assert p.load(2) + p.load(3) > 0.4  # its flows go where no failure was heard of
-    at = p.controller.curves[0].buckets
+    at = p.controller.spill.curves[0].buckets
     assert sum(d.read(p.now)[1] for d in at.values()) < 0.5 * sum(d.read(p.now)[0] for d in at.values())
 
 
@@ -884,11 +883,14 @@
 def test_the_bound_of_a_miss_costs_no_sort_for_each_report(pilot, monkeypatch):
     """1,000 endpoints heard of in 10 s took rounds of 3 s: all that was heard was sorted anew for each report."""
     p, chance = pilot(), random.Random(3)
-    monkeypatch.setattr(rules, "median", lambda *_: 1 / 0)
+    for module in (latency_bounds, decayed_totals):
+        monkeypatch.setattr(module, "sorted", lambda *_: 1 / 0, raising=False)
     heard = [chance.randrange(50_000, 300_000) for _ in range(301)]
     for latency in heard:
-        p.controller.heard(LoadReport(0, 0, 5, 0, latency, SECOND, ()))
-    assert p.controller.bound == min(rules.BOUND_TIMES * sorted(heard)[150], p.controller.budget)
+        p.controller.on_load_report(LoadReport(0, 0, 5, 0, latency, SECOND, ()))
+    assert p.controller.miss_bound.value == min(
+        latency_bounds.MEDIAN_MULTIPLE * sorted(heard)[150], p.controller.latency_objective
+    )
 
 
 def test_who_uses_a_table_is_known_without_a_look_at_all(pilot):
@@ -908,7 +910,7 @@
         scanned = {}
         for index, one in p.controller.proxies.items():
             scanned.setdefault(one.table, []).append(index)
-        assert {t: sorted(users) for t, users in p.controller.users.items() if users} == {
+        assert {t: sorted(users) for t, users in p.controller.tables.users.items() if users} == {
             t: sorted(users) for t, users in scanned.items()
         }
 
@@ -918,14 +920,14 @@
     waits = []
     for _ in range(5):
         p.hear(WatchFailed())
-        waits.append((p.controller.ask_again - p.now) / SECOND)
+        waits.append((p.controller.watch.retry_at - p.now) / SECOND)
         p.run(5)  # it asks again meanwhile
     assert all(least <= wait <= 2 * least for least, wait in zip((0.5, 1, 2, 2, 2), waits))
     assert len({wait for wait in waits[2:]}) == 3  # drawn anew each time
     p.hear(EndpointsListed(ListKind.UPDATE, ()))
-    assert not p.controller.ask_again
+    assert not p.controller.watch.retry_at
     p.hear(WatchFailed())
-    assert p.controller.ask_again - p.now <= SECOND
+    assert p.controller.watch.retry_at - p.now <= SECOND
 
 
 def test_what_waits_for_a_stream_that_the_pilot_ended_stays_counted_when_the_next_one_breaks(pilot):
@@ -955,12 +957,12 @@
     for _ in range(4):
         p.hear(WatchFailed())
         p.run(4.25)
-        began = p.now = p.controller.ask_again or p.now
+        began = p.now = p.controller.watch.retry_at or p.now
         p.hear()
         assert ("watch_endpoints", (True,)) in p.kept.calls[-3:]
         p.now = began + 5 * SECOND
         p.hear(WatchFailed())
-        assert p.controller.ask_again <= began + 6 * SECOND
+        assert p.controller.watch.retry_at <= began + 6 * SECOND
 
 
 def test_a_start_in_the_future_is_cold_until_then_and_breaks_nothing(pilot):
@@ -1032,14 +1034,14 @@
     """Each change plans all tables anew, and there is room for a few only: it must not be the same ones that wait."""
     made = fleet_of_small_tables(pilot)
     controller = made.controller
-    write, written = controller.write, set()
+    write, written = controller.tables.write, set()
 
-    def watched_write(table, lines, orders, urgent):
-        write(table, lines, orders, urgent)
-        if table not in controller.held:
+    def watched_write(now, table, lines, writer, urgency):
+        write(now, table, lines, writer, urgency)
+        if table not in controller.tables.deferred:
             written.add(table)
 
-    controller.write = watched_write
+    controller.tables.write = watched_write
     for change in range(12):
         entries = tuple(
             ListedEndpoint(i, i // 24, 0, 0, EndpointState.READY, 4.0, made.now - (2 + change % 3) * SECOND)
@@ -1047,7 +1049,7 @@
             if i % 8 == change % 8
         )
         made.now += SECOND // 8
-        controller.channel = ChannelFlowControl(controller.service)
+        controller.tables.channel = ChannelFlowControl(controller.settings.service)
         controller.channel.advance(made.now)
         controller.channel.record_uncharged_lines(1400)  # of the 1,500 behind which a table waits
         made.hear(EndpointsListed(ListKind.UPDATE, entries))
@@ -1096,15 +1098,17 @@
 def test_a_returned_endpoint_is_let_back_once_no_table_waits_that_holds_it_at_its_old_weight(pilot):
     made = pilot()
     made.run(2, lambda second: [met(z, i) for z, i in ((0, 0), (0, 1), (1, 2), (1, 3))])
-    table = made.controller.current[0, 0]
-    made.controller.write = lambda *rest: made.controller.held.setdefault(table, 2)  # no room for any table
+    table = made.controller.tables.current[0, 0]
+    made.controller.tables.write = lambda *rest: made.controller.tables.deferred.setdefault(
+        table, 2
+    )  # no room for any table
     made.hear(listed("grrr", how=ListKind.UPDATE))
     assert made.kept.out == {0} and 0 in made.kept.tables[table]
     made.hear(
         EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, made.now),))
     )
     assert made.kept.out == {0}
-    del made.controller.write
+    del made.controller.tables.write
     made.run(1)
     assert made.kept.out == set() and 0 < made.load(0) < 0.3
 
@@ -1132,7 +1136,7 @@
         )
     )
     left = {k for k in made.kept.tables[table] if k not in made.kept.out}
-    assert table in made.controller.held and left == {dominant}
+    assert table in made.controller.tables.deferred and left == {dominant}
     made.run(8, lambda second: [met(i // 24, i) for i in range(48) if i not in draining])
     assert any(
         cold in made.kept.tables[t] for t in set(made.kept.bound.values())
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -218,7 +218,7 @@
         if any(c.end is not None for c in pilot.slots.held.values()):
             self.wrong.append("a slot without an owner")
         due = (
-            pilot.rounds.controller.ask_again
+            pilot.rounds.controller.watch.retry_at
             or ("watch",) in pilot.deadlines.at
             or WatchFailed() in pilot.rounds.news
         )
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -69,7 +69,7 @@
     def fail(*_):
         raise RuntimeError("no\nsuch thing")
 
-    monkeypatch.setattr(host.Controller, "round", fail)
+    monkeypatch.setattr(host.Controller, "run_cycle", fail)
     assert play(BOOT) == (0, ["exception 3 RuntimeError: no such thing", "next 1"])
 
 
