--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
-"""The one file of helpers: a writer that keeps what the orders amount to, and a pilot that is driven by hand.
+"""Helpers of all tests: a writer that keeps what the commands amount to, a controller that is driven by hand.
 
-It also passes over the tests of `KNOWN-RED.txt`, which fail for a fault that is known, and prints them with their cause."""
+Tests of `KNOWN-RED.txt`, which fail for a fault that is known, are passed over and printed with their cause.
+"""
 
 from pathlib import Path
 
@@ -11,6 +12,7 @@
 from ravenshelf.net.stream_codec import StreamDecoder
 from ravenshelf.policy.controller import Controller
 from ravenshelf.policy.events import (
+    DemandReport,
     EndpointsListed,
     EndpointState,
     ListedEndpoint,
@@ -73,11 +75,12 @@
 )
 
 
-class Kept:
-    """Tables, withdrawals and bindings as the proxies of an obedient data plane would hold them."""
+class RecordingWriter:
+    """Tables, ejections and bindings as the proxies of an obedient data plane would hold them."""
 
     def __init__(self):
-        self.tables, self.out, self.bound, self.levels, self.calls, self.emptied = {}, set(), {}, {}, [], []
+        self.tables, self.ejected, self.bound, self.levels = {}, set(), {}, {}
+        self.calls, self.emptied_tables = [], []
 
     def set_weight(self, table, endpoint, weight):
         lines = self.tables.setdefault(table, {})
@@ -85,28 +88,30 @@
         if not weight:
             del lines[endpoint]
         if not lines and table in self.bound.values():
-            self.emptied.append(table)
+            self.emptied_tables.append(table)
 
     def clear_table(self, table):
         self.tables[table] = {}
-        self.levels = {k: v for k, v in self.levels.items() if k[0] != table}
+        self.levels = {key: level for key, level in self.levels.items() if key[0] != table}
         if table in self.bound.values():
-            self.emptied.append(table)
+            self.emptied_tables.append(table)
 
-    def set_ejected(self, endpoint, out):
-        (self.out.add if out else self.out.discard)(endpoint)
+    def set_ejected(self, endpoint, ejected):
+        (self.ejected.add if ejected else self.ejected.discard)(endpoint)
 
     def bind_proxy(self, proxy, table, groups=0):
         self.bound[proxy] = table
 
-    def set_admission_level(self, table, groups, level, tries):
-        self.levels[table, groups] = (level, tries)
+    def set_admission_level(self, table, groups, level, retry_mode):
+        self.levels[table, groups] = (level, retry_mode)
 
     def __getattr__(self, name):
         return lambda *values: self.calls.append((name, values))
 
 
-class Pilot:
+class ControllerDriver:
+    """A controller that is driven by hand, with what it writes."""
+
     def __init__(self, **changes):
         service = ServiceSettings(
             lines_per_second=1000.0,
@@ -127,46 +132,63 @@
                 **changes.pop("warm_up", {"warm_after_us": 16 * SECOND, "overload_multiple": 3.0})
             ),
         )
-        self.now, self.kept = 100 * SECOND, Kept()
+        self.now, self.writer = 100 * SECOND, RecordingWriter()
         self.controller = Controller(settings._replace(**changes), 7)
 
-    def hear(self, *news):
-        self.controller.run_cycle(self.now, list(news), self.kept)
+    def send(self, *events):
+        self.controller.run_cycle(self.now, list(events), self.writer)
 
-    def run(self, seconds, news=lambda second: ()):
-        """Quarter seconds pass; `news` says what comes in at each whole second."""
+    def run(self, seconds, events_at=lambda second: ()):
+        """Quarter seconds pass; `events_at` gives what comes in at each whole second."""
         for quarter in range(round(seconds * 4)):
             self.now += SECOND // 4
-            self.hear(*(news(quarter // 4) if quarter % 4 == 0 else ()))
+            self.send(*(events_at(quarter // 4) if quarter % 4 == 0 else ()))
 
-    def load(self, index, zone=0):
+    def line_share(self, index, zone=0):
         """Weight of an endpoint in the table that a zone's proxies are led to, as a share."""
-        lines = self.kept.tables[self.controller.tables.current[zone, 0]]
+        lines = self.writer.tables[self.controller.tables.current[zone, 0]]
         return lines.get(index, 0.0) / sum(lines.values())
 
 
-def listed(states="rrrr", how=ListKind.REPLACE, start=0):
+def endpoint_list(states="rrrr", kind=ListKind.REPLACE, start=0):
     """Endpoints 0, 1 in zone 0 and 2, 3 in zone 1, each with a letter for its state; '-' is left out."""
     words = {"r": EndpointState.READY, "d": EndpointState.DRAINING, "g": EndpointState.GONE}
     return EndpointsListed(
-        how,
+        kind,
         tuple(
             ListedEndpoint(i, i // 2, 0, 0, words[s], 4.0, start) for i, s in enumerate(states) if s != "-"
         ),
     )
 
 
-def met(zone, index, tries=20, dropped=0, latency=200_000, report=()):
-    return LoadReport(zone, index, tries, dropped, latency, SECOND, report)
+def load_report(zone, index, attempts=20, failed=0, latency=200_000, load=()):
+    return LoadReport(zone, index, attempts, failed, latency, SECOND, load)
+
+
+def busy_fleet(second, latency=900_000, load=(30,), requests=200):
+    return [
+        load_report(
+            z,
+            2 * z + i,
+            attempts=100,
+            failed=30,
+            latency=latency if second > 4 else 200_000,
+            load=load if second > 4 else (2,),
+        )
+        if second > 4
+        else load_report(z, 2 * z + i, load=(2,))
+        for z in (0, 1)
+        for i in (0, 1)
+    ] + [DemandReport(p, g, requests if second > 4 else 10, 0, SECOND) for p in range(4) for g in (0, 1)]
 
 
 @pytest.fixture
-def pilot():
+def drive():
     def make(states="rrrr", proxies=4, **changes):
-        made = Pilot(**changes)
-        made.hear(listed(states, how=ListKind.RESTORED))
-        made.hear(*[ProxyJoined(i, i // 2, 10.0, True) for i in range(proxies)])
-        return made
+        driver = ControllerDriver(**changes)
+        driver.send(endpoint_list(states, kind=ListKind.RESTORED))
+        driver.send(*[ProxyJoined(i, i // 2, 10.0, True) for i in range(proxies)])
+        return driver
 
     return make
 
--- a/tests/test_distribution_pilot.py
+++ b/tests/test_distribution_pilot.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import Kept, listed, met
+from conftest import RecordingWriter, endpoint_list, load_report
 from test_distribution_sockets import SECOND, WAIT, clock
 
 from ravenshelf.distribution.decisions.fallback import Source
@@ -32,7 +32,7 @@
     def __init__(self, **weights: float):
         self.source = Source.OWNER
         self.table = {f"s-{name[1:]}": TableLine(weight) for name, weight in weights.items()}
-        self.now, self.kept = 1000 * SECOND, Kept()
+        self.now, self.kept = 1000 * SECOND, RecordingWriter()
         settings = Settings(
             zones=("a", "b"),
             traffic_groups=(TrafficGroup("look", idempotency=Idempotency.IDEMPOTENT),),
@@ -53,7 +53,7 @@
             index_of=INDICES.get,
         )
         self.hear(
-            listed("rrrr", how=ListKind.RESTORED),
+            endpoint_list("rrrr", kind=ListKind.RESTORED),
             ProxyJoined(0, 0, 10.0, True),
             ProxyJoined(1, 1, 10.0, True),
         )
@@ -69,7 +69,9 @@
 
     def shares(self, zone: int = 0) -> dict[int, float]:
         """What the zone's proxy would send where."""
-        lines = {e: w for e, w in self.kept.tables[self.kept.bound[zone]].items() if e not in self.kept.out}
+        lines = {
+            e: w for e, w in self.kept.tables[self.kept.bound[zone]].items() if e not in self.kept.ejected
+        }
         return {e: round(w / sum(lines.values()), 3) for e, w in lines.items()}
 
 
@@ -88,7 +90,7 @@
 
 def test_what_drains_here_leaves_at_once_whatever_the_owner_says():
     pilot = Pilot(s0=900.0, s1=60.0, s2=40.0).run(1)
-    pilot.hear(listed("drrr"))
+    pilot.hear(endpoint_list("drrr"))
     assert 0 not in pilot.shares() and set(pilot.shares()) == {1, 2}
     pilot.run(5)
     assert set(pilot.shares()) == {1, 2}
@@ -112,26 +114,30 @@
 def test_without_an_owner_the_last_table_and_then_the_own_decisions(source, first):
     pilot = Pilot(s0=900.0, s1=100.0).run(3)
     pilot.source = source
-    assert pilot.run(6, [met(0, 0), met(0, 1)]).shares()[0] == pytest.approx(first, abs=0.02)
+    assert pilot.run(6, [load_report(0, 0), load_report(0, 1)]).shares()[0] == pytest.approx(first, abs=0.02)
 
 
 def test_alone_it_decides_by_kurmacost_as_a_pilot_without_distribution_does():
     pilot = Pilot(s0=900.0, s1=100.0)
     pilot.source = Source.LOCAL
     plain = Controller(pilot.controller.settings, 7)
-    kept, now = Kept(), 1000 * SECOND
+    kept, now = RecordingWriter(), 1000 * SECOND
     plain.run_cycle(
         now,
-        [listed("rrrr", how=ListKind.RESTORED), ProxyJoined(0, 0, 10.0, True), ProxyJoined(1, 1, 10.0, True)],
+        [
+            endpoint_list("rrrr", kind=ListKind.RESTORED),
+            ProxyJoined(0, 0, 10.0, True),
+            ProxyJoined(1, 1, 10.0, True),
+        ],
         kept,
     )
-    news = [met(0, 0, dropped=18), met(0, 1, dropped=18), met(1, 2), met(1, 3)]
+    news = [load_report(0, 0, failed=18), load_report(0, 1, failed=18), load_report(1, 2), load_report(1, 3)]
     pilot.run(20, news)
     for quarter in range(80):
         now += SECOND // 4
         plain.run_cycle(now, list(news) if quarter % 4 == 0 else [], kept)
     assert pilot.controller.spill.shares == plain.spill.shares
-    held = {e: w for e, w in kept.tables[kept.bound[0]].items() if e not in kept.out}
+    held = {e: w for e, w in kept.tables[kept.bound[0]].items() if e not in kept.ejected}
     assert pilot.shares() == {e: round(w / sum(held.values()), 3) for e, w in held.items()}
 
 
