--- /dev/null
+++ b/tools/write_distribution_fixtures.py
@@ -0,0 +1,75 @@
+"""Writes tests/fixtures/distribution/messages.json: encoded samples of every distribution message.
+
+The samples are built with positional arguments, so that renamed fields do not change them. Run it only when a new message
+type is added; the bytes of existing samples must never change, for other versions of the program read them.
+
+    python tools/write_distribution_fixtures.py
+"""
+
+import json
+import sys
+from pathlib import Path
+
+ROOT = Path(__file__).resolve().parent.parent
+sys.path.insert(0, str(ROOT))
+
+from ravenshelf.distribution import messages as m  # noqa: E402
+
+FIXTURES = ROOT / "tests" / "fixtures" / "distribution" / "messages.json"
+
+
+def samples() -> dict[str, m.Message]:
+    """One or more samples of each message type, by name."""
+    version, later = m.Version(3, 17), m.Version(4, 1)
+    report_types = m.Report.__annotations__
+    endpoint_load = report_types["endpoints"].__args__[1]
+    group_load = report_types["groups"].__args__[1]
+    return {
+        "hello": m.Hello(m.PROTOCOL, "lisbon", "relay-1-0"),
+        "subscribe_new": m.Subscribe("checkout@0", m.NEVER),
+        "subscribe_known": m.Subscribe("checkout@", version),
+        "unsubscribe": m.Unsubscribe("checkout@2"),
+        "snapshot_empty": m.Snapshot("checkout@1", later, 0, 1, {}),
+        "snapshot_entries": m.Snapshot(
+            "checkout@",
+            version,
+            1,
+            3,
+            {
+                "e:s-17": m.EndpointEntry(0, True, 4.0, 1_764_000_000_000_000),
+                "e:s-18": m.EndpointEntry(2, False, 0.5),
+                "t:s-17": m.TableLine(333.33),
+                "t:s-18": m.TableLine(1.25, 0.0625),
+                "l:0": m.AdmissionLevel(0.75, 2),
+                "c:limit": m.Setting("30"),
+            },
+        ),
+        "delta": m.Delta("checkout@0", version, later, {"t:s-17": m.TableLine(500.0), "t:s-18": None}),
+        "delta_empty": m.Delta("published/7", m.NEVER, later, {}),
+        "heartbeat_zero": m.Heartbeat(0),
+        "heartbeat_largest": m.Heartbeat(2**64 - 1),
+        "resync": m.Resync({"checkout@": version, "checkout@0": m.NEVER}),
+        "topic_live": m.TopicLive("checkout@0", True),
+        "topic_not_live": m.TopicLive("checkout@0", False),
+        "report": m.Report(
+            "checkout",
+            1,
+            1_764_000_000,
+            "relay-1-0#00a1b2c3d4e5",
+            42,
+            {"s-17": endpoint_load(100, 3, 1_234_567), "s-18": endpoint_load(1, 1)},
+            {0: group_load(90, 2), 3: group_load(11)},
+        ),
+        "report_empty": m.Report("checkout", 0, 0, "own", 1, {}, {}),
+    }
+
+
+def main() -> None:
+    """Writes the fixtures."""
+    FIXTURES.parent.mkdir(parents=True, exist_ok=True)
+    encoded = {name: m.encode(message).hex() for name, message in samples().items()}
+    FIXTURES.write_text(json.dumps(encoded, indent=1) + "\n", encoding="utf-8")
+
+
+if __name__ == "__main__":
+    main()
