--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -18,7 +18,7 @@
 from ravenshelf.policy.events import WatchFailed
 from ravenshelf.process.control_plane import ControlPlaneServer
 from ravenshelf.process.discovery import IDLE_TIMEOUT, RegistryClient
-from ravenshelf.rules import SECOND
+from ravenshelf.settings import SECOND
 from standins.world import obeyed
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -218,7 +218,7 @@
         if any(c.end is not None for c in pilot.slots.held.values()):
             self.wrong.append("a slot without an owner")
         due = (
-            pilot.rounds.controller.ask_again
+            pilot.rounds.controller.watch.retry_at
             or ("watch",) in pilot.deadlines.at
             or WatchFailed() in pilot.rounds.news
         )
