--- a/ravenshelf/distribution/leased_services.py
+++ b/ravenshelf/distribution/leased_services.py
@@ -8,7 +8,7 @@
 
 from ravenshelf.distribution.decisions.ownership import Tenure, replicas, shard_of_service
 from ravenshelf.distribution.owner_service import OwnerService
-from ravenshelf.leadership.decisions import GRANTING, Member
+from ravenshelf.leadership.decisions import Member, Permission
 
 UNCLAIMED_AFTER = 5_000_000  # microseconds without a good lease: then its services are not claimed any more
 
@@ -23,7 +23,7 @@
     def may_publish(self, now: int) -> bool:
         """Whether a majority's lease in this term is good now."""
         same_term = self._member.claims[self._shard].term == self.epoch
-        return same_term and self._member.may_order(now, self._shard) == GRANTING
+        return same_term and self._member.permission(now, self._shard) is Permission.FULL
 
 
 @dataclass(frozen=True)
@@ -96,7 +96,7 @@
         """Called each second: a lease that has not been good for a while is told by claiming its services no more."""
         now = self.clock()
         for shard in list(self.owned):
-            if self.member.may_order(now, shard) != GRANTING:
+            if self.member.permission(now, shard) is not Permission.FULL:
                 since = self._lapsed_since.setdefault(shard, now)
                 if now - since >= UNCLAIMED_AFTER:
                     self._claim(shard, False)
@@ -112,7 +112,7 @@
     def follow(self) -> None:
         """Follows the shards for which this controller stands ready, by the owners that it believes in now."""
         now = self.clock()
-        weights = self.member.there(now)
+        weights = self.member.weights(now)
         for shard in range(self.shards):
             owner = self.member.holder(now, shard)
             other = owner is not None and owner != self.member.me
--- a/ravenshelf/leadership/adapter.py
+++ b/ravenshelf/leadership/adapter.py
@@ -3,7 +3,7 @@
 
 from collections.abc import Callable, Iterable
 
-from ravenshelf.leadership.decisions import GRANTING, KEEPING, Member
+from ravenshelf.leadership.decisions import Member, Permission
 from ravenshelf.leadership.dividing import shard_of
 from ravenshelf.leadership.gate import Needs, ShardGate
 from ravenshelf.leadership.inheritance import Inherited
@@ -43,7 +43,7 @@
         self.member, self.clock, self.groups, self.counters = member, clock, groups, counters
         self.news, self.write, self.put, self.names = news, write, put, names
         self.version, self.index, self.ramps, self.warm = version, index, ramps, warm
-        self.shards = member.ways.shards
+        self.shards = member.configuration.shards
         self.present: dict[int, ProxyJoined] = {}  # every proxy with a stream here
         self.bound: set[int] = set()  # those that the decisions know
         self.owned: dict[int, Owned] = {}
@@ -162,13 +162,15 @@
             return
 
         def may(held) -> bool:
-            right = self.member.may_order(now, shard, held.seq)
-            return right == GRANTING or (right == KEEPING and held.needs.met_by(owned.gate.record))
+            right = self.member.permission(now, shard, held.seq)
+            return right is Permission.FULL or (
+                right is Permission.REPEAT_ONLY and held.needs.met_by(owned.gate.record)
+            )
 
-        left = owned.gate.leave(claim.safe, may)
+        left = owned.gate.leave(claim.committed_seq, may)
         for held in left:
             message, mark = held.message
-            if self.member.may_order(self.clock(), shard, held.seq) is None:
+            if self.member.permission(self.clock(), shard, held.seq) is None:
                 self.counters["orders_without_right"] += 1  # stood still since it was looked at
                 owned.gate.crowded.add(held.proxy)
                 continue
@@ -177,7 +179,7 @@
         record = owned.gate.lowered(left)
         if record is not None and (seq := self.put(shard, record.pack())) is not None:
             owned.gate.wrote(record, seq)
-        if not owned.gate.crowded or self.member.may_order(self.clock(), shard) is None:
+        if not owned.gate.crowded or self.member.permission(self.clock(), shard) is None:
             return
         for proxy in list(owned.gate.crowded):
             owned.gate.crowded.discard(proxy)
--- a/ravenshelf/leadership/admin.py
+++ b/ravenshelf/leadership/admin.py
@@ -22,7 +22,7 @@
             if heir is not None and (heir not in leadership.names or heir == leadership.table.name):
                 others = ", ".join(n for n in leadership.names if n != leadership.table.name)
                 return {"error": f"to: found {heir!r}, expected one of {others}"}
-            wanted = leadership.member.owned() if shards is None else shards
+            wanted = leadership.member.held_shards() if shards is None else shards
             if not all(isinstance(s, int) and 0 <= s < leadership.ways.shards for s in wanted):
                 return {
                     "error": f"shards: found {str(wanted)[:60]}, expected numbers below {leadership.ways.shards}"
--- /dev/null
+++ b/ravenshelf/leadership/decisions/lease_holder.py
@@ -0,0 +1,316 @@
+"""Acquires, renews, releases and loses leases of shards, and writes their records."""
+
+import random
+from collections import deque
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
+
+from ravenshelf.leadership.decisions.claims import (
+    GRANTED_STATES,
+    PENDING_STATES,
+    TERM_STATES,
+    Claim,
+    LeaseState,
+)
+from ravenshelf.leadership.decisions.configuration import TERM_STRIDE, LeaseConfiguration
+from ravenshelf.leadership.decisions.effects import LeaseEffects, PackedRecord
+from ravenshelf.leadership.decisions.messages import (
+    LeaseRelease,
+    LeaseReply,
+    LeaseRequest,
+    MemberLoad,
+    Message,
+    ProbeReply,
+    ProbeRequest,
+    RecordWrite,
+    RecordWriteReply,
+    ReleasedLease,
+    RenewalReply,
+    RenewalRequest,
+    ShardRecord,
+    ShardTerm,
+    SupersededTerm,
+)
+from ravenshelf.leadership.decisions.voter import Voter
+
+RENEWALS_REMEMBERED = 12  # a reply to an older renewal counts for nothing
+
+
+@dataclass(slots=True)
+class Renewal:
+    """A renewal that was sent: the lease counts from then."""
+
+    number: int
+    sent_at: int
+    terms: dict[int, int]  # shard: term
+
+
+class LeaseHolder:
+    """The claims of one member, by shard. `chance` spreads retries."""
+
+    def __init__(
+        self,
+        me: int,
+        members: int,
+        quorum: int,
+        configuration: LeaseConfiguration,
+        voter: Voter,
+        chance: random.Random,
+    ) -> None:
+        self.me = me
+        self.members = members
+        self.quorum = quorum
+        self.configuration = configuration
+        self.claims = [Claim() for _ in range(configuration.shards)]
+        self._voter = voter
+        self._chance = chance
+        self._renewal_number = 0
+        self._renewals: deque[Renewal] = deque(maxlen=RENEWALS_REMEMBERED)
+
+    # --- what it holds ---
+
+    def held_shards(self) -> list[int]:
+        """Shards whose lease it holds."""
+        return [shard for shard, claim in enumerate(self.claims) if claim.state is LeaseState.HELD]
+
+    def is_valid(self, now: int, shard: int, seq: int) -> bool:
+        """Whether the lease is valid and a quorum has the shard's record up to `seq`."""
+        claim = self.claims[shard]
+        return claim.state is LeaseState.HELD and now < claim.valid_until and claim.committed_seq >= seq
+
+    def has_latest_known_term(self, shard: int) -> bool:
+        """Whether it holds or held the lease and knows of no promise of a later term."""
+        claim = self.claims[shard]
+        if claim.state not in (LeaseState.HELD, LeaseState.EXPIRED):
+            return False
+        return max(self._voter.votes[shard].promised, claim.highest_promised) <= claim.term
+
+    # --- records ---
+
+    def write_record(self, now: int, shard: int, record: PackedRecord, effects: LeaseEffects) -> int | None:
+        """Sends a shard's new record to the voters; returns its number, or None without a valid lease."""
+        claim = self.claims[shard]
+        if claim.state is not LeaseState.HELD or now >= claim.valid_until:
+            return None
+        claim.seq += 1
+        claim.record = record
+        self._send_record(now, shard, claim, effects, range(self.members))
+        return claim.seq
+
+    def _send_record(
+        self, now: int, shard: int, claim: Claim, effects: LeaseEffects, voters: Iterable[int]
+    ) -> None:
+        claim.written_at = now
+        for member in voters:
+            effects.send(member, RecordWrite([ShardRecord(shard, claim.term, claim.seq, claim.record)]))
+
+    def on_record_write_reply(
+        self, now: int, member: int, reply: RecordWriteReply, effects: LeaseEffects
+    ) -> None:
+        """A voter has accepted or rejected records: the first one that a quorum has establishes the lease."""
+        for shard, term, seq in reply.written:
+            claim = self.claims[shard]
+            if claim.term != term or claim.state not in GRANTED_STATES:
+                continue
+            claim.written_seq[member] = max(seq, claim.written_seq.get(member, 0))
+            newest = sorted(claim.written_seq.values(), reverse=True)
+            if len(newest) >= self.quorum:
+                claim.committed_seq = max(claim.committed_seq, newest[self.quorum - 1])
+            is_established = claim.state is LeaseState.ESTABLISHING and claim.committed_seq >= 1
+            if is_established and now < claim.valid_until:
+                self._set_state(shard, LeaseState.HELD, effects)
+        self._on_superseded_terms(now, reply.rejected)
+
+    # --- acquire ---
+
+    def probe(self, now: int, shards: Sequence[int], effects: LeaseEffects) -> None:
+        """Asks whether a quorum would grant, before anyone promises.
+
+        A member that knows too little of who holds what, as after a partition, would otherwise have its own
+        voter promise terms that lock the present holder out.
+        """
+        for shard in shards:
+            claim = self.claims[shard]
+            claim.state = LeaseState.PROBING
+            claim.available_at = set()
+            claim.retry_at = now + self._retry_delay()
+        if shards:
+            self._broadcast(ProbeRequest(list(shards)), effects)
+
+    def on_probe_reply(self, now: int, member: int, reply: ProbeReply, effects: LeaseEffects) -> None:
+        """Requests the leases that a quorum would grant."""
+        ready: list[int] = []
+        for shard in reply.available:
+            claim = self.claims[shard]
+            if claim.state is LeaseState.PROBING:
+                claim.available_at.add(member)
+                if len(claim.available_at) >= self.quorum:
+                    ready.append(shard)
+        if ready:
+            self._request(now, ready, effects)
+
+    def _request(self, now: int, shards: Sequence[int], effects: LeaseEffects) -> None:
+        """Requests leases, each in a term later than any that it knows of."""
+        terms: list[ShardTerm] = []
+        for shard in shards:
+            claim = self.claims[shard]
+            latest = max(claim.term, claim.highest_promised, self._voter.votes[shard].promised)
+            claim.term = (latest // TERM_STRIDE + 1) * TERM_STRIDE + self.me
+            claim.requested_at = now
+            claim.valid_until = 0
+            claim.retry_at = now + self._retry_delay()
+            claim.reset_replies()
+            claim.seq = 0
+            claim.committed_seq = 0
+            self._set_state(shard, LeaseState.REQUESTING, effects)
+            terms.append(ShardTerm(shard, claim.term))
+        self._broadcast(LeaseRequest(terms), effects)
+
+    def on_lease_reply(self, now: int, member: int, reply: LeaseReply, effects: LeaseEffects) -> None:
+        """Counts grants; a rejection says which term the next request has to exceed."""
+        for grant in reply.granted:
+            claim = self.claims[grant.shard]
+            if claim.state is not LeaseState.REQUESTING or claim.term != grant.term:
+                continue
+            claim.grants[member] = grant
+            if len(claim.grants) >= self.quorum:
+                self._establish(now, grant.shard, claim, effects)
+        for shard, promised in reply.rejected:
+            claim = self.claims[shard]
+            claim.highest_promised = max(claim.highest_promised, promised)
+
+    def _establish(self, now: int, shard: int, claim: Claim, effects: LeaseEffects) -> None:
+        """A quorum has granted: its newest record is written under the new term, before any order."""
+        newest = max(claim.grants.values(), key=lambda grant: (grant.accepted_term, grant.seq))
+        claim.valid_until = claim.requested_at + self.configuration.usable_lease_us()
+        claim.record = newest.record
+        claim.seq = 1
+        claim.committed_seq = 0
+        claim.state = LeaseState.ESTABLISHING
+        claim.retry_at = claim.valid_until
+        self._send_record(now, shard, claim, effects, range(self.members))
+
+    # --- renew, expire, release ---
+
+    def renew(self, now: int, load: MemberLoad, effects: LeaseEffects) -> None:
+        """Sends a heartbeat: renews all leases, and reports the load."""
+        self._renewal_number += 1
+        terms = {
+            shard: claim.term for shard, claim in enumerate(self.claims) if claim.state in GRANTED_STATES
+        }
+        self._renewals.append(Renewal(self._renewal_number, now, terms))
+        shard_terms = [ShardTerm(shard, term) for shard, term in terms.items()]
+        self._broadcast(RenewalRequest(self._renewal_number, shard_terms, load), effects)
+
+    def on_renewal_reply(self, now: int, member: int, reply: RenewalReply, _effects: LeaseEffects) -> None:
+        """A lease is valid for longer once a quorum has renewed it."""
+        for renewal in self._renewals:
+            if renewal.number != reply.number:
+                continue
+            for shard in reply.renewed:
+                claim = self.claims[shard]
+                if renewal.terms.get(shard) == claim.term and claim.state in TERM_STATES:
+                    self._count_renewal(claim, renewal, member)
+        self._on_superseded_terms(now, reply.rejected)
+
+    def _count_renewal(self, claim: Claim, renewal: Renewal, member: int) -> None:
+        voters = claim.renewed_by.setdefault(renewal.number, set())
+        voters.add(member)
+        if len(voters) >= self.quorum:
+            valid_until = renewal.sent_at + self.configuration.usable_lease_us()
+            claim.valid_until = max(claim.valid_until, valid_until)
+        outdated = [number for number in claim.renewed_by if number < renewal.number - RENEWALS_REMEMBERED]
+        for number in outdated:
+            del claim.renewed_by[number]
+
+    def expire(self, now: int, quorum_last_heard: int, effects: LeaseEffects) -> None:
+        """Ends leases that nobody renewed; once a quorum is back they are requested in a later term."""
+        for shard, claim in enumerate(self.claims):
+            if claim.state is LeaseState.HELD and now >= claim.valid_until:
+                self._set_state(shard, LeaseState.EXPIRED, effects)
+            elif claim.state is LeaseState.EXPIRED and quorum_last_heard > claim.valid_until:
+                self._set_state(shard, LeaseState.IDLE, effects)
+
+    def release(
+        self, now: int, shards: Iterable[int], successor: int | None, effects: LeaseEffects
+    ) -> list[int]:
+        """Gives leases up: orders end at once, then the voters are notified. Returns the shards."""
+        released: list[ReleasedLease] = []
+        for shard in shards:
+            claim = self.claims[shard]
+            if claim.state is LeaseState.IDLE:
+                continue
+            released.append(ReleasedLease(shard, claim.term, successor))
+            self._set_state(shard, LeaseState.IDLE, effects)
+            claim.retry_at = now + self.configuration.renewal_interval_us
+        if released:
+            self._broadcast(LeaseRelease(released), effects)
+        return [lease.shard for lease in released]
+
+    # --- time ---
+
+    def tick(self, now: int, effects: LeaseEffects) -> list[int]:
+        """Gives up requests without an answer, sends records again; returns when each claim is due next."""
+        due = []
+        for shard, claim in enumerate(self.claims):
+            if claim.state is LeaseState.IDLE:
+                continue
+            next_due = self._tick_claim(now, shard, claim, effects)
+            if next_due is not None:
+                due.append(next_due)
+        return due
+
+    def _tick_claim(self, now: int, shard: int, claim: Claim, effects: LeaseEffects) -> int | None:
+        if claim.state in PENDING_STATES and now >= claim.retry_at:
+            self._set_state(shard, LeaseState.IDLE, effects)
+            claim.retry_at = now + self._chance.randrange(self.configuration.retry_delay_us)
+        if claim.state is LeaseState.HELD and claim.advance_term_at and now >= claim.advance_term_at:
+            self._request(now, [shard], effects)
+        is_uncommitted = claim.state in GRANTED_STATES and claim.committed_seq < claim.seq
+        if is_uncommitted and now - claim.written_at >= self.configuration.retry_delay_us:
+            behind = [m for m in range(self.members) if claim.written_seq.get(m, 0) < claim.seq]
+            self._send_record(now, shard, claim, effects, behind)
+        if claim.state in PENDING_STATES:
+            return claim.retry_at
+        return claim.valid_until if claim.state is LeaseState.HELD else None
+
+    # --- later terms ---
+
+    def _on_superseded_terms(self, now: int, rejected: Iterable[SupersededTerm]) -> None:
+        """A voter has promised a later term than ours.
+
+        Alone it can't end the lease, a quorum decides that; but its renewals no longer count, so after a
+        while the lease is requested in a still later term.
+        """
+        for shard, term, promised in rejected:
+            claim = self.claims[shard]
+            claim.highest_promised = max(claim.highest_promised, promised)
+            if claim.state is LeaseState.HELD and claim.term == term and not claim.advance_term_at:
+                lease_us = self.configuration.lease_us
+                claim.advance_term_at = now + lease_us + self._chance.randrange(lease_us)
+
+    def end_superseded_lease(self, shard: int, effects: LeaseEffects) -> None:
+        """Ends the lease where this member's own voter has promised a later term."""
+        claim = self.claims[shard]
+        if claim.state in TERM_STATES and self._voter.votes[shard].promised > claim.term:
+            self._set_state(shard, LeaseState.IDLE, effects)
+
+    # --- common ---
+
+    def _set_state(self, shard: int, state: LeaseState, effects: LeaseEffects) -> None:
+        claim = self.claims[shard]
+        if claim.state is state:
+            return
+        claim.state = state
+        if state is LeaseState.IDLE:
+            claim.reset_replies()
+            claim.available_at = set()
+        effects.lease_changed(shard, state, claim.term, claim.record)
+
+    def _retry_delay(self) -> int:
+        delay = self.configuration.retry_delay_us
+        return delay + self._chance.randrange(delay)
+
+    def _broadcast(self, message: Message, effects: LeaseEffects) -> None:
+        for member in range(self.members):
+            effects.send(member, message)
--- a/ravenshelf/leadership/service.py
+++ b/ravenshelf/leadership/service.py
@@ -9,8 +9,15 @@
 
 from ravenshelf import log_events
 from ravenshelf.leadership import link as links
+from ravenshelf.leadership import message_codec
 from ravenshelf.leadership.adapter import Adapter
-from ravenshelf.leadership.decisions import LAPSED, NONE, OWNER, SECOND, LeaseConfiguration, Member
+from ravenshelf.leadership.decisions import (
+    SECOND,
+    LeaseConfiguration,
+    LeaseState,
+    Member,
+    Message,
+)
 from ravenshelf.leadership.link import Link
 from ravenshelf.net.connection_end import ConnectionEnd
 from ravenshelf.net.datagrams import address
@@ -53,9 +60,9 @@
         self.committer = Committer(self.journal, self._back)
         ways = LeaseConfiguration(
             shards=table.shards,
-            lease=round(table.lease_ms * 1000),
-            renew_every=round(table.lease_ms * 200),
-            ask_again=round(table.lease_ms * 100),
+            lease_us=round(table.lease_ms * 1000),
+            renewal_interval_us=round(table.lease_ms * 200),
+            retry_delay_us=round(table.lease_ms * 100),
         )
         self.ways = ways
         self.member = Member(self.me, len(self.names), ways, kept, clock(), chance, recovers, table.capacity)
@@ -69,10 +76,10 @@
         self.admin: asyncio.Server | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.writes: list[tuple[int | str, Any]] = []
-        self.sends: list[tuple[int, tuple]] = []
+        self.sends: list[tuple[int, Message]] = []
         self.committing = 0
         self.stepping = False
-        self.queue: list[tuple[int, list]] = []  # messages to ourselves
+        self.queue: list[tuple[int, Message]] = []  # messages to ourselves
         self.late = 0.0
         self.closed = False
         self.alone = False
@@ -80,23 +87,23 @@
 
     # --- what the machine decides ---
 
-    def keep(self, shard: int, promised: int, term: int, seq: int, record: Any) -> None:
+    def store_vote(self, shard: int, promised: int, term: int, seq: int, record: Any) -> None:
         self.writes.append((shard, (promised, term, seq, record)))
 
-    def votes(self) -> None:
+    def store_voting(self) -> None:
         self.writes.append(("votes", True))
 
-    def send(self, member: int, message: tuple) -> None:
+    def send(self, member: int, message: Message) -> None:
         self.sends.append((member, message))
 
-    def changed(self, shard: int, state: str, term: int, record: Any) -> None:
-        self.counters[f"shards_{state}"] += 1
-        if state == OWNER:
+    def lease_changed(self, shard: int, state: LeaseState, term: int, record: Any) -> None:
+        self.counters[f"shards_{state.value}"] += 1
+        if state is LeaseState.HELD:
             log_events.SHARD_TAKEN(shard=shard, term=term)
             self.adapter.took(shard, term, record)
-        elif state == LAPSED:
+        elif state is LeaseState.EXPIRED:
             log_events.SHARD_LAPSED(shard=shard, term=term)
-        elif state == NONE and shard in self.adapter.owned:
+        elif state is LeaseState.IDLE and shard in self.adapter.owned:
             log_events.SHARD_LOST(shard=shard, term=term)
             self.adapter.lost(shard)
 
@@ -110,7 +117,7 @@
             self._out()
             while self.queue:
                 member, message = self.queue.pop(0)
-                self.member.hear(clock(), member, tuple(message), self)
+                self.member.receive(clock(), member, message, self)
                 self._out()
         finally:
             self.stepping = False
@@ -145,11 +152,11 @@
             elif member in self.links:
                 octets = frames.get(id(message))
                 if octets is None:
-                    octets = frames[id(message)] = links.frame(message)
+                    octets = frames[id(message)] = message_codec.encode(message)
                 self.links[member].send(octets)
 
     def put(self, shard: int, record: bytes) -> int | None:
-        return self.step(lambda: self.member.write(clock(), shard, record, self))
+        return self.step(lambda: self.member.write_record(clock(), shard, record, self))
 
     # --- time ---
 
@@ -157,12 +164,12 @@
         if self.closed:
             return
         now = clock()
-        self.member.late = int(self.late)
+        self.member.loop_delay_us = int(self.late)
         at = self.step(lambda: self.member.tick(now, self))
         for member, since in list(self.unmet.items()):
             if now - since > MEET_BY:
                 member.close(ConnectionEnd.SILENT)
-        alone = self.member.alone(now)
+        alone = self.member.is_quorum_lost(now)
         if alone != self.alone:
             self.alone = alone
             (log_events.MAJORITY_LOST if alone else log_events.MAJORITY_BACK)(shards=len(self.adapter.owned))
@@ -198,7 +205,7 @@
             name=self.table.name,
             incarnation=self.incarnation,
             members=len(self.names),
-            state="recovers" if self.member.recovering else "votes",
+            state="recovers" if self.member.is_recovering else "votes",
         )
         self.turn()
 
@@ -212,7 +219,7 @@
                 self.table.cluster,
                 self.table.name,
                 self.incarnation,
-                [self.ways.shards, self.ways.lease, len(self.names)],
+                [self.ways.shards, self.ways.lease_us, len(self.names)],
             ],
         )
         self.unmet[link] = clock()
@@ -246,8 +253,8 @@
                 why = f"expected cluster {self.table.cluster}, not {cluster!r}"
             elif name not in self.names or name == self.table.name:
                 why = f"expected another of {', '.join(self.names)}, not {name!r}"
-            elif agreed != [self.ways.shards, self.ways.lease, len(self.names)]:
-                why = f"expected shards, lease and members {[self.ways.shards, self.ways.lease, len(self.names)]}, not {agreed}"
+            elif agreed != [self.ways.shards, self.ways.lease_us, len(self.names)]:
+                why = f"expected shards, lease and members {[self.ways.shards, self.ways.lease_us, len(self.names)]}, not {agreed}"
             elif link.subject() not in (None, name):
                 why = f"expected the certificate of {name!r}, not of {link.subject()!r}"
             elif incarnation < self.incarnations.get(self.names.index(name), 0):
@@ -272,8 +279,15 @@
         if self.links.get(link.member) is not link:
             return
         try:
-            self.step(lambda: self.member.hear(clock(), link.member, tuple(message), self))
-        except (AttributeError, IndexError, KeyError, TypeError, ValueError) as why:
+            self.step(lambda: self._hear(link.member, message))
+        except (
+            message_codec.MalformedMessageError,
+            AttributeError,
+            IndexError,
+            KeyError,
+            TypeError,
+            ValueError,
+        ) as why:
             self.counters["member_messages_unreadable"] += 1
             log_events.MEMBER_REFUSED(
                 peer=self.names[link.member], why=f"expected a message, not {str(message)[:60]} ({why})"
@@ -283,6 +297,13 @@
         if message[0] == "written":
             self.adapter.released()
 
+    def _hear(self, member: int, message: list) -> None:
+        now = clock()
+        self.member.note_heard(now, member)
+        if self.member.is_recovering and message[0] not in message_codec.KINDS_WHILE_RECOVERING:
+            return
+        self.member.receive(now, member, message_codec.decode(message), self)
+
     def over(self, link: Link) -> None:
         self.unmet.pop(link, None)
         if link.member is not None and self.links.get(link.member) is link:
@@ -300,13 +321,13 @@
 
     def status(self) -> dict:
         now, member = clock(), self.member
-        weights = member.there(now)
+        weights = member.weights(now)
         return {
             "name": self.table.name,
             "incarnation": self.incarnation,
             "cluster": self.table.cluster,
-            "recovering": member.recovering,
-            "alone": member.alone(now),
+            "recovering": member.is_recovering,
+            "alone": member.is_quorum_lost(now),
             "draining": member.draining,
             "late_ms": round(self.late / 1000, 1),
             "proxies": len(self.adapter.present),
@@ -325,10 +346,10 @@
                 {
                     "shard": s,
                     "promised": v.promised,
-                    "granted": self.names[v.owner] if v.owner is not None else "",
-                    "lease_ms": max(0, (v.until - now) // 1000),
-                    "state": member.claims[s].state,
-                    "heir": member.heirs.get(s, (None, 0)),
+                    "granted": self.names[v.holder] if v.holder is not None else "",
+                    "lease_ms": max(0, (v.granted_until - now) // 1000),
+                    "state": member.claims[s].state.value,
+                    "heir": member.balancer.successors.get(s, (None, 0)),
                 }
                 for s, v in enumerate(member.votes)
                 if member.holder(now, s) is None
@@ -336,32 +357,32 @@
             "shards": [
                 {
                     "shard": s,
-                    "state": c.state,
+                    "state": c.state.value,
                     "term": c.term,
                     "record": c.seq,
-                    "lease_ms": max(0, (c.good - now) // 1000) if c.state == OWNER else 0,
+                    "lease_ms": max(0, (c.valid_until - now) // 1000) if c.state is LeaseState.HELD else 0,
                     "proxies": self.adapter.proxies([s]),
                 }
                 for s, c in enumerate(member.claims)
-                if c.state != NONE
+                if c.state is not LeaseState.IDLE
             ],
         }
 
     def drain(self, on: bool = True) -> int:
         """Counts for nothing from now on: shards go to the others at the pace of balancing."""
         self.member.draining = on
-        return len(self.member.owned())
+        return len(self.member.held_shards())
 
     def handover(self, shards: list[int], heir: str | None) -> list[int]:
         to = self.names.index(heir) if heir else None
-        return self.step(lambda: self.member.give(clock(), shards, to, self))
+        return self.step(lambda: self.member.release(clock(), shards, to, self))
 
     def close(self) -> None:
         """Gives up what it owns, so that nobody has to wait for its leases."""
         if self.closed:
             return
         if self.journal.failed is None:
-            self.handover(self.member.owned(), None)
+            self.handover(self.member.held_shards(), None)
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
--- a/ravenshelf/operator_config/reading.py
+++ b/ravenshelf/operator_config/reading.py
@@ -103,7 +103,7 @@
     table = operator.leadership
     if not table.name:
         return
-    from ravenshelf.leadership.decisions import TERMS
+    from ravenshelf.leadership.decisions import TERM_STRIDE
 
     if table.name not in table.members:
         wrong.append(
@@ -113,9 +113,9 @@
     for name, place in table.members.items():
         if not _address(place):
             wrong.append(f"{file}: [leadership] members.{name}: found {_shown(place)}, expected host:port")
-    if len(table.members) > TERMS or len(set(table.members.values())) < len(table.members):
+    if len(table.members) > TERM_STRIDE or len(set(table.members.values())) < len(table.members):
         wrong.append(
-            f"{file}: [leadership] members: found {_shown(table.members)}, expected up to {TERMS}, each at an address "
+            f"{file}: [leadership] members: found {_shown(table.members)}, expected up to {TERM_STRIDE}, each at an address "
             "of its own"
         )
     if not table.cluster:
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -206,7 +206,7 @@
         if self.leadership is not None:
             lead = self.leadership
             counts |= {
-                figures.SHARDS.path: len(lead.member.owned()),
+                figures.SHARDS.path: len(lead.member.held_shards()),
                 figures.MET.path: 1 + len(lead.links),
                 figures.HELD.path: sum(len(owned.gate) for owned in lead.adapter.owned.values()),
             }
--- a/standins/controllers.py
+++ b/standins/controllers.py
@@ -10,7 +10,7 @@
 from collections import deque
 from dataclasses import dataclass, field, replace
 
-from ravenshelf.leadership.decisions import GRANTING, LAPSED, NONE, OWNER, LeaseConfiguration, Member
+from ravenshelf.leadership.decisions import LeaseConfiguration, LeaseState, Member, Permission
 from ravenshelf.leadership.inheritance import OPEN, Inherited
 from ravenshelf.leadership.record import Record
 
@@ -60,7 +60,7 @@
 
     def __init__(self, world: "World", me: int):
         self.world, self.me = world, me
-        drift = world.ways.drift
+        drift = world.ways.clock_drift
         self.rate = 1 + world.chance.uniform(-drift, drift)
         if world.extreme:
             self.rate = 1 + drift * (1 if me % 2 else -1)
@@ -92,9 +92,11 @@
             recovering,
         )
         if "no quiet after a start" in self.world.breaks:
-            self.member.quiet_until = 0
+            self.member.voter.quiet_until = 0
         if "one voter is enough" in self.world.breaks:
-            self.member.majority = 1
+            self.member.quorum = 1
+            self.member.leases.quorum = 1
+            self.member.recovery.quorum = 1
         self.writes, self.sends = [], []
         self.pending: deque[tuple[list, list]] = deque()
         self.syncing = False
@@ -128,22 +130,22 @@
 
     # --- what the machine decides ---
 
-    def keep(self, shard: int, promised: int, term: int, seq: int, record) -> None:
+    def store_vote(self, shard: int, promised: int, term: int, seq: int, record) -> None:
         self.writes.append((shard, promised, term, seq, record))
 
-    def votes(self) -> None:
+    def store_voting(self) -> None:
         self.writes.append(("votes",))
 
     def send(self, member: int, message: tuple) -> None:
         self.sends.append((member, message))
 
-    def changed(self, shard: int, state: str, term: int, record) -> None:
-        if state == OWNER:
+    def lease_changed(self, shard: int, state: LeaseState, term: int, record) -> None:
+        if state is LeaseState.HELD:
             self.world.history("owner", self.me, shard)
             had = self.orders.get(shard)
             if had is None or had.term != term:
                 self.orders[shard] = Shard(self, shard, term, record)
-        elif state == NONE:
+        elif state is LeaseState.IDLE:
             self.orders.pop(shard, None)
 
     def step(self) -> None:
@@ -178,7 +180,7 @@
         self._sync()
 
     def hear(self, member: int, message: tuple) -> None:
-        self.member.hear(self.clock(), member, message, self)
+        self.member.receive(self.clock(), member, message, self)
         self.step()
 
     def tick(self) -> None:
@@ -212,21 +214,21 @@
 
     def turn(self) -> None:
         now, claim = self.node.clock(), self.node.member.claims[self.shard]
-        if claim.state not in (OWNER, LAPSED) or claim.term != self.term:
+        if claim.state not in (LeaseState.HELD, LeaseState.EXPIRED) or claim.term != self.term:
             return
         if now - self.bound_at > SECOND:
             self.bound_at = now
             self.leave(0, "keeping", ("bind",))
-        if claim.state == OWNER:
+        if claim.state is LeaseState.HELD:
             self.decide(now)
-        if claim.state == OWNER and self.level_seq and now - self.said_at > 100 * MS:
+        if claim.state is LeaseState.HELD and self.level_seq and now - self.said_at > 100 * MS:
             self.said_at = (
                 now  # what is on record already is ordered again and again, as to proxies that come
             )
             self.leave(self.level_seq, "granting", ("level", "read", self.level))
         waiting, self.held = self.held, []
         for seq, kind, content in waiting:
-            if claim.safe >= seq:
+            if claim.committed_seq >= seq:
                 self.leave(seq, kind, content)
             else:
                 self.held.append((seq, kind, content))
@@ -263,7 +265,7 @@
                 self.leave(0, kind, content)
             orders = []
         if record != self.record:
-            seq = self.node.member.write(now, self.shard, record.pack(), self.node)
+            seq = self.node.member.write_record(now, self.shard, record.pack(), self.node)
             if seq is None:
                 self.level = None
                 self.out = set()
@@ -278,12 +280,12 @@
     def leave(self, seq: int, kind: str, content: tuple) -> None:
         """Formats an order, which takes a while, and then lets it go if that is still right."""
         early = "lease checked before formatting" in self.world.breaks
-        right = self.node.member.may_order(self.node.clock(), self.shard, seq)
+        right = self.node.member.permission(self.node.clock(), self.shard, seq)
         self.node.caught("order")
 
         def write() -> None:
-            now_right = right if early else self.node.member.may_order(self.node.clock(), self.shard, seq)
-            if now_right == GRANTING or (now_right is not None and kind == "keeping"):
+            now_right = right if early else self.node.member.permission(self.node.clock(), self.shard, seq)
+            if now_right is Permission.FULL or (now_right is not None and kind == "keeping"):
                 claim = self.node.member.claims[self.shard]
                 if claim.term == self.term or early:
                     self.world.deliver(self.node, self.shard, self.term, kind, content)
@@ -311,7 +313,7 @@
             frozenset(breaks),
             extreme,
         )
-        self.ways = LeaseConfiguration(shards=shards, settle=SECOND, drift=drift)
+        self.ways = LeaseConfiguration(shards=shards, stability_period_us=SECOND, clock_drift=drift)
         if "drift ignored" in self.breaks:
             self.ways = IgnoringDrift(**{f: getattr(self.ways, f) for f in self.ways.__dataclass_fields__})
         self.now, self.heap, self.number = 0, [], 0
@@ -463,12 +465,12 @@
             node.member.draining = True
             self.later(last, lambda: setattr(node.member, "draining", False))
         elif what == "late" and node.alive:
-            node.member.late = 10 * node.member.ways.late_most
-            self.later(last, lambda: setattr(node.member, "late", 0))
+            node.member.loop_delay_us = 10 * node.member.configuration.loop_delay_limit_us
+            self.later(last, lambda: setattr(node.member, "loop_delay_us", 0))
 
     def sound(self, node: Node) -> bool:
         """Whether a disk may be lost: one at a time, and all others whole and voting."""
-        return all(n is node or (n.alive and not n.member.recovering) for n in self.nodes)
+        return all(n is node or (n.alive and not n.member.is_recovering) for n in self.nodes)
 
     def heal(self) -> None:
         self.cuts, self.drop = set(), 0.01
@@ -476,15 +478,15 @@
             node.paused, node.sync_most, node.ambush = min(node.paused, self.now), 4 * MS, None
             if not node.alive:
                 node.start()
-            node.member.draining, node.member.late = False, 0
+            node.member.draining, node.member.loop_delay_us = False, 0
         self.history("whole")
 
 
 class IgnoringDrift(LeaseConfiguration):
     """A deliberate break: an owner counts on the whole lease, whatever the clocks do."""
 
-    def safe(self) -> int:
-        return self.lease
+    def usable_lease_us(self) -> int:
+        return self.lease_us
 
 
 def takeovers(events: list[tuple]) -> list[float]:
--- a/tests/store/test_stored_data_of_earlier_versions.py
+++ b/tests/store/test_stored_data_of_earlier_versions.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ravenshelf.leadership import link
+from ravenshelf.leadership import link, message_codec
 from ravenshelf.leadership.record import Record
 from ravenshelf.store.journal import Journal
 from ravenshelf.store.segments import HEAD, MAGIC, VERSION, pack, unpack
@@ -103,5 +103,12 @@
     assert link.frame(MESSAGES[name]) == data
 
 
+@pytest.mark.parametrize("name", sorted(MESSAGES.keys() - {"hello"}))
+def test_a_message_of_a_frame_is_typed_and_encodes_to_the_same_bytes(name):
+    data = (STORED / f"{name}.frame").read_bytes()
+    (message,) = link.Frames().feed(data)
+    assert message_codec.encode(message_codec.decode(message)) == data
+
+
 def test_a_seeded_exchange_of_three_members_makes_the_same_decisions_and_frames():
     assert play_exchange() == (STORED / "exchange.bin").read_bytes()
--- a/tests/test_distribution_controllers.py
+++ b/tests/test_distribution_controllers.py
@@ -19,7 +19,7 @@
 from ravenshelf.distribution.relay_service import RelayService
 from ravenshelf.distribution.services_file import ServicesFileError, read
 from ravenshelf.distribution.subscription_service import SubscriptionService
-from ravenshelf.leadership.decisions import GRANTING
+from ravenshelf.leadership.decisions import Permission
 from standins.installation import ports
 from standins.world import configuration
 
@@ -209,8 +209,8 @@
         self.good = True
         self.claims = [SimpleNamespace(term=4)] * 8
 
-    def may_order(self, now: int, shard: int) -> str | None:
-        return GRANTING if self.good else None
+    def permission(self, now: int, shard: int) -> Permission | None:
+        return Permission.FULL if self.good else None
 
 
 def test_services_are_claimed_no_more_while_the_lease_is_not_good_and_again_when_it_is():
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -9,16 +9,7 @@
 
 from benchmarks.leases import MODEL_BREAKS, model
 from ravenshelf.leadership import dividing
-from ravenshelf.leadership.decisions import (
-    GRANTING,
-    KEEPING,
-    LAPSED,
-    NONE,
-    OWNER,
-    TERMS,
-    LeaseConfiguration,
-    Member,
-)
+from ravenshelf.leadership.decisions import TERM_STRIDE, LeaseConfiguration, LeaseState, Member, Permission
 from ravenshelf.leadership.gate import MOST_HELD, Needs, ShardGate
 from ravenshelf.leadership.inheritance import LEARNS, OPEN, OPENS_EVERY, Inherited
 from ravenshelf.leadership.record import Record, UnreadableRecordError
@@ -106,16 +97,16 @@
     def __init__(self):
         self.messages, self.kept, self.states = [], [], []
 
-    def keep(self, *values):
+    def store_vote(self, *values):
         self.kept.append(values)
 
-    def votes(self):
+    def store_voting(self):
         self.kept.append("votes")
 
     def send(self, member, message):
         self.messages.append((member, message))
 
-    def changed(self, shard, state, term, record):
+    def lease_changed(self, shard, state, term, record):
         self.states.append((shard, state))
 
 
@@ -126,7 +117,7 @@
         self.now, self.cut, self.ways = (
             0,
             set(),
-            LeaseConfiguration(**({"shards": 2, "settle": 10**9} | ways)),
+            LeaseConfiguration(**({"shards": 2, "stability_period_us": 10**9} | ways)),
         )
         self.out = [Sent() for _ in range(3)]
         self.members = [Member(n, 3, self.ways, {}, 0, random.Random(n)) for n in range(3)]
@@ -137,7 +128,7 @@
                 messages, out.messages = out.messages, []
                 for to, message in messages:
                     if (sender, to) not in self.cut:
-                        self.members[to].hear(self.now, sender, message, self.out[to])
+                        self.members[to].receive(self.now, sender, message, self.out[to])
 
     def passes(self, seconds, frozen=()):
         until = self.now + round(seconds * SECOND)
@@ -154,20 +145,20 @@
         self.cut -= {(n, n)}
 
     def owners(self, shard):
-        return [n for n, m in enumerate(self.members) if m.claims[shard].state == OWNER]
+        return [n for n, m in enumerate(self.members) if m.claims[shard].state is LeaseState.HELD]
 
 
 def test_one_owner_a_shard_and_an_order_needs_lease_and_record():
     trio = Trio().passes(4)
     (owner,) = trio.owners(0)
     member = trio.members[owner]
-    assert member.may_order(trio.now, 0) == GRANTING
-    assert all(m.may_order(trio.now, 0) is None for m in trio.members if m is not member)
-    seq = member.write(trio.now, 0, b"r", trio.out[owner])
-    assert member.may_order(trio.now, 0, seq) is None  # not on record yet
+    assert member.permission(trio.now, 0) is Permission.FULL
+    assert all(m.permission(trio.now, 0) is None for m in trio.members if m is not member)
+    seq = member.write_record(trio.now, 0, b"r", trio.out[owner])
+    assert member.permission(trio.now, 0, seq) is None  # not on record yet
     trio.carry()
-    assert member.may_order(trio.now, 0, seq) == GRANTING
-    assert member.may_order(trio.now + trio.ways.lease, 0, seq) is None  # one that wakes after its lease
+    assert member.permission(trio.now, 0, seq) is Permission.FULL
+    assert member.permission(trio.now + trio.ways.lease_us, 0, seq) is None  # one that wakes after its lease
 
 
 def test_without_a_majority_known_things_are_kept_and_nothing_new_is_granted():
@@ -177,17 +168,18 @@
     member = trio.members[owner]
     trio.passes(2)
     assert (
-        member.claims[0].state == LAPSED and member.may_order(trio.now, 0) is None
+        member.claims[0].state is LeaseState.EXPIRED and member.permission(trio.now, 0) is None
     )  # it may have stood still
     trio.passes(4)
     assert (
-        member.may_order(trio.now, 0) == KEEPING and member.write(trio.now, 0, b"x", trio.out[owner]) is None
+        member.permission(trio.now, 0) is Permission.REPEAT_ONLY
+        and member.write_record(trio.now, 0, b"x", trio.out[owner]) is None
     )
     (successor,) = [n for n in trio.owners(0) if n != owner]
     assert trio.members[successor].claims[0].term > member.claims[0].term
     trio.cut.clear()
     trio.passes(1)
-    assert member.may_order(trio.now, 0) is None and member.claims[0].state == NONE
+    assert member.permission(trio.now, 0) is None and member.claims[0].state is LeaseState.IDLE
 
 
 def test_one_that_stood_still_is_never_taken_for_one_without_a_majority():
@@ -196,9 +188,9 @@
     trio.alone(owner)
     trio.passes(1)
     trio.passes(60, frozen=[owner])
-    assert trio.members[owner].may_order(trio.now, 0) is None
+    assert trio.members[owner].permission(trio.now, 0) is None
     trio.members[owner].tick(trio.now, trio.out[owner])
-    assert trio.members[owner].may_order(trio.now, 0) is None
+    assert trio.members[owner].permission(trio.now, 0) is None
 
 
 def test_a_one_way_cut_leaves_one_owner():
@@ -215,23 +207,25 @@
     trio = Trio().passes(4)
     (owner,) = trio.owners(0)
     heir = (owner + 1) % 3
-    trio.members[owner].write(trio.now, 0, b"kept", trio.out[owner])
+    trio.members[owner].write_record(trio.now, 0, b"kept", trio.out[owner])
     trio.carry()
-    trio.members[owner].give(trio.now, [0], heir, trio.out[owner])
-    assert trio.members[owner].may_order(trio.now, 0) is None
+    trio.members[owner].release(trio.now, [0], heir, trio.out[owner])
+    assert trio.members[owner].permission(trio.now, 0) is None
     trio.passes(0.2)
     assert trio.owners(0) == [heir] and trio.members[heir].claims[0].record == b"kept"
 
 
 def test_a_late_and_a_draining_member_give_their_shards_away():
-    for change in ("late", "draining"):
-        trio = Trio(shards=12, settle=SECOND).passes(6)
-        own = [len(m.owned()) for m in trio.members]
+    for change in ("loop_delay_us", "draining"):
+        trio = Trio(shards=12, stability_period_us=SECOND).passes(6)
+        own = [len(m.held_shards()) for m in trio.members]
         assert sum(own) == 12 and min(own) >= 3
-        setattr(trio.members[0], change, 10 * trio.ways.late_most if change == "late" else True)
+        setattr(
+            trio.members[0], change, 10 * trio.ways.loop_delay_limit_us if change == "loop_delay_us" else True
+        )
         trio.passes(4)
-        assert len(trio.members[0].owned()) <= (1 if change == "late" else 0)
-        assert sum(len(m.owned()) for m in trio.members) == 12
+        assert len(trio.members[0].held_shards()) <= (1 if change == "loop_delay_us" else 0)
+        assert sum(len(m.held_shards()) for m in trio.members) == 12
 
 
 def test_a_member_with_an_empty_disk_reads_a_majority_before_it_votes():
@@ -241,10 +235,10 @@
     trio.out[2] = Sent()
     trio.cut |= {(0, 2), (2, 0)}
     trio.passes(3)
-    assert new.recovering  # one of two others is no majority of three
+    assert new.is_recovering  # one of two others is no majority of three
     trio.cut.clear()
     trio.passes(1)
-    assert not new.recovering and all(v.promised >= p for v, p in zip(new.votes, promised))
+    assert not new.is_recovering and all(v.promised >= p for v, p in zip(new.votes, promised))
 
 
 def test_at_a_first_start_all_must_be_there_and_then_all_begin():
@@ -252,17 +246,17 @@
     trio.members = [Member(n, 3, trio.ways, {}, 0, random.Random(n), recovering=True) for n in range(3)]
     trio.alone(2)
     trio.passes(3)
-    assert all(m.recovering for m in trio.members)
+    assert all(m.is_recovering for m in trio.members)
     trio.cut.clear()
     trio.passes(6)
-    assert not any(m.recovering for m in trio.members) and len(trio.owners(0)) == 1
+    assert not any(m.is_recovering for m in trio.members) and len(trio.owners(0)) == 1
 
 
 def test_a_stray_promise_costs_no_owner_its_voter_for_long():
     trio = Trio().passes(4)
     (owner,) = trio.owners(0)
     voter = trio.members[(owner + 1) % 3].votes[0]
-    voter.promised += 5 * TERMS
+    voter.promised += 5 * TERM_STRIDE
     trio.passes(6)
     assert len(trio.owners(0)) == 1
     assert trio.members[trio.owners(0)[0]].claims[0].term == voter.promised
--- a/tools/make_stored_fixtures.py
+++ b/tools/make_stored_fixtures.py
@@ -1,8 +1,8 @@
 """Writes `tests/fixtures/stored/`: data on disk and on the wire as one version of the program writes it.
 
 The files in the repository were written once and stay: later versions must read them and must write the same
-bytes (`tests/store/test_stored_data_of_earlier_versions.py`). Run this only to add data of a new format, into a
-new folder:
+bytes (`tests/store/test_stored_data_of_earlier_versions.py`). Run this only to add data of a new format, into
+a new folder:
 
     python -m tools.make_stored_fixtures FOLDER
 """
@@ -13,7 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-from ravenshelf.leadership.decisions import LeaseConfiguration, Member
+from ravenshelf.leadership import message_codec
+from ravenshelf.leadership.decisions import LeaseConfiguration, LeaseState, Member, Message
 from ravenshelf.leadership.link import frame
 from ravenshelf.leadership.record import Record
 from ravenshelf.store import journal as journals
@@ -58,34 +59,34 @@
 class Exchange:
     """Three members play a seeded exchange: every decision in order, with messages as frames.
 
-    A member is cut off, one starts again with an empty disk, records are written, shards are handed over. It stands
-    for the disk and the network of all three (`LeaseEffects`), which are ideal.
+    A member is cut off, one starts again with an empty disk, records are written, shards are handed over. It
+    stands for the disk and the network of all three (`LeaseEffects`), which are ideal.
     """
 
     def __init__(self) -> None:
-        self.configuration = LeaseConfiguration(shards=4, settle=SECOND)
+        self.configuration = LeaseConfiguration(shards=4, stability_period_us=SECOND)
         self.members = [Member(n, 3, self.configuration, {}, 0, random.Random(n)) for n in range(3)]
         self.isolated: int | None = None
         self.now = 0
         self.messages: list[tuple[int, Any]] = []
         self.lines: list[bytes] = []
 
-    def keep(self, *values: Any) -> None:
+    def store_vote(self, *values: Any) -> None:
         """A vote goes to disk."""
         self.lines.append(b"keep %r\n" % (values,))
 
-    def votes(self) -> None:
+    def store_voting(self) -> None:
         """The member votes from now on."""
         self.lines.append(b"votes\n")
 
-    def send(self, member: int, message: Any) -> None:
+    def send(self, member: int, message: Message) -> None:
         """A message leaves."""
         self.messages.append((member, message))
-        self.lines.append(b"send %d " % member + frame(message) + b"\n")
+        self.lines.append(b"send %d " % member + message_codec.encode(message) + b"\n")
 
-    def changed(self, shard: int, state: str, term: int, record: Any) -> None:
+    def lease_changed(self, shard: int, state: LeaseState, term: int, record: Any) -> None:
         """A shard's state has changed."""
-        self.lines.append(b"changed %r\n" % ((shard, state, term, record),))
+        self.lines.append(b"changed %r\n" % ((shard, state.value, term, record),))
 
     def play(self) -> bytes:
         """The whole exchange, a line for each decision."""
@@ -105,13 +106,13 @@
         return b"".join(self.lines)
 
     def _hand_over_first(self, member: Member) -> None:
-        member.give(self.now, member.owned()[:1], (member.me + 1) % 3, self)
+        member.release(self.now, member.held_shards()[:1], (member.me + 1) % 3, self)
 
     def _write_records(self) -> None:
         for number in range(3):
-            for shard in self.members[number].owned():
+            for shard in self.members[number].held_shards():
                 body = RECORD.pack() if shard == 0 else b"%d" % self.now
-                self._step(number, lambda m, s=shard, b=body: m.write(self.now, s, b, self))
+                self._step(number, lambda m, s=shard, b=body: m.write_record(self.now, s, b, self))
 
     def _step(self, number: int, act: Callable[[Member], Any]) -> None:
         self.lines.append(b"%d %d " % (self.now, number))
@@ -123,9 +124,9 @@
                     self.lines.append(b"hear %d\n" % to)
                     self._hear(number, to, message)
 
-    def _hear(self, sender: int, to: int, message: Any) -> None:
+    def _hear(self, sender: int, to: int, message: Message) -> None:
         before, self.messages = self.messages, []
-        self.members[to].hear(self.now, sender, message, self)
+        self.members[to].receive(self.now, sender, message, self)
         replies, self.messages = self.messages, before
         for back, reply in replies:
             if self._reaches(to, back):
