--- a/ravenshelf/leadership/decisions/lease_holder.py
+++ b/ravenshelf/leadership/decisions/lease_holder.py
@@ -46,7 +46,7 @@
 
 
 class LeaseHolder:
-    """The claims of one member, by shard. `chance` spreads retries."""
+    """The claims of one member, by shard. `rng` spreads retries."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         quorum: int,
         configuration: LeaseConfiguration,
         voter: Voter,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.me = me
         self.members = members
@@ -63,7 +63,7 @@
         self.configuration = configuration
         self.claims = [Claim() for _ in range(configuration.shards)]
         self._voter = voter
-        self._chance = chance
+        self._rng = rng
         self._renewal_number = 0
         self._renewals: deque[Renewal] = deque(maxlen=RENEWALS_REMEMBERED)
 
@@ -223,12 +223,12 @@
         for number in outdated:
             del claim.renewed_by[number]
 
-    def expire(self, now: int, quorum_last_heard: int, effects: LeaseEffects) -> None:
+    def expire(self, now: int, quorum_last_contact: int, effects: LeaseEffects) -> None:
         """Ends leases that nobody renewed; once a quorum is back they are requested in a later term."""
         for shard, claim in enumerate(self.claims):
             if claim.state is LeaseState.HELD and now >= claim.valid_until:
                 self._set_state(shard, LeaseState.EXPIRED, effects)
-            elif claim.state is LeaseState.EXPIRED and quorum_last_heard > claim.valid_until:
+            elif claim.state is LeaseState.EXPIRED and quorum_last_contact > claim.valid_until:
                 self._set_state(shard, LeaseState.IDLE, effects)
 
     def release(
@@ -263,7 +263,7 @@
     def _tick_claim(self, now: int, shard: int, claim: Claim, effects: LeaseEffects) -> int | None:
         if claim.state in PENDING_STATES and now >= claim.retry_at:
             self._set_state(shard, LeaseState.IDLE, effects)
-            claim.retry_at = now + self._chance.randrange(self.configuration.retry_delay_us)
+            claim.retry_at = now + self._rng.randrange(self.configuration.retry_delay_us)
         if claim.state is LeaseState.HELD and claim.advance_term_at and now >= claim.advance_term_at:
             self._request(now, [shard], effects)
         is_uncommitted = claim.state in GRANTED_STATES and claim.committed_seq < claim.seq
@@ -287,7 +287,7 @@
             claim.highest_promised = max(claim.highest_promised, promised)
             if claim.state is LeaseState.HELD and claim.term == term and not claim.advance_term_at:
                 lease_us = self.configuration.lease_us
-                claim.advance_term_at = now + lease_us + self._chance.randrange(lease_us)
+                claim.advance_term_at = now + lease_us + self._rng.randrange(lease_us)
 
     def end_superseded_lease(self, shard: int, effects: LeaseEffects) -> None:
         """Ends the lease where this member's own voter has promised a later term."""
@@ -309,7 +309,7 @@
 
     def _retry_delay(self) -> int:
         delay = self.configuration.retry_delay_us
-        return delay + self._chance.randrange(delay)
+        return delay + self._rng.randrange(delay)
 
     def _broadcast(self, message: Message, effects: LeaseEffects) -> None:
         for member in range(self.members):
--- a/ravenshelf/leadership/decisions/member.py
+++ b/ravenshelf/leadership/decisions/member.py
@@ -46,7 +46,7 @@
         configuration: LeaseConfiguration,
         stored: StoredVotes,
         now: int,
-        chance: random.Random,
+        rng: random.Random,
         recovering: bool = False,
         capacity: float = 1.0,
     ) -> None:
@@ -58,7 +58,7 @@
         self.loop_delay_us = 0
         self.quorum = members // 2 + 1
         self.voter = Voter(configuration, stored, now, self._on_own_vote)
-        self.leases = LeaseHolder(me, members, self.quorum, configuration, self.voter, chance)
+        self.leases = LeaseHolder(me, members, self.quorum, configuration, self.voter, rng)
         self.peers = PeerTable(me, members, configuration)
         self.quorum_monitor = QuorumMonitor(now, configuration)
         self.balancer = Balancer(me, configuration, self.voter, self.leases, self.peers)
@@ -150,9 +150,9 @@
                 self._renew_at = now + self.configuration.renewal_interval_us
                 self.recovery.request(effects)
             return self._renew_at
-        quorum_last_heard = self.peers.quorum_last_heard(now, self.quorum)
-        self.quorum_monitor.update(now, quorum_last_heard)
-        self.leases.expire(now, quorum_last_heard, effects)
+        quorum_last_contact = self.peers.quorum_last_contact(now, self.quorum)
+        self.quorum_monitor.update(now, quorum_last_contact)
+        self.leases.expire(now, quorum_last_contact, effects)
         if now >= self._renew_at:
             self._renew_at = now + self.configuration.renewal_interval_us
             self.leases.renew(now, self.load, effects)
@@ -165,13 +165,13 @@
 
     # --- messages ---
 
-    def note_heard(self, now: int, member: int) -> None:
+    def note_contact(self, now: int, member: int) -> None:
         """A message of a member has come, whatever it says."""
-        self.peers.heard(now, member)
+        self.peers.note_contact(now, member)
 
     def receive(self, now: int, member: int, message: Message, effects: LeaseEffects) -> None:
         """A message of a member, this one among them: its own voter is asked like the others."""
-        self.note_heard(now, member)
+        self.note_contact(now, member)
         if self.is_recovering and not isinstance(message, (StateRequest, StateReply)):
             return
         self._handlers[type(message)](now, member, message, effects)
--- a/ravenshelf/leadership/decisions/peers.py
+++ b/ravenshelf/leadership/decisions/peers.py
@@ -14,7 +14,7 @@
 class Peer:
     """Another member. Times are microseconds by this member's clock."""
 
-    last_heard: int | None = None
+    last_contact: int | None = None
     reachable_since: int = 0
     load: MemberLoad = UNKNOWN_LOAD
 
@@ -27,14 +27,14 @@
         self.configuration = configuration
         self.peers = {member: Peer() for member in range(members) if member != me}
 
-    def heard(self, now: int, member: int) -> None:
+    def note_contact(self, now: int, member: int) -> None:
         """A message of a member has come."""
         peer = self.peers.get(member)
         if peer is None:
             return
-        if peer.last_heard is None or now - peer.last_heard > self.configuration.lease_us:
+        if peer.last_contact is None or now - peer.last_contact > self.configuration.lease_us:
             peer.reachable_since = now
-        peer.last_heard = now
+        peer.last_contact = now
 
     def update_load(self, member: int, load: MemberLoad) -> None:
         """A member has reported its load."""
@@ -49,7 +49,7 @@
         """The weight of each reachable member, this one among them."""
         weights = {self.me: self._weight(own_load)}
         for member, peer in self.peers.items():
-            if peer.last_heard is not None and now - peer.last_heard <= self.configuration.lease_us:
+            if peer.last_contact is not None and now - peer.last_contact <= self.configuration.lease_us:
                 weights[member] = self._weight(peer.load)
         return weights
 
@@ -58,12 +58,12 @@
             load.capacity, load.draining, load.loop_delay_us, self.configuration.loop_delay_limit_us
         )
 
-    def quorum_last_heard(self, now: int, quorum: int) -> int:
+    def quorum_last_contact(self, now: int, quorum: int) -> int:
         """When a quorum, this member included, was last heard from; `NEVER` where it has not been."""
         if quorum < 2:
             return now
         times = sorted(
-            (NEVER if peer.last_heard is None else peer.last_heard for peer in self.peers.values()),
+            (NEVER if peer.last_contact is None else peer.last_contact for peer in self.peers.values()),
             reverse=True,
         )
         return times[quorum - 2]
@@ -87,9 +87,9 @@
             self.unreachable_since = now
         self.last_tick = now
 
-    def update(self, now: int, quorum_last_heard: int) -> None:
+    def update(self, now: int, quorum_last_contact: int) -> None:
         """Takes in when a quorum was last heard from."""
-        if now - quorum_last_heard <= self.configuration.lease_us and quorum_last_heard >= 0:
+        if now - quorum_last_contact <= self.configuration.lease_us and quorum_last_contact >= 0:
             self.unreachable_since = None
         elif self.unreachable_since is None:
             # from now on, not from the last message: this process may be the one that was paused
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Programs for the work on this repository; none is needed at run time."""
+"""Tools for those who work on ravenshelf."""
