--- a/ravenshelf/distribution/decisions/ownership.py
+++ b/ravenshelf/distribution/decisions/ownership.py
@@ -9,7 +9,7 @@
 
 import xxhash
 
-from ravenshelf.leadership.dividing import rank
+from ravenshelf.leadership.shard_placement import ranked_members
 
 REPLICAS = 2  # controllers that hold a service's topics besides its owner
 
@@ -21,7 +21,7 @@
 
 def replicas(shard: int, owner: int, weights: Mapping[int, float], count: int = REPLICAS) -> list[int]:
     """The controllers that stand ready to take a shard over, the likeliest successor first."""
-    return [member for member in rank(shard, weights) if member != owner][:count]
+    return [member for member in ranked_members(shard, weights) if member != owner][:count]
 
 
 @dataclass(frozen=True)
--- a/ravenshelf/distribution/leased_services.py
+++ b/ravenshelf/distribution/leased_services.py
@@ -69,26 +69,26 @@
 
     # --- what Leadership tells ---
 
-    def took(self, shard: int, term: int, _record: bytes | None) -> None:
+    def lease_acquired(self, shard: int, term: int, _record: bytes | None) -> None:
         """A majority has granted the shard's lease."""
         self.owned[shard] = OwnedShard(term)
         self._lapsed_since.pop(shard, None)
         for service in self._of(shard):
             self._acquire(service, shard)
 
-    def lost(self, shard: int) -> None:
+    def lease_lost(self, shard: int) -> None:
         """The shard is another's, or was given away."""
         self.owned.pop(shard, None)
         self._lapsed_since.pop(shard, None)
         for service in self._of(shard):
             self.publisher.release(service)
 
-    def released(self) -> None:
+    def send_permitted(self) -> None:
         """Called at each turn: a lease that is good again lets what is pending leave."""
         if self.publisher is not None:
             self.publisher.publish()
 
-    def proxies(self, shards: Iterable[int]) -> int:
+    def proxy_count(self, shards: Iterable[int]) -> int:
         """Streams of proxies in these shards: there are none."""
         return 0
 
--- a/ravenshelf/leadership/__init__.py
+++ b/ravenshelf/leadership/__init__.py
@@ -1,1 +1,3 @@
-"""Several controllers share one fleet, divide it and take over from each other."""
+"""Several control-plane servers share one fleet: leases of shards, their takeover, and records that outlive
+a holder.
+"""
--- a/ravenshelf/leadership/adapter.py
+++ b/ravenshelf/leadership/adapter.py
@@ -1,28 +1,52 @@
-"""Between the pilot and its leadership: the decisions see only proxies of owned shards, and no order leaves without
-its right. The judging is `ShardGate`'s, `Inherited`'s and `Member`'s; here their answers meet the streams."""
+"""Between the control cycle of a control-plane server and its leases.
 
-from collections.abc import Callable, Iterable
+The decisions see only proxies of shards whose lease is held, and no order is sent without permission. The
+judging is that of `ShardGate`, `InheritedState` and `Member`; here their answers meet the proxies'
+connections.
+"""
+
+from collections.abc import Callable, Iterable, Mapping
+from typing import NamedTuple
 
 from ravenshelf.leadership.decisions import Member, Permission
-from ravenshelf.leadership.dividing import shard_of
-from ravenshelf.leadership.gate import Needs, ShardGate
-from ravenshelf.leadership.inheritance import Inherited
+from ravenshelf.leadership.gate import RecordRequirements, ShardGate, WaitingOrder
+from ravenshelf.leadership.inheritance import InheritedState
 from ravenshelf.leadership.record import Record, UnreadableRecordError
+from ravenshelf.leadership.shard_placement import shard_of_proxy
 from ravenshelf.policy.events import EndpointsListed, EndpointState, Event, ProxyJoined, ProxyLeft
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.proxy_tables import MessagePart
 
+INHERITED_ATTEMPTS_LIMIT = 1  # attempts of a level that a complete table would otherwise reset
+
+
+class EncodedOrder(NamedTuple):
+    """A message as it is written to a proxy, and the marker that the proxy acknowledges."""
+
+    message: bytes
+    marker: int | None
 
-class Owned:
-    """A shard that is ours: its gate, and what came with it."""
 
-    def __init__(self, term: int, record: Record, now: int, version: int):
-        self.term, self.gate, self.inherited = term, ShardGate(record), Inherited(now, record.copy(), version)
+class HeldShard:
+    """A shard whose lease is held: its waiting orders, and what it inherited."""
+
+    __slots__ = ("gate", "inherited", "term")
+
+    def __init__(self, term: int, record: Record, now: int, list_version: int) -> None:
+        self.term = term
+        self.gate = ShardGate(record)
+        self.inherited = InheritedState(now, record.copy(), list_version)
 
 
 class Adapter:
-    """`news` tells the pilot's rounds, `write(proxy, message, mark)` its streams; `names` gives an endpoint's name and
-    `version` the list's. `put(shard, record)` gives a record to the voters: its number, or None."""
+    """Filters events on their way to the decisions, and orders on their way to the proxies.
+
+    `report_event` hands an event to the control cycle; `write(proxy, message, marker, term)` writes to a
+    proxy; `write_record(shard, record)` sends a record to the voters and returns its number, or None;
+    `list_version` is the version of the endpoint list, `endpoint_name` and `endpoint_index` translate its
+    endpoints; `warming_since` has the endpoints that are warming up now, and `restore_warm_up` takes over
+    those of an earlier holder.
+    """
 
     def __init__(
         self,
@@ -31,172 +55,230 @@
         groups: list[str],
         counters: Counters,
         *,
-        news: Callable[[Event], None],
+        report_event: Callable[[Event], None],
         write: Callable[[int, bytes, int | None, int], None],
-        put: Callable[[int, bytes], int | None],
-        names: Callable[[int], str],
-        version: Callable[[], int],
-        index: Callable[[str], int | None],
-        ramps: Callable[[], dict[str, int]],
-        warm: Callable[[dict[str, int]], None],
-    ):
-        self.member, self.clock, self.groups, self.counters = member, clock, groups, counters
-        self.news, self.write, self.put, self.names = news, write, put, names
-        self.version, self.index, self.ramps, self.warm = version, index, ramps, warm
+        write_record: Callable[[int, bytes], int | None],
+        endpoint_name: Callable[[int], str],
+        list_version: Callable[[], int],
+        endpoint_index: Callable[[str], int | None],
+        warming_since: Callable[[], Mapping[str, int]],
+        restore_warm_up: Callable[[Mapping[str, int]], None],
+    ) -> None:
+        self.member = member
+        self.clock = clock
+        self.groups = groups
+        self.counters = counters
         self.shards = member.configuration.shards
-        self.present: dict[int, ProxyJoined] = {}  # every proxy with a stream here
+        self.present: dict[int, ProxyJoined] = {}  # every proxy with a connection here
         self.bound: set[int] = set()  # those that the decisions know
-        self.owned: dict[int, Owned] = {}
+        self.owned: dict[int, HeldShard] = {}
+        self._report_event = report_event
+        self._write = write
+        self._write_record = write_record
+        self._endpoint_name = endpoint_name
+        self._list_version = list_version
+        self._endpoint_index = endpoint_index
+        self._warming_since = warming_since
+        self._restore_warm_up = restore_warm_up
 
-    # --- news on their way to the decisions ---
+    # --- events on their way to the decisions ---
 
-    def heard(self, event: Event) -> bool:
-        """Whether the decisions are to hear it now."""
+    def passes(self, event: Event) -> bool:
+        """Takes in an event; returns whether the decisions are to have it now."""
         if isinstance(event, ProxyJoined):
             self.present[event.proxy] = event
-            if shard_of(event.proxy, self.shards) in self.owned:
-                self.bound.add(event.proxy)
-                return True
-            return False
-        if isinstance(event, ProxyLeft):
+            if self._shard_of(event.proxy) not in self.owned:
+                return False
+            self.bound.add(event.proxy)
+        elif isinstance(event, ProxyLeft):
             self.present.pop(event.proxy, None)
             self.bound.discard(event.proxy)
-            return True
-        if isinstance(event, EndpointsListed):
-            ready = [
-                self.names(entry.endpoint) for entry in event.entries if entry.state is EndpointState.READY
-            ]
-            for shard, owned in self.owned.items():
-                owned.inherited.listed(self.version(), ready)
-                if owned.gate.returned(e for e in ready if not owned.inherited.drained(e)):
-                    self._grow(shard, owned)
+        elif isinstance(event, EndpointsListed):
+            self._endpoints_listed(event)
         return True
 
-    # --- shards come and go ---
+    def _endpoints_listed(self, event: EndpointsListed) -> None:
+        ready = [
+            self._endpoint_name(entry.endpoint)
+            for entry in event.entries
+            if entry.state is EndpointState.READY
+        ]
+        for shard, held in self.owned.items():
+            held.inherited.endpoints_listed(self._list_version(), ready)
+            undrained = [endpoint for endpoint in ready if not held.inherited.is_drained(endpoint)]
+            if held.gate.end_drains(undrained):
+                self._extend_record(shard, held)
 
-    def took(self, shard: int, term: int, packed: bytes | None) -> None:
-        """The lease is ours and the record with a majority: its proxies are bound, whatever they hold."""
+    def _shard_of(self, proxy: int) -> int:
+        return shard_of_proxy(proxy, self.shards)
+
+    # --- leases ---
+
+    def lease_acquired(self, shard: int, term: int, packed: bytes | None) -> None:
+        """The lease is held and a quorum has the record: the shard's proxies are bound."""
+        record = self._unpack(packed)
+        held = self.owned.get(shard)
+        if held is not None:  # held all the time, now in a later term: waiting orders are sent in that
+            held.term = term
+            if held.gate.begin_term(record):
+                self._extend_record(shard, held)
+            self._send_permitted_of(shard)
+            return
+        held = HeldShard(term, record, self.clock(), self._list_version())
+        self.owned[shard] = held
+        self._restore_warm_up(held.inherited.warming_since())
+        for proxy, joined in list(self.present.items()):
+            if self._shard_of(proxy) == shard and proxy not in self.bound:
+                self.bound.add(proxy)
+                self._report_event(joined._replace(is_fresh=False))
+
+    def _unpack(self, packed: bytes | None) -> Record:
         try:
-            record = Record.unpack(packed)
+            return Record.unpack(packed)
         except UnreadableRecordError:
             self.counters["records_unreadable"] += 1
-            record = Record()
-        if shard in self.owned:  # ours all the time, now in a later term: what waits goes out under that
-            self.owned[shard].term = term
-            if self.owned[shard].gate.renew(record):
-                self._grow(shard, self.owned[shard])
-            return self.release(shard)
-        self.owned[shard] = Owned(term, record, self.clock(), self.version())
-        self.warm(self.owned[shard].inherited.starts())
-        for proxy, joined in list(self.present.items()):
-            if shard_of(proxy, self.shards) == shard and proxy not in self.bound:
-                self.bound.add(proxy)
-                self.news(joined._replace(is_fresh=False))
+            return Record()
 
-    def lost(self, shard: int) -> None:
+    def lease_lost(self, shard: int) -> None:
+        """The decisions forget the shard's proxies; waiting orders are dropped."""
         if self.owned.pop(shard, None) is None:
             return
-        for proxy in [p for p in self.bound if shard_of(p, self.shards) == shard]:
+        for proxy in [proxy for proxy in self.bound if self._shard_of(proxy) == shard]:
             self.bound.discard(proxy)
-            self.news(ProxyLeft(proxy, True))
+            self._report_event(ProxyLeft(proxy, True))
 
-    # --- orders on their way out ---
+    # --- orders on their way to the proxies ---
 
-    def shape(self, proxy: int, parts: list[MessagePart]) -> None:
-        """What the decisions do not know yet: drains that a later list than ours began, and what was refused."""
-        owned = self.owned.get(shard_of(proxy, self.shards))
-        if owned is None or owned.inherited.over(self.clock()):
+    def apply_inherited_state(self, proxy: int, parts: list[MessagePart]) -> None:
+        """Changes a message to what the decisions do not know yet.
+
+        Endpoints stay ejected that a later list than ours drained, and load that an earlier holder shed is
+        admitted step by step.
+        """
+        held = self.owned.get(self._shard_of(proxy))
+        now = self.clock()
+        if held is None or held.inherited.has_ended(now):
             return
-        now, inherited = self.clock(), owned.inherited
-        drained = {i for i in map(self.index, inherited.drains) if i is not None}
+        self._keep_drained(held.inherited, parts)
         for part in parts:
-            if drained:
-                part.back = [e for e in part.back if e not in drained]
-                part.out = part.out + [e for e, w in part.lines if w and e in drained and e not in part.out]
-            groups = [self.groups[g] for g in part.groups] or self.groups
             if part.level is not None:
-                level = min(inherited.level(now, g, part.level[0]) for g in groups)
+                groups = [self.groups[group] for group in part.groups] or self.groups
+                level = min(held.inherited.limit_level(now, group, part.level[0]) for group in groups)
                 part.level = (level, part.level[1])
-        for part in [p for p in parts if p.whole and p.level is None]:  # a whole table forgets levels
-            for g in part.groups or range(len(self.groups)):
-                had = inherited.record.levels.get(self.groups[g])
-                level = inherited.level(now, self.groups[g], float("inf"))
-                if had is not None and level < float("inf"):
-                    parts.append(MessagePart((g,), level=(level, min(had[1], 1))))
-
-    def offer(self, proxy: int, parts: list[MessagePart], message: bytes, mark: int | None) -> None:
-        """Takes an order in; it leaves when and if it may."""
-        shard = shard_of(proxy, self.shards)
-        owned = self.owned.get(shard)
-        if owned is None:
-            self.counters["orders_of_others"] += 1
+        self._restore_levels(now, held.inherited, parts)
+
+    def _keep_drained(self, inherited: InheritedState, parts: list[MessagePart]) -> None:
+        indices = map(self._endpoint_index, inherited.drained_at)
+        drained = {index for index in indices if index is not None}
+        if not drained:
             return
-        needs = Needs()
         for part in parts:
-            if part.level is not None:
-                for g in part.groups or range(len(self.groups)):
-                    needs.levels.append((self.groups[g], *part.level))
-            needs.drains += [
-                (self.names(e), self.version())
-                for e in part.out
-                if not owned.inherited.drained(self.names(e))
+            part.back = [endpoint for endpoint in part.back if endpoint not in drained]
+            part.out = part.out + [
+                endpoint
+                for endpoint, weight in part.lines
+                if weight and endpoint in drained and endpoint not in part.out
             ]
-        if owned.gate.offer(proxy, (message, mark), needs):
-            self._grow(shard, owned)
-        self.release(shard)
 
-    def _grow(self, shard: int, owned: Owned) -> None:
-        record = owned.gate.grow(self.ramps())
-        seq = self.put(shard, record.pack())
+    def _restore_levels(self, now: int, inherited: InheritedState, parts: list[MessagePart]) -> None:
+        """A complete table resets admission levels: the inherited ones are ordered after it."""
+        complete = [part for part in parts if part.whole and part.level is None]
+        for part in complete:
+            for group in part.groups or range(len(self.groups)):
+                name = self.groups[group]
+                recorded = inherited.record.admission_levels.get(name)
+                level = inherited.limit_level(now, name, float("inf"))
+                if recorded is not None and level < float("inf"):
+                    attempts = min(recorded[1], INHERITED_ATTEMPTS_LIMIT)
+                    parts.append(MessagePart((group,), level=(level, attempts)))
+
+    def submit(self, proxy: int, parts: list[MessagePart], message: bytes, marker: int | None) -> None:
+        """Takes an order; it is sent when and if it is permitted."""
+        shard = self._shard_of(proxy)
+        held = self.owned.get(shard)
+        if held is None:
+            self.counters["orders_without_lease"] += 1
+            return
+        requirements = self._requirements(held, parts)
+        if held.gate.submit(proxy, EncodedOrder(message, marker), requirements):
+            self._extend_record(shard, held)
+        self._send_permitted_of(shard)
+
+    def _requirements(self, held: HeldShard, parts: list[MessagePart]) -> RecordRequirements:
+        requirements = RecordRequirements()
+        for part in parts:
+            if part.level is not None:
+                level, attempts = part.level
+                for group in part.groups or range(len(self.groups)):
+                    requirements.levels.append((self.groups[group], level, attempts))
+            for endpoint in part.out:
+                name = self._endpoint_name(endpoint)
+                if not held.inherited.is_drained(name):
+                    requirements.drains.append((name, self._list_version()))
+        return requirements
+
+    def _extend_record(self, shard: int, held: HeldShard) -> None:
+        record = held.gate.extended_record(self._warming_since())
+        seq = self._write_record(shard, record.pack())
         if seq is not None:
             self.counters["records_written"] += 1
-            owned.gate.wrote(record, seq)
+            held.gate.record_written(record, seq)
+
+    def send_permitted(self) -> None:
+        """Sends what may be sent of all shards."""
+        for shard in list(self.owned):
+            self._send_permitted_of(shard)
 
-    def release(self, shard: int) -> None:
-        """Lets go what the record allows now; each is asked for its right after it was formatted, just before it goes."""
-        owned = self.owned.get(shard)
-        if owned is None:
+    def _send_permitted_of(self, shard: int) -> None:
+        held = self.owned.get(shard)
+        if held is None:
+            return
+        claim = self.member.claims[shard]
+        if claim.term != held.term:
             return
-        claim, now = self.member.claims[shard], self.clock()
-        if claim.term != owned.term:
+        now = self.clock()
+
+        def is_permitted(order: WaitingOrder) -> bool:
+            permission = self.member.permission(now, shard, order.seq)
+            if permission is Permission.REPEAT_ONLY:
+                return order.requirements.is_met_by(held.gate.record)
+            return permission is Permission.FULL
+
+        permitted = held.gate.take_permitted(claim.committed_seq, is_permitted)
+        for order in permitted:
+            self._send(shard, held, order)
+        record = held.gate.lowered_record(permitted)
+        if record is not None:
+            seq = self._write_record(shard, record.pack())
+            if seq is not None:
+                held.gate.record_written(record, seq)
+        self._bind_overflowed(shard, held)
+
+    def _send(self, shard: int, held: HeldShard, order: WaitingOrder) -> None:
+        # asked again: this process may have been paused since the order was looked at
+        if self.member.permission(self.clock(), shard, order.seq) is None:
+            self.counters["orders_not_permitted"] += 1
+            held.gate.overflowed.add(order.proxy)
             return
+        self.counters["orders_fenced"] += 1
+        self._write(order.proxy, order.message.message, order.message.marker, held.term)
 
-        def may(held) -> bool:
-            right = self.member.permission(now, shard, held.seq)
-            return right is Permission.FULL or (
-                right is Permission.REPEAT_ONLY and held.needs.met_by(owned.gate.record)
-            )
-
-        left = owned.gate.leave(claim.committed_seq, may)
-        for held in left:
-            message, mark = held.message
-            if self.member.permission(self.clock(), shard, held.seq) is None:
-                self.counters["orders_without_right"] += 1  # stood still since it was looked at
-                owned.gate.crowded.add(held.proxy)
-                continue
-            self.counters["orders_fenced"] += 1
-            self.write(held.proxy, message, mark, owned.term)
-        record = owned.gate.lowered(left)
-        if record is not None and (seq := self.put(shard, record.pack())) is not None:
-            owned.gate.wrote(record, seq)
-        if not owned.gate.crowded or self.member.permission(self.clock(), shard) is None:
+    def _bind_overflowed(self, shard: int, held: HeldShard) -> None:
+        """The decisions believe in orders that were never sent: these proxies are bound again."""
+        if not held.gate.overflowed or self.member.permission(self.clock(), shard) is None:
             return
-        for proxy in list(owned.gate.crowded):
-            owned.gate.crowded.discard(proxy)
-            owned.gate.waiting.pop(proxy, None)
-            if proxy in self.bound:  # the decisions believe in an order that never left: it is bound anew
-                self.news(ProxyLeft(proxy, True))
-                self.news(self.present[proxy]._replace(is_fresh=False))
-
-    def released(self) -> None:
-        for shard in list(self.owned):
-            self.release(shard)
+        for proxy in list(held.gate.overflowed):
+            held.gate.discard(proxy)
+            if proxy in self.bound:
+                self._report_event(ProxyLeft(proxy, True))
+                self._report_event(self.present[proxy]._replace(is_fresh=False))
 
-    def proxies(self, shards: Iterable[int]) -> int:
+    def proxy_count(self, shards: Iterable[int]) -> int:
+        """How many connected proxies are in these shards."""
         wanted = set(shards)
-        return sum(shard_of(p, self.shards) in wanted for p in self.present)
+        return sum(self._shard_of(proxy) in wanted for proxy in self.present)
 
 
-def fenced(message: bytes, term: int) -> bytes:
-    """The order with its term, by which a proxy refuses whatever comes of an older one."""
+def with_term(message: bytes, term: int) -> bytes:
+    """The order with its term, by which a proxy rejects orders of an earlier one."""
     return b"CONFIG term=%d" % term + message.removeprefix(b"CONFIG")
--- a/ravenshelf/leadership/decisions/balancer.py
+++ b/ravenshelf/leadership/decisions/balancer.py
@@ -10,7 +10,7 @@
 from ravenshelf.leadership.decisions.peers import PeerTable
 from ravenshelf.leadership.decisions.token_bucket import TokenBucket
 from ravenshelf.leadership.decisions.voter import Voter
-from ravenshelf.leadership.dividing import divide
+from ravenshelf.leadership.shard_placement import place_shards
 
 
 class Successor(NamedTuple):
@@ -50,7 +50,7 @@
     ) -> None:
         """Requests shards without a holder, and hands over what other members should have."""
         holders = [self.holder(now, shard) for shard in range(self.configuration.shards)]
-        wanted = divide(holders, weights)
+        wanted = place_shards(holders, weights)
         self.unheld_since = {
             shard: self.unheld_since.get(shard, now) for shard, member in enumerate(holders) if member is None
         }
--- a/ravenshelf/leadership/decisions/peers.py
+++ b/ravenshelf/leadership/decisions/peers.py
@@ -4,7 +4,7 @@
 
 from ravenshelf.leadership.decisions.configuration import LeaseConfiguration
 from ravenshelf.leadership.decisions.messages import MemberLoad
-from ravenshelf.leadership.dividing import capacity
+from ravenshelf.leadership.shard_placement import member_weight
 
 NEVER = -1  # in place of a time
 UNKNOWN_LOAD = MemberLoad(1.0, False, 0)  # until a member has reported its own
@@ -54,7 +54,7 @@
         return weights
 
     def _weight(self, load: MemberLoad) -> float:
-        return capacity(
+        return member_weight(
             load.capacity, load.draining, load.loop_delay_us, self.configuration.loop_delay_limit_us
         )
 
--- a/ravenshelf/leadership/inheritance.py
+++ b/ravenshelf/leadership/inheritance.py
@@ -1,54 +1,63 @@
-"""What a successor holds to while its own decisions know less than its predecessor's did. Pure.
+"""Limits of a successor while its own decisions know less than those of the holder before. Pure.
 
-The record says what had been ordered; what is unknown counts as ordered. A drain holds until a newer list ends it,
-an endpoint that was cold ramps from its recorded start, and what was refused is let in step by step. Times are
-microseconds.
+The record says what had been ordered; what is unknown counts as ordered. A drain holds until a newer
+endpoint list ends it, an endpoint that was warming up continues from its recorded start, and shed load is
+admitted step by step. Times are microseconds.
 """
 
-from collections.abc import Iterable
-from dataclasses import dataclass, field
+from collections.abc import Iterable, Mapping
 
 from ravenshelf.leadership.record import Record
 
 SECOND = 1_000_000
-OPENS = 1.25  # a refused group is let in so much more
-OPENS_EVERY = 2 * SECOND
-OPEN = 1e5  # a level that refuses nobody
-LEARNS = 60 * SECOND  # after which our own decisions stand alone
+ADMISSION_STEP = 1.25  # factor by which a group that was shed is admitted more
+ADMISSION_STEP_INTERVAL_US = 2 * SECOND
+UNLIMITED_LEVEL = 1e5  # an admission level that sheds nothing
+LEARNING_PERIOD_US = 60 * SECOND  # after it the successor's own decisions stand alone
 
 
-@dataclass(slots=True)
-class Inherited:
-    """Of one shard, from its takeover on."""
+class InheritedState:
+    """Of one shard, from its takeover on.
 
-    since: int
-    record: Record
-    version: int  # of the list that we had then
-    drains: dict[str, int] = field(default_factory=dict)
+    `list_version` is that of the endpoint list that the successor had then.
+    """
 
-    def __post_init__(self):
-        # a list older than the one that drained it may still call it ready
-        self.drains = {e: v for e, v in self.record.drains.items() if v > self.version}
+    __slots__ = ("drained_at", "record", "taken_over_at")
 
-    def level(self, now: int, group: str, level: float) -> float:
-        """What we may order of a level that our own decisions would order (or would leave open)."""
-        had = self.record.levels.get(group)
-        if had is None or had[0] >= OPEN or now - self.since > LEARNS:
+    def __init__(self, taken_over_at: int, record: Record, list_version: int) -> None:
+        self.taken_over_at = taken_over_at
+        self.record = record
+        # a list older than the one that drained an endpoint may still call it ready
+        self.drained_at = {
+            endpoint: version for endpoint, version in record.drained_at.items() if version > list_version
+        }
+
+    def limit_level(self, now: int, group: str, level: float) -> float:
+        """The level that may be ordered where the successor's own decisions would order `level`."""
+        recorded = self.record.admission_levels.get(group)
+        is_learning = now - self.taken_over_at <= LEARNING_PERIOD_US
+        if recorded is None or recorded[0] >= UNLIMITED_LEVEL or not is_learning:
             return level
-        steps = max(0, now - self.since) // OPENS_EVERY
-        return min(level, had[0] * OPENS**steps)
+        steps = max(0, now - self.taken_over_at) // ADMISSION_STEP_INTERVAL_US
+        return min(level, recorded[0] * ADMISSION_STEP**steps)
 
-    def over(self, now: int) -> bool:
-        return now - self.since > LEARNS and not self.drains
+    def has_ended(self, now: int) -> bool:
+        """Whether it limits nothing any more."""
+        return now - self.taken_over_at > LEARNING_PERIOD_US and not self.drained_at
 
-    def listed(self, version: int, ready: Iterable[str]) -> None:
-        """A list has come; a drain ends where it is newer than the one that began it and calls the endpoint ready."""
+    def endpoints_listed(self, version: int, ready: Iterable[str]) -> None:
+        """A list has come; it ends drains that began with an older one, of endpoints that it calls ready."""
         names = set(ready)
-        self.drains = {e: v for e, v in self.drains.items() if not (version > v and e in names)}
-
-    def drained(self, endpoint: str) -> bool:
-        return endpoint in self.drains
-
-    def starts(self) -> dict[str, int]:
-        """Starts of endpoints that were cold, for a list that does not tell them."""
-        return dict(self.record.ramps)
+        self.drained_at = {
+            endpoint: drained_at
+            for endpoint, drained_at in self.drained_at.items()
+            if not (version > drained_at and endpoint in names)
+        }
+
+    def is_drained(self, endpoint: str) -> bool:
+        """Whether the endpoint is still drained by an earlier holder."""
+        return endpoint in self.drained_at
+
+    def warming_since(self) -> Mapping[str, int]:
+        """Starts of endpoints that were warming up, for a list that does not say them."""
+        return dict(self.record.warming_since)
--- a/ravenshelf/leadership/record.py
+++ b/ravenshelf/leadership/record.py
@@ -1,85 +1,123 @@
-"""What of a shard must outlive its owner: what was allowed, drained, ramped and refused. Pure.
+"""What of a shard outlives its holder: what was admitted, drained, warming up and shed. Pure.
 
-A record is a map of named fields, each a map. An older program that reads a newer record keeps the fields that it
-does not know and writes them back with its own, so that two versions can serve in one cluster. Its size is bounded:
-by groups, by listed endpoints, and `tries` by what is still within its hold.
+A record is a map of named fields, each a map. An older program that reads a newer record keeps the fields
+that it does not know and writes them back with its own, so that two versions can serve in one cluster. Its
+size is bounded: by traffic groups, by listed endpoints, and the retries by those that are still within
+their hold time.
 """
 
+from collections.abc import Mapping
+from typing import Any, cast
+
 import msgspec
 
 from ravenshelf.errors import RavenshelfError
 
 VERSION = 2
-MOST_TRIES = 4096
-# by version: what a record of the version before lacks
-FIELDS = {1: ("tries", "levels", "drains"), 2: ("ramps",)}
-KNOWN = tuple(name for version in sorted(FIELDS) for name in FIELDS[version])
+# the stored fields by the version that added them; a record of an earlier version lacks them
+FIELDS_BY_VERSION = {1: ("tries", "levels", "drains"), 2: ("ramps",)}
+KNOWN_FIELDS = tuple(name for version in sorted(FIELDS_BY_VERSION) for name in FIELDS_BY_VERSION[version])
+SHOWN_BYTES = 40
 
 
 class UnreadableRecordError(RavenshelfError):
-    """What is no record at all."""
-
+    """Bytes that are no record. `data` is what was found."""
 
-class Record:
-    """`tries`: key of a flow's further try -> count. `levels`: group -> (level, tries), as most lately ordered or what
-    allows more. `drains`: endpoint -> the list's version that drained it. `ramps`: endpoint -> its start.
+    def __init__(self, data: bytes) -> None:
+        super().__init__(f"expected a shard's record, not {data[:SHOWN_BYTES]!r}")
+        self.data = data
 
-    All keys are names: indices differ between controllers."""
 
-    __slots__ = ("drains", "levels", "ramps", "rest", "tries", "version")
-
-    def __init__(self, tries=None, levels=None, drains=None, ramps=None, rest=None, version=VERSION):
-        self.tries: dict[str, int] = dict(tries or {})
-        self.levels: dict[str, tuple[float, int]] = {k: tuple(v) for k, v in (levels or {}).items()}
-        self.drains: dict[str, int] = dict(drains or {})
-        self.ramps: dict[str, int] = dict(ramps or {})
-        self.rest: dict = dict(rest or {})
+class Record:
+    """State of one shard. All keys are names, for indices differ between control-plane servers.
+
+    `retries`: key of a request -> its granted retries. `admission_levels`: traffic group -> (level,
+    attempts), as last ordered, or what admits more. `drained_at`: endpoint -> version of the endpoint list
+    that drained it. `warming_since`: endpoint -> its start. `unknown_fields`: those of a later version, as
+    stored.
+    """
+
+    __slots__ = ("admission_levels", "drained_at", "retries", "unknown_fields", "version", "warming_since")
+
+    def __init__(
+        self,
+        retries: Mapping[str, int] | None = None,
+        admission_levels: Mapping[str, tuple[float, int]] | None = None,
+        drained_at: Mapping[str, int] | None = None,
+        warming_since: Mapping[str, int] | None = None,
+        unknown_fields: Mapping[str, Any] | None = None,
+        version: int = VERSION,
+    ) -> None:
+        self.retries: dict[str, int] = dict(retries or {})
+        levels = {group: tuple(level) for group, level in (admission_levels or {}).items()}
+        self.admission_levels = cast("dict[str, tuple[float, int]]", levels)
+        self.drained_at: dict[str, int] = dict(drained_at or {})
+        self.warming_since: dict[str, int] = dict(warming_since or {})
+        self.unknown_fields: dict[str, Any] = dict(unknown_fields or {})
         self.version = version
 
     def copy(self) -> "Record":
-        return Record(self.tries, self.levels, self.drains, self.ramps, self.rest, self.version)
-
-    def __eq__(self, other) -> bool:
+        """A record of its own with the same content."""
+        return Record(
+            self.retries,
+            self.admission_levels,
+            self.drained_at,
+            self.warming_since,
+            self.unknown_fields,
+            self.version,
+        )
+
+    def __eq__(self, other: object) -> bool:
         return isinstance(other, Record) and self.pack() == other.pack()
 
     def pack(self) -> bytes:
-        said = {
+        """The record as it is stored and sent."""
+        fields = {
             "v": max(self.version, VERSION),
-            "tries": self.tries,
-            "levels": self.levels,
-            "drains": self.drains,
-            "ramps": self.ramps,
-        } | self.rest
-        return msgspec.msgpack.encode(said, order="sorted")
+            "tries": self.retries,
+            "levels": self.admission_levels,
+            "drains": self.drained_at,
+            "ramps": self.warming_since,
+        } | self.unknown_fields
+        return msgspec.msgpack.encode(fields, order="sorted")
 
     @classmethod
     def unpack(cls, data: bytes | None) -> "Record":
-        """None, for a shard that nobody has owned yet, is an empty record."""
+        """The record of stored bytes; empty for None, a shard that nobody has held yet.
+
+        Raises UnreadableRecordError.
+        """
         if data is None:
             return cls()
         try:
-            said = msgspec.msgpack.decode(data)
-            version = said.pop("v")
-            known = {name: said.pop(name, {}) for name in KNOWN}
-            if not isinstance(version, int) or not all(isinstance(v, dict) for v in known.values()):
+            fields = msgspec.msgpack.decode(data)
+            version = fields.pop("v")
+            tries, levels, drains, ramps = (fields.pop(name, {}) for name in KNOWN_FIELDS)
+            if not isinstance(version, int):
                 raise TypeError
-            return cls(**known, rest=said, version=version)
-        except (msgspec.DecodeError, AttributeError, KeyError, TypeError, ValueError) as why:
-            raise UnreadableRecordError(f"expected a shard's record, not {data[:40]!r}") from why
+            if not all(isinstance(field, dict) for field in (tries, levels, drains, ramps)):
+                raise TypeError
+            return cls(tries, levels, drains, ramps, fields, version)
+        except (msgspec.DecodeError, AttributeError, KeyError, TypeError, ValueError) as error:
+            raise UnreadableRecordError(data) from error
 
-    def covers(self, group: str, level: float, tries: int) -> bool:
-        """Whether it already says that so much may have been allowed."""
-        had = self.levels.get(group)
-        return had is not None and had[0] >= level and had[1] >= tries
+    def covers(self, group: str, level: float, attempts: int) -> bool:
+        """Whether it says already that so much may be admitted."""
+        recorded = self.admission_levels.get(group)
+        return recorded is not None and recorded[0] >= level and recorded[1] >= attempts
 
-    def allow(self, group: str, level: float, tries: int) -> None:
-        had = self.levels.get(group, (0.0, 0))
-        self.levels[group] = (max(had[0], level), max(had[1], tries))
+    def admit(self, group: str, level: float, attempts: int) -> None:
+        """Raises what may be admitted."""
+        recorded = self.admission_levels.get(group, (0.0, 0))
+        self.admission_levels[group] = (max(recorded[0], level), max(recorded[1], attempts))
 
     def lower(self, group: str, level: float) -> bool:
-        """A lower level has left: a successor begins from it. What was allowed of tries stays. True: it has changed."""
-        had = self.levels.get(group)
-        if had is None or had[0] <= level:
+        """A lower level was sent: a successor begins from it.
+
+        Attempts stay. Returns whether the record changed.
+        """
+        recorded = self.admission_levels.get(group)
+        if recorded is None or recorded[0] <= level:
             return False
-        self.levels[group] = (level, had[1])
+        self.admission_levels[group] = (level, recorded[1])
         return True
--- a/ravenshelf/leadership/service.py
+++ b/ravenshelf/leadership/service.py
@@ -1,396 +1,283 @@
-"""A controller among others at the edge: links, disk, timers, and the pilot's shards as they come and go."""
+"""A control-plane server among others, at the edge: connections, disk, timers, and the shards that it
+holds.
+"""
 
 import asyncio
 import random
-import time
+from collections import deque
 from collections.abc import Callable
+from contextlib import suppress
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
 from ravenshelf import log_events
-from ravenshelf.leadership import link as links
 from ravenshelf.leadership import message_codec
-from ravenshelf.leadership.adapter import Adapter
-from ravenshelf.leadership.decisions import (
-    SECOND,
-    LeaseConfiguration,
-    LeaseState,
-    Member,
-    Message,
+from ravenshelf.leadership.cluster import (
+    AgreedSettings,
+    ClusterMembership,
+    LeadershipSettings,
+    ShardAdapter,
+    clock,
+    lease_configuration,
 )
-from ravenshelf.leadership.link import Link
-from ravenshelf.net.connection_end import ConnectionEnd
-from ravenshelf.net.datagrams import address
-from ravenshelf.state.buffers import BufferPool
+from ravenshelf.leadership.decisions import SECOND, LeaseState, Member, Message, PackedRecord
+from ravenshelf.leadership.decisions.messages import RecordWriteReply
+from ravenshelf.leadership.peer_connections import PeerConnections
+from ravenshelf.leadership.persistence import VOTING_KEY, DurableOutbox, OutgoingMessage, VoteStore
+from ravenshelf.leadership.status import member_status
 from ravenshelf.state.counters import Counters
-from ravenshelf.store.committer import Committer
-from ravenshelf.store.journal import Journal
 
-DIAL_EVERY, DIAL_BY = 300_000, 1.0
-MEET_BY = 2 * SECOND  # whoever has not said hello by then is shut out
-MOST_UNMET = 32
+SHORTEST_WAIT_S = 0.001
+LONGEST_WAIT_S = 0.1
+# the measured delay of the event loop rises quickly and falls slowly
+DELAY_RISE = 0.5
+DELAY_FALL = 0.05
 
-
-def clock() -> int:
-    """Microseconds, going on while the machine sleeps: a lease must not outlive a suspension."""
-    return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
+Outcome = TypeVar("Outcome")
 
 
 class Leadership:
-    """`table` is the operator file's `[leadership]`, `folder` its `[store]`'s. `ended(why)` is called where this
-    controller can't go on."""
+    """Runs a `Member`. `stopped(reason)` is called where this control-plane server can't go on.
+
+    `settings` is the operator file's `[leadership]`, `folder` that of its `[store]`. `adapter` must be set
+    before `start`. It stands for the effects of the member (`LeaseEffects`).
+    """
+
+    adapter: ShardAdapter
 
     def __init__(
         self,
-        table,
+        settings: LeadershipSettings,
         folder: str,
         loop: asyncio.AbstractEventLoop,
         counters: Counters,
-        chance: random.Random,
-        ended: Callable[[str], None],
-    ):
-        self.table, self.loop, self.counters, self.ended = table, loop, counters, ended
-        self.names = sorted(table.members)
-        self.me = self.names.index(table.name)
-        self.journal = Journal(Path(folder) / "leadership", {"cluster": table.cluster, "member": table.name})
-        kept = {key: tuple(value) for key, value in self.journal.map.items() if isinstance(key, int)}
-        self.incarnation = int(self.journal.map.get("incarnation", 0)) + 1
-        recovers = len(self.names) > 1 and "votes" not in self.journal.map
-        self.journal.append([("incarnation", self.incarnation)])
-        self.committer = Committer(self.journal, self._back)
-        ways = LeaseConfiguration(
-            shards=table.shards,
-            lease_us=round(table.lease_ms * 1000),
-            renewal_interval_us=round(table.lease_ms * 200),
-            retry_delay_us=round(table.lease_ms * 100),
+        rng: random.Random,
+        stopped: Callable[[str], None],
+    ) -> None:
+        self.settings = settings
+        self.loop = loop
+        self.counters = counters
+        self.names = sorted(settings.members)
+        self.configuration = lease_configuration(settings)
+        self.store = VoteStore(Path(folder), settings.cluster, settings.name, self._call_in_loop)
+        agreed = AgreedSettings(settings.shards, self.configuration.lease_us, len(self.names))
+        self.membership = ClusterMembership(
+            settings.name, settings.cluster, self.names, self.store.incarnation, agreed
         )
-        self.ways = ways
-        self.member = Member(self.me, len(self.names), ways, kept, clock(), chance, recovers, table.capacity)
-        self.adapter: Adapter | None = None
-        self.buffers = BufferPool()
-        self.links: dict[int, Link] = {}
-        self.unmet: dict[Link, int] = {}
-        self.dialing: dict[int, asyncio.Task] = {}
-        self.incarnations: dict[int, int] = {}
-        self.server: asyncio.Server | None = None
-        self.admin: asyncio.Server | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.writes: list[tuple[int | str, Any]] = []
-        self.sends: list[tuple[int, Message]] = []
-        self.committing = 0
-        self.stepping = False
-        self.queue: list[tuple[int, Message]] = []  # messages to ourselves
-        self.late = 0.0
-        self.closed = False
-        self.alone = False
-        self.read_certificates()
-
-    # --- what the machine decides ---
-
-    def store_vote(self, shard: int, promised: int, term: int, seq: int, record: Any) -> None:
-        self.writes.append((shard, (promised, term, seq, record)))
+        is_recovering = len(self.names) > 1 and not self.store.is_voting
+        self.member = Member(
+            self.membership.me,
+            len(self.names),
+            self.configuration,
+            self.store.votes,
+            clock(),
+            rng,
+            is_recovering,
+            settings.capacity,
+        )
+        self.connections = PeerConnections(settings, self.membership, loop, counters, self)
+        self._outbox = DurableOutbox(self.store.committer, self._deliver, self._commit_ended)
+        self._to_self: deque[Message] = deque()
+        self._stopped = stopped
+        self._admin_server: asyncio.Server | None = None
+        self._timer: asyncio.TimerHandle | None = None
+        self._is_in_step = False
+        self._is_closed = False
+        self._is_quorum_lost = False
+        self._loop_delay_us = 0.0
+
+    @property
+    def incarnation(self) -> int:
+        """How often this member has started since its disk was empty."""
+        return self.membership.incarnation
+
+    # --- effects of the member ---
+
+    def store_vote(self, shard: int, promised: int, term: int, seq: int, record: PackedRecord) -> None:
+        """Stores a vote with this step."""
+        self._outbox.store(shard, (promised, term, seq, record))
 
     def store_voting(self) -> None:
-        self.writes.append(("votes", True))
+        """Stores that this member votes."""
+        self._outbox.store(VOTING_KEY, True)
 
     def send(self, member: int, message: Message) -> None:
-        self.sends.append((member, message))
+        """Sends a message once this step is on disk."""
+        self._outbox.send(member, message)
 
-    def lease_changed(self, shard: int, state: LeaseState, term: int, record: Any) -> None:
+    def lease_changed(self, shard: int, state: LeaseState, term: int, record: PackedRecord) -> None:
+        """Counts and logs the change, and hands it to the adapter."""
         self.counters[f"shards_{state.value}"] += 1
         if state is LeaseState.HELD:
             log_events.LEASE_ACQUIRED(shard=shard, term=term)
-            self.adapter.took(shard, term, record)
+            self.adapter.lease_acquired(shard, term, record)
         elif state is LeaseState.EXPIRED:
             log_events.LEASE_EXPIRED(shard=shard, term=term)
         elif state is LeaseState.IDLE and shard in self.adapter.owned:
             log_events.LEASE_LOST(shard=shard, term=term)
-            self.adapter.lost(shard)
+            self.adapter.lease_lost(shard)
+
+    # --- steps ---
 
-    def step(self, do: Callable[[], Any]) -> Any:
-        """Runs the machine; what it kept goes to disk before anything that it sent with it or later leaves."""
-        if self.stepping:  # called from within, by an order that needs a record: it is part of that step
-            return do()
-        self.stepping = True
+    def _step(self, act: Callable[[], Outcome]) -> Outcome:
+        """Runs the member; what it stored goes to disk before anything that it sent with it or later
+        leaves.
+        """
+        if self._is_in_step:  # an order that needs a record, from within: it is part of that step
+            return act()
+        self._is_in_step = True
         try:
-            outcome = do()
-            self._out()
-            while self.queue:
-                member, message = self.queue.pop(0)
-                self.member.receive(clock(), member, message, self)
-                self._out()
+            outcome = act()
+            self._outbox.flush()
+            while self._to_self:
+                message = self._to_self.popleft()
+                self.member.receive(clock(), self.membership.me, message, self)
+                self._outbox.flush()
         finally:
-            self.stepping = False
+            self._is_in_step = False
         return outcome
 
-    def _out(self) -> None:
-        writes, sends, self.writes, self.sends = self.writes, self.sends, [], []
-        if not writes and not self.committing:
-            self._carry(sends)
-        elif writes or sends:
-            self.committing += 1
-            newest = dict(writes)  # of a shard only the last state counts
-            self.committer.commit(list(newest.items()), lambda why: self._kept(sends, why))
-
-    def _kept(self, sends: list, why: Exception | None) -> None:
-        self.committing -= 1
-        if why is not None:
-            if not self.closed:
-                log_events.STORE_FAILED(why=str(why))
+    def _deliver(self, messages: list[OutgoingMessage]) -> None:
+        frames: dict[int, bytes] = {}  # a message to several members is encoded once
+        for member, message in messages:
+            if member == self.membership.me:
+                self._to_self.append(message)
+                continue
+            link = self.connections.links.get(member)
+            if link is None:
+                continue
+            frame = frames.get(id(message))
+            if frame is None:
+                frame = message_codec.encode(message)
+                frames[id(message)] = frame
+            link.send(frame)
+
+    def _commit_ended(self, messages: list[OutgoingMessage], error: Exception | None) -> None:
+        if error is not None:
+            if not self._is_closed:
+                log_events.STORE_FAILED(why=str(error))
                 self.close()
-                self.ended(f"the store has failed: {why}")
+                self._stopped(f"the store has failed: {error}")
+            return
+        self._deliver(messages)
+        self._step(lambda: None)
+        self.adapter.send_permitted()
+
+    # --- messages of other members (`MessageReceiver`) ---
+
+    def receive_message(self, member: int, message: list) -> None:
+        """A message of another member, as it was on the wire. Raises MalformedMessageError."""
+        self._step(lambda: self._receive_in_step(member, message))
+
+    def message_handled(self, message: list) -> None:
+        """A record that a quorum has now may permit orders."""
+        if message[0] == message_codec.KIND_OF_TYPE[RecordWriteReply]:
+            self.adapter.send_permitted()
+
+    def _receive_in_step(self, member: int, message: list) -> None:
+        now = clock()
+        self.member.note_contact(now, member)
+        if self.member.is_recovering and message[0] not in message_codec.KINDS_WHILE_RECOVERING:
             return
-        self._carry(sends)
-        self.step(lambda: None)
-        self.adapter.released()
-
-    def _carry(self, sends: list) -> None:
-        frames: dict[int, bytes] = {}
-        for member, message in sends:
-            if member == self.me:
-                self.queue.append((member, message))
-            elif member in self.links:
-                octets = frames.get(id(message))
-                if octets is None:
-                    octets = frames[id(message)] = message_codec.encode(message)
-                self.links[member].send(octets)
-
-    def put(self, shard: int, record: bytes) -> int | None:
-        return self.step(lambda: self.member.write_record(clock(), shard, record, self))
+        self.member.receive(now, member, message_codec.decode(message), self)
+
+    # --- records ---
+
+    def write_record(self, shard: int, record: bytes) -> int | None:
+        """Writes a shard's record; returns its number, or None without a valid lease."""
+        return self._step(lambda: self.member.write_record(clock(), shard, record, self))
+
+    def _call_in_loop(self, call: Callable[[], None]) -> None:
+        with suppress(RuntimeError):  # the loop has ended
+            self.loop.call_soon_threadsafe(call)
 
     # --- time ---
 
-    def turn(self) -> None:
-        if self.closed:
+    def _tick(self) -> None:
+        if self._is_closed:
             return
         now = clock()
-        self.member.loop_delay_us = int(self.late)
-        at = self.step(lambda: self.member.tick(now, self))
-        for member, since in list(self.unmet.items()):
-            if now - since > MEET_BY:
-                member.close(ConnectionEnd.SILENT)
-        alone = self.member.is_quorum_lost(now)
-        if alone != self.alone:
-            self.alone = alone
-            (log_events.QUORUM_LOST if alone else log_events.QUORUM_REGAINED)(shards=len(self.adapter.owned))
-        self.adapter.released()
-        wait = max(0.001, min(0.1, (at - clock()) / SECOND))
-        expected = self.loop.time() + wait
-        self.timer = self.loop.call_at(expected, self._due, expected)
-
-    def _due(self, expected: float) -> None:
-        late = max(0.0, self.loop.time() - expected) * SECOND
-        self.late += (late - self.late) * (0.5 if late > self.late else 0.05)
-        self.turn()
-
-    # --- links ---
+        self.member.loop_delay_us = int(self._loop_delay_us)
+        next_tick_at = self._step(lambda: self.member.tick(now, self))
+        self.connections.close_silent(now)
+        self._report_quorum(now)
+        self.adapter.send_permitted()
+        wait_s = max(SHORTEST_WAIT_S, min(LONGEST_WAIT_S, (next_tick_at - clock()) / SECOND))
+        expected = self.loop.time() + wait_s
+        self._timer = self.loop.call_at(expected, self._timer_fired, expected)
+
+    def _report_quorum(self, now: int) -> None:
+        is_lost = self.member.is_quorum_lost(now)
+        if is_lost == self._is_quorum_lost:
+            return
+        self._is_quorum_lost = is_lost
+        log_event = log_events.QUORUM_LOST if is_lost else log_events.QUORUM_REGAINED
+        log_event(shards=len(self.adapter.owned))
 
-    def read_certificates(self) -> None:
-        """Also at SIGHUP: new connections use what the files hold then, open ones go on."""
-        table = self.table
-        self.dials = self.takes = None
-        if table.certificate:
-            self.dials, self.takes = links.contexts(table.certificate, table.key, table.authority)
+    def _timer_fired(self, expected: float) -> None:
+        delay_us = max(0.0, self.loop.time() - expected) * SECOND
+        weight = DELAY_RISE if delay_us > self._loop_delay_us else DELAY_FALL
+        self._loop_delay_us += (delay_us - self._loop_delay_us) * weight
+        self._tick()
+
+    # --- start, administration, end ---
 
     async def start(self) -> None:
-        host, port = address(self.table.members[self.table.name])
-        self.server = await self.loop.create_server(self._link, host, port, ssl=self.takes)
-        if self.table.admin:
+        """Listens, dials the others and begins to tick. Raises OSError."""
+        await self.connections.listen()
+        if self.settings.admin:
             from ravenshelf.leadership.admin import serve
 
-            self.admin = await serve(self, self.table.admin)
-        for member in range(self.me + 1, len(self.names)):
-            self.dialing[member] = self.loop.create_task(self._keep_dialling(member))
+            self._admin_server = await serve(self, self.settings.admin)
+        self.connections.start_dialling()
         log_events.MEMBER_STARTED(
-            name=self.table.name,
+            name=self.settings.name,
             incarnation=self.incarnation,
             members=len(self.names),
             state="recovers" if self.member.is_recovering else "votes",
         )
-        self.turn()
-
-    def _link(self) -> Link:
-        link = Link(
-            self.buffers,
-            self,
-            [
-                "hello",
-                links.VERSION,
-                self.table.cluster,
-                self.table.name,
-                self.incarnation,
-                [self.ways.shards, self.ways.lease_us, len(self.names)],
-            ],
-        )
-        self.unmet[link] = clock()
-        if len(self.unmet) > MOST_UNMET:
-            next(iter(self.unmet)).close(ConnectionEnd.CROWDED)
-        return link
-
-    async def _keep_dialling(self, member: int) -> None:
-        while not self.closed:
-            if member not in self.links:
-                try:
-                    await links.dial(
-                        self.loop,
-                        address(self.table.members[self.names[member]]),
-                        self._link,
-                        self.dials,
-                        DIAL_BY,
-                    )
-                except (TimeoutError, OSError, ValueError):
-                    pass
-            await asyncio.sleep(DIAL_EVERY / SECOND)
-
-    def met(self, link: Link, hello: list) -> str | None:
-        """Whether this is a member of ours; its words otherwise are the event's."""
-        try:
-            kind, version, cluster, name, incarnation, agreed = hello
-            why = None
-            if kind != "hello" or not links.OLDEST <= version <= links.VERSION:
-                why = f"expected hello in version {links.OLDEST} to {links.VERSION}, not {str(hello)[:60]}"
-            elif cluster != self.table.cluster:
-                why = f"expected cluster {self.table.cluster}, not {cluster!r}"
-            elif name not in self.names or name == self.table.name:
-                why = f"expected another of {', '.join(self.names)}, not {name!r}"
-            elif agreed != [self.ways.shards, self.ways.lease_us, len(self.names)]:
-                why = f"expected shards, lease and members {[self.ways.shards, self.ways.lease_us, len(self.names)]}, not {agreed}"
-            elif link.subject() not in (None, name):
-                why = f"expected the certificate of {name!r}, not of {link.subject()!r}"
-            elif incarnation < self.incarnations.get(self.names.index(name), 0):
-                why = f"expected {name}'s incarnation {self.incarnations[self.names.index(name)]} or later, not {incarnation}"
-        except (TypeError, ValueError):
-            why = f"expected hello, not {str(hello)[:60]}"
-        if why is not None:
-            self.counters["members_refused"] += 1
-            log_events.MEMBER_REJECTED(peer=str(link.transport.get_extra_info("peername")), why=why)
-            return why
-        link.member, link.incarnation = self.names.index(name), incarnation
-        self.incarnations[link.member] = incarnation
-        self.unmet.pop(link, None)
-        old = self.links.get(link.member)
-        self.links[link.member] = link
-        if old is not None:
-            old.close(ConnectionEnd.SUPERSEDED)
-        log_events.MEMBER_CONNECTED(name=name, incarnation=incarnation)
-        return None
-
-    def said(self, link: Link, message: list) -> None:
-        if self.links.get(link.member) is not link:
-            return
-        try:
-            self.step(lambda: self._hear(link.member, message))
-        except (
-            message_codec.MalformedMessageError,
-            AttributeError,
-            IndexError,
-            KeyError,
-            TypeError,
-            ValueError,
-        ) as why:
-            self.counters["member_messages_unreadable"] += 1
-            log_events.MEMBER_REJECTED(
-                peer=self.names[link.member], why=f"expected a message, not {str(message)[:60]} ({why})"
-            )
-            link.close(ConnectionEnd.UNREADABLE)
-            return
-        if message[0] == "written":
-            self.adapter.released()
+        self._tick()
 
-    def _hear(self, member: int, message: list) -> None:
-        now = clock()
-        self.member.note_contact(now, member)
-        if self.member.is_recovering and message[0] not in message_codec.KINDS_WHILE_RECOVERING:
-            return
-        self.member.receive(now, member, message_codec.decode(message), self)
+    def read_certificates(self) -> None:
+        """Also at SIGHUP: new connections use what the files contain then. Raises OSError."""
+        self.connections.read_certificates()
+
+    def status(self) -> dict[str, Any]:
+        """The state of this member, for operators."""
+        return member_status(
+            clock(),
+            self.member,
+            self.membership,
+            self.adapter,
+            self.connections.links,
+            self.connections.incarnations,
+            self._loop_delay_us,
+        )
 
-    def over(self, link: Link) -> None:
-        self.unmet.pop(link, None)
-        if link.member is not None and self.links.get(link.member) is link:
-            del self.links[link.member]
-            if not self.closed:
-                log_events.MEMBER_DISCONNECTED(name=self.names[link.member], end=link.end.value)
+    def drain(self, is_draining: bool = True) -> int:
+        """Has no weight from now on: shards go to the others at the rate of rebalancing.
 
-    def _back(self, call: Callable[[], None]) -> None:
-        try:
-            self.loop.call_soon_threadsafe(call)
-        except RuntimeError:
-            pass  # the loop has ended
-
-    # --- by hand, and the end ---
-
-    def status(self) -> dict:
-        now, member = clock(), self.member
-        weights = member.weights(now)
-        return {
-            "name": self.table.name,
-            "incarnation": self.incarnation,
-            "cluster": self.table.cluster,
-            "recovering": member.is_recovering,
-            "alone": member.is_quorum_lost(now),
-            "draining": member.draining,
-            "late_ms": round(self.late / 1000, 1),
-            "proxies": len(self.adapter.present),
-            "held_orders": sum(len(o.gate) for o in self.adapter.owned.values()),
-            "members": [
-                {
-                    "name": name,
-                    "met": n == self.me or n in self.links,
-                    "incarnation": self.incarnation if n == self.me else self.incarnations.get(n, 0),
-                    "weight": round(weights.get(n, 0.0), 2),
-                    "shards": sum(member.holder(now, s) == n for s in range(self.ways.shards)),
-                }
-                for n, name in enumerate(self.names)
-            ],
-            "unowned": [
-                {
-                    "shard": s,
-                    "promised": v.promised,
-                    "granted": self.names[v.holder] if v.holder is not None else "",
-                    "lease_ms": max(0, (v.granted_until - now) // 1000),
-                    "state": member.claims[s].state.value,
-                    "heir": member.balancer.successors.get(s, (None, 0)),
-                }
-                for s, v in enumerate(member.votes)
-                if member.holder(now, s) is None
-            ],
-            "shards": [
-                {
-                    "shard": s,
-                    "state": c.state.value,
-                    "term": c.term,
-                    "record": c.seq,
-                    "lease_ms": max(0, (c.valid_until - now) // 1000) if c.state is LeaseState.HELD else 0,
-                    "proxies": self.adapter.proxies([s]),
-                }
-                for s, c in enumerate(member.claims)
-                if c.state is not LeaseState.IDLE
-            ],
-        }
-
-    def drain(self, on: bool = True) -> int:
-        """Counts for nothing from now on: shards go to the others at the pace of balancing."""
-        self.member.draining = on
+        Returns their count.
+        """
+        self.member.draining = is_draining
         return len(self.member.held_shards())
 
-    def handover(self, shards: list[int], heir: str | None) -> list[int]:
-        to = self.names.index(heir) if heir else None
-        return self.step(lambda: self.member.release(clock(), shards, to, self))
+    def hand_over(self, shards: list[int], successor: str | None) -> list[int]:
+        """Releases shards to a member, by name, or to any; returns those that it held."""
+        number = self.names.index(successor) if successor else None
+        return self._step(lambda: self.member.release(clock(), shards, number, self))
 
     def close(self) -> None:
-        """Gives up what it owns, so that nobody has to wait for its leases."""
-        if self.closed:
+        """Releases what it holds, so that nobody has to wait for its leases to expire."""
+        if self._is_closed:
             return
-        if self.journal.failed is None:
-            self.handover(self.member.held_shards(), None)
-        self.closed = True
-        if self.timer is not None:
-            self.timer.cancel()
-        for task in self.dialing.values():
-            task.cancel()
-        for server in (self.server, self.admin):
-            if server is not None:
-                server.close()
-        for link in [*self.links.values(), *self.unmet]:
-            link.close(ConnectionEnd.STOPPING)
-        self.committer.close()
+        if not self.store.has_failed():
+            self.hand_over(self.member.held_shards(), None)
+        self._is_closed = True
+        if self._timer is not None:
+            self._timer.cancel()
+        self.connections.stop_listening()
+        if self._admin_server is not None:
+            self._admin_server.close()
+        self.connections.close_links()
+        self.store.committer.close()
--- /dev/null
+++ b/ravenshelf/leadership/status.py
@@ -0,0 +1,87 @@
+"""The state of a member for operators, as JSON.
+
+Its keys are those of `ravenshelf controllers status --json`.
+"""
+
+from collections.abc import Container, Mapping
+from typing import Any
+
+from ravenshelf.leadership.cluster import ClusterMembership, ShardAdapter
+from ravenshelf.leadership.decisions import LeaseState, Member
+
+
+def member_status(
+    now: int,
+    member: Member,
+    membership: ClusterMembership,
+    adapter: ShardAdapter,
+    connected: Container[int],
+    incarnations: Mapping[int, int],
+    loop_delay_us: float,
+) -> dict[str, Any]:
+    """What a member is, whom it is connected to and what it holds. `now` in microseconds of its clock."""
+    return {
+        "name": membership.name,
+        "incarnation": membership.incarnation,
+        "cluster": membership.cluster,
+        "recovering": member.is_recovering,
+        "alone": member.is_quorum_lost(now),
+        "draining": member.draining,
+        "late_ms": round(loop_delay_us / 1000, 1),
+        "proxies": len(adapter.present),
+        "held_orders": sum(len(shard.gate) for shard in adapter.owned.values()),
+        "members": _members(now, member, membership, connected, incarnations),
+        "unowned": _unheld_shards(now, member, membership),
+        "shards": _claimed_shards(now, member, adapter),
+    }
+
+
+def _members(
+    now: int,
+    member: Member,
+    membership: ClusterMembership,
+    connected: Container[int],
+    incarnations: Mapping[int, int],
+) -> list[dict[str, Any]]:
+    weights = member.weights(now)
+    holders = [member.holder(now, shard) for shard in range(membership.agreed.shards)]
+    return [
+        {
+            "name": name,
+            "met": number == membership.me or number in connected,
+            "incarnation": membership.incarnation if number == membership.me else incarnations.get(number, 0),
+            "weight": round(weights.get(number, 0.0), 2),
+            "shards": holders.count(number),
+        }
+        for number, name in enumerate(membership.names)
+    ]
+
+
+def _unheld_shards(now: int, member: Member, membership: ClusterMembership) -> list[dict[str, Any]]:
+    return [
+        {
+            "shard": shard,
+            "promised": vote.promised,
+            "granted": membership.names[vote.holder] if vote.holder is not None else "",
+            "lease_ms": max(0, (vote.granted_until - now) // 1000),
+            "state": member.claims[shard].state.value,
+            "heir": member.balancer.successors.get(shard, (None, 0)),
+        }
+        for shard, vote in enumerate(member.votes)
+        if member.holder(now, shard) is None
+    ]
+
+
+def _claimed_shards(now: int, member: Member, adapter: ShardAdapter) -> list[dict[str, Any]]:
+    return [
+        {
+            "shard": shard,
+            "state": claim.state.value,
+            "term": claim.term,
+            "record": claim.seq,
+            "lease_ms": max(0, (claim.valid_until - now) // 1000) if claim.state is LeaseState.HELD else 0,
+            "proxies": adapter.proxy_count([shard]),
+        }
+        for shard, claim in enumerate(member.claims)
+        if claim.state is not LeaseState.IDLE
+    ]
--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -76,7 +76,7 @@
             if self.gate is None:
                 write(proxy, message, ticket)
             else:
-                self.gate.offer(proxy, parts, message, ticket)
+                self.gate.submit(proxy, parts, message, ticket)
             if self.tap is not None:
                 self.tap.sent(proxy, parts, ticket)
         # not by what waits before and after: answers heard in this round have taken something out of that
@@ -91,7 +91,7 @@
 
     def _made(self, proxy: int, parts: list) -> bytes:
         if self.gate is not None:
-            self.gate.shape(proxy, parts)
+            self.gate.apply_inherited_state(proxy, parts)
         return stream_codec.config(parts, self.listing.names, self.names)
 
     def _settle(self, channel) -> None:
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -170,7 +170,7 @@
         return at is not None and at[0] <= self.clock()
 
     def news(self, event: events.Event) -> None:
-        if self.gate is None or self.gate.heard(event):
+        if self.gate is None or self.gate.passes(event):
             self.tell(event)
 
     def tell(self, event: events.Event) -> None:
--- a/ravenshelf/process/controller.py
+++ b/ravenshelf/process/controller.py
@@ -13,7 +13,8 @@
 from ravenshelf.distribution.decisions.planner import service_topic
 from ravenshelf.distribution.leased_services import LeasedServices
 from ravenshelf.distribution.owner_service import OwnerService
-from ravenshelf.leadership.service import Leadership, clock
+from ravenshelf.leadership.cluster import clock
+from ravenshelf.leadership.service import Leadership
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.process import logs
 from ravenshelf.process.relay import limits
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -73,7 +73,7 @@
 
     def _subscribe(self) -> None:
         from ravenshelf.distribution.pilot_service import PilotDistribution
-        from ravenshelf.leadership.service import clock
+        from ravenshelf.leadership.cluster import clock
 
         pilot, table = self.pilot, self.operator.distribution
         self.distribution = pilot.sums = PilotDistribution(
@@ -92,8 +92,9 @@
     # --- other controllers ---
 
     def _lead(self) -> None:
-        from ravenshelf.leadership.adapter import Adapter, fenced
-        from ravenshelf.leadership.service import Leadership, clock
+        from ravenshelf.leadership.adapter import Adapter, with_term
+        from ravenshelf.leadership.cluster import clock
+        from ravenshelf.leadership.service import Leadership
 
         pilot, table = self.pilot, self.operator.leadership
 
@@ -102,7 +103,7 @@
             pilot.stop()
 
         def write(proxy: int, message: bytes, mark: int | None, term: int) -> None:
-            pilot.door.write(proxy, fenced(message, term) if pilot.door.fences(proxy) else message, mark)
+            pilot.door.write(proxy, with_term(message, term) if pilot.door.fences(proxy) else message, mark)
 
         self.leadership = Leadership(
             table, self.operator.store.folder, pilot.loop, self.counters, self.chance, ended
@@ -112,14 +113,14 @@
             clock,
             pilot.rounds.names,
             self.counters,
-            news=pilot.tell,
+            report_event=pilot.tell,
             write=write,
-            put=self.leadership.put,
-            names=lambda n: pilot.listing.names[n],
-            version=lambda: pilot.listing.rev,
-            index=pilot.listing.index.get,
-            ramps=self._ramps,
-            warm=self._warm,
+            write_record=self.leadership.write_record,
+            endpoint_name=lambda n: pilot.listing.names[n],
+            list_version=lambda: pilot.listing.rev,
+            endpoint_index=pilot.listing.index.get,
+            warming_since=self._ramps,
+            restore_warm_up=self._warm,
         )
 
     def _ramps(self) -> dict[str, int]:
@@ -207,11 +208,11 @@
             lead = self.leadership
             counts |= {
                 figures.SHARDS.path: len(lead.member.held_shards()),
-                figures.MET.path: 1 + len(lead.links),
+                figures.MET.path: 1 + len(lead.connections.links),
                 figures.HELD.path: sum(len(owned.gate) for owned in lead.adapter.owned.values()),
             }
             sums |= {
-                figures.COMMITS.path: lead.committer.batches,
+                figures.COMMITS.path: lead.store.committer.batches,
                 figures.RECORDS.path: self.counters["records_written"],
             }
         if self.listener is not None:
--- a/ravenshelf/process/relay.py
+++ b/ravenshelf/process/relay.py
@@ -15,7 +15,7 @@
 from ravenshelf.distribution.relay_service import RelayService
 from ravenshelf.distribution.subscription_service import SubscriptionService
 from ravenshelf.leadership.admin import serve_answers
-from ravenshelf.leadership.service import clock
+from ravenshelf.leadership.cluster import clock
 from ravenshelf.operator_config.tables import Distribution, Operator
 from ravenshelf.process import logs
 
--- a/standins/controllers.py
+++ b/standins/controllers.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 
 from ravenshelf.leadership.decisions import LeaseConfiguration, LeaseState, Member, Permission
-from ravenshelf.leadership.inheritance import OPEN, Inherited
+from ravenshelf.leadership.inheritance import UNLIMITED_LEVEL, InheritedState
 from ravenshelf.leadership.record import Record
 
 MS, SECOND = 1000, 1_000_000
@@ -206,7 +206,7 @@
         if "own view instead of the record" in self.world.breaks:
             self.record = Record()
         self.version = self.world.version(node.lag)
-        self.inherited = Inherited(node.clock(), self.record.copy(), self.version)
+        self.inherited = InheritedState(node.clock(), self.record.copy(), self.version)
         self.since, self.out, self.level = node.clock(), set(), None
         self.held: list[tuple[int, str, tuple]] = []
         self.bound_at = self.said_at = -(10**18)
@@ -236,29 +236,31 @@
     def decide(self, now: int) -> None:
         record, orders = self.record.copy(), []
         for key in self.world.waiting(self.shard):
-            if key not in record.tries:
-                record.tries[key] = 1
+            if key not in record.retries:
+                record.retries[key] = 1
                 orders.append(("granting", ("try", key)))
         version = self.world.version(self.node.lag)
         drained = self.world.drained(version)
-        self.inherited.listed(version, self.world.endpoints - drained)
-        drained |= set(self.inherited.drains)
+        self.inherited.endpoints_listed(version, self.world.endpoints - drained)
+        drained |= set(self.inherited.drained_at)
         for endpoint in drained - self.out:
-            record.drains[endpoint] = max(
-                version if endpoint in self.world.drained(version) else 0, record.drains.get(endpoint, -1)
+            record.drained_at[endpoint] = max(
+                version if endpoint in self.world.drained(version) else 0, record.drained_at.get(endpoint, -1)
             )
-            orders.append(("keeping", ("out", endpoint, record.drains[endpoint])))
+            orders.append(("keeping", ("out", endpoint, record.drained_at[endpoint])))
         for endpoint in self.out - drained:
-            record.drains.pop(endpoint, None)
+            record.drained_at.pop(endpoint, None)
             orders.append(("keeping", ("back", endpoint, version)))
         if self.bound_at == now:  # a table just bound lets in all that it holds and is not withdrawn
             for endpoint in sorted(self.world.endpoints - drained):
                 orders.append(("keeping", ("back", endpoint, version)))
         self.out = drained
-        level = self.inherited.level(now, "read", LOSING if now - self.since > 3 * SECOND else OPEN)
+        level = self.inherited.limit_level(
+            now, "read", LOSING if now - self.since > 3 * SECOND else UNLIMITED_LEVEL
+        )
         if level != self.level:
             self.level = level
-            record.levels["read"] = (level, 1)
+            record.admission_levels["read"] = (level, 1)
             orders.append(("granting", ("level", "read", level)))
         if "record after sending" in self.world.breaks:
             for kind, content in orders:
--- a/standins/distribution/leases.py
+++ b/standins/distribution/leases.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from ravenshelf.distribution.decisions.ownership import Tenure, replicas, shard_of_service
-from ravenshelf.leadership.dividing import rank
+from ravenshelf.leadership.shard_placement import ranked_members
 from standins.fleet.clock import SECOND
 
 if TYPE_CHECKING:
@@ -67,7 +67,7 @@
             ):
                 grant.good_until = now + LEASE
             elif (grant is None or now >= grant.good_until) and weights and not self.grants_nothing:
-                self._grant(shard, rank(shard, weights)[0])
+                self._grant(shard, ranked_members(shard, weights)[0])
         standby = self._standby(weights)
         for place in weights:
             self._tell(place, standby.get(place, {}))
--- a/tests/store/test_stored_data_of_earlier_versions.py
+++ b/tests/store/test_stored_data_of_earlier_versions.py
@@ -88,11 +88,11 @@
 def test_a_leadership_record_is_read_and_packs_to_the_same_bytes():
     data = (STORED / "record.msgpack").read_bytes()
     record = Record.unpack(data)
-    assert record.tries == {"build-order-0-1": 1, "build-order-0-7": 2}
-    assert record.levels == {"look": (40.5, 2), "pay": (100000.0, 1)}
-    assert record.drains == {"s-1": 7}
-    assert record.ramps == {"s-2": 1_700_000_000_000}
-    assert record.rest == {"quotas": {"tenant": 7}}
+    assert record.retries == {"build-order-0-1": 1, "build-order-0-7": 2}
+    assert record.admission_levels == {"look": (40.5, 2), "pay": (100000.0, 1)}
+    assert record.drained_at == {"s-1": 7}
+    assert record.warming_since == {"s-2": 1_700_000_000_000}
+    assert record.unknown_fields == {"quotas": {"tenant": 7}}
     assert record.pack() == RECORD.pack() == data
 
 
--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from ravenshelf.leadership import link as links
-from ravenshelf.leadership.adapter import fenced
+from ravenshelf.leadership.adapter import with_term
 from ravenshelf.operator_config import reading
 from standins.installation import Installation
 
@@ -259,15 +259,19 @@
             def write(self, data):
                 pass
 
-        link = made._link()
+        link = made.connections.make_link()
         link.connection_made(Wire())
-        assert why in made.met(link, hello)
-        assert made.met(link, ["hello", 1, "loopback", "c1", 5, [8, 400_000, 3]]) is None
-        older = made._link()
+        assert why in made.connections.hello_received(link, hello)
+        assert (
+            made.connections.hello_received(link, ["hello", 1, "loopback", "c1", 5, [8, 400_000, 3]]) is None
+        )
+        older = made.connections.make_link()
         older.connection_made(Wire())
-        assert "incarnation 5 or later" in made.met(older, ["hello", 1, "loopback", "c1", 4, [8, 400_000, 3]])
-        made.committer.close()
-        made.journal.close()
+        assert "incarnation 5 or later" in made.connections.hello_received(
+            older, ["hello", 1, "loopback", "c1", 4, [8, 400_000, 3]]
+        )
+        made.store.committer.close()
+        made.store.journal.close()
 
     run(test())
 
@@ -292,7 +296,7 @@
 
 
 def test_an_order_carries_its_term_first():
-    assert fenced(b"CONFIG whole=1 lines=a:1\r\n", 130) == b"CONFIG term=130 whole=1 lines=a:1\r\n"
+    assert with_term(b"CONFIG whole=1 lines=a:1\r\n", 130) == b"CONFIG term=130 whole=1 lines=a:1\r\n"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_distribution_controllers.py
+++ b/tests/test_distribution_controllers.py
@@ -220,7 +220,7 @@
         acquire=lambda *words: None, claim=lambda service, claimed: told.append((service, claimed))
     )
     leases.serve(publisher, ["s"])
-    leases.took(shard_of_service("s", 8), 4, None)
+    leases.lease_acquired(shard_of_service("s", 8), 4, None)
     leases.member.good = False
     for seconds in range(10):
         now[0] = seconds * SECOND
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -8,10 +8,15 @@
 from hypothesis import strategies as st
 
 from benchmarks.leases import MODEL_BREAKS, model
-from ravenshelf.leadership import dividing
+from ravenshelf.leadership import shard_placement
 from ravenshelf.leadership.decisions import TERM_STRIDE, LeaseConfiguration, LeaseState, Member, Permission
-from ravenshelf.leadership.gate import MOST_HELD, Needs, ShardGate
-from ravenshelf.leadership.inheritance import LEARNS, OPEN, OPENS_EVERY, Inherited
+from ravenshelf.leadership.gate import WAITING_LIMIT, RecordRequirements, ShardGate
+from ravenshelf.leadership.inheritance import (
+    ADMISSION_STEP_INTERVAL_US,
+    LEARNING_PERIOD_US,
+    UNLIMITED_LEVEL,
+    InheritedState,
+)
 from ravenshelf.leadership.record import Record, UnreadableRecordError
 from standins.controllers import BREAKS, ENDS, World, takeovers
 from standins.histories import check
@@ -270,19 +275,19 @@
 @given(weights, st.integers(8, 100), st.data())
 @settings(max_examples=60, deadline=None)
 def test_only_the_shards_of_the_lost_move(weights, shards, data):
-    owners = dividing.divide([None] * shards, weights)
+    owners = shard_placement.place_shards([None] * shards, weights)
     assert all(m in weights for m in owners)
-    most = dividing.bounds(shards, weights)
+    most = shard_placement.shard_limits(shards, weights)
     assert all(owners.count(m) <= most[m] for m in weights)
     lost = data.draw(st.sampled_from(sorted(weights)))
     left = {m: w for m, w in weights.items() if m != lost}
-    after = dividing.divide([None if m == lost else m for m in owners], left)
+    after = shard_placement.place_shards([None if m == lost else m for m in owners], left)
     assert (
         [a for a, b in zip(after, owners) if b != lost] == [b for b in owners if b != lost]
-        or any(owners.count(m) > dividing.bounds(shards, left)[m] for m in left)
+        or any(owners.count(m) > shard_placement.shard_limits(shards, left)[m] for m in left)
         or _few(owners, after, lost, left, shards)
     )
-    assert dividing.divide(after, left) == after  # settled: nobody moves without a cause
+    assert shard_placement.place_shards(after, left) == after  # settled: nobody moves without a cause
 
 
 def _few(owners, after, lost, left, shards):
@@ -293,15 +298,18 @@
 
 def test_one_that_comes_back_gets_its_due_and_no_more_moves():
     three, two = {0: 1.0, 1: 1.0, 2: 1.0}, {0: 1.0, 1: 1.0}
-    owners = dividing.divide([None] * 60, two)
-    after = dividing.divide(owners, three)
+    owners = shard_placement.place_shards([None] * 60, two)
+    after = shard_placement.place_shards(owners, three)
     assert 19 <= after.count(2) <= 20 and sum(a != b for a, b in zip(owners, after)) == after.count(2)
 
 
 def test_nobody_there_and_nothing_to_count_on():
-    assert dividing.divide([None, 1], {}) == [None, None]
-    assert dividing.divide([0, 1], {0: 0.0, 1: 0.0}) == [None, None]
-    assert dividing.capacity(1.0, True, 0, 1) == 0 and dividing.capacity(1.0, False, 2, 1) == 0.25
+    assert shard_placement.place_shards([None, 1], {}) == [None, None]
+    assert shard_placement.place_shards([0, 1], {0: 0.0, 1: 0.0}) == [None, None]
+    assert (
+        shard_placement.member_weight(1.0, True, 0, 1) == 0
+        and shard_placement.member_weight(1.0, False, 2, 1) == 0.25
+    )
 
 
 # --- records ---
@@ -321,11 +329,11 @@
         }
     )
     record = Record.unpack(later)
-    record.tries["k2"] = 1
+    record.retries["k2"] = 1
     said = msgspec.msgpack.decode(record.pack())
     assert said["quotas"] == {"t": 7} and said["v"] == 3 and set(said["tries"]) == {"k", "k2"}
     older = msgspec.msgpack.encode({"v": 1, "tries": {}, "levels": {}, "drains": {"s": 4}})
-    assert Record.unpack(older).drains == {"s": 4} and Record.unpack(older).ramps == {}
+    assert Record.unpack(older).drained_at == {"s": 4} and Record.unpack(older).warming_since == {}
     assert Record.unpack(None) == Record()
 
 
@@ -340,56 +348,68 @@
 
 def test_what_allows_more_waits_for_the_record_and_what_comes_later_waits_behind_it():
     gate = ShardGate(Record())
-    assert not gate.offer(1, "table", Needs())
-    assert gate.offer(1, "level", Needs(levels=[("read", 50.0, 1)]))
-    assert not gate.offer(1, "table2", Needs()) and not gate.offer(2, "other", Needs())
-    assert [h.message for h in gate.leave(0, lambda h: True)] == ["table", "other"]
-    grown = gate.grow({})
-    assert grown.covers("read", 50.0, 1) and not gate.record.levels
-    gate.wrote(grown, 1)
-    assert not gate.leave(0, lambda h: True)
-    assert [h.message for h in gate.leave(1, lambda h: True)] == ["level", "table2"]
-    assert not gate.offer(1, "again", Needs(levels=[("read", 40.0, 1)]))  # no more than is on record
-    assert gate.leave(1, lambda h: True) and not len(gate)
+    assert not gate.submit(1, "table", RecordRequirements())
+    assert gate.submit(1, "level", RecordRequirements(levels=[("read", 50.0, 1)]))
+    assert not gate.submit(1, "table2", RecordRequirements()) and not gate.submit(
+        2, "other", RecordRequirements()
+    )
+    assert [h.message for h in gate.take_permitted(0, lambda h: True)] == ["table", "other"]
+    grown = gate.extended_record({})
+    assert grown.covers("read", 50.0, 1) and not gate.record.admission_levels
+    gate.record_written(grown, 1)
+    assert not gate.take_permitted(0, lambda h: True)
+    assert [h.message for h in gate.take_permitted(1, lambda h: True)] == ["level", "table2"]
+    assert not gate.submit(
+        1, "again", RecordRequirements(levels=[("read", 40.0, 1)])
+    )  # no more than is on record
+    assert gate.take_permitted(1, lambda h: True) and not len(gate)
 
 
 def test_what_may_not_leave_holds_those_behind_it_and_a_later_term_lets_them_go():
     gate = ShardGate(Record())
-    gate.offer(1, "a", Needs())
-    gate.offer(1, "b", Needs(drains=[("s", 4)]))
-    assert gate.leave(0, lambda h: False) == [] and len(gate) == 2
-    assert gate.renew(Record())  # the new term's record lacks the drain
-    gate.wrote(gate.grow({}), 2)
-    assert [h.message for h in gate.leave(2, lambda h: True)] == ["a", "b"] and gate.record.drains == {"s": 4}
-    assert gate.returned(["s"]) and not gate.record.drains and not gate.returned(["s"])
+    gate.submit(1, "a", RecordRequirements())
+    gate.submit(1, "b", RecordRequirements(drains=[("s", 4)]))
+    assert gate.take_permitted(0, lambda h: False) == [] and len(gate) == 2
+    assert gate.begin_term(Record())  # the new term's record lacks the drain
+    gate.record_written(gate.extended_record({}), 2)
+    assert [h.message for h in gate.take_permitted(2, lambda h: True)] == [
+        "a",
+        "b",
+    ] and gate.record.drained_at == {"s": 4}
+    assert gate.end_drains(["s"]) and not gate.record.drained_at and not gate.end_drains(["s"])
 
 
 def test_a_proxy_with_too_much_waiting_is_bound_anew():
     gate = ShardGate(Record())
-    for n in range(MOST_HELD + 1):
-        gate.offer(1, n, Needs())
-    assert gate.crowded == {1} and len(gate) == MOST_HELD
+    for n in range(WAITING_LIMIT + 1):
+        gate.submit(1, n, RecordRequirements())
+    assert gate.overflowed == {1} and len(gate) == WAITING_LIMIT
 
 
 # --- what is inherited ---
 
 
 def test_a_successor_lets_in_step_by_step_what_was_refused():
-    inherited = Inherited(0, Record(levels={"read": (40.0, 1), "pay": (OPEN, 1)}), 5)
-    assert inherited.level(0, "read", 1e6) == 40 and inherited.level(OPENS_EVERY, "read", 1e6) == 50
-    assert inherited.level(0, "read", 10.0) == 10 and inherited.level(0, "pay", 1e6) == 1e6
-    assert inherited.level(LEARNS + 1, "read", 1e6) == 1e6
+    inherited = InheritedState(
+        0, Record(admission_levels={"read": (40.0, 1), "pay": (UNLIMITED_LEVEL, 1)}), 5
+    )
+    assert (
+        inherited.limit_level(0, "read", 1e6) == 40
+        and inherited.limit_level(ADMISSION_STEP_INTERVAL_US, "read", 1e6) == 50
+    )
+    assert inherited.limit_level(0, "read", 10.0) == 10 and inherited.limit_level(0, "pay", 1e6) == 1e6
+    assert inherited.limit_level(LEARNING_PERIOD_US + 1, "read", 1e6) == 1e6
 
 
 def test_a_drain_holds_until_a_newer_list_ends_it():
-    inherited = Inherited(0, Record(drains={"old": 3, "new": 7}), 5)
-    assert not inherited.drained("old") and inherited.drained("new")
-    inherited.listed(7, ["new"])
-    assert inherited.drained("new")
-    inherited.listed(8, ["other"])
-    assert inherited.drained("new")
-    inherited.listed(8, ["new"])
-    assert not inherited.drained("new")
+    inherited = InheritedState(0, Record(drained_at={"old": 3, "new": 7}), 5)
+    assert not inherited.is_drained("old") and inherited.is_drained("new")
+    inherited.endpoints_listed(7, ["new"])
+    assert inherited.is_drained("new")
+    inherited.endpoints_listed(8, ["other"])
+    assert inherited.is_drained("new")
+    inherited.endpoints_listed(8, ["new"])
+    assert not inherited.is_drained("new")
 
 
 def test_the_checker_needs_little_to_be_broken():
@@ -421,9 +441,11 @@
 
 
 def test_a_lower_level_that_has_left_is_what_a_successor_begins_from():
-    gate = ShardGate(Record(levels={"read": (1e6, 2)}))
-    assert not gate.offer(
-        1, "refuse", Needs(levels=[("read", 40.0, 1)])
+    gate = ShardGate(Record(admission_levels={"read": (1e6, 2)}))
+    assert not gate.submit(
+        1, "refuse", RecordRequirements(levels=[("read", 40.0, 1)])
     )  # the record allows more: it leaves at once
-    left = gate.leave(0, lambda held: True)
-    assert gate.lowered(left).levels == {"read": (40.0, 2)} and gate.lowered([]) is None
+    left = gate.take_permitted(0, lambda held: True)
+    assert (
+        gate.lowered_record(left).admission_levels == {"read": (40.0, 2)} and gate.lowered_record([]) is None
+    )
--- a/tools/make_stored_fixtures.py
+++ b/tools/make_stored_fixtures.py
@@ -31,11 +31,11 @@
 RESTARTED_AT_US = 4_000_000
 
 RECORD = Record(
-    tries={"build-order-0-1": 1, "build-order-0-7": 2},
-    levels={"look": (40.5, 2), "pay": (100000.0, 1)},
-    drains={"s-1": 7},
-    ramps={"s-2": 1_700_000_000_000},
-    rest={"quotas": {"tenant": 7}},
+    retries={"build-order-0-1": 1, "build-order-0-7": 2},
+    admission_levels={"look": (40.5, 2), "pay": (100000.0, 1)},
+    drained_at={"s-1": 7},
+    warming_since={"s-2": 1_700_000_000_000},
+    unknown_fields={"quotas": {"tenant": 7}},
 )
 
 # one message of every kind, as they are on the wire
