--- a/ravenshelf/leadership/adapter.py
+++ b/ravenshelf/leadership/adapter.py
@@ -15,9 +15,9 @@
 from ravenshelf.leadership.shard_placement import shard_of_proxy
 from ravenshelf.policy.events import EndpointsListed, EndpointState, Event, ProxyJoined, ProxyLeft
 from ravenshelf.state.counters import Counters
-from ravenshelf.state.proxy_tables import MessagePart
+from ravenshelf.state.message_part import AdmissionLevel, MessagePart
 
-INHERITED_ATTEMPTS_LIMIT = 1  # attempts of a level that a complete table would otherwise reset
+INHERITED_RETRY_MODE_LIMIT = 1  # of a level that a complete table would otherwise reset
 
 
 class EncodedOrder(NamedTuple):
@@ -161,10 +161,11 @@
             return
         self._keep_drained(held.inherited, parts)
         for part in parts:
-            if part.level is not None:
+            ordered = part.admission_level
+            if ordered is not None:
                 groups = [self.groups[group] for group in part.groups] or self.groups
-                level = min(held.inherited.limit_level(now, group, part.level[0]) for group in groups)
-                part.level = (level, part.level[1])
+                level = min(held.inherited.limit_level(now, group, ordered.level) for group in groups)
+                part.admission_level = AdmissionLevel(level, ordered.retry_mode)
         self._restore_levels(now, held.inherited, parts)
 
     def _keep_drained(self, inherited: InheritedState, parts: list[MessagePart]) -> None:
@@ -173,24 +174,24 @@
         if not drained:
             return
         for part in parts:
-            part.back = [endpoint for endpoint in part.back if endpoint not in drained]
-            part.out = part.out + [
+            part.readmitted = [endpoint for endpoint in part.readmitted if endpoint not in drained]
+            part.ejected = part.ejected + [
                 endpoint
-                for endpoint, weight in part.lines
-                if weight and endpoint in drained and endpoint not in part.out
+                for endpoint, weight in part.weights
+                if weight and endpoint in drained and endpoint not in part.ejected
             ]
 
     def _restore_levels(self, now: int, inherited: InheritedState, parts: list[MessagePart]) -> None:
         """A complete table resets admission levels: the inherited ones are ordered after it."""
-        complete = [part for part in parts if part.whole and part.level is None]
+        complete = [part for part in parts if part.is_complete and part.admission_level is None]
         for part in complete:
             for group in part.groups or range(len(self.groups)):
                 name = self.groups[group]
                 recorded = inherited.record.admission_levels.get(name)
                 level = inherited.limit_level(now, name, float("inf"))
                 if recorded is not None and level < float("inf"):
-                    attempts = min(recorded[1], INHERITED_ATTEMPTS_LIMIT)
-                    parts.append(MessagePart((group,), level=(level, attempts)))
+                    retry_mode = min(recorded[1], INHERITED_RETRY_MODE_LIMIT)
+                    parts.append(MessagePart((group,), admission_level=AdmissionLevel(level, retry_mode)))
 
     def submit(self, proxy: int, parts: list[MessagePart], message: bytes, marker: int | None) -> None:
         """Takes an order; it is sent when and if it is permitted."""
@@ -207,11 +208,11 @@
     def _requirements(self, held: HeldShard, parts: list[MessagePart]) -> RecordRequirements:
         requirements = RecordRequirements()
         for part in parts:
-            if part.level is not None:
-                level, attempts = part.level
+            if part.admission_level is not None:
+                level, retry_mode = part.admission_level
                 for group in part.groups or range(len(self.groups)):
-                    requirements.levels.append((self.groups[group], level, attempts))
-            for endpoint in part.out:
+                    requirements.levels.append((self.groups[group], level, retry_mode))
+            for endpoint in part.ejected:
                 name = self._endpoint_name(endpoint)
                 if not held.inherited.is_drained(name):
                     requirements.drains.append((name, self._list_version()))
--- a/ravenshelf/leadership/gate.py
+++ b/ravenshelf/leadership/gate.py
@@ -22,7 +22,7 @@
 class RecordRequirements:
     """What must be on record before an order is sent."""
 
-    levels: list[tuple[str, float, int]] = field(default_factory=list)  # traffic group, level, attempts
+    levels: list[tuple[str, float, int]] = field(default_factory=list)  # traffic group, level, retry mode
     drains: list[tuple[str, int]] = field(default_factory=list)  # endpoint, version of the endpoint list
 
     def is_met_by(self, record: Record) -> bool:
--- a/ravenshelf/leadership/record.py
+++ b/ravenshelf/leadership/record.py
@@ -32,7 +32,7 @@
     """State of one shard. All keys are names, for indices differ between control-plane servers.
 
     `retries`: key of a request -> its granted retries. `admission_levels`: traffic group -> (level,
-    attempts), as last ordered, or what admits more. `drained_at`: endpoint -> version of the endpoint list
+    retry mode), as last ordered, or what admits more. `drained_at`: endpoint -> version of the endpoint list
     that drained it. `warming_since`: endpoint -> its start. `unknown_fields`: those of a later version, as
     stored.
     """
@@ -101,20 +101,20 @@
         except (msgspec.DecodeError, AttributeError, KeyError, TypeError, ValueError) as error:
             raise UnreadableRecordError(data) from error
 
-    def covers(self, group: str, level: float, attempts: int) -> bool:
+    def covers(self, group: str, level: float, retry_mode: int) -> bool:
         """Whether it says already that so much may be admitted."""
         recorded = self.admission_levels.get(group)
-        return recorded is not None and recorded[0] >= level and recorded[1] >= attempts
+        return recorded is not None and recorded[0] >= level and recorded[1] >= retry_mode
 
-    def admit(self, group: str, level: float, attempts: int) -> None:
+    def admit(self, group: str, level: float, retry_mode: int) -> None:
         """Raises what may be admitted."""
         recorded = self.admission_levels.get(group, (0.0, 0))
-        self.admission_levels[group] = (max(recorded[0], level), max(recorded[1], attempts))
+        self.admission_levels[group] = (max(recorded[0], level), max(recorded[1], retry_mode))
 
     def lower(self, group: str, level: float) -> bool:
         """A lower level was sent: a successor begins from it.
 
-        Attempts stay. Returns whether the record changed.
+        The retry mode stays. Returns whether the record changed.
         """
         recorded = self.admission_levels.get(group)
         if recorded is None or recorded[0] <= level:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -33,8 +33,7 @@
 from ravenshelf.process.control_plane import ControlPlaneServer
 from ravenshelf.process.discovery import RETRY_DELAY, RegistryClient
 from ravenshelf.process.health_checks import HealthChecks
-from ravenshelf.rules import SECOND
-from ravenshelf.settings import decode_settings
+from ravenshelf.settings import SECOND, decode_settings
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.endpoint_registry import EndpointRegistry
 from ravenshelf.state.proxy_tables import ProxyTables
@@ -68,10 +67,10 @@
         self.now = 0
         self.listing = EndpointRegistry(lambda: self.now, lambda index: False)
         settings = decode_settings(SETTINGS)
-        self.listing.take(
+        self.listing.update(
             ListKind.REPLACE,
             5,
-            [ListedEndpoint(self.listing.endpoint("s-1"), 0, 0, 0, EndpointState.READY, 4.0, 0)],
+            [ListedEndpoint(self.listing.index_of("s-1"), 0, 0, 0, EndpointState.READY, 4.0, 0)],
             {0: "127.0.0.1:9"},
         )
 
@@ -87,7 +86,7 @@
         self.counters = Counters()
         self.discovery = RegistryClient(
             self.listing,
-            EndpointListDecoder(settings, self.listing.endpoint, self.listing.index.get),
+            EndpointListDecoder(settings, self.listing.index_of, self.listing.index_by_name.get),
             self.counters,
             open_call,
             news,
@@ -152,7 +151,7 @@
     assert (
         service.told == [WatchFailed()]
         and service.calls[-1].end is ConnectionEnd.UNREADABLE
-        and service.listing.rev == 5
+        and service.listing.version == 5
     )
 
 
@@ -211,7 +210,7 @@
         d.observe(True)
         assert service.calls[-1].path.endswith("after=0")
         service.calls[-1].says(2, target("s-2"), all=True)
-    assert service.listing.rev == 2 and service.told[-1] == (ListKind.REPLACE, [(1, EndpointState.READY)])
+    assert service.listing.version == 2 and service.told[-1] == (ListKind.REPLACE, [(1, EndpointState.READY)])
 
 
 def test_a_new_address_that_fails_is_asked_again(service):
@@ -283,7 +282,7 @@
     service.calls[-1].says(2, target("s-1"), all=True)
     fetch.answers(50, target("s-2"))
     assert (
-        service.listing.rev == 2
+        service.listing.version == 2
         and list(service.listing.entries) == [0]
         and service.told[-1] == WatchFailed()
     )
@@ -300,7 +299,7 @@
     service.calls[-1].says(rev, target("s-1", state="DRAINING"), target("s-2"))
     assert (
         service.told[-1] == (ListKind.UPDATE, [(0, EndpointState.DRAINING), (1, EndpointState.READY)])
-        and service.listing.rev == rev
+        and service.listing.version == rev
     )
 
 
@@ -350,7 +349,7 @@
     service.calls[-1].answers(4, target("s-2"))
     assert (
         sorted(service.listing.entries) == [0]
-        and service.listing.rev == 5
+        and service.listing.version == 5
         and service.counters["lists_old"] == 1
     )
     assert service.told == [(ListKind.UPDATE, [])]
@@ -363,7 +362,7 @@
     service.calls[-1].says(9, target("s-2"))
     service.now += 6 * SECOND
     service.calls[-1].says(3, target("s-1"), all=True)  # as late as lists may be
-    assert service.listing.rev == 9 and sorted(service.listing.entries) == [0, 1]
+    assert service.listing.version == 9 and sorted(service.listing.entries) == [0, 1]
     service.now += 25 * SECOND
     service.calls[-1].says(4, target("s-1", state="DRAINING"), all=whole)
     if not whole:  # changes to a list that we do not have: it asks for all
@@ -371,7 +370,10 @@
         d.observe(True)
         assert service.calls[-1].path.endswith("after=0")
         service.calls[-1].says(4, target("s-1", state="DRAINING"), all=True)
-    assert service.listing.rev == 4 and service.told[-1] == (ListKind.REPLACE, [(0, EndpointState.DRAINING)])
+    assert service.listing.version == 4 and service.told[-1] == (
+        ListKind.REPLACE,
+        [(0, EndpointState.DRAINING)],
+    )
     service.calls[-1].says(5, target("s-3"))
     assert service.told[-1] == (ListKind.UPDATE, [(2, EndpointState.READY)])
 
@@ -433,12 +435,12 @@
         settings = decode_settings(SETTINGS)
         settings = settings._replace(service=settings.service._replace(**service))
         self.counters, self.now, self.out, self.sent = Counters(), 100 * SECOND, [], ProxyTables(2, True)
-        self.listing = EndpointRegistry(lambda: self.now, self.sent.holds)
-        self.listing.take(
+        self.listing = EndpointRegistry(lambda: self.now, self.sent.has_endpoint)
+        self.listing.update(
             ListKind.REPLACE,
             1,
             [
-                ListedEndpoint(self.listing.endpoint(f"s-{n}"), 0, 0, 0, EndpointState.READY, 4.0, 0)
+                ListedEndpoint(self.listing.index_of(f"s-{n}"), 0, 0, 0, EndpointState.READY, 4.0, 0)
                 for n in (1, 2)
             ],
             {},
@@ -487,13 +489,15 @@
     p.run(join(0))
     p.now += 20 * SECOND
     listed = EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),))
-    p.rounds.controller.write = lambda *_: None  # the table keeps the line, so it must be let back later
+    p.rounds.controller.tables.write = lambda *_: (
+        None
+    )  # the table keeps the line, so it must be let back later
     p.run(listed)
     assert "out=s-1" in p.out[0][1]
     p.run(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, 0),)))
     p.rounds.controller.channel.queued_lines = 0.0
     p.rounds.controller.channel.batches.clear()
-    p.rounds.controller.round = lambda now, news, orders: orders.request_acknowledgement(
+    p.rounds.controller.run_cycle = lambda now, news, orders: orders.request_acknowledgement(
         5, True
     )  # charges nothing
     p.run()
@@ -532,7 +536,7 @@
         orders.set_weight(0, 0, 0)
         raise RuntimeError("no such thing")
 
-    failed.round = fail
+    failed.run_cycle = fail
     assert p.run(ProxyLeft(1)) is None and not p.out and p.counters["module_failures"] == 1
     calls = p.run()
     assert p.rounds.controller is not failed and [proxy for proxy, _ in p.out] == [0]
@@ -544,7 +548,9 @@
     p = play()
     p.run(join(0), join(1))
     p.now += 5 * SECOND
-    p.rounds.controller.write = lambda *_: None  # the tables keep the line, so the withdrawal has to go out
+    p.rounds.controller.tables.write = lambda *_: (
+        None
+    )  # the tables keep the line, so the withdrawal has to go out
     names, p.listing.names = p.listing.names, []  # no message can be made
     assert (
         p.run(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),)))
@@ -553,7 +559,10 @@
     )
     p.listing.names = names
     p.sent.set_ejected(0, True)  # the new module has heard the list, and bound nobody yet
-    assert [(proxy, parts[0].out) for proxy, parts in p.sent.messages()] == [(0, [0]), (1, [0])]
+    assert [(message.proxy, message.parts[0].ejected) for message in p.sent.take_messages()] == [
+        (0, [0]),
+        (1, [0]),
+    ]
 
 
 def test_a_module_that_starts_over_knows_what_waits_and_gives_no_mark_twice(play):
@@ -561,7 +570,7 @@
     p.run(join(0), join(1))
     channel, waited = p.rounds.controller.channel, p.rounds.controller.channel.unproved_lines()
     assert waited
-    p.rounds.controller.follow_list = lambda orders: (
+    p.rounds.controller.ejections.update = lambda pending, writer: (
         channel.charge([0], 50) or 1 / 0
     )  # half a round is charged
     assert p.run(EndpointsListed(ListKind.UPDATE, ())) is None
@@ -626,8 +635,8 @@
 def test_news_wait_for_the_tick_and_go_in_one_call(begun):
     pilot, loop = begun
     loop.play(1)
-    played, seen = [], pilot.rounds.controller.round
-    pilot.rounds.controller.round = lambda now, news, orders: (
+    played, seen = [], pilot.rounds.controller.run_cycle
+    pilot.rounds.controller.run_cycle = lambda now, news, orders: (
         played.append((now, sum(isinstance(event, DemandReport) for event in news))),
         seen(now, news, orders),
     )
@@ -646,14 +655,14 @@
     Where none comes there is none to wait for, and news need not wait for it."""
     pilot, loop = begun
     loop.play(1)
-    began, seen = [], pilot.rounds.controller.round
+    began, seen = [], pilot.rounds.controller.run_cycle
 
     def long(now, news, orders):
         began.append(now)
         seen(now, news, orders)
         loop.now += 30_000
 
-    pilot.rounds.controller.round = long
+    pilot.rounds.controller.run_cycle = long
     for n in range(40):
         pilot.counters["accepted"] += come
         pilot.news(DemandReport(1, 0, 5, 0, SECOND))
@@ -665,7 +674,7 @@
     pilot, loop = begun
     loop.play(1)
     woken = []
-    pilot.rounds.controller.round = lambda now, news, orders: (
+    pilot.rounds.controller.run_cycle = lambda now, news, orders: (
         woken.extend((now, event.key) for event in news if isinstance(event, TimerExpired)),
         [orders.start_timer(now - 5, "past"), orders.start_timer(now + 50_000, "soon")]
         if not woken
@@ -690,7 +699,7 @@
     pilot, loop = begun
     pilot.news(ProxyJoined(1, 0, 10.0, True))
     pilot.news(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, 0),)))
-    pilot.listing.endpoint("s-1")
+    pilot.listing.index_of("s-1")
     loop.play(0.1)
     controller, messages = pilot.rounds.controller, pilot.counters["messages_sent"]
     texts = [
@@ -720,7 +729,7 @@
     loop.play(1)
     pilot.discovery.observe(True)
     old, asked = pilot.discovery.watch, []
-    pilot.rounds.controller.round = lambda now, news, orders: (
+    pilot.rounds.controller.run_cycle = lambda now, news, orders: (
         asked or asked.append(orders.watch_endpoints(True))
     )
     pilot.extend(old, 10_000)
@@ -776,7 +785,7 @@
     pilot.reload()  # a second SIGHUP, and a third that brings the whole file
     pilot.reload()
     loop.play(3)
-    assert len(reads) == 3 and pilot.counters["reloads"] == 1 and ("reload",) not in pilot.deadlines.at
+    assert len(reads) == 3 and pilot.counters["reloads"] == 1 and ("reload",) not in pilot.deadlines
 
 
 def test_a_reload_with_more_classes_and_zones_is_the_same_deployments(begun):
@@ -798,7 +807,7 @@
     call = pilot.discovery.watch
     loop.waiting.clear()
     pilot.timer = None
-    pilot.deadlines.heap, pilot.deadlines.at = [], {}
+    pilot.deadlines.heap, pilot.deadlines.deadlines = [], {}
     pilot.set_deadline(("call", call), loop.now + SECOND)
     if spoke:  # its line lay in the socket while the process stood still
         loop.waiting.append((loop.now + SECOND + 1, lambda: pilot.extend(call, 5 * SECOND)))
