--- a/benchmarks/graphite.py
+++ b/benchmarks/graphite.py
@@ -17,7 +17,7 @@
 from benchmarks.measuring import close, memory_mb, quantile, quantiles
 from examples.toy import pilot
 from standins import collectd as sender
-from standins.carbon import Carbon, Stall
+from standins.carbon import CarbonReceiver, StopReading
 from standins.world import Discovery, Proxy, configuration, entry
 
 PROXIES, ENDPOINTS, BETWEEN = 20, 40, 0.014
@@ -64,7 +64,7 @@
 
 async def lines(seconds: float) -> dict:
     """The two pilots in turns."""
-    carbon = await Carbon([Stall()], buffer=2048).start()
+    carbon = await CarbonReceiver([StopReading()], buffer_bytes=2048).start()
     sides = {"hanging": Side(), "absent": Side()}
     receivers = {"hanging": carbon.address, "absent": "127.0.0.1:1"}
     async with contextlib.AsyncExitStack() as stack:
@@ -117,13 +117,13 @@
 
 
 def formatting(points: int) -> dict:
-    from ravenshelf.graphite.formats import slices
+    from ravenshelf.graphite.formats import encode
 
     made = [(f"ravenshelf.toy.endpoint.s-{n}.tries_per_s", n * 1.1) for n in range(points)]
     out = {}
     for protocol in ("plaintext", "pickle"):
         began, longest, last = time.perf_counter(), 0.0, time.perf_counter()
-        for _ in slices(protocol, 1_700_000_000, made):
+        for _ in encode(protocol, 1_700_000_000, made):
             longest, last = max(longest, time.perf_counter() - last), time.perf_counter()
         took = time.perf_counter() - began
         out[protocol] = {
@@ -194,12 +194,12 @@
     """The longest that the loop was held, and what waits in the end, with a receiver that hangs: naive and ours."""
     from ravenshelf.background.decisions import PRESENT, JobQueue
     from ravenshelf.background.scheduler import Background
-    from ravenshelf.graphite.service import Graphite
+    from ravenshelf.graphite.service import GraphiteService
     from ravenshelf.operator_config.tables import Graphite as Table
     from ravenshelf.process.clock import Clock
     from ravenshelf.state.counters import Counters
 
-    carbon = await Carbon([Stall()], buffer=2048).start()
+    carbon = await CarbonReceiver([StopReading()], buffer_bytes=2048).start()
     made = [(f"ravenshelf.toy.endpoint.s-{n}.tries_per_s", n * 1.1) for n in range(points)]
     loop, clock, out = asyncio.get_running_loop(), Clock(), {}
 
@@ -240,29 +240,29 @@
 
     background = Background(JobQueue(256, 2000, 200_000, 5_000_000), clock, wake, lambda: False, counters)
     table = Table(receivers=[carbon.address], buffer_points=3 * points)
-    service = Graphite(
+    service = GraphiteService(
         table,
         random.Random(1),
         loop=loop,
         clock=clock,
         background=background,
-        again=lambda r, at: loop.call_later(max(0, at - clock()) / 1e6, lambda: service.turn(r)),
+        wake_at=lambda r, at: loop.call_later(max(0, at - clock()) / 1e6, lambda: service.run_due(r)),
     )
 
     def give(n: int):
         def work():
             yield
-            service.take(1_700_000_000 + n, 1, made)
+            service.export(1_700_000_000 + n, 1, made)
 
         background.offer("figures", PRESENT, 1_000_000, work())
 
     worst = await longest(give)
-    outlet = service.outlets[carbon.address]
+    exporter = service.exporters[carbon.address]
     out["ours"] = {
         "longest_hold_ms": round(max(worst, counters["background_slice_most_us"] / 1000), 2),
-        "waiting_points": outlet.backlog.size,
+        "waiting_points": exporter.queue.size,
         "bound": table.buffer_points,
-        "dropped_points": outlet.backlog.dropped,
+        "dropped_points": exporter.queue.dropped,
     }
     out["hold_ratio"] = round(out["ours"]["longest_hold_ms"] / out["naive"]["longest_hold_ms"], 3)
     service.close()
--- a/ravenshelf/commands.py
+++ b/ravenshelf/commands.py
@@ -82,7 +82,7 @@
 @app.command()
 def figures(form: Form = "table"):
     """Every figure that is sent to Graphite."""
-    from ravenshelf.graphite.figures import rows
+    from ravenshelf.graphite.metrics import rows
 
     show(("path", "unit", "importance", "source", "meaning", "formed"), rows(), form, "Below PREFIX.PILOT")
 
--- /dev/null
+++ b/ravenshelf/graphite/collector.py
@@ -0,0 +1,192 @@
+"""Turns events, messages and control cycles into metrics, one interval at a time.
+
+The collector observes the control-plane server: it gets the events that the controller gets, every message
+and the duration of every control cycle. It decides nothing. Times are microseconds. No I/O: what the system
+measures of the process is passed in.
+"""
+
+from collections.abc import Callable, Iterable, Iterator
+
+from ravenshelf.graphite import metrics
+from ravenshelf.graphite.drains import DrainTracker
+from ravenshelf.graphite.formats import path_component
+from ravenshelf.graphite.interval import SECOND, Histograms, Interval, new_histograms
+from ravenshelf.graphite.metrics import DETAIL, ESSENTIAL, USEFUL
+from ravenshelf.graphite.points import ObservedController, PathNames, Point, PointBuilder, Sample
+from ravenshelf.policy.events import (
+    BatchAcknowledged,
+    DemandReport,
+    EndpointsListed,
+    EndpointState,
+    Event,
+    ListKind,
+    LoadReport,
+    ProxyJoined,
+    ProxyLeft,
+)
+from ravenshelf.settings import Settings
+from ravenshelf.state.proxy_tables import MessagePart
+
+DEFAULT_LATENCY_OBJECTIVE = 10 * SECOND  # of a traffic group without one
+
+AdmissionLevel = Callable[[int, int], float | None]
+"""The level that a proxy was last sent for a group (a rate or a fraction, by the settings), or None."""
+
+
+class MetricsCollector:
+    """Collects the metrics of one server; `points` closes an interval."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        prefix: str,
+        now: int,
+        admission_level: AdmissionLevel | None = None,
+        endpoint_name: Callable[[int], str] = str,
+    ) -> None:
+        self.groups = settings.traffic_groups
+        self.objectives = [group.latency_objective_us or DEFAULT_LATENCY_OBJECTIVE for group in self.groups]
+        self.level_is_fraction = settings.service.admission_level_kind == "fraction"
+        self.queue_limit = settings.service.queue_limit_lines or 0
+        self.names = PathNames(
+            prefix,
+            [path_component(zone) for zone in settings.zones],
+            [path_component(group.name) for group in self.groups],
+            endpoint_name,
+        )
+        self.admission_level = admission_level
+        self.endpoints: dict[int, tuple[int, EndpointState]] = {}  # zone and state by endpoint
+        self.proxy_zones: dict[int, int] = {}
+        self.last_report_at: dict[int, int] = {}  # by zone
+        self.drains = DrainTracker()
+        self.spare_histograms: Histograms = {}
+        self.interval = Interval(now, self._take_histograms())
+
+    def _take_histograms(self) -> Histograms:
+        """Return empty histograms: two sets are used alternately, since a new set costs time and memory."""
+        spare = self.spare_histograms
+        self.spare_histograms = {}
+        return spare or new_histograms()
+
+    # --- observations ---
+
+    def on_event(self, event: Event, now: int) -> None:
+        """Observe an event that the controller gets."""
+        match event:
+            case EndpointsListed():
+                self._on_endpoints_listed(event, now)
+            case ProxyJoined(proxy, zone):
+                self.proxy_zones[proxy] = zone
+            case ProxyLeft(proxy):
+                self.proxy_zones.pop(proxy, None)
+                self.drains.proxy_left(proxy)
+            case LoadReport():
+                self._on_load_report(event, now)
+            case DemandReport():
+                self._on_demand_report(event, now)
+            case BatchAcknowledged():
+                self._on_acknowledged(event, now)
+
+    def on_message(self, proxy: int, parts: Iterable[MessagePart], marker: int | None) -> None:
+        """Observe a message to a proxy; with a marker the proxy will acknowledge it."""
+        if marker is None or not self.drains.pending:
+            return
+        for part in parts:
+            for endpoint in part.out:
+                self.drains.sent(endpoint, proxy, marker)
+
+    def on_control_cycle(self, delay: int, duration: int) -> None:
+        """Observe a control cycle: how late it started and how long it took."""
+        self.interval.record(metrics.CONTROL_CYCLE_DELAY, delay)
+        self.interval.record(metrics.CONTROL_CYCLE_DURATION, duration)
+
+    def _on_endpoints_listed(self, event: EndpointsListed, now: int) -> None:
+        listed = set()
+        for entry in event.entries:
+            self._update_endpoint(entry.endpoint, entry.zone, entry.state, now)
+            listed.add(entry.endpoint)
+        if event.kind is ListKind.UPDATE:
+            return
+        for endpoint, (zone, _) in list(self.endpoints.items()):
+            if endpoint not in listed:
+                self._update_endpoint(endpoint, zone, EndpointState.GONE, now)
+
+    def _update_endpoint(self, endpoint: int, zone: int, state: EndpointState, now: int) -> None:
+        _, previous_state = self.endpoints.get(endpoint, (zone, None))
+        if state is EndpointState.READY:
+            self.drains.cancel(endpoint)
+        elif previous_state is EndpointState.READY and self.drains.start(endpoint, now):
+            self.interval.drains_started += 1
+        if state is EndpointState.GONE:
+            self.endpoints.pop(endpoint, None)
+        else:
+            self.endpoints[endpoint] = (zone, state)
+
+    def _on_report(self, zone: int, window: int, now: int) -> None:
+        self.interval.reports += 1
+        self.interval.record(metrics.REPORT_AGE, window / 2)
+        if zone in self.last_report_at:
+            self.interval.record(metrics.REPORT_INTERVAL, now - self.last_report_at[zone])
+        self.last_report_at[zone] = now
+
+    def _on_load_report(self, report: LoadReport, now: int) -> None:
+        self._on_report(report.zone, report.window, now)
+        endpoint_zone = self.endpoints.get(report.endpoint, (report.zone,))[0]
+        self.interval.add_load(report, endpoint_zone, self.objectives)
+
+    def _on_demand_report(self, report: DemandReport, now: int) -> None:
+        zone = self.proxy_zones.get(report.proxy, 0)
+        self._on_report(zone, report.window, now)
+        rejected = self._rejected_requests(report)
+        self.interval.add_demand(zone, report.group, report.requests, report.unanswered, rejected)
+
+    def _rejected_requests(self, report: DemandReport) -> float:
+        """Estimate the requests above the admission level that the proxy was last sent."""
+        if self.admission_level is None:
+            return 0.0
+        level = self.admission_level(report.proxy, report.group)
+        if level is None:
+            return 0.0
+        if self.level_is_fraction:
+            admitted = report.requests * min(1.0, level)
+        else:
+            admitted = level * report.window / SECOND
+        return max(0.0, report.requests - admitted)
+
+    def _on_acknowledged(self, event: BatchAcknowledged, now: int) -> None:
+        self.interval.record(metrics.UPDATE_LATENCY, event.elapsed)
+        for started_at in self.drains.acknowledged(event.proxy, event.marker):
+            self.interval.record(metrics.DRAIN_DURATION, now - started_at)
+
+    # --- points ---
+
+    def points(
+        self,
+        now: int,
+        controller: ObservedController | None,
+        samples: Iterable[Sample],
+        take: Callable[[int, list[Point]], None],
+    ) -> Iterator[None]:
+        """Close the interval in the first step and make its points in further steps of a bounded duration.
+
+        `samples` are values that were measured elsewhere; `take(importance, points)` gets the points.
+        """
+        closed = self.interval
+        self.interval = Interval(now, self._take_histograms())
+        builder = PointBuilder(self.names, closed, now)
+        builder.add_groups(self.groups)
+        builder.add_samples(samples)
+        builder.add_drains(len(self.drains.pending))
+        builder.add_reports()
+        builder.add_endpoint_states([state for _, state in self.endpoints.values()])
+        yield
+        builder.add_distributions()
+        self.spare_histograms = closed.histograms
+        yield
+        if controller is not None:
+            yield from builder.add_controller(controller, self.queue_limit, self.endpoints)
+        builder.add_zones()
+        yield from builder.add_endpoints()
+        for importance in (ESSENTIAL, USEFUL, DETAIL):
+            if builder.points[importance]:
+                take(importance, builder.points[importance])
--- /dev/null
+++ b/ravenshelf/graphite/points.py
@@ -0,0 +1,193 @@
+"""Makes the points of a closed interval: (path, value) pairs by importance.
+
+Generators pause after a slice of work, so that a large fleet's points are made in several background slices.
+Times are microseconds. No I/O.
+"""
+
+from collections import defaultdict
+from collections.abc import Callable, Collection, Iterable, Iterator, Mapping, Sequence
+from dataclasses import dataclass
+from math import isfinite
+from typing import Any, NamedTuple, Protocol
+
+from ravenshelf.graphite import metrics
+from ravenshelf.graphite.formats import path_component
+from ravenshelf.graphite.interval import SECOND, Interval, ObjectiveTotals
+from ravenshelf.graphite.metrics import Metric
+from ravenshelf.policy.events import EndpointState
+from ravenshelf.settings import TrafficGroup
+
+SLICE_ENDPOINTS = 64
+SHORTEST_INTERVAL_S = 1e-3
+MILLISECOND = 1000  # microseconds
+
+Point = tuple[str, float]
+
+
+class Sample(NamedTuple):
+    """A value that was measured elsewhere; `receiver` is for the metrics that have one in their path."""
+
+    metric: Metric
+    value: float
+    receiver: str = ""
+
+
+class ObservedController(Protocol):
+    """What the metrics read of the controller."""
+
+    channel: Any
+    proxies: Mapping[int, Any]
+    share: Sequence[Sequence[float]]
+
+    def demands(self) -> tuple[Sequence[float], Sequence[float]]:
+        """Return the demand of each zone: of its own proxies, and of all."""
+
+    def strengths(self) -> Sequence[Mapping[int, float]]:
+        """Return the effective weights of each zone's endpoints."""
+
+    def usable(self) -> Iterable[Any]:
+        """Return the endpoints that may be used."""
+
+
+@dataclass(slots=True)
+class PathNames:
+    """The names that paths are made of; `endpoint_name` gives an endpoint's name by its number."""
+
+    prefix: str
+    zones: list[str]
+    groups: list[str]
+    endpoint_name: Callable[[int], str]
+
+
+class PointBuilder:
+    """Collects the points of one interval by importance."""
+
+    def __init__(self, names: PathNames, interval: Interval, now: int) -> None:
+        self.names = names
+        self.interval = interval
+        self.now = now
+        self.seconds = max(SHORTEST_INTERVAL_S, (now - interval.started_at) / SECOND)
+        self.points: dict[int, list[Point]] = defaultdict(list)
+
+    def add(self, metric: Metric, value: float, **placeholders: str) -> None:
+        """Add a point; a value that is no finite number has none."""
+        if isfinite(value):
+            path = f"{self.names.prefix}.{metric.path.format(**placeholders)}"
+            self.points[metric.importance].append((path, value))
+
+    def add_samples(self, samples: Iterable[Sample]) -> None:
+        """Add points of what was measured elsewhere."""
+        for sample in samples:
+            self.add(sample.metric, sample.value, receiver=sample.receiver)
+
+    def add_groups(self, groups: Sequence[TrafficGroup]) -> None:
+        """Add the points of each traffic group."""
+        for group, name in enumerate(self.names.groups):
+            demand = failed = rejected = within_objective = 0.0
+            for (zone, totals_group), totals in self.interval.demand.items():
+                if totals_group != group:
+                    continue
+                demand += totals.demand
+                failed += totals.failed
+                rejected += totals.rejected
+                objectives = self.interval.objectives.get(zone, _NO_ATTEMPTS)
+                succeeded = max(0.0, totals.demand - totals.failed - totals.rejected)
+                within_objective += succeeded * objectives.share(group)
+            succeeded = max(0.0, demand - failed - rejected)
+            weighted_goodput = within_objective * groups[group].priority_weight
+            self.add(metrics.DEMAND, demand / self.seconds, group=name)
+            self.add(metrics.FAILED, failed / self.seconds, group=name)
+            self.add(metrics.REJECTED, rejected / self.seconds, group=name)
+            self.add(metrics.SUCCEEDED, succeeded / self.seconds, group=name)
+            self.add(metrics.GOODPUT, within_objective / self.seconds, group=name)
+            self.add(metrics.WEIGHTED_GOODPUT, weighted_goodput / self.seconds, group=name)
+
+    def add_drains(self, pending: int) -> None:
+        """Add the points of drains."""
+        self.add(metrics.DRAINS_STARTED, self.interval.drains_started)
+        self.add(metrics.DRAINS_PENDING, pending)
+
+    def add_reports(self) -> None:
+        """Add the rate of reports."""
+        self.add(metrics.REPORTS_RECEIVED, self.interval.reports / self.seconds)
+
+    def add_endpoint_states(self, states: list[EndpointState]) -> None:
+        """Add the count of endpoints in each listed state."""
+        for state in (EndpointState.READY, EndpointState.DRAINING):
+            self.add(metrics.ENDPOINT_STATES, states.count(state), state=state.value)
+
+    def add_distributions(self) -> None:
+        """Add quantiles and empty the histograms; without values in the interval there is no point, not a
+        0."""
+        for metric, histogram in self.interval.histograms.items():
+            if not histogram.get_total_count():
+                continue
+            for quantile_name, percentile in metrics.QUANTILES:
+                microseconds = histogram.get_value_at_percentile(percentile)
+                path = f"{self.names.prefix}.{metric.path}.{quantile_name}"
+                self.points[metric.importance].append((path, microseconds / MILLISECOND))
+            histogram.reset()
+
+    def add_controller(
+        self, controller: ObservedController, queue_limit: float, listed: Collection[int]
+    ) -> Iterator[None]:
+        """Add what the controller estimates, in slices; `listed` are the endpoints of the current list."""
+        self._add_channel(controller, queue_limit)
+        own_demand, _ = controller.demands()
+        yield
+        zone_health: dict[int, list[float]] = defaultdict(list)
+        weights = controller.strengths()
+        yield
+        for count, endpoint in enumerate(controller.usable(), 1):
+            health = endpoint.fade(self.now)
+            zone_health[endpoint.zone].append(health)
+            if endpoint.index in listed:
+                weight = weights[endpoint.zone].get(endpoint.index, 0.0)
+                name = path_component(self.names.endpoint_name(endpoint.index))
+                self.add(metrics.ENDPOINT_HEALTH, health, endpoint=name)
+                self.add(metrics.ENDPOINT_WEIGHT, weight, endpoint=name)
+            if count % SLICE_ENDPOINTS == 0:
+                yield
+        for zone, name in enumerate(self.names.zones):
+            self.add(metrics.ZONE_DEMAND, own_demand[zone], zone=name)
+            if zone_health[zone]:
+                mean_health = sum(zone_health[zone]) / len(zone_health[zone])
+                self.add(metrics.ZONE_HEALTH, mean_health, zone=name)
+            for target, spill_share in enumerate(controller.share[zone]):
+                if target != zone:
+                    self.add(metrics.ZONE_SPILL, spill_share, zone=name, to=self.names.zones[target])
+
+    def _add_channel(self, controller: ObservedController, queue_limit: float) -> None:
+        channel = controller.channel
+        drained_lines = channel.pace * max(0, self.now - channel.at) / SECOND
+        queued_lines = max(0.0, channel.waiting - drained_lines)
+        bound_proxies = sum(proxy.table is not None for proxy in list(controller.proxies.values()))
+        self.add(metrics.CHANNEL_QUEUE, queued_lines)
+        self.add(metrics.CHANNEL_QUEUE_UTILIZATION, queued_lines / queue_limit if queue_limit else 0.0)
+        self.add(metrics.CHANNEL_RATE, channel.pace)
+        self.add(metrics.PROXIES_CONNECTED, len(controller.proxies))
+        self.add(metrics.PROXIES_BOUND, bound_proxies)
+
+    def add_zones(self) -> None:
+        """Add the points of each zone's endpoints."""
+        for zone, totals in self.interval.attempts.items():
+            if zone >= len(self.names.zones):
+                continue
+            name = self.names.zones[zone]
+            failure_ratio = totals.failed / totals.attempts if totals.attempts else 0.0
+            self.add(metrics.ZONE_ATTEMPTS, totals.attempts / self.seconds, zone=name)
+            self.add(metrics.ZONE_FAILURE_RATIO, failure_ratio, zone=name)
+            if totals.attempts > totals.failed:
+                mean_latency = totals.latency_sum / (totals.attempts - totals.failed)
+                self.add(metrics.ZONE_LATENCY, mean_latency / MILLISECOND, zone=name)
+
+    def add_endpoints(self) -> Iterator[None]:
+        """Add the attempts at each endpoint, in slices."""
+        for count, (endpoint, attempts) in enumerate(self.interval.endpoint_attempts.items(), 1):
+            name = path_component(self.names.endpoint_name(endpoint))
+            self.add(metrics.ENDPOINT_ATTEMPTS, attempts / self.seconds, endpoint=name)
+            if count % SLICE_ENDPOINTS == 0:
+                yield
+
+
+_NO_ATTEMPTS = ObjectiveTotals(0.0, [])
--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -78,7 +78,7 @@
             else:
                 self.gate.offer(proxy, parts, message, ticket)
             if self.tap is not None:
-                self.tap.sent(proxy, parts, ticket)
+                self.tap.on_message(proxy, parts, ticket)
         # not by what waits before and after: answers heard in this round have taken something out of that
         charged = channel.open[-1].total if channel.number != before else 0.0
         self.counters["lines_charged"] += charged
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -176,7 +176,7 @@
     def tell(self, event: events.Event) -> None:
         self.rounds.hear(event)
         if self.tap is not None:
-            self.tap.heard(event, self.clock())
+            self.tap.on_event(event, self.clock())
         if self.sums is not None:
             self.sums.heard(event, self.clock())
         if self.ready and ("round",) not in self.deadlines.at:
@@ -201,7 +201,7 @@
             self.last_round = max(now, 2 * self.clock() - now - self.tick)
         self.counters.most("round_most_us", took)
         if self.tap is not None:
-            self.tap.played(late, took)
+            self.tap.on_control_cycle(late, took)
         for command in calls or () if not self.stopping else ():
             self.do(command)
 
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -8,6 +8,8 @@
 import random
 import resource
 from collections.abc import Callable
+from itertools import starmap
+from typing import TYPE_CHECKING
 
 from ravenshelf import log_events
 from ravenshelf.background.decisions import PRESENT, UPKEEP, JobQueue
@@ -15,6 +17,9 @@
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.policy.events import EndpointsListed, ListKind
 
+if TYPE_CHECKING:
+    from ravenshelf.graphite.points import Sample
+
 SECOND = 1_000_000
 USERS_EVERY = 10 * SECOND  # the file of collectd's users is looked at so often
 PAGE = os.sysconf("SC_PAGE_SIZE")
@@ -144,30 +149,35 @@
     # --- Graphite ---
 
     def _start_graphite(self) -> None:
-        from ravenshelf.graphite.gather import MetricsCollector
-        from ravenshelf.graphite.service import Graphite
+        from ravenshelf.graphite.collector import MetricsCollector
+        from ravenshelf.graphite.service import GraphiteService
 
         pilot, table = self.pilot, self.operator.graphite
-        self.gatherer = MetricsCollector(pilot.rounds.settings, self._prefix(table), self.clock())
-        self.gatherer.level_of, self.gatherer.name_of = pilot.sent.level_of, lambda n: pilot.listing.names[n]
-        self.gatherer.heard(EndpointsListed(ListKind.RESTORED, pilot.listing.whole()), self.clock())
+        self.gatherer = MetricsCollector(
+            pilot.rounds.settings,
+            self._prefix(table),
+            self.clock(),
+            pilot.sent.level_of,
+            lambda n: pilot.listing.names[n],
+        )
+        self.gatherer.on_event(EndpointsListed(ListKind.RESTORED, pilot.listing.whole()), self.clock())
         for joined in pilot.rounds.joined.values():
-            self.gatherer.heard(joined, self.clock())
-        self.graphite = Graphite(
+            self.gatherer.on_event(joined, self.clock())
+        self.graphite = GraphiteService(
             table,
             self.chance,
             loop=pilot.loop,
             clock=self.clock,
             background=self.background,
-            again=lambda receiver, at: pilot.set_deadline(("graphite", receiver), at),
+            wake_at=lambda receiver, at: pilot.set_deadline(("graphite", receiver), at),
         )
         pilot.tap = pilot.rounds.tap = self.gatherer
         self._next_figures(self.clock())
 
     def _prefix(self, table) -> str:
-        from ravenshelf.graphite.formats import word
+        from ravenshelf.graphite.formats import path_component
 
-        return f"{table.prefix}.{word(str(self.pilot.configuration.get('name', 'pilot')))}"
+        return f"{table.prefix}.{path_component(str(self.pilot.configuration.get('name', 'pilot')))}"
 
     def _next_figures(self, now: int) -> None:
         every = self.operator.graphite.every_s * SECOND
@@ -175,56 +185,57 @@
 
     def figures(self, now: int) -> None:
         """Closes an interval; the points are made in the background and carry the interval's boundary as time."""
-        from ravenshelf.graphite.service import aligned
+        from ravenshelf.graphite.service import interval_boundary
 
         self._next_figures(now)
-        time = aligned(now, self.operator.graphite.every_s)
-        take = lambda importance, points: self.graphite.take(time, importance, points)  # noqa: E731
-        work = self.gatherer.points(now, self.pilot.rounds.controller, self._counts(now), take)
+        time = interval_boundary(now, self.operator.graphite.every_s)
+        take = lambda importance, points: self.graphite.export(time, importance, points)  # noqa: E731
+        work = self.gatherer.points(now, self.pilot.rounds.controller, self._samples(now), take)
         self.background.offer("figures", PRESENT, 2 * SECOND, work)
 
-    def _counts(self, now: int) -> dict[str, float]:
+    def _samples(self, now: int) -> "list[Sample]":
         """What others have counted: sums as rates a second since the last figures, levels as they are."""
-        from ravenshelf.graphite import figures
+        from ravenshelf.graphite import metrics
+        from ravenshelf.graphite.points import Sample
 
         memory, descriptors = vitals()
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        counts = self.graphite.counts() | {
-            figures.MEMORY.path: memory,
-            figures.DESCRIPTORS.path: descriptors,
-            figures.BACKGROUND_WAITING.path: len(self.background.agenda),
-            figures.BACKGROUND_DROPPED.path: self.counters["background_dropped"],
-            figures.MODULE_FAILURES.path: self.counters["module_failures"],
+        counts = {
+            metrics.PROCESS_MEMORY: memory,
+            metrics.PROCESS_DESCRIPTORS: descriptors,
+            metrics.BACKGROUND_QUEUED: len(self.background.agenda),
+            metrics.BACKGROUND_DROPPED: self.counters["background_dropped"],
+            metrics.CONTROL_CYCLES_FAILED: self.counters["module_failures"],
         }
         sums = {
-            figures.ROUNDS.path: self.counters["rounds"],
-            figures.MESSAGES.path: self.counters["messages_sent"],
-            figures.LINES.path: self.counters["lines_sent"],
-            figures.CPU.path: usage.ru_utime + usage.ru_stime,
-            figures.BACKGROUND_PART.path: self.counters["background_us"] / 1e6,
+            metrics.CONTROL_CYCLES: self.counters["rounds"],
+            metrics.MESSAGES_SENT: self.counters["messages_sent"],
+            metrics.LINES_SENT: self.counters["lines_sent"],
+            metrics.PROCESS_CPU: usage.ru_utime + usage.ru_stime,
+            metrics.BACKGROUND_UTILIZATION: self.counters["background_us"] / 1e6,
         }
         if self.leadership is not None:
             lead = self.leadership
             counts |= {
-                figures.SHARDS.path: len(lead.member.owned()),
-                figures.MET.path: 1 + len(lead.links),
-                figures.HELD.path: sum(len(owned.gate) for owned in lead.adapter.owned.values()),
+                metrics.SHARDS_OWNED: len(lead.member.owned()),
+                metrics.MEMBERS_CONNECTED: 1 + len(lead.links),
+                metrics.COMMANDS_WAITING: sum(len(owned.gate) for owned in lead.adapter.owned.values()),
             }
             sums |= {
-                figures.COMMITS.path: lead.committer.batches,
-                figures.RECORDS.path: self.counters["records_written"],
+                metrics.STORE_COMMITS: lead.committer.batches,
+                metrics.RECORDS_WRITTEN: self.counters["records_written"],
             }
         if self.listener is not None:
             sums |= {
-                figures.PACKETS.path: self.counters["collectd_packets"],
-                figures.REFUSED.path: self.counters["collectd_refused"],
-                figures.VALUES.path: self.counters["collectd_values"],
+                metrics.PACKETS_ACCEPTED: self.counters["collectd_packets"],
+                metrics.PACKETS_REJECTED: self.counters["collectd_refused"],
+                metrics.COLLECTD_VALUES: self.counters["collectd_values"],
             }
         was, self.before = self.before, sums | {"at": now}
         if was:
             seconds = max(1e-3, (now - was["at"]) / SECOND)
-            counts |= {path: (number - was.get(path, 0)) / seconds for path, number in sums.items()}
-        return counts
+            counts |= {metric: (number - was.get(metric, 0)) / seconds for metric, number in sums.items()}
+        return [*self.graphite.samples(), *starmap(Sample, counts.items())]
 
     # --- collectd ---
 
@@ -295,7 +306,7 @@
         elif key[0] == "figures":
             self.figures(now)
         elif key[0] == "graphite":
-            self.graphite.turn(key[1])
+            self.graphite.run_due(key[1])
         elif key[0] == "users":
             self._look_at_users(now)
 
@@ -335,8 +346,8 @@
             self.graphite = self.gatherer = self.pilot.tap = self.pilot.rounds.tap = None
             self.pilot.deadlines.drop(("figures",))
             return
-        self.graphite.renew(new)
-        self.gatherer.prefix = self._prefix(new)
+        self.graphite.reload(new)
+        self.gatherer.names.prefix = self._prefix(new)
         if new.every_s != old.every_s:
             self._next_figures(self.clock())
 
--- a/ravenshelf/process/relay_figures.py
+++ b/ravenshelf/process/relay_figures.py
@@ -9,9 +9,10 @@
 from ravenshelf.distribution.decisions.client import State
 from ravenshelf.distribution.relay_service import RelayService
 from ravenshelf.distribution.timers import Timers
-from ravenshelf.graphite import figures
-from ravenshelf.graphite.formats import word
-from ravenshelf.graphite.service import Graphite, aligned
+from ravenshelf.graphite import metrics
+from ravenshelf.graphite.formats import path_component
+from ravenshelf.graphite.metrics import Metric
+from ravenshelf.graphite.service import GraphiteService, interval_boundary
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.process.clock import Clock
 from ravenshelf.state.counters import Counters
@@ -29,13 +30,13 @@
         self.clock = Clock()
         self.timers = Timers(loop, self.clock, self._due)
         self.background = self._background(operator)
-        self.graphite = Graphite(
+        self.graphite = GraphiteService(
             operator.graphite,
             random.Random(),
             loop=loop,
             clock=self.clock,
             background=self.background,
-            again=lambda receiver, at: self.timers.set(receiver, at),
+            wake_at=lambda receiver, at: self.timers.set(receiver, at),
         )
         self._before = self._sums()
         self._measured_at = self.clock()
@@ -69,41 +70,41 @@
         elif key == BACKGROUND:
             self.background.turn()
         else:
-            self.graphite.turn(key)
+            self.graphite.run_due(key)
 
     # --- the figures ---
 
-    def _sums(self) -> dict[str, float]:
-        """What is counted since the relay's start, by path of its rate."""
+    def _sums(self) -> dict[Metric, float]:
+        """What is counted since the relay's start, by the metric of its rate."""
         relay = self.service.relay
         return {
-            figures.RELAY_REFUSED.path: self.service.subscribers.refused,
-            figures.RELAY_GAPS.path: sum(client.resyncs for client in relay.clients.values()),
-            figures.RELAY_SNAPSHOTS.path: relay.distributor.snapshot_bytes,
-            figures.RELAY_OUT.path: self.service.subscribers.bytes_out,
+            metrics.RELAY_REJECTED: self.service.subscribers.refused,
+            metrics.RELAY_RESYNCS: sum(client.resyncs for client in relay.clients.values()),
+            metrics.RELAY_SNAPSHOT_BYTES: relay.distributor.snapshot_bytes,
+            metrics.RELAY_BYTES: self.service.subscribers.bytes_out,
         }
 
-    def _levels(self) -> dict[str, float]:
-        """What holds now, by path."""
+    def _levels(self) -> dict[Metric, float]:
+        """What holds now, by metric."""
         relay = self.service.relay
         return {
-            figures.RELAY_SUBSCRIBERS.path: len(relay.distributor.subscribers),
-            figures.RELAY_UPSTREAMS.path: sum(
+            metrics.RELAY_SUBSCRIBERS: len(relay.distributor.subscribers),
+            metrics.RELAY_UPSTREAMS: sum(
                 client.state is State.CONNECTED for client in relay.clients.values()
             ),
-            figures.RELAY_TOPICS.path: len(relay.topics),
+            metrics.RELAY_TOPICS: len(relay.topics),
         }
 
     def _measure(self) -> None:
         now, sums = self.clock(), self._sums()
         seconds = max(1e-3, (now - self._measured_at) / SECOND)
-        rates = {path: (count - self._before[path]) / seconds for path, count in sums.items()}
+        rates = {metric: (count - self._before[metric]) / seconds for metric, count in sums.items()}
         self._before, self._measured_at = sums, now
-        prefix = f"{self.table.prefix}.{word(self.service.name)}"
+        prefix = f"{self.table.prefix}.{path_component(self.service.name)}"
         by_importance: dict[int, list[tuple[str, float]]] = {}
-        for path, value in (self._levels() | rates).items():
-            importance = figures.CATALOGUE[path].importance
-            by_importance.setdefault(importance, []).append((f"{prefix}.{path}", float(value)))
-        time = aligned(now, self.table.every_s)
+        for metric, value in (self._levels() | rates).items():
+            point = (f"{prefix}.{metric.path}", float(value))
+            by_importance.setdefault(metric.importance, []).append(point)
+        time = interval_boundary(now, self.table.every_s)
         for importance, points in by_importance.items():
-            self.graphite.take(time, importance, points)
+            self.graphite.export(time, importance, points)
--- a/standins/carbon.py
+++ b/standins/carbon.py
@@ -1,80 +1,147 @@
-"""A carbon receiver whose faults are a script: what each connection in turn meets.
+"""A test double of a carbon receiver: each connection in turn has a behaviour, such as to stop reading.
 
-    Carbon([Stall(after=100), Take()])      # the first connection stalls after 100 octets, all later ones are taken
+    CarbonReceiver([StopReading(after_bytes=100), AcceptAll()])  # only the first connection stops
 
-It keeps what it took as carbon would: whole lines or frames alone, a point written twice over itself.
+It keeps what carbon would keep: complete lines or frames, and a point that comes twice overwrites itself.
 """
 
 import asyncio
 import pickle
 import socket
 import struct
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
+from typing import Protocol
+
+READ_BYTES = 65536
+ABORTIVE_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: reset instead of an orderly close
+FRAME_HEADER_BYTES = 4
+
+
+class Behaviour(Protocol):
+    """How one connection behaves."""
+
+    async def allowed_bytes(self, received_bytes: int) -> int:
+        """Return how much to read next, after `received_bytes`; 0: no more."""
+
+    async def end(self, writer: asyncio.StreamWriter) -> None:
+        """Do what follows when no more is read; the connection is closed afterwards."""
 
 
 @dataclass(frozen=True)
-class Take:
-    """Reads all there is."""
+class AcceptAll:
+    """Reads everything."""
+
+    async def allowed_bytes(self, received_bytes: int) -> int:
+        """Allow more whatever was received."""
+        del received_bytes
+        return READ_BYTES
+
+    async def end(self, writer: asyncio.StreamWriter) -> None:
+        """Never called."""
 
 
 @dataclass(frozen=True)
-class Stall:
-    """Reads so many octets and then nothing, the connection open."""
+class ReadSlowly:
+    """Reads a few bytes in each second."""
+
+    bytes_per_s: int = 1
+
+    async def allowed_bytes(self, received_bytes: int) -> int:
+        """Return the bytes of a second after it has passed."""
+        del received_bytes
+        await asyncio.sleep(1)
+        return self.bytes_per_s
 
-    after: int = 0
+    async def end(self, writer: asyncio.StreamWriter) -> None:
+        """Never called."""
 
 
 @dataclass(frozen=True)
-class Trickle:
-    """Reads so many octets a second."""
+class _ReadUntil:
+    """Reads `after_bytes` and then ends."""
 
-    a_second: int = 1
+    after_bytes: int = 0
+
+    async def allowed_bytes(self, received_bytes: int) -> int:
+        """Return what is left of the bytes."""
+        return max(0, self.after_bytes - received_bytes)
 
 
 @dataclass(frozen=True)
-class Reset:
-    """Reads so many octets, then resets the connection."""
+class StopReading(_ReadUntil):
+    """Stops reading and keeps the connection open."""
 
-    after: int = 0
+    async def end(self, writer: asyncio.StreamWriter) -> None:
+        """Wait for ever."""
+        writer.transport.pause_reading()
+        await asyncio.Event().wait()
 
 
 @dataclass(frozen=True)
-class Close:
-    """Reads so many octets, then ends the connection in good order."""
+class ResetConnection(_ReadUntil):
+    """Resets the connection."""
 
-    after: int = 0
+    async def end(self, writer: asyncio.StreamWriter) -> None:
+        """Reset the connection."""
+        writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORTIVE_CLOSE)
+        writer.transport.abort()
 
 
-class Carbon:
-    def __init__(self, script: Sequence = (Take(),), protocol: str = "plaintext", buffer: int = 4096):
-        self.script, self.protocol, self.buffer = list(script), protocol, buffer
+@dataclass(frozen=True)
+class CloseConnection(_ReadUntil):
+    """Closes the connection in good order."""
+
+    async def end(self, writer: asyncio.StreamWriter) -> None:
+        """Leave the close to the caller."""
+
+
+class CarbonReceiver:
+    """A receiver on a loopback port; the last behaviour is for all further connections.
+
+    `points` has the values by (path, time). Counted are `duplicates`, connections that ended within a line or
+    frame (`truncated`), `connections` and `bytes_received`; `malformed` has the lines that carbon would
+    ignore.
+    """
+
+    def __init__(
+        self,
+        behaviours: Sequence[Behaviour] = (AcceptAll(),),
+        protocol: str = "plaintext",
+        buffer_bytes: int = 4096,
+    ) -> None:
+        self.behaviours = list(behaviours)
+        self.protocol = protocol
+        self.buffer_bytes = buffer_bytes
         self.points: dict[tuple[str, int], float] = {}
-        self.twice = self.cut = self.connections = self.octets = 0
-        self.bad: list[bytes] = []
+        self.duplicates = 0
+        self.truncated = 0
+        self.connections = 0
+        self.bytes_received = 0
+        self.malformed: list[bytes] = []
         self.server: asyncio.Server | None = None
         self.port = 0
         self.open: set[asyncio.StreamWriter] = set()
-        self.news = asyncio.Event()
+        self.changed = asyncio.Event()
 
-    async def start(self) -> "Carbon":
-        """At a port that the system gives, and at the same one again after `stop`."""
+    async def start(self) -> "CarbonReceiver":
+        """Listen on a port that the system chooses, and on the same one again after `stop`."""
         listening = socket.socket()
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listening.setsockopt(
-            socket.SOL_SOCKET, socket.SO_RCVBUF, self.buffer
-        )  # what comes is inherited by accepted ones
+        # before bind: accepted connections inherit it
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, self.buffer_bytes)
         listening.bind(("127.0.0.1", self.port))
         self.port = listening.getsockname()[1]
-        self.server = await asyncio.start_server(self._came, sock=listening, limit=self.buffer)
+        self.server = await asyncio.start_server(self._serve, sock=listening, limit=self.buffer_bytes)
         return self
 
     @property
     def address(self) -> str:
+        """The address that it listens on."""
         return f"127.0.0.1:{self.port}"
 
     async def stop(self) -> None:
-        """Refuses from now on; open connections are reset."""
+        """Refuse connections from now on; open ones are reset."""
         if self.server is not None:
             self.server.close()
         for writer in list(self.open):
@@ -82,68 +149,62 @@
         self.server = None
         await asyncio.sleep(0)
 
-    async def until(self, true, seconds: float = 20) -> None:
-        """Waits until `true()` holds, looked at with each piece that comes."""
-        async with asyncio.timeout(seconds):
-            while not true():
-                self.news.clear()
-                await self.news.wait()
+    async def wait_until(self, condition: Callable[[], bool], timeout_s: float = 20) -> None:
+        """Wait until `condition()` holds, which is checked after each piece that is received."""
+        async with asyncio.timeout(timeout_s):
+            while not condition():
+                self.changed.clear()
+                await self.changed.wait()
 
-    async def _came(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        way = self.script[min(self.connections, len(self.script) - 1)]
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        behaviour = self.behaviours[min(self.connections, len(self.behaviours) - 1)]
         self.connections += 1
         self.open.add(writer)
-        self.news.set()
-        rest, took = b"", 0
+        self.changed.set()
+        incomplete = b""
+        received = 0
         try:
-            while True:
-                most = 65536
-                if isinstance(way, (Stall, Reset, Close)):
-                    if took >= way.after:
-                        if isinstance(way, Stall):
-                            writer.transport.pause_reading()
-                            await asyncio.Event().wait()
-                        if isinstance(way, Reset):
-                            writer.get_extra_info("socket").setsockopt(
-                                socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
-                            )
-                            writer.transport.abort()
-                        return
-                    most = way.after - took
-                if isinstance(way, Trickle):
-                    await asyncio.sleep(1)
-                    most = way.a_second
-                data = await reader.read(most)
+            while allowed_bytes := await behaviour.allowed_bytes(received):
+                data = await reader.read(allowed_bytes)
                 if not data:
-                    break
-                took += len(data)
-                self.octets += len(data)
-                rest = self._take(rest + data)
-                self.news.set()
+                    return
+                received += len(data)
+                self.bytes_received += len(data)
+                incomplete = self._decode(incomplete + data)
+                self.changed.set()
+            await behaviour.end(writer)
         except (ConnectionError, asyncio.CancelledError):
             pass
         finally:
-            self.cut += bool(rest)  # carbon lets go what is not whole
+            self.truncated += bool(incomplete)
             self.open.discard(writer)
             writer.close()
-            self.news.set()
+            self.changed.set()
 
-    def _take(self, data: bytes) -> bytes:
+    def _decode(self, data: bytes) -> bytes:
+        """Take the points of complete lines or frames and return the rest."""
         if self.protocol == "pickle":
-            while len(data) >= 4 and len(data) >= 4 + (size := struct.unpack("!L", data[:4])[0]):
-                for path, (time, value) in pickle.loads(data[4 : 4 + size]):
-                    self._point(path, time, value)
-                data = data[4 + size :]
-            return data
+            return self._decode_frames(data)
         *lines, rest = data.split(b"\n")
         for line in lines:
             try:
                 path, value, time = line.decode("ascii").split(" ")
-                self._point(path, int(time), float(value))
+                self._add(path, int(time), float(value))
             except ValueError:
-                self.bad.append(line)
+                self.malformed.append(line)
         return rest
 
-    def _point(self, path: str, time: int, value: float) -> None:
-        self.twice += (path, time) in self.points
+    def _decode_frames(self, data: bytes) -> bytes:
+        while len(data) >= FRAME_HEADER_BYTES:
+            (body_bytes,) = struct.unpack("!L", data[:FRAME_HEADER_BYTES])
+            frame_end = FRAME_HEADER_BYTES + body_bytes
+            if len(data) < frame_end:
+                break
+            for path, (time, value) in pickle.loads(data[FRAME_HEADER_BYTES:frame_end]):
+                self._add(path, time, value)
+            data = data[frame_end:]
+        return data
+
+    def _add(self, path: str, time: int, value: float) -> None:
+        self.duplicates += (path, time) in self.points
         self.points[path, time] = value
--- /dev/null
+++ b/tests/graphite/test_collector.py
@@ -0,0 +1,126 @@
+"""Events and messages become metrics."""
+
+import pytest
+
+from ravenshelf.graphite.collector import MetricsCollector
+from ravenshelf.policy.events import (
+    BatchAcknowledged,
+    DemandReport,
+    EndpointsListed,
+    EndpointState,
+    ListedEndpoint,
+    ListKind,
+    LoadReport,
+    ProxyJoined,
+    ProxyLeft,
+)
+from ravenshelf.rules import SECOND
+from ravenshelf.settings import Settings, TrafficGroup
+from ravenshelf.state.proxy_tables import MessagePart
+
+SETTINGS = Settings(
+    zones=("a", "b"),
+    traffic_groups=(
+        TrafficGroup("read", 1.0, latency_objective_us=100_000),
+        TrafficGroup("pay", 5.0, latency_objective_us=400_000),
+    ),
+)
+
+
+class Observed:
+    """A collector with four ready endpoints in two zones and a proxy in each zone."""
+
+    def __init__(self):
+        self.now, self.collector = 0, MetricsCollector(SETTINGS, "p", 0)
+        self.observe(
+            EndpointsListed(
+                ListKind.RESTORED,
+                tuple(ListedEndpoint(e, e // 2, 0, 0, EndpointState.READY, 1.0, 0) for e in range(4)),
+            )
+        )
+        for proxy in (0, 1):
+            self.observe(ProxyJoined(proxy, proxy, 10.0, True))
+
+    def observe(self, event):
+        self.collector.on_event(event, self.now)
+
+    def close_interval(self, seconds=10):
+        self.now += seconds * SECOND
+        points = {}
+        for _ in self.collector.points(self.now, None, (), lambda importance, made: points.update(made)):
+            pass
+        return {path[2:]: value for path, value in points.items()}
+
+
+@pytest.fixture
+def observed():
+    return Observed()
+
+
+def test_requests_within_the_objective_are_estimated_as_the_page_says(observed):
+    observed.observe(LoadReport(0, 0, 100, 0, 100_000, SECOND, ()))
+    observed.observe(DemandReport(0, 0, 200, 20, 5 * SECOND))
+    observed.observe(DemandReport(0, 1, 50, 0, 5 * SECOND))
+    points = observed.close_interval()
+    assert points["group.read.demand_per_s"] == 20 and points["group.read.failed_per_s"] == 2
+    assert points["group.read.succeeded_per_s"] == 18
+    assert points["group.read.within_objective_per_s"] == pytest.approx(18 * (1 - 2.718281828**-1))
+    assert points["group.pay.weighted_goodput_per_s"] == pytest.approx(5 * 5 * (1 - 2.718281828**-4))
+    assert points["reports.received_per_s"] == 0.3 and points["reports.age_ms.max"] == pytest.approx(
+        2500, rel=0.02
+    )
+    again = observed.close_interval()
+    assert (
+        again["group.read.demand_per_s"] == 0 and "reports.age_ms.max" not in again
+    )  # no reports: no point, not 0
+
+
+def test_requests_above_the_admission_level_count_as_rejected(observed):
+    observed.collector.admission_level = lambda proxy, group: {0: 30.0, 1: 1e6}[group]
+    observed.observe(DemandReport(0, 0, 200, 0, 5 * SECOND))
+    observed.observe(DemandReport(0, 1, 200, 0, 5 * SECOND))
+    points = observed.close_interval()
+    assert points["group.read.rejected_per_s"] == 5 and points["group.pay.rejected_per_s"] == 0
+    assert points["group.read.succeeded_per_s"] == 15
+
+
+def test_a_drain_lasts_until_the_last_proxy_has_acknowledged(observed):
+    observed.observe(
+        EndpointsListed(ListKind.UPDATE, (ListedEndpoint(1, 0, 0, 0, EndpointState.DRAINING, 1.0, 0),))
+    )
+    observed.collector.on_message(0, [MessagePart(out=[1])], 7)
+    observed.collector.on_message(1, [MessagePart(out=[1])], 7)
+    observed.now += 200_000
+    observed.observe(BatchAcknowledged(0, 7, 100))
+    points = observed.close_interval(0)
+    assert (points["drains.started"], points["drains.pending"]) == (
+        1,
+        1,
+    ) and "drains.duration_ms.max" not in points
+    observed.now += 300_000
+    observed.observe(BatchAcknowledged(1, 7, 100))
+    points = observed.close_interval(0)
+    assert points["drains.pending"] == 0 and points["drains.duration_ms.max"] == pytest.approx(500, rel=0.02)
+
+
+def test_a_drain_that_ends_with_its_proxy_or_by_a_return_has_no_duration(observed):
+    observed.observe(
+        EndpointsListed(
+            ListKind.UPDATE,
+            (
+                ListedEndpoint(1, 0, 0, 0, EndpointState.DRAINING, 1.0, 0),
+                ListedEndpoint(2, 1, 0, 0, EndpointState.GONE, 1.0, 0),
+            ),
+        )
+    )
+    observed.collector.on_message(0, [MessagePart(out=[1, 2])], 7)
+    observed.observe(
+        ProxyLeft(0, True)
+    )  # ended by the server: the decisions get this event too, the metrics are the same
+    observed.collector.on_message(1, [MessagePart(out=[1])], 8)
+    observed.observe(
+        EndpointsListed(ListKind.UPDATE, (ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 1.0, 0),))
+    )
+    points = observed.close_interval()
+    assert points["drains.pending"] == 0 and "drains.duration_ms.max" not in points
+    assert points["endpoints.ready"] == 3 and points["endpoints.draining"] == 0
--- /dev/null
+++ b/tests/graphite/test_queue.py
@@ -0,0 +1,95 @@
+"""What is queued for a receiver: what is sent next, what is sent again and what is dropped."""
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from ravenshelf.graphite.decisions.queue import SECOND, Batch, PointQueue
+
+
+def points(count):
+    return [(f"a.{n}", float(n)) for n in range(count)]
+
+
+def test_the_least_important_points_are_dropped_first_and_of_them_the_oldest():
+    queue = PointQueue(limit=100, backfill_rate=10)
+    for time in (10, 20, 30):
+        for importance in (0, 1, 2):
+            assert not queue.add(Batch(time, importance, points(10)))
+    dropped = queue.add(Batch(40, 0, points(30)))
+    assert [(b.time, b.importance) for b in dropped] == [(10, 2), (20, 2)]
+    dropped = queue.add(Batch(50, 0, points(60)))
+    expected = [(30, 2), (10, 1), (20, 1), (30, 1), (10, 0), (20, 0)]
+    assert [(b.time, b.importance) for b in dropped] == expected
+    assert queue.size == 100 and queue.dropped == 80
+
+
+def test_current_points_are_sent_before_old_ones_and_old_ones_at_the_backfill_rate():
+    queue = PointQueue(limit=1000, backfill_rate=10)
+    for time in range(10, 60, 10):
+        queue.add(Batch(time, 1, points(10)))
+    queue.add(Batch(60, 0, points(10)))
+    assert queue.take(0, 60).time == 60
+    assert queue.take(0, 60).time == 10  # one batch may be taken ahead of the rate
+    assert queue.take(0, 60) is None
+    assert queue.next_take_at(0) == SECOND + 1
+    assert queue.take(SECOND + 1, 60).time == 20
+    queue.add(Batch(70, 2, points(5)))
+    assert queue.take(SECOND + 1, 70).time == 70
+
+
+def test_what_may_have_been_received_in_part_is_sent_again_as_a_whole_and_first():
+    queue = PointQueue(limit=1000, backfill_rate=1000)
+    for time in (10, 20, 30):
+        queue.add(Batch(time, 1, points(10)))
+    first, second = queue.take(0, 30), queue.take(0, 30)
+    assert (first.time, second.time) == (30, 10)
+    queue.connection_lost()
+    assert [b.time for b in queue.queued[1]] == [10, 20, 30] and queue.size == 30
+    assert [b.time for b in queue.remove_all()] == [20]  # the other two may be there in part
+
+
+def test_what_the_system_took_long_ago_counts_as_received():
+    queue = PointQueue(limit=100, backfill_rate=10)
+    queue.add(Batch(10, 1, points(10)))
+    queue.take(0, 10)
+    queue.all_taken(SECOND)
+    assert queue.size == 10 and not queue.confirm(10 * SECOND)
+    assert [b.time for b in queue.confirm(11 * SECOND)] == [10] and queue.size == 0
+    queue.connection_lost()
+    assert not any(queue.queued)
+
+
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["add", "take", "all_taken", "connection_lost", "remove_all", "remove_old"]),
+        st.integers(0, 2),
+        st.integers(1, 40),
+    ),
+    max_size=60,
+)
+
+
+@given(STEPS)
+@settings(max_examples=150, deadline=None)
+def test_the_limit_holds_and_no_point_is_lost_uncounted(steps):
+    queue, now, added, removed = PointQueue(limit=100, backfill_rate=50), 0, 0, 0
+    for step, importance, size in steps:
+        now += SECOND
+        if step == "add":
+            queue.add(Batch(now // SECOND, importance, points(size)))
+            added += size
+        elif step == "take":
+            queue.take(now, now // SECOND - 3)
+        elif step == "all_taken":
+            queue.all_taken(now)
+            removed += sum(map(len, queue.confirm(now + 10 * SECOND)))
+        elif step == "connection_lost":
+            queue.connection_lost()
+        elif step == "remove_all":
+            removed += sum(map(len, queue.remove_all()))
+        else:
+            removed += sum(map(len, queue.remove_old(now // SECOND - 2, 5)))
+        in_queue = sum(len(b) for batches in queue.queued for b in batches)
+        in_queue += sum(map(len, queue.unconfirmed))
+        assert in_queue == queue.size <= 100
+        assert added - removed - queue.dropped == in_queue
--- /dev/null
+++ b/tests/operations/test_server_operations.py
@@ -0,0 +1,176 @@
+"""A server with everything that an operator file turns on, and processes that read one."""
+
+import asyncio
+import json
+import os
+import random
+import signal
+import socket
+import subprocess
+import sys
+from pathlib import Path
+
+from ravenshelf.operator_config.reading import check
+from ravenshelf.process.clock import Clock
+from ravenshelf.process.control_plane import ControlPlaneServer
+from ravenshelf.process.operations import Operations
+from standins import collectd as sender
+from standins.carbon import CarbonReceiver, StopReading
+from standins.world import Discovery, Proxy, configuration, entry
+
+ROOT = Path(__file__).resolve().parent.parent.parent
+
+
+def test_a_server_exports_metrics_and_reads_collectd_while_a_receiver_hangs(tmp_path):
+    async def test():
+        loop = asyncio.get_running_loop()
+        discovery = await Discovery([entry(f"s-{n}", "north") for n in range(4)]).start()
+        carbon, hangs = (
+            await CarbonReceiver().start(),
+            await CarbonReceiver([StopReading()], buffer_bytes=2048).start(),
+        )
+        (tmp_path / "users").write_text("u: pw\n")
+        operator = check(
+            {
+                "graphite": {"receivers": [carbon.address, hangs.address], "every_s": 1},
+                "collectd": {
+                    "listen": "127.0.0.1:0",
+                    "security": "sign",
+                    "users": str(tmp_path / "users"),
+                    "hosts": {"machine": ["s-0", "s-1"]},
+                },
+            },
+            "f",
+        )
+        server = ControlPlaneServer(configuration(discovery.address, ["north"], 2), loop, Clock())
+        await server.start()
+        server.operations = Operations(operator, server, random.Random(1))
+        await server.operations.start()
+        address = f"127.0.0.1:{server.server.sockets[0].getsockname()[1]}"
+        proxies = [Proxy(lambda: address, n, "north") for n in range(2)]
+        tasks = [loop.create_task(p.run()) for p in proxies]
+        await carbon.wait_until(
+            lambda: any(p.endswith("proxies.bound") and v == 2 for (p, _), v in carbon.points.items())
+        )
+        host, place = (
+            sender.Host("machine", busy=0.9),
+            server.operations.listener.transport.get_extra_info("sockname"),
+        )
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as out:
+            now = server.clock() / 1e6
+            for n in range(3):
+                out.sendto(sender.signed(host.packet(now - 20 + 10 * n), "u", "pw"), place)
+            out.sendto(host.packet(now), place)
+        noticed = server.rounds.controller.endpoints
+        await carbon.wait_until(
+            lambda: any(p.endswith("collectd.rejected_per_s") and v for (p, _), v in carbon.points.items())
+        )
+        assert [noticed[e].noticed.read(server.clock())[0] > 0 for e in range(4)] == [
+            True,
+            True,
+            False,
+            False,
+        ]
+        names = {p.split(".", 2)[2] for p, _ in carbon.points}
+        assert {
+            "process.memory_mb",
+            "channel.queue_lines",
+            "group.order.weighted_goodput_per_s",
+            "control_cycles.duration_ms.p99",
+            f"graphite.{hangs.address.replace('.', '_').replace(':', '_')}.queued_points",
+        } <= names
+        assert all(p.startswith("ravenshelf.toy.") for p, _ in carbon.points) and not carbon.malformed
+        # a new operator file: the metrics go to another receiver, collectd ends
+        moved = await CarbonReceiver().start()
+        done = []
+        server.operations.renew(
+            check({"graphite": {"receivers": [moved.address], "every_s": 1, "prefix": "x"}}, "f"), done.append
+        )
+        assert done == ["[graphite], [collectd]"]
+        await moved.wait_until(lambda: any(p.startswith("x.toy.") for p, _ in moved.points))
+        server.operations.renew(check({}, "f"), done.append)
+        assert server.tap is None and server.operations.graphite is None
+        for task in tasks:
+            task.cancel()
+        server.stop()
+        for one in (carbon, hangs, moved):
+            await one.stop()
+
+    asyncio.run(asyncio.wait_for(test(), 40))
+
+
+def test_sighup_reloads_a_valid_operator_file_and_rejects_an_invalid_one(tmp_path):
+    async def test():
+        discovery, carbon = await Discovery([entry("s-0", "north")]).start(), await CarbonReceiver().start()
+        (tmp_path / "c.json").write_text(json.dumps(configuration(discovery.address, ["north"], 1)))
+        file = tmp_path / "operator.toml"
+        file.write_text("[log]\nformat = 'json'\n")
+        process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "ravenshelf",
+            "serve",
+            "--config",
+            str(tmp_path / "c.json"),
+            "--operator",
+            str(file),
+            cwd=ROOT,
+            stderr=subprocess.PIPE,
+        )
+
+        async def event(name):
+            while True:
+                said = json.loads(await process.stderr.readline())
+                if said["event"] == name:
+                    return said
+
+        assert (await event("server.listening"))["name"] == "toy"
+        file.write_text("[graphite]\nevery = 3\n")
+        process.send_signal(signal.SIGHUP)
+        assert "did you mean every_s?" in (await event("operator_configuration.rejected"))["why"]
+        file.write_text(
+            f"[log]\nformat = 'json'\n[graphite]\nreceivers = ['{carbon.address}']\nevery_s = 1\n"
+        )
+        process.send_signal(signal.SIGHUP)
+        assert (await event("operator_configuration.reloaded"))["changed"] == "[graphite]"
+        await carbon.wait_until(lambda: carbon.points)
+        process.send_signal(signal.SIGTERM)
+        assert await process.wait() == 0
+        await carbon.stop()
+
+    asyncio.run(asyncio.wait_for(test(), 40))
+
+
+def test_check_reads_the_configuration_and_the_operator_file_together(tmp_path):
+    (tmp_path / "o.toml").write_text("[graphite]\nrecievers = []\n")
+    done = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "ravenshelf",
+            "check",
+            "--config",
+            "examples/config.json",
+            "--operator",
+            str(tmp_path / "o.toml"),
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+    )
+    assert done.returncode == 2 and "did you mean receivers?" in done.stderr
+
+
+def test_the_toy_world_starts_a_server_shows_tables_and_ends_on_ctrl_c():
+    process = subprocess.Popen(
+        [sys.executable, "-m", "examples.toy", "--with-pilot"],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        text=True,
+        env=os.environ | {"PYTHONUNBUFFERED": "1"},
+    )
+    while "lines=" not in (line := process.stdout.readline()):
+        assert line
+    process.send_signal(signal.SIGINT)
+    rest = process.stdout.read()
+    assert process.wait(20) == 0 and "over: the proxy's table was {'s-" in rest
--- a/tests/test_distribution_sockets.py
+++ b/tests/test_distribution_sockets.py
@@ -41,7 +41,7 @@
 from ravenshelf.operator_config.tables import Graphite, Operator
 from ravenshelf.process.relay_figures import RelayFigures
 from ravenshelf.state.buffers import BufferPool
-from standins.carbon import Carbon
+from standins.carbon import CarbonReceiver
 from standins.distribution.world import Size, World
 
 SECOND = 1_000_000
@@ -386,7 +386,11 @@
         finally:
             process.send_signal(signal.SIGTERM)
             _, said = await asyncio.wait_for(process.communicate(), WAIT)
-        assert process.returncode == 0 and b"relay relay-0 listens at" in said and b"stops" in said
+        assert (
+            process.returncode == 0
+            and b"relay relay-0 listens at" in said
+            and b"relay relay-0 stopped" in said
+        )
 
     on_sockets(play)
 
@@ -509,7 +513,7 @@
 def test_a_relay_sends_its_figures_to_graphite(tmp_path):
     async def play(there: Installation) -> None:
         await there.until(lambda: there.holds("0"))
-        carbon = await Carbon().start()
+        carbon = await CarbonReceiver().start()
         operator = Operator(
             graphite=Graphite(receivers=[f"127.0.0.1:{carbon.port}"], every_s=1, prefix="shop")
         )
@@ -521,10 +525,10 @@
                     "subscribers",
                     "upstreams",
                     "topics",
-                    "refused_per_s",
-                    "gaps_per_s",
-                    "snapshot_octets_per_s",
-                    "octets_per_s",
+                    "rejected_per_s",
+                    "resyncs_per_s",
+                    "snapshot_bytes_per_s",
+                    "bytes_per_s",
                 )
             }
             await there.until(lambda: {path for path, _ in carbon.points} >= paths)
@@ -533,7 +537,7 @@
                 for (path, _), value in sorted(carbon.points.items(), key=lambda point: point[0][1])
             }
             assert newest["shop.relay-0.relay.subscribers"] == 3 and newest["shop.relay-0.relay.topics"] >= 2
-            sent = "shop.relay-0.relay.octets_per_s"
+            sent = "shop.relay-0.relay.bytes_per_s"
             await there.until(
                 lambda: any(value > 0 for (path, _), value in carbon.points.items() if path == sent)
             )
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ravenshelf import log_events, output
-from ravenshelf.graphite import figures
+from ravenshelf.graphite import metrics
 from ravenshelf.operator_config import reading
 from ravenshelf.operator_config.reading import OperatorConfigurationError, check
 from ravenshelf.process import logs
@@ -177,14 +177,14 @@
     held("events", log_events.markdown())
     held(
         "figures",
-        output.markdown(("path", "unit", "importance", "source", "meaning", "formed"), figures.rows()),
+        output.markdown(("path", "unit", "importance", "source", "meaning", "formed"), metrics.rows()),
     )
     held("keys", output.markdown(("table", "key", "default", "expected"), reading.rows()))
 
 
 def test_the_graphs_for_the_morning_name_figures_that_are_sent():
     graphs = json.loads((ROOT / "deploy" / "graphite-graphs.json").read_text())
-    known = [one.path for one in figures.CATALOGUE.values()]
+    known = [one.path for one in metrics.CATALOGUE.values()]
     assert len(graphs["graphs"]) >= 8
     for graph in graphs["graphs"]:
         for target in graph["targets"]:
