--- a/ravenshelf/graphite/collector.py
+++ b/ravenshelf/graphite/collector.py
@@ -12,7 +12,8 @@
 from ravenshelf.graphite.formats import path_component
 from ravenshelf.graphite.interval import SECOND, Histograms, Interval, new_histograms
 from ravenshelf.graphite.metrics import DETAIL, ESSENTIAL, USEFUL
-from ravenshelf.graphite.points import ObservedController, PathNames, Point, PointBuilder, Sample
+from ravenshelf.graphite.points import PathNames, Point, PointBuilder, Sample
+from ravenshelf.policy.controller import Controller
 from ravenshelf.policy.events import (
     BatchAcknowledged,
     DemandReport,
@@ -25,7 +26,7 @@
     ProxyLeft,
 )
 from ravenshelf.settings import Settings
-from ravenshelf.state.proxy_tables import MessagePart
+from ravenshelf.state.message_part import MessagePart
 
 DEFAULT_LATENCY_OBJECTIVE = 10 * SECOND  # of a traffic group without one
 
@@ -92,7 +93,7 @@
         if marker is None or not self.drains.pending:
             return
         for part in parts:
-            for endpoint in part.out:
+            for endpoint in part.ejected:
                 self.drains.sent(endpoint, proxy, marker)
 
     def on_control_cycle(self, delay: int, duration: int) -> None:
@@ -163,7 +164,7 @@
     def points(
         self,
         now: int,
-        controller: ObservedController | None,
+        controller: Controller | None,
         samples: Iterable[Sample],
         take: Callable[[int, list[Point]], None],
     ) -> Iterator[None]:
--- a/ravenshelf/graphite/decisions/routing.py
+++ b/ravenshelf/graphite/decisions/routing.py
@@ -43,7 +43,7 @@
         return by_receiver
 
 
-def heirs(old: Sequence[str], new: Sequence[str], route: str) -> dict[str, list[str]]:
+def handover_targets(old: Sequence[str], new: Sequence[str], route: str) -> dict[str, list[str]]:
     """Return which receivers get the queued points of each receiver that was removed.
 
     With route "hash" these are all new receivers, and the caller asks `RendezvousRouter` for each point. With
--- a/ravenshelf/graphite/points.py
+++ b/ravenshelf/graphite/points.py
@@ -5,15 +5,16 @@
 """
 
 from collections import defaultdict
-from collections.abc import Callable, Collection, Iterable, Iterator, Mapping, Sequence
+from collections.abc import Callable, Collection, Iterable, Iterator, Sequence
 from dataclasses import dataclass
 from math import isfinite
-from typing import Any, NamedTuple, Protocol
+from typing import NamedTuple
 
 from ravenshelf.graphite import metrics
 from ravenshelf.graphite.formats import path_component
 from ravenshelf.graphite.interval import SECOND, Interval, ObjectiveTotals
 from ravenshelf.graphite.metrics import Metric
+from ravenshelf.policy.controller import Controller
 from ravenshelf.policy.events import EndpointState
 from ravenshelf.settings import TrafficGroup
 
@@ -32,23 +33,6 @@
     receiver: str = ""
 
 
-class ObservedController(Protocol):
-    """What the metrics read of the controller."""
-
-    channel: Any
-    proxies: Mapping[int, Any]
-    share: Sequence[Sequence[float]]
-
-    def demands(self) -> tuple[Sequence[float], Sequence[float]]:
-        """Return the demand of each zone: of its own proxies, and of all."""
-
-    def strengths(self) -> Sequence[Mapping[int, float]]:
-        """Return the effective weights of each zone's endpoints."""
-
-    def usable(self) -> Iterable[Any]:
-        """Return the endpoints that may be used."""
-
-
 @dataclass(slots=True)
 class PathNames:
     """The names that paths are made of; `endpoint_name` gives an endpoint's name by its number."""
@@ -129,17 +113,17 @@
             histogram.reset()
 
     def add_controller(
-        self, controller: ObservedController, queue_limit: float, listed: Collection[int]
+        self, controller: Controller, queue_limit: float, listed: Collection[int]
     ) -> Iterator[None]:
         """Add what the controller estimates, in slices; `listed` are the endpoints of the current list."""
         self._add_channel(controller, queue_limit)
-        own_demand, _ = controller.demands()
+        own_demand = controller.demand().own
         yield
         zone_health: dict[int, list[float]] = defaultdict(list)
         weights = controller.strengths()
         yield
-        for count, endpoint in enumerate(controller.usable(), 1):
-            health = endpoint.fade(self.now)
+        for count, endpoint in enumerate(controller.usable_endpoints(), 1):
+            health = endpoint.health_score(self.now)
             zone_health[endpoint.zone].append(health)
             if endpoint.index in listed:
                 weight = weights[endpoint.zone].get(endpoint.index, 0.0)
@@ -153,14 +137,14 @@
             if zone_health[zone]:
                 mean_health = sum(zone_health[zone]) / len(zone_health[zone])
                 self.add(metrics.ZONE_HEALTH, mean_health, zone=name)
-            for target, spill_share in enumerate(controller.share[zone]):
+            for target, spill_share in enumerate(controller.spill.shares[zone]):
                 if target != zone:
                     self.add(metrics.ZONE_SPILL, spill_share, zone=name, to=self.names.zones[target])
 
-    def _add_channel(self, controller: ObservedController, queue_limit: float) -> None:
+    def _add_channel(self, controller: Controller, queue_limit: float) -> None:
         channel = controller.channel
-        drained_lines = channel.pace * max(0, self.now - channel.at) / SECOND
-        queued_lines = max(0.0, channel.waiting - drained_lines)
+        drained_lines = channel.pace * max(0, self.now - channel.now) / SECOND
+        queued_lines = max(0.0, channel.queued_lines - drained_lines)
         bound_proxies = sum(proxy.table is not None for proxy in list(controller.proxies.values()))
         self.add(metrics.CHANNEL_QUEUE, queued_lines)
         self.add(metrics.CHANNEL_QUEUE_UTILIZATION, queued_lines / queue_limit if queue_limit else 0.0)
--- a/ravenshelf/graphite/service.py
+++ b/ravenshelf/graphite/service.py
@@ -13,7 +13,7 @@
 from ravenshelf.graphite import metrics
 from ravenshelf.graphite.decisions.connection import SECOND, ReceiverConnectionPolicy
 from ravenshelf.graphite.decisions.queue import Batch, PointQueue
-from ravenshelf.graphite.decisions.routing import RendezvousRouter, heirs
+from ravenshelf.graphite.decisions.routing import RendezvousRouter, handover_targets
 from ravenshelf.graphite.dialing import Resolve, resolve_name
 from ravenshelf.graphite.exporter import Exporter
 from ravenshelf.graphite.formats import path_component
@@ -182,7 +182,7 @@
         for receiver in table.receivers:
             if receiver not in self.exporters:
                 self._start_exporter(receiver)
-        self._hand_over(removed, heirs([*old.receivers], [*table.receivers], table.route))
+        self._hand_over(removed, handover_targets([*old.receivers], [*table.receivers], table.route))
 
     def _reload_exporter(self, exporter: Exporter, old: GraphiteTable) -> None:
         exporter.queue.limit = self.table.buffer_points
@@ -190,7 +190,7 @@
         if (old.spool_mb, old.spool_dir) != (self.table.spool_mb, self.table.spool_dir):
             exporter.spooling.spool = self._new_spool(exporter.receiver)
 
-    def _hand_over(self, removed: dict[str, Exporter], heirs_of: dict[str, list[str]]) -> None:
+    def _hand_over(self, removed: dict[str, Exporter], targets_of: dict[str, list[str]]) -> None:
         # By share, what may have been received in part is dropped: it may be at the old receiver. Where each
         # receiver has everything, the new one has none of it.
         include_attempted = self.table.route == ROUTE_ALL
@@ -203,8 +203,8 @@
                 for batch in batches:
                     self._export_shares(batch)
             else:
-                for heir in heirs_of[receiver]:
-                    self._add_copies(heir, batches)
+                for target in targets_of[receiver]:
+                    self._add_copies(target, batches)
 
     def _add_copies(self, receiver: str, batches: list[Batch]) -> None:
         copies = [Batch(batch.time, batch.importance, batch.points) for batch in batches]
--- a/ravenshelf/graphite/spool_transfer.py
+++ b/ravenshelf/graphite/spool_transfer.py
@@ -82,7 +82,7 @@
     def _queue_segment(self, segment: SpooledSegment) -> None:
         for lost in segment.skipped:
             log_events.SPOOL_CORRUPTED(
-                receiver=self.receiver, bytes=lost.octets, file=f"{lost.file} from {lost.offset}"
+                receiver=self.receiver, bytes=lost.size_bytes, file=f"{lost.file} from {lost.offset}"
             )
         self.unfinished_batches[segment.number] = len(segment.batches)
         self.segment_of.update(dict.fromkeys(segment.batches, segment.number))
--- a/ravenshelf/leadership/adapter.py
+++ b/ravenshelf/leadership/adapter.py
@@ -3,14 +3,14 @@
 
 from collections.abc import Callable, Iterable
 
-from ravenshelf.leadership.decisions import GRANTING, KEEPING, Member
+from ravenshelf.leadership.decisions import Member, Permission
 from ravenshelf.leadership.dividing import shard_of
 from ravenshelf.leadership.gate import Needs, ShardGate
 from ravenshelf.leadership.inheritance import Inherited
 from ravenshelf.leadership.record import Record, UnreadableRecordError
 from ravenshelf.policy.events import EndpointsListed, EndpointState, Event, ProxyJoined, ProxyLeft
 from ravenshelf.state.counters import Counters
-from ravenshelf.state.proxy_tables import MessagePart
+from ravenshelf.state.message_part import AdmissionLevel, MessagePart
 
 
 class Owned:
@@ -43,7 +43,7 @@
         self.member, self.clock, self.groups, self.counters = member, clock, groups, counters
         self.news, self.write, self.put, self.names = news, write, put, names
         self.version, self.index, self.ramps, self.warm = version, index, ramps, warm
-        self.shards = member.ways.shards
+        self.shards = member.configuration.shards
         self.present: dict[int, ProxyJoined] = {}  # every proxy with a stream here
         self.bound: set[int] = set()  # those that the decisions know
         self.owned: dict[int, Owned] = {}
@@ -111,18 +111,22 @@
         drained = {i for i in map(self.index, inherited.drains) if i is not None}
         for part in parts:
             if drained:
-                part.back = [e for e in part.back if e not in drained]
-                part.out = part.out + [e for e, w in part.lines if w and e in drained and e not in part.out]
+                part.readmitted = [e for e in part.readmitted if e not in drained]
+                part.ejected = part.ejected + [
+                    e for e, w in part.weights if w and e in drained and e not in part.ejected
+                ]
             groups = [self.groups[g] for g in part.groups] or self.groups
-            if part.level is not None:
-                level = min(inherited.level(now, g, part.level[0]) for g in groups)
-                part.level = (level, part.level[1])
-        for part in [p for p in parts if p.whole and p.level is None]:  # a whole table forgets levels
+            if part.admission_level is not None:
+                level = min(inherited.level(now, g, part.admission_level.level) for g in groups)
+                part.admission_level = AdmissionLevel(level, part.admission_level.retry_mode)
+        for part in [
+            p for p in parts if p.is_complete and p.admission_level is None
+        ]:  # a whole table forgets levels
             for g in part.groups or range(len(self.groups)):
                 had = inherited.record.levels.get(self.groups[g])
                 level = inherited.level(now, self.groups[g], float("inf"))
                 if had is not None and level < float("inf"):
-                    parts.append(MessagePart((g,), level=(level, min(had[1], 1))))
+                    parts.append(MessagePart((g,), admission_level=AdmissionLevel(level, min(had[1], 1))))
 
     def offer(self, proxy: int, parts: list[MessagePart], message: bytes, mark: int | None) -> None:
         """Takes an order in; it leaves when and if it may."""
@@ -133,12 +137,12 @@
             return
         needs = Needs()
         for part in parts:
-            if part.level is not None:
+            if part.admission_level is not None:
                 for g in part.groups or range(len(self.groups)):
-                    needs.levels.append((self.groups[g], *part.level))
+                    needs.levels.append((self.groups[g], *part.admission_level))
             needs.drains += [
                 (self.names(e), self.version())
-                for e in part.out
+                for e in part.ejected
                 if not owned.inherited.drained(self.names(e))
             ]
         if owned.gate.offer(proxy, (message, mark), needs):
@@ -162,13 +166,15 @@
             return
 
         def may(held) -> bool:
-            right = self.member.may_order(now, shard, held.seq)
-            return right == GRANTING or (right == KEEPING and held.needs.met_by(owned.gate.record))
+            right = self.member.permission(now, shard, held.seq)
+            return right is Permission.FULL or (
+                right is Permission.REPEAT_ONLY and held.needs.met_by(owned.gate.record)
+            )
 
-        left = owned.gate.leave(claim.safe, may)
+        left = owned.gate.leave(claim.committed_seq, may)
         for held in left:
             message, mark = held.message
-            if self.member.may_order(self.clock(), shard, held.seq) is None:
+            if self.member.permission(self.clock(), shard, held.seq) is None:
                 self.counters["orders_without_right"] += 1  # stood still since it was looked at
                 owned.gate.crowded.add(held.proxy)
                 continue
@@ -177,7 +183,7 @@
         record = owned.gate.lowered(left)
         if record is not None and (seq := self.put(shard, record.pack())) is not None:
             owned.gate.wrote(record, seq)
-        if not owned.gate.crowded or self.member.may_order(self.clock(), shard) is None:
+        if not owned.gate.crowded or self.member.permission(self.clock(), shard) is None:
             return
         for proxy in list(owned.gate.crowded):
             owned.gate.crowded.discard(proxy)
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -90,7 +90,7 @@
             clock,
             self.chance,
             name_of=lambda index: pilot.listing.names[index],
-            index_of=pilot.listing.index.get,
+            index_of=pilot.listing.index_by_name.get,
         )
         pilot.rounds.decide_with(self.distribution.controller)
 
@@ -121,8 +121,8 @@
             write=write,
             put=self.leadership.put,
             names=lambda n: pilot.listing.names[n],
-            version=lambda: pilot.listing.rev,
-            index=pilot.listing.index.get,
+            version=lambda: pilot.listing.version,
+            index=pilot.listing.index_by_name.get,
             ramps=self._ramps,
             warm=self._warm,
         )
@@ -140,7 +140,7 @@
         """Tells the decisions of starts that another controller knew and our list does not."""
         listing, news = self.pilot.listing, []
         for name, start in starts.items():
-            entry = listing.entries.get(listing.index.get(name))
+            entry = listing.entries.get(listing.index_by_name.get(name))
             if entry is not None and entry.started_at < start:
                 news.append(entry._replace(started_at=start))
         if news:
@@ -157,10 +157,10 @@
             pilot.rounds.settings,
             self._prefix(table),
             self.clock(),
-            pilot.sent.level_of,
+            pilot.sent.admission_level_of,
             lambda n: pilot.listing.names[n],
         )
-        self.gatherer.on_event(EndpointsListed(ListKind.RESTORED, pilot.listing.whole()), self.clock())
+        self.gatherer.on_event(EndpointsListed(ListKind.RESTORED, pilot.listing.snapshot()), self.clock())
         for joined in pilot.rounds.joined.values():
             self.gatherer.on_event(joined, self.clock())
         self.graphite = GraphiteService(
@@ -217,7 +217,7 @@
         if self.leadership is not None:
             lead = self.leadership
             counts |= {
-                metrics.SHARDS_OWNED: len(lead.member.owned()),
+                metrics.SHARDS_OWNED: len(lead.member.held_shards()),
                 metrics.MEMBERS_CONNECTED: 1 + len(lead.links),
                 metrics.COMMANDS_WAITING: sum(len(owned.gate) for owned in lead.adapter.owned.values()),
             }
@@ -265,7 +265,7 @@
     def endpoints(self, host: str) -> tuple[int, ...]:
         """The listed endpoints on a collectd host: named in the operator file, or by its name, or by its address."""
         listing = self.pilot.listing
-        if self.places[0] != listing.rev:
+        if self.places[0] != listing.version:
             places: dict[str, list[int]] = {}
             for index in listing.entries:
                 name = listing.names[index]
@@ -273,7 +273,7 @@
                 address = listing.addresses.get(index, "").rpartition(":")[0]
                 for place in by_hand or {name, address} - {""}:
                     places.setdefault(place, []).append(index)
-            self.places = listing.rev, {place: tuple(found) for place, found in places.items()}
+            self.places = listing.version, {place: tuple(found) for place, found in places.items()}
             if self.listener is not None:
                 self.listener.signals.forget_strangers()
         return self.places[1].get(host, ())
@@ -344,7 +344,7 @@
         if not new.receivers:
             self.graphite.close()
             self.graphite = self.gatherer = self.pilot.tap = self.pilot.rounds.tap = None
-            self.pilot.deadlines.drop(("figures",))
+            self.pilot.deadlines.cancel(("figures",))
             return
         self.graphite.reload(new)
         self.gatherer.names.prefix = self._prefix(new)
@@ -357,7 +357,7 @@
         if was is not None:
             was.close()
         if not self.operator.collectd.listen:
-            self.pilot.deadlines.drop(("users",))
+            self.pilot.deadlines.cancel(("users",))
             return
         try:
             await self._start_collectd()
--- a/tests/graphite/exporting.py
+++ b/tests/graphite/exporting.py
@@ -38,7 +38,7 @@
         )
 
     def run_due(self):
-        for key in self.deadlines.due(self.now):
+        for key in self.deadlines.take_expired(self.now):
             self.background.turn() if key == "background" else self.service.run_due(key)
 
     async def wait_until(self, condition, timeout_s=20.0):
--- a/tests/graphite/test_collector.py
+++ b/tests/graphite/test_collector.py
@@ -14,9 +14,8 @@
     ProxyJoined,
     ProxyLeft,
 )
-from ravenshelf.rules import SECOND
-from ravenshelf.settings import Settings, TrafficGroup
-from ravenshelf.state.proxy_tables import MessagePart
+from ravenshelf.settings import SECOND, Settings, TrafficGroup
+from ravenshelf.state.message_part import MessagePart
 
 SETTINGS = Settings(
     zones=("a", "b"),
@@ -88,8 +87,8 @@
     observed.observe(
         EndpointsListed(ListKind.UPDATE, (ListedEndpoint(1, 0, 0, 0, EndpointState.DRAINING, 1.0, 0),))
     )
-    observed.collector.on_message(0, [MessagePart(out=[1])], 7)
-    observed.collector.on_message(1, [MessagePart(out=[1])], 7)
+    observed.collector.on_message(0, [MessagePart(ejected=[1])], 7)
+    observed.collector.on_message(1, [MessagePart(ejected=[1])], 7)
     observed.now += 200_000
     observed.observe(BatchAcknowledged(0, 7, 100))
     points = observed.close_interval(0)
@@ -113,11 +112,11 @@
             ),
         )
     )
-    observed.collector.on_message(0, [MessagePart(out=[1, 2])], 7)
+    observed.collector.on_message(0, [MessagePart(ejected=[1, 2])], 7)
     observed.observe(
         ProxyLeft(0, True)
     )  # ended by the server: the decisions get this event too, the metrics are the same
-    observed.collector.on_message(1, [MessagePart(out=[1])], 8)
+    observed.collector.on_message(1, [MessagePart(ejected=[1])], 8)
     observed.observe(
         EndpointsListed(ListKind.UPDATE, (ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 1.0, 0),))
     )
--- a/tests/graphite/test_routing.py
+++ b/tests/graphite/test_routing.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ravenshelf.graphite.decisions.routing import RendezvousRouter, heirs
+from ravenshelf.graphite.decisions.routing import RendezvousRouter, handover_targets
 
 
 def points(count):
@@ -30,7 +30,7 @@
 
 
 def test_queued_points_of_a_removed_receiver_go_to_those_that_lack_them():
-    assert heirs(["a", "b"], ["b", "c", "d"], "all") == {"a": ["c", "d"]}
+    assert handover_targets(["a", "b"], ["b", "c", "d"], "all") == {"a": ["c", "d"]}
     # both had all points: one copy is enough
-    assert heirs(["a", "b"], ["c"], "all") == {"a": ["c"], "b": []}
-    assert heirs(["a", "b"], ["b", "c"], "hash") == {"a": ["b", "c"]}
+    assert handover_targets(["a", "b"], ["c"], "all") == {"a": ["c"], "b": []}
+    assert handover_targets(["a", "b"], ["b", "c"], "hash") == {"a": ["b", "c"]}
--- a/tests/operations/test_server_operations.py
+++ b/tests/operations/test_server_operations.py
@@ -65,7 +65,7 @@
         await carbon.wait_until(
             lambda: any(p.endswith("collectd.rejected_per_s") and v for (p, _), v in carbon.points.items())
         )
-        assert [noticed[e].noticed.read(server.clock())[0] > 0 for e in range(4)] == [
+        assert [noticed[e].host_load.read(server.clock())[0] > 0 for e in range(4)] == [
             True,
             True,
             False,
