--- a/ravenshelf/simulator/decode.py
+++ b/ravenshelf/simulator/decode.py
@@ -1,16 +1,33 @@
-"""Lines of the wire into calls. Times become whole microseconds, words become ours, ids small indices."""
+"""Decodes lines of the simulator's wire into events of the policy.
+
+Times become whole microseconds, words become enumerations, and endpoint names small indices. The words of the
+wire stand here and in `encode` only.
+"""
 
 import base64
 import binascii
 import json
+from collections.abc import Callable
+from math import isfinite
 from typing import Any, NamedTuple
 
 from ravenshelf.errors import RavenshelfError
 from ravenshelf.policy import events
 
+MICROSECONDS_PER_MILLISECOND = 1000
+NOTHING = "-"  # in the place of a value
 STATES = {state.value: state for state in events.EndpointState}
 LIST_KINDS = {kind.value: kind for kind in events.ListKind}
-UNAVAILABLE = "unavailable"
+LIST_UNAVAILABLE = "unavailable"
+SHOWN_LENGTH = 120  # characters of a line in an error
+ENTRY_VALUES = 8  # of a list entry, with its first word
+LIST_COUNT_POSITION = 4  # of the number of entries, which may be missing
+ENTRY_FORM = (
+    "'endpoint' name rack-zone family-type unit-group availability share last-start-ms"  # as the wire says it
+)
+
+EndpointIndex = Callable[[str], int]  # index of an endpoint's name in one instance
+IndexOfInstance = Callable[[int, str], EndpointIndex]  # by instance and the line that names it
 
 
 class Boot(NamedTuple):
@@ -25,148 +42,213 @@
 
 
 class MalformedLineError(RavenshelfError):
-    """What the wire must not say; the text names the line and what was expected."""
+    """A line that the wire must not have; `line` is its text or bytes, `expected` what may stand there."""
+
+    def __init__(self, line: str | bytes, expected: str):
+        super().__init__(f"line {line!r}: expected {expected}")
+        self.line = line
+        self.expected = expected
 
 
-def number(text):
+def _number(text: str) -> float:
     value = float(text)
-    if value != value or value in (float("inf"), float("-inf")):
+    if not isfinite(value):
         raise ValueError("not finite")
     return value
 
 
-def micros(text):
-    return 0 if text == "-" else round(number(text) * 1000)
+def decode_time(text: str) -> int:
+    """Milliseconds as whole microseconds; raises `ValueError`."""
+    return 0 if text == NOTHING else round(_number(text) * MICROSECONDS_PER_MILLISECOND)
 
 
-def flag(text):
+def _flag(text: str) -> bool:
     if text not in ("0", "1"):
-        raise ValueError("not a bool")
+        raise ValueError("not a flag")
     return text == "1"
 
 
-def report(text):
-    return () if text == "-" else tuple(number(part) for part in text.split(","))
+def _load(text: str) -> tuple[float, ...]:
+    return () if text == NOTHING else tuple(_number(part) for part in text.split(","))
 
 
-def octets(text):
+def _payload(text: str) -> bytes:
     try:
-        return b"" if text == "-" else base64.b64decode(text, validate=True)
-    except binascii.Error as why:
-        raise ValueError("not base64") from why
+        return b"" if text == NOTHING else base64.b64decode(text, validate=True)
+    except binascii.Error as error:
+        raise ValueError("not base64") from error
+
+
+def _proxy_joined(_: EndpointIndex, values: list[str]) -> events.ProxyJoined:
+    usual_rate = 0.0 if values[0] == NOTHING else _number(values[0])
+    return events.ProxyJoined(int(values[3]), int(values[2]), usual_rate, _flag(values[1]))
+
 
+def _proxy_left(_: EndpointIndex, values: list[str]) -> events.ProxyLeft:
+    return events.ProxyLeft(int(values[0]))
 
-def heard(ids, v):
+
+def _load_report(endpoint_index: EndpointIndex, values: list[str]) -> events.LoadReport:
     return events.LoadReport(
-        int(v[0]), ids(v[2]), int(v[5]), int(v[1]), micros(v[3]), micros(v[4]), report(v[6])
+        zone=int(values[0]),
+        endpoint=endpoint_index(values[2]),
+        attempts=int(values[5]),
+        failed=int(values[1]),
+        mean_latency=decode_time(values[3]),
+        window=decode_time(values[4]),
+        load=_load(values[6]),
     )
 
 
-def joined(ids, v):
-    return events.ProxyJoined(int(v[3]), int(v[2]), 0.0 if v[0] == "-" else number(v[0]), flag(v[1]))
+def _demand_report(_: EndpointIndex, values: list[str]) -> events.DemandReport:
+    return events.DemandReport(
+        proxy=int(values[0]),
+        group=int(values[1]),
+        requests=int(values[2]),
+        unanswered=int(values[3]),
+        window=decode_time(values[4]),
+    )
 
 
-def asked(ids, v):
-    return events.DemandReport(int(v[0]), int(v[1]), int(v[2]), int(v[3]), micros(v[4]))
+def _batch_acknowledged(_: EndpointIndex, values: list[str]) -> events.BatchAcknowledged:
+    return events.BatchAcknowledged(int(values[0]), int(values[1]), decode_time(values[2]))
 
 
-def probed(ids, v):
-    return events.HealthCheckCompleted(ids(v[0]), v[1] == "OK", micros(v[2]), report(v[3]))
+def _timer_expired(_: EndpointIndex, values: list[str]) -> events.TimerExpired:
+    return events.TimerExpired(values[0])
 
 
-def slice_asked(ids, v):
-    return events.SliceDemandReport(int(v[4]), int(v[3]), int(v[2]), int(v[1]), micros(v[0]))
+def _health_check_completed(endpoint_index: EndpointIndex, values: list[str]) -> events.HealthCheckCompleted:
+    return events.HealthCheckCompleted(
+        endpoint_index(values[0]), values[1] == "OK", decode_time(values[2]), _load(values[3])
+    )
 
 
-# event: (values it must have after the instance, how they become a call, the form named in a complaint)
-EVENTS = {
-    "enrolled": (4, joined, "share on rack-zone proxy"),
-    "detached": (1, lambda ids, v: events.ProxyLeft(int(v[0])), "proxy"),
-    "tally": (7, heard, "rack-zone unanswered endpoint cost-time-ms window-ms number metrics"),
-    "proxy_stats": (5, asked, "proxy grade number unanswered window-ms"),
-    "acked": (
-        3,
-        lambda ids, v: events.BatchAcknowledged(int(v[0]), int(v[1]), micros(v[2])),
-        "proxy version cost-time-ms",
-    ),
-    "due": (1, lambda ids, v: events.TimerExpired(v[0]), "key-back"),
-    "checked": (4, probed, "endpoint rc cost-time-ms metrics"),
-    "neighbour_says": (
-        2,
-        lambda ids, v: events.PeerMessageReceived(int(v[0]), octets(v[1])),
-        "neighbour octets",
-    ),
-    "slice_load": (5, slice_asked, "window-ms unanswered number grade tbl"),
-    "handed": (2, lambda ids, v: events.SliceAssigned(int(v[0]), flag(v[1])), "tbl on"),
-    "in_store": (
-        3,
-        lambda ids, v: events.SliceWeightStored(int(v[1]), ids(v[0]), number(v[2])),
-        "endpoint tbl share",
-    ),
-}
+def _peer_message_received(_: EndpointIndex, values: list[str]) -> events.PeerMessageReceived:
+    return events.PeerMessageReceived(int(values[0]), _payload(values[1]))
 
 
-def entry(ids, text):
-    v = text.split(" ")
-    try:
-        if v[0] != "endpoint" or len(v) < 8 or v[5] not in STATES:
-            raise ValueError("no entry")
-        return events.ListedEndpoint(
-            ids(v[1]), int(v[2]), int(v[3]), int(v[4]), STATES[v[5]], number(v[6]), micros(v[7])
-        )
-    except ValueError as why:
-        raise MalformedLineError(
-            f"line {text!r}: expected 'endpoint' name rack-zone family-type unit-group "
-            "availability share last-start-ms"
-        ) from why
+def _slice_demand_report(_: EndpointIndex, values: list[str]) -> events.SliceDemandReport:
+    return events.SliceDemandReport(
+        slice=int(values[4]),
+        group=int(values[3]),
+        requests=int(values[2]),
+        unanswered=int(values[1]),
+        window=decode_time(values[0]),
+    )
 
 
-def _boot(text: str) -> tuple[int, Boot]:
-    try:
-        _, i, seed, env = text.split(" ", 3)
-        settings = json.loads(env)
-        if not isinstance(settings, dict):
-            raise ValueError("no map")
-        return int(i), Boot(int(seed), settings)
-    except ValueError as why:
-        raise MalformedLineError(
-            f"line {text[:120]!r}: expected boot i rng-seed env (a JSON object)"
-        ) from why
+def _slice_assigned(_: EndpointIndex, values: list[str]) -> events.SliceAssigned:
+    return events.SliceAssigned(int(values[0]), _flag(values[1]))
+
+
+def _slice_weight_stored(endpoint_index: EndpointIndex, values: list[str]) -> events.SliceWeightStored:
+    return events.SliceWeightStored(int(values[1]), endpoint_index(values[0]), _number(values[2]))
 
 
-def event(text, ids_of, following):
-    """One line of a batch: the instance, and `Boot`, `Exit` or an event of the policy.
+class EventDecoder(NamedTuple):
+    """How a kind of line becomes an event: from so many values after the instance; `form` names them."""
 
-    `following` gives the next line, for the list entries that belong to an event.
+    value_count: int
+    decode: Callable[[EndpointIndex, list[str]], events.Event]
+    form: str
+
+
+DECODERS = {
+    "enrolled": EventDecoder(4, _proxy_joined, "share on rack-zone proxy"),
+    "detached": EventDecoder(1, _proxy_left, "proxy"),
+    "tally": EventDecoder(
+        7, _load_report, "rack-zone unanswered endpoint cost-time-ms window-ms number metrics"
+    ),
+    "proxy_stats": EventDecoder(5, _demand_report, "proxy grade number unanswered window-ms"),
+    "acked": EventDecoder(3, _batch_acknowledged, "proxy version cost-time-ms"),
+    "due": EventDecoder(1, _timer_expired, "key-back"),
+    "checked": EventDecoder(4, _health_check_completed, "endpoint rc cost-time-ms metrics"),
+    "neighbour_says": EventDecoder(2, _peer_message_received, "neighbour octets"),
+    "slice_load": EventDecoder(5, _slice_demand_report, "window-ms unanswered number grade tbl"),
+    "handed": EventDecoder(2, _slice_assigned, "tbl on"),
+    "in_store": EventDecoder(3, _slice_weight_stored, "endpoint tbl share"),
+}
+
+
+def decode_line(
+    text: str, index_of: IndexOfInstance, next_line: Callable[[], str]
+) -> tuple[int, Boot | Exit | events.Event]:
+    """One line of a batch: the instance, and what it is told.
+
+    `index_of` gives an instance's endpoint indices, `next_line` the entries that belong to a list. Raises
+    `MalformedLineError`.
     """
-    v = text.split(" ")
-    name = v[0]
+    values = text.split(" ")
+    name = values[0]
     if name == "boot":
-        return _boot(text)
+        return _decode_boot(text)
     if name == "exit":
-        try:
-            return int(v[1]), Exit()
-        except (ValueError, IndexError) as why:
-            raise MalformedLineError(f"line {text!r}: expected exit i") from why
+        return _decode_exit(text, values)
     if name == "topology":
-        try:
-            i, how, _, count = int(v[1]), v[2], int(v[3]), int(v[4]) if len(v) > 4 else 0
-            if (how not in LIST_KINDS and how != UNAVAILABLE) or count < 0:
-                raise ValueError("no such list")
-        except (ValueError, IndexError) as why:
-            raise MalformedLineError(f"line {text!r}: expected topology i kind version members-list") from why
-        ids = ids_of(i, text)
-        entries = tuple(entry(ids, following()) for _ in range(count))
-        if how == UNAVAILABLE:
-            return i, events.WatchFailed()
-        return i, events.EndpointsListed(LIST_KINDS[how], entries)
-    if name not in EVENTS:
-        raise MalformedLineError(f"line {text[:120]!r}: expected an event of the wire, or eob")
-    width, make, form = EVENTS[name]
+        return _decode_list(text, values, index_of, next_line)
+    decoder = DECODERS.get(name)
+    if decoder is None:
+        raise MalformedLineError(text[:SHOWN_LENGTH], "an event of the wire, or eob")
     try:
-        if len(v) < width + 2:
+        if len(values) < decoder.value_count + 2:
             raise ValueError("too short")
-        i = int(v[1])
-        return i, make(ids_of(i, text), v[2:])
-    except ValueError as why:
-        raise MalformedLineError(f"line {text!r}: expected {name} i {form}") from why
+        instance = int(values[1])
+        return instance, decoder.decode(index_of(instance, text), values[2:])
+    except ValueError as error:
+        raise MalformedLineError(text, f"{name} i {decoder.form}") from error
+
+
+def _decode_boot(text: str) -> tuple[int, Boot]:
+    try:
+        _, instance, seed, environment = text.split(" ", 3)
+        settings = json.loads(environment)
+        if not isinstance(settings, dict):
+            raise ValueError("not an object")
+        return int(instance), Boot(int(seed), settings)
+    except ValueError as error:
+        raise MalformedLineError(text[:SHOWN_LENGTH], "boot i rng-seed env (a JSON object)") from error
+
+
+def _decode_exit(text: str, values: list[str]) -> tuple[int, Exit]:
+    try:
+        return int(values[1]), Exit()
+    except (ValueError, IndexError) as error:
+        raise MalformedLineError(text, "exit i") from error
+
+
+def _decode_list(
+    text: str, values: list[str], index_of: IndexOfInstance, next_line: Callable[[], str]
+) -> tuple[int, events.Event]:
+    try:
+        instance = int(values[1])
+        kind = values[2]
+        int(values[3])  # the version, which is not used
+        count = int(values[LIST_COUNT_POSITION]) if len(values) > LIST_COUNT_POSITION else 0
+        if (kind not in LIST_KINDS and kind != LIST_UNAVAILABLE) or count < 0:
+            raise ValueError("not a list")
+    except (ValueError, IndexError) as error:
+        raise MalformedLineError(text, "topology i kind version members-list") from error
+    endpoint_index = index_of(instance, text)
+    entries = tuple(_decode_entry(next_line(), endpoint_index) for _ in range(count))
+    if kind == LIST_UNAVAILABLE:
+        return instance, events.WatchFailed()
+    return instance, events.EndpointsListed(LIST_KINDS[kind], entries)
+
+
+def _decode_entry(text: str, endpoint_index: EndpointIndex) -> events.ListedEndpoint:
+    values = text.split(" ")
+    try:
+        if values[0] != "endpoint" or len(values) < ENTRY_VALUES or values[5] not in STATES:
+            raise ValueError("not an entry")
+        return events.ListedEndpoint(
+            endpoint=endpoint_index(values[1]),
+            zone=int(values[2]),
+            machine_kind=int(values[3]),
+            cell=int(values[4]),
+            state=STATES[values[5]],
+            weight=_number(values[6]),
+            started_at=decode_time(values[7]),
+        )
+    except ValueError as error:
+        raise MalformedLineError(text, ENTRY_FORM) from error
