--- a/benchmarks/scale/agreement.py
+++ b/benchmarks/scale/agreement.py
@@ -109,13 +109,13 @@
     states = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
     listing: EndpointRegistry = pilot.listing
     first = [(listing.index_of(one["uid"]), 0, 0, 0, states[one["state"]], 1.0, 0) for one in script.entries]
-    pilot.rounds.hear(listing.update(ListKind.REPLACE, 2, first, {}))
+    pilot.rounds.deliver(listing.update(ListKind.REPLACE, 2, first, {}))
     pilot.round()
-    pilot.rounds.hear(ProxyJoined(0, 0, USUAL, True))
+    pilot.rounds.deliver(ProxyJoined(0, 0, USUAL, True))
     _settle(pilot)
     for revision, (uid, state) in enumerate(script.changes, 3):
         change = (listing.index_of(uid), 0, 0, 0, states[state], 1.0, 0)
-        pilot.rounds.hear(listing.update(ListKind.UPDATE, revision, [change], {}))
+        pilot.rounds.deliver(listing.update(ListKind.UPDATE, revision, [change], {}))
         _settle(pilot)
     return [message.rstrip(b"\r\n") for _, message in pilot.written]
 
--- a/benchmarks/scale/pilots.py
+++ b/benchmarks/scale/pilots.py
@@ -88,7 +88,7 @@
         self.listing.update(ListKind.REPLACE, 1, entries, addresses)
         self.rounds.begin()
         for number in range(proxies):
-            self.rounds.hear(ProxyJoined(number, number % zones, 40.0, True))
+            self.rounds.deliver(ProxyJoined(number, number % zones, 40.0, True))
         self.written: list[tuple[int, bytes]] = []
 
     def round(self) -> None:
@@ -97,7 +97,7 @@
         answered: list[tuple[int, int]] = []
         self.rounds.run(self.now, lambda proxy, message, mark: self._write(proxy, message, mark, answered))
         for proxy, mark in answered:
-            self.rounds.hear(BatchAcknowledged(proxy, mark, 1000))
+            self.rounds.deliver(BatchAcknowledged(proxy, mark, 1000))
 
     def _write(self, proxy: int, message: bytes, mark: int | None, answered: list[tuple[int, int]]) -> None:
         self.written.append((proxy, message))
@@ -107,7 +107,7 @@
     def hear_sums(self) -> None:
         """A second's late sums: of a part of the endpoints, and of every proxy."""
         for index in self.chance.sample(self.endpoints, round(REPORTED_SHARE * len(self.endpoints))):
-            self.rounds.hear(
+            self.rounds.deliver(
                 LoadReport(
                     index % self.zones,
                     index,
@@ -119,7 +119,7 @@
                 )
             )
         for number in range(self.proxies):
-            self.rounds.hear(DemandReport(number, 0, self.chance.randint(30, 50), 0, SECOND))
+            self.rounds.deliver(DemandReport(number, 0, self.chance.randint(30, 50), 0, SECOND))
 
     def run(self, seconds: int) -> "HollowPilot":
         for _ in range(seconds):
@@ -135,7 +135,7 @@
             ListedEndpoint(index, index % self.zones, 0, 0, EndpointState.READY, 4.0, self.now)
             for index in self.chance.sample(self.endpoints, count)
         ]
-        self.rounds.hear(self.listing.update(ListKind.UPDATE, self.listing.version + 1, entries, {}))
+        self.rounds.deliver(self.listing.update(ListKind.UPDATE, self.listing.version + 1, entries, {}))
 
 
 def cpu_a_second(endpoints: int, proxies: int, zones: int, seconds: int = 10) -> float:
--- a/ravenshelf/distribution/pilot_service.py
+++ b/ravenshelf/distribution/pilot_service.py
@@ -91,7 +91,7 @@
 
     # --- sums ---
 
-    def heard(self, event: Event, now: int) -> None:
+    def observe(self, event: Event, now: int) -> None:
         """Takes what the pilot's decisions are told."""
         match event:
             case ProxyJoined(proxy, zone):
--- a/ravenshelf/graphite/gather.py
+++ b/ravenshelf/graphite/gather.py
@@ -118,7 +118,7 @@
 
     # --- told by the pilot ---
 
-    def heard(self, event: Event, now: int) -> None:
+    def observe(self, event: Event, now: int) -> None:
         match event:
             case EndpointsListed():
                 self._listed(now, event)
--- a/ravenshelf/net/__init__.py
+++ b/ravenshelf/net/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken: stream lines, the HTTP client, datagrams. Nothing here decides and nothing here keeps tables."""
+"""Connections and codecs: stream lines, HTTP, datagrams, frames. Nothing here decides or keeps tables."""
--- a/ravenshelf/net/accepted.py
+++ b/ravenshelf/net/accepted.py
@@ -1,96 +1,130 @@
-"""A connection that came to the pilot's address: bytes in pieces into lines, messages out."""
+"""A connection that was accepted: bytes in pieces into lines, messages out."""
 
+import asyncio
 from collections.abc import Callable
 from typing import Protocol
 
 from ravenshelf.net.buffered_connection import BufferedConnection
-from ravenshelf.net.connection_end import STRANGER, STREAM, ConnectionEnd
+from ravenshelf.net.connection_end import STREAM, UNIDENTIFIED, ConnectionEnd
 from ravenshelf.net.stream_codec import MOST_LINE, may_begin
 from ravenshelf.state.buffers import BUFFER_BYTES, BufferPool
 
-MOST_UNSENT = 256 * 1024  # waiting beyond the socket before one more message; who lags by more is not reading
-MOST_UNKNOWN = 4 * 1024  # a stranger's line is a joining: many without end must not fill the memory
+UNSENT_LIMIT_BYTES = 256 * 1024  # beyond the socket before one more message; who lags by more is not reading
+# an unidentified connection's line is a join: many without end must not fill the memory
+UNIDENTIFIED_LINE_LIMIT_BYTES = 4 * 1024
 
 
-class Owner(Protocol):
-    def came(self, connection: "AcceptedConnection") -> None: ...
-    def said(self, connection: "AcceptedConnection", line: bytes) -> None: ...
-    def gone(self, connection: "AcceptedConnection") -> None: ...
-    def lost(self, connection: "AcceptedConnection") -> None: ...
-    def next_turn(self, call: Callable[[], None]) -> None: ...
+class ConnectionOwner(Protocol):
+    """Takes what happens on accepted connections."""
+
+    def connected(self, connection: "AcceptedConnection") -> None:
+        """Take a new connection."""
+
+    def received(self, connection: "AcceptedConnection", line: bytes) -> None:
+        """Take a line, without its end."""
+
+    def closed(self, connection: "AcceptedConnection") -> None:
+        """Take a connection's end; called once."""
+
+    def socket_closed(self, connection: "AcceptedConnection") -> None:
+        """Take note that the socket is closed, which may be later than the connection's end."""
+
+    @property
+    def next_turn(self) -> Callable[[Callable[[], None]], object]:
+        """Have a call made in the loop's next turn."""
 
 
 class AcceptedConnection(BufferedConnection):
-    def __init__(self, buffers: BufferPool, owner: Owner):
+    """A stream of a proxy, a collector, or a connection that has not said yet what it is.
+
+    `pending_markers` holds when each marker was written on this stream that is not yet acknowledged;
+    `connected_at` is in microseconds. `has_spoken` holds since the acceptor's last sweep.
+    """
+
+    def __init__(self, buffers: BufferPool, owner: ConnectionOwner):
         super().__init__(buffers)
-        self.owner, self.rest = owner, bytearray()
+        self.owner = owner
+        self.partial_line = bytearray()
         self.slot: int | None = None
-        self.purpose, self.proxy, self.zone, self.peer = STRANGER, None, None, ""
-        self.tickets: dict[int, int] = {}  # marks written on this stream and not yet answered, and when
-        self.fences = False  # a proxy that takes orders with terms
-        self.followed = False  # a newer connection has taken its place
-        self.spoke = True  # since the door last asked
-        self.since = 0  # when it connected
-
-    def connection_made(self, transport) -> None:
-        self.transport = transport
+        self.purpose = UNIDENTIFIED
+        self.proxy: int | None = None
+        self.zone: int | None = None
+        self.peer = ""
+        self.pending_markers: dict[int, int] = {}
+        self.checks_terms = False  # a proxy that rejects orders of an older term
+        self.is_superseded = False
+        self.has_spoken = True
+        self.connected_at = 0
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begin; called by the loop."""
+        super().connection_made(transport)
         self.peer = str(transport.get_extra_info("peername"))
-        self.owner.came(self)
+        self.owner.connected(self)
 
     def buffer_updated(self, count: int) -> None:
-        """One buffer a turn: the loop itself would read on as long as a flood lasts, and everyone else would wait.
+        """Take one buffer a turn.
 
-        Harm: who has more to say at once than fits in a buffer needs several turns for it."""
+        The loop itself would read on as long as a flood lasts, and everyone else would wait. The price:
+        whoever has more to say at once than fits in a buffer needs several turns for it.
+        """
         super().buffer_updated(count)
         if count == BUFFER_BYTES and not self.transport.is_closing():
             self.transport.pause_reading()
-            self.owner.next_turn(self._read_on)
+            self.owner.next_turn(self._resume_reading)
 
-    def _read_on(self) -> None:
+    def _resume_reading(self) -> None:
         if not self.transport.is_closing():
             self.transport.resume_reading()
 
     def received(self, data: bytes) -> None:
-        looked = len(self.rest)
-        self.rest += data
-        while (end := self.rest.find(b"\n", looked)) >= 0:
-            line = bytes(self.rest[:end]).removesuffix(b"\r")
-            del self.rest[: end + 1]
-            looked = 0
-            if self._too_long(len(line)):
+        """Pass complete lines to the owner."""
+        searched = len(self.partial_line)
+        self.partial_line += data
+        while (end := self.partial_line.find(b"\n", searched)) >= 0:
+            line = bytes(self.partial_line[:end]).removesuffix(b"\r")
+            del self.partial_line[: end + 1]
+            searched = 0
+            if self._end_if_too_long(len(line)):
                 return
-            self.owner.said(self, line)
+            self.owner.received(self, line)
             if self.end is not None:
                 return
-        if not self._too_long(len(self.rest)) and not may_begin(self.rest):
+        if not self._end_if_too_long(len(self.partial_line)) and not may_begin(self.partial_line):
             self.close(ConnectionEnd.UNREADABLE)
 
-    def _too_long(self, size: int) -> bool:
-        if size > (MOST_UNKNOWN if self.purpose == STRANGER else MOST_LINE):
+    def _end_if_too_long(self, size: int) -> bool:
+        """Return whether the connection has ended."""
+        if size > (UNIDENTIFIED_LINE_LIMIT_BYTES if self.purpose == UNIDENTIFIED else MOST_LINE):
             self.close(ConnectionEnd.TOO_LONG)
         return self.end is not None
 
     def write(self, data: bytes) -> None:
+        """Write a message; ends a connection that leaves too much unread."""
         if self.end is not None:
-            return None
-        if self.transport.get_write_buffer_size() > MOST_UNSENT:
-            return self.close(ConnectionEnd.UNREAD)
+            return
+        if self.transport.get_write_buffer_size() > UNSENT_LIMIT_BYTES:
+            self.close(ConnectionEnd.UNREAD)
+            return
         self.transport.write(data)
 
     def close_transport(self, end: ConnectionEnd) -> None:
-        """At the pilot's stop a stream gets all that was written to it, and its end after that.
+        """At the server's stop, let a stream have all that was written to it before its end.
 
-        What the proxy still sends is read meanwhile and left: were it unread at the close, the system would reset the
-        connection and drop what is on its way, maybe in the middle of a message."""
+        What the proxy still sends is read meanwhile and dropped: were it unread at the close, the system
+        would reset the connection and drop what is in flight, maybe in the middle of a message.
+        """
         if end is ConnectionEnd.STOPPING and self.purpose == STREAM and not self.transport.is_closing():
             self.transport.write_eof()
         else:
             super().close_transport(end)
 
-    def connection_lost(self, why: Exception | None) -> None:
-        super().connection_lost(why)
-        self.owner.lost(self)
+    def connection_lost(self, exc: Exception | None) -> None:
+        """End, and tell the owner that the socket is closed; called by the loop."""
+        super().connection_lost(exc)
+        self.owner.socket_closed(self)
 
     def ended(self) -> None:
-        self.rest = bytearray()
-        self.owner.gone(self)
+        """Tell the owner."""
+        self.partial_line = bytearray()
+        self.owner.closed(self)
--- a/ravenshelf/net/buffered_connection.py
+++ b/ravenshelf/net/buffered_connection.py
@@ -1,23 +1,40 @@
-"""Reads into buffers of the pool; what speaks lines or HTTP stands on this protocol."""
+"""Reads into buffers of a pool; protocols of lines, frames or HTTP build on it."""
 
 import asyncio
+from typing import cast
 
 from ravenshelf.net.connection_end import ConnectionEnd
 from ravenshelf.state.buffers import BufferPool
 
 
 class BufferedConnection(asyncio.BufferedProtocol):
-    """Ends once, with one End, told by `ended`; what comes later of the same connection is not taken."""
+    """A connection that ends once, with one ConnectionEnd; what arrives later is dropped.
+
+    `transport` is set from `connection_made` on; Subclasses take data in `received`
+    and the end in `ended`.
+    """
+
+    transport: asyncio.Transport
 
     def __init__(self, buffers: BufferPool):
-        self.buffers, self.lent, self.transport, self.end = buffers, None, None, None
+        self.buffers = buffers
+        self.lent: bytearray | None = None
+        self.transport = cast(asyncio.Transport, None)
+        self.end: ConnectionEnd | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begin; called by the loop."""
+        self.transport = cast(asyncio.Transport, transport)
 
-    def get_buffer(self, sizehint: int) -> bytearray:
+    def get_buffer(self, _sizehint: int) -> bytearray:
+        """Return the buffer to read into; called by the loop."""
         if self.lent is None:
             self.lent = self.buffers.lend()
         return self.lent
 
     def buffer_updated(self, count: int) -> None:
+        """Take the bytes that were read; called by the loop."""
+        assert self.lent is not None
         data = bytes(memoryview(self.lent)[:count])
         self._give_back()
         if self.end is None:
@@ -29,18 +46,20 @@
             self.lent = None
 
     def eof_received(self) -> bool:
+        """End: the other side writes no more; called by the loop."""
         self.close(ConnectionEnd.CLOSED)
         return False
 
-    def connection_lost(self, why: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:
+        """End: the socket is closed; called by the loop."""
         self._give_back()
-        if why is None:
+        if exc is None:
             self.close(ConnectionEnd.CLOSED)
-        else:  # the loop ends the connection of a call that failed, too
-            self.close(ConnectionEnd.RESET if isinstance(why, OSError) else ConnectionEnd.FAILED)
+        else:  # the loop also closes the socket of a callback that raised
+            self.close(ConnectionEnd.RESET if isinstance(exc, OSError) else ConnectionEnd.FAILED)
 
     def close(self, end: ConnectionEnd) -> None:
-        """Ends the connection at once, and says so at once: what is told must not wait for the socket."""
+        """End the connection and report it at once: the report must not wait for the socket."""
         if self.end is not None:
             return
         self.end = end
@@ -49,13 +68,16 @@
         self.ended()
 
     def close_transport(self, end: ConnectionEnd) -> None:
+        """Close the socket; at the server's stop, once it has taken what was written."""
         if end is ConnectionEnd.STOPPING:
-            self.transport.close()  # what is ready goes out
+            self.transport.close()
         else:
             self.transport.abort()
 
     def received(self, data: bytes) -> None:
+        """Take the bytes of one read."""
         raise NotImplementedError
 
     def ended(self) -> None:
+        """Take the connection's end; called once, when `end` is set."""
         raise NotImplementedError
--- a/ravenshelf/net/connection_end.py
+++ b/ravenshelf/net/connection_end.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection can end is one value of one type; here alone it becomes the module's outcome."""
+"""How a connection ended, whatever it was for, and which event reports that to the controller."""
 
 from enum import Enum
 
@@ -6,6 +6,8 @@
 
 
 class ConnectionEnd(Enum):
+    """Every way in which a connection can end; the value completes "the connection ..."."""
+
     ANSWERED = "answered in full"
     CLOSED = "closed by the other side"
     RESET = "reset by the other side"
@@ -22,30 +24,30 @@
     STOPPING = "the pilot stops"
 
 
-STREAM, COLLECTOR, STRANGER, WATCH, FETCH, PROBE = (
-    "stream",
-    "collector",
-    "stranger",
-    "watch",
-    "fetch",
-    "probe",
-)
+# what a connection is for; the words appear in the log and in the names of counters
+STREAM = "stream"  # of a proxy
+COLLECTOR = "collector"  # of load reports
+UNIDENTIFIED = "stranger"  # accepted, and has not said yet what it is
+WATCH = "watch"
+FETCH = "fetch"
+HEALTH_CHECK = "probe"
 
-OURS = (
+# ends of a stream that the server chose, though the proxy may be well
+ENDS_BY_SERVER = (
     ConnectionEnd.UNREAD,
     ConnectionEnd.CROWDED,
     ConnectionEnd.SILENT,
     ConnectionEnd.FAILED,
-)  # ends of a stream by the pilot, for a proxy that may be well
+)
 
 
 def outcome(
     purpose: str, end: ConnectionEnd
 ) -> type[ProxyLeft] | type[HealthCheckCompleted] | type[WatchFailed] | None:
-    """The type of event that reports a connection's end, or None where the controller is told nothing."""
+    """Return the type of event that reports the end, or None where the controller is told nothing."""
     if end is ConnectionEnd.STOPPING:
         return None
-    if purpose == PROBE:
+    if purpose == HEALTH_CHECK:
         return HealthCheckCompleted
     if purpose == STREAM:
         return ProxyLeft
--- a/ravenshelf/net/datagrams.py
+++ b/ravenshelf/net/datagrams.py
@@ -1,42 +1,53 @@
-"""Datagrams between pilots: the sender's address tells which pilot spoke."""
+"""Datagrams between control-plane servers: the sender's address tells which server sent one."""
 
 import asyncio
 from collections.abc import Callable
+from typing import Any, cast
 
-MOST = 256  # a longer one voids the run
+DATAGRAM_LIMIT_BYTES = 256  # a longer one voids the run
 
 
 def address(text: str) -> tuple[str, int]:
+    """Return host and port of "host:port"; raises ValueError where the port is no number."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, peers: list[str], everyone: str | None, told: Callable[[int | None, bytes], None]):
-        self.peers = [address(p) for p in peers]
-        self.number = {peer: n for n, peer in enumerate(self.peers)}
-        self.everyone, self.told, self.transport = address(everyone) if everyone else None, told, None
-
-    def connection_made(self, transport) -> None:
-        self.transport = transport
-
-    def datagram_received(self, data: bytes, sender) -> None:
-        """`told` gets None as the peer for a stranger's datagram, or one that is too long."""
-        known = self.number.get(tuple(sender[:2])) if len(data) <= MOST else None
-        self.told(known, data)
-
-    def error_received(self, why: Exception) -> None:
-        pass  # a peer that is down; datagrams promise nothing
-
-    def send(self, peer: int | None, data: bytes) -> bool:
-        """To one pilot or, with None, to all; False where there is no such address or it is too long."""
-        if self.transport is None or len(data) > MOST:
+    """Sends to peers by number and passes on what they send.
+
+    `peers` are addresses by number, `everyone` is the address that reaches them all. `received(peer,
+    payload)` gets each datagram; the peer is None for an unknown sender or a datagram that is too long.
+    """
+
+    def __init__(self, peers: list[str], everyone: str | None, received: Callable[[int | None, bytes], None]):
+        self.peers = [address(peer) for peer in peers]
+        self.number_by_address = {peer: number for number, peer in enumerate(self.peers)}
+        self.everyone = address(everyone) if everyone else None
+        self.received = received
+        self.transport: asyncio.DatagramTransport | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begin; called by the loop."""
+        self.transport = cast(asyncio.DatagramTransport, transport)
+
+    def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
+        """Pass on a datagram; called by the loop."""
+        is_short = len(data) <= DATAGRAM_LIMIT_BYTES
+        self.received(self.number_by_address.get(addr[:2]) if is_short else None, data)
+
+    def error_received(self, exc: Exception) -> None:
+        """Pass over a peer that is down: datagrams promise nothing; called by the loop."""
+
+    def send(self, peer: int | None, payload: bytes) -> bool:
+        """Send to one peer or, with None, to all; return False where it has no address or is too long."""
+        destination = self._destination(peer)
+        if self.transport is None or destination is None or len(payload) > DATAGRAM_LIMIT_BYTES:
             return False
-        if peer is None:
-            to = self.everyone
-        else:
-            to = self.peers[peer] if 0 <= peer < len(self.peers) else None
-        if to is None:
-            return False
-        self.transport.sendto(data, to)
+        self.transport.sendto(payload, destination)
         return True
+
+    def _destination(self, peer: int | None) -> tuple[str, int] | None:
+        if peer is None:
+            return self.everyone
+        return self.peers[peer] if 0 <= peer < len(self.peers) else None
--- a/ravenshelf/net/endpoint_codec.py
+++ b/ravenshelf/net/endpoint_codec.py
@@ -1,7 +1,8 @@
-"""Discovery's JSON into entries of the list."""
+"""The codec of the endpoint registry's JSON: complete lists and changes into entries."""
 
 import json
 from collections.abc import Callable
+from typing import Any
 
 from ravenshelf.errors import RavenshelfError
 from ravenshelf.policy.events import EndpointState, ListedEndpoint
@@ -12,65 +13,84 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.GONE,
 }
-NEVER_IN_A_NAME = set(" \t\r\n,:=")  # what no order on a stream could name
+FORBIDDEN_IN_NAMES = set(" \t\r\n,:=")  # no message on a proxy's stream could name such an endpoint
+START_LIMIT_MS = 1e15
+LOGGED_TEXT_LENGTH = 80
 
 
 class UnreadableListError(RavenshelfError):
-    """A list or a line of a watch that is none."""
+    """A list, or a line of a watch, that is no list; the text says why."""
 
 
 class EndpointListDecoder:
+    """Decodes lists by the names that the settings give.
+
+    `index_of` gives a listed endpoint's name its index, `known_index_of` only that of a name that has one.
+    """
+
     def __init__(
-        self, settings: Settings, endpoint: Callable[[str], int], known: Callable[[str], int | None]
+        self,
+        settings: Settings,
+        index_of: Callable[[str], int],
+        known_index_of: Callable[[str], int | None],
     ):
-        """`endpoint` gives a listed name its index, `known` only that of a name that has one."""
-        self.zones = {name: n for n, name in enumerate(settings.zones)}
-        self.kinds = {name: n for n, name in enumerate(settings.machine_kinds)}
-        self.endpoint, self.known = endpoint, known
+        self.zones = {name: number for number, name in enumerate(settings.zones)}
+        self.machine_kinds = {name: number for number, name in enumerate(settings.machine_kinds)}
+        self.index_of = index_of
+        self.known_index_of = known_index_of
 
-    def read(self, text: bytes | str) -> dict:
+    def read(self, text: bytes | str) -> dict[str, Any]:
+        """Parse and check a list; raises UnreadableListError."""
         try:
             return self.check(json.loads(text))
-        except ValueError as why:  # bad JSON or bad UTF-8
-            raise UnreadableListError(str(why)) from why
+        except ValueError as error:  # bad JSON or bad UTF-8
+            raise UnreadableListError(str(error)) from error
 
     @staticmethod
-    def check(said) -> dict:
-        rev = said.get("rev") if isinstance(said, dict) else None
-        if not isinstance(rev, int) or isinstance(rev, bool) or not isinstance(said.get("targets"), list):
-            raise UnreadableListError("expected an object with rev and targets")
-        return said
+    def check(listed: object) -> dict[str, Any]:
+        """Return a list with its version and entries checked; raises UnreadableListError."""
+        if isinstance(listed, dict):
+            version = listed.get("rev")
+            is_version = isinstance(version, int) and not isinstance(version, bool)
+            if is_version and isinstance(listed.get("targets"), list):
+                return listed
+        raise UnreadableListError("expected an object with rev and targets")
 
     def entries(
-        self, targets: list
+        self, targets: list[Any]
     ) -> tuple[list[ListedEndpoint], dict[int, str], list[tuple[int | None, str]]]:
-        """Entries for the module, addresses by index, and what was broken: (index if it can be told, why)."""
-        entries, addresses, broken = {}, {}, []
+        """Return entries, addresses by index, and malformed ones: the index, if known, and why."""
+        entries: dict[int, ListedEndpoint] = {}
+        addresses: dict[int, str] = {}
+        malformed: list[tuple[int | None, str]] = []
         for target in targets:
             name = target.get("uid") if isinstance(target, dict) else None
-            if not isinstance(name, str) or not name or NEVER_IN_A_NAME & set(name):
-                broken.append((None, f"no uid in {str(target)[:80]}"))
+            if not isinstance(name, str) or not name or FORBIDDEN_IN_NAMES & set(name):
+                malformed.append((None, f"no uid in {str(target)[:LOGGED_TEXT_LENGTH]}"))
                 continue
             try:
-                entry = self._entry(target)
-            except (KeyError, TypeError, ValueError, OverflowError) as why:
-                broken.append((self.known(name), f"{name}: {type(why).__name__} {why}"))
+                fields = self._fields(target)
+            except (KeyError, TypeError, ValueError, OverflowError) as error:
+                reason = f"{name}: {type(error).__name__} {error}"
+                malformed.append((self.known_index_of(name), reason))
                 continue
-            index = self.endpoint(name)
-            entries[index] = ListedEndpoint(index, *entry)
+            index = self.index_of(name)
+            entries[index] = ListedEndpoint(index, *fields)
             if isinstance(target.get("endpoint"), str):
                 addresses[index] = target["endpoint"]
-        return list(entries.values()), addresses, broken
+        return list(entries.values()), addresses, malformed
 
-    def _entry(self, target: dict) -> tuple[int, int, int, EndpointState, float, int]:
-        weight, start = float(target.get("capacity_hint", 1.0)), float(target.get("boot_ms") or 0)
-        if not 0 <= weight < float("inf") or not 0 <= start < 1e15:
-            raise ValueError(f"capacity_hint {weight}, boot_ms {start}")
+    def _fields(self, target: dict[str, Any]) -> tuple[int, int, int, EndpointState, float, int]:
+        """Return the fields of a ListedEndpoint after its index."""
+        weight = float(target.get("capacity_hint", 1.0))
+        start_ms = float(target.get("boot_ms") or 0)
+        if not 0 <= weight < float("inf") or not 0 <= start_ms < START_LIMIT_MS:
+            raise ValueError(f"capacity_hint {weight}, boot_ms {start_ms}")
         return (
             self.zones[target["az"]],
-            self.kinds.get(target.get("model"), 0),
+            self.machine_kinds.get(target.get("model", ""), 0),
             int(target.get("pod_group") or 0),
             STATES[target["state"]],
             weight,
-            round(start * 1000),
+            round(start_ms * 1000),
         )
--- a/ravenshelf/net/frames.py
+++ b/ravenshelf/net/frames.py
@@ -1,26 +1,26 @@
-"""Frames on a stream: a length of four octets, network order, then so many octets."""
+"""Frames on a stream: a length of four bytes, network order, then as many bytes."""
 
 import struct
 
-MOST_FRAME = 8 * 1024 * 1024
+MOST_FRAME = 8 * 1024 * 1024  # bytes of a body
 SIZE = struct.Struct("!I")
 
 
 def pack(body: bytes) -> bytes:
-    """The frame of a body. Raises ValueError where it is longer than a frame may be."""
+    """Return the frame of a body; raises ValueError where it is longer than a frame may be."""
     if len(body) > MOST_FRAME:
         raise ValueError(f"a frame of {len(body)} octets")
     return SIZE.pack(len(body)) + body
 
 
 class Frames:
-    """Octets in pieces into the bodies of frames."""
+    """Splits bytes in pieces into the bodies of frames."""
 
     def __init__(self) -> None:
         self.rest = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The bodies that are whole now. Raises ValueError where a frame is too long."""
+        """Return the bodies that are complete now; raises ValueError where a frame is too long."""
         self.rest += data
         bodies = []
         while len(self.rest) >= SIZE.size:
--- a/ravenshelf/net/http.py
+++ b/ravenshelf/net/http.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 call: dial, ask, read the answer, whole or line by line."""
+"""One HTTP/1.1 request: dial, request, read the answer, complete or line by line."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,105 +9,147 @@
 from ravenshelf.net.connection_end import ConnectionEnd
 from ravenshelf.state.buffers import BufferPool
 
-MOST_BODY = 16 * 1024 * 1024
-MOST_HEAD = 64 * 1024  # before the status is known: a head without end must not fill the memory
+BODY_LIMIT_BYTES = 16 * 1024 * 1024
+HEAD_LIMIT_BYTES = 64 * 1024  # before the status is known: a head without end must not fill the memory
+STATUS_OK = 200
+STATUS_SWITCHING_PROTOCOLS = 101
 
 
 class HttpCall(BufferedConnection):
-    """`done(call)` is told once, with `end`, `status` and `body`; `piece(call, line)` gets lines as they come."""
+    """One call to `address` (host:port).
+
+    `done(call)` is called once, with `end`, `status` and `body` set; `on_line(call, line)` gets the lines
+    of a body as they come, and such a call collects none. `slot` is its owner's.
+    """
 
     def __init__(
-        self, buffers: BufferPool, host: str, path: str, done: Callable, piece: Callable | None = None
+        self,
+        buffers: BufferPool,
+        address: str,
+        path: str,
+        done: Callable[["HttpCall"], None],
+        on_line: Callable[["HttpCall", bytes], None] | None = None,
     ):
         super().__init__(buffers)
-        self.host, self.path, self.done, self.piece = host, path, done, piece
+        self.address = address
+        self.path = path
+        self.done = done
+        self.on_line = on_line
         self.parser = httptools.HttpResponseParser(self)
-        self.status, self.size, self.chunks, self.complete, self.sized = 0, 0, [], False, False
-        self.head = 0
+        self.status = 0
+        self.chunks: list[bytes] = []
+        self.chunk_bytes = 0
+        self.head_bytes = 0
+        self.is_complete = False
+        self.has_length = False  # the body's end is told by its head
         self.slot: int | None = None
-        self.dialing: asyncio.Task | None = None
+        self.dialing: asyncio.Task[None] | None = None
 
     def dial(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Begin to connect."""
         self.dialing = loop.create_task(self._dial(loop))
 
     async def _dial(self, loop: asyncio.AbstractEventLoop) -> None:
         try:
-            host, _, port = self.host.rpartition(":")
+            host, _, port = self.address.rpartition(":")
             await loop.create_connection(lambda: self, host, int(port))
         except (OSError, ValueError):
             self.close(ConnectionEnd.REFUSED)
 
-    def connection_made(self, transport) -> None:
-        self.transport = transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the request; called by the loop."""
+        super().connection_made(transport)
         if self.end is not None:
-            transport.abort()
+            self.transport.abort()
             return
-        transport.write(
-            f"GET {self.path} HTTP/1.1\r\nHost: {self.host}\r\nAccept: */*\r\n"
+        self.transport.write(
+            f"GET {self.path} HTTP/1.1\r\nHost: {self.address}\r\nAccept: */*\r\n"
             "Connection: close\r\n\r\n".encode()
         )
 
     def close(self, end: ConnectionEnd) -> None:
+        """End the call, and the dial where that is still under way."""
         if self.dialing is not None and self.transport is None and end is not ConnectionEnd.REFUSED:
             self.dialing.cancel()
-        if end is ConnectionEnd.CLOSED and not self.complete:
+        if end is ConnectionEnd.CLOSED and not self.is_complete:
             end = ConnectionEnd.CUT_OFF
         super().close(end)
 
     def eof_received(self) -> bool:
-        if self.status and not self.sized:  # a body without a length ends with its connection
-            self.complete = True
-            self.close(ConnectionEnd.ANSWERED if self.status == 200 else ConnectionEnd.DECLINED)
+        """Take the end of a body that has no length; called by the loop."""
+        if self.status and not self.has_length:
+            self.is_complete = True
+            self._close_complete()
         return False
 
     def received(self, data: bytes) -> None:
+        """Parse what was read."""
         if not self.status:
-            self.head += len(data)
-            if self.head > MOST_HEAD:
+            self.head_bytes += len(data)
+            if self.head_bytes > HEAD_LIMIT_BYTES:
                 self.close(ConnectionEnd.TOO_LONG)
                 return
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if not self.complete:  # what comes behind the answer is none of it
+            if not self.is_complete:  # what follows the answer is no part of it
                 self.close(ConnectionEnd.UNREADABLE)
-        if self.complete:
-            self.close(ConnectionEnd.ANSWERED if self.status == 200 else ConnectionEnd.DECLINED)
+        if self.is_complete:
+            self._close_complete()
+
+    def _close_complete(self) -> None:
+        self.close(ConnectionEnd.ANSWERED if self.status == STATUS_OK else ConnectionEnd.DECLINED)
 
-    def on_header(self, name: bytes, value: bytes) -> None:
-        self.sized = self.sized or name.lower() in (b"content-length", b"transfer-encoding")
+    # --- called by the parser ---
+
+    def on_header(self, name: bytes, _value: bytes) -> None:
+        """Take one field of the head."""
+        self.has_length = self.has_length or name.lower() in (b"content-length", b"transfer-encoding")
 
     def on_headers_complete(self) -> None:
-        if not self.complete:
+        """Take the head's end."""
+        if not self.is_complete:
             self.status = self.parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        if self.complete or self.end is not None:
+        """Take a piece of the body."""
+        if self.is_complete or self.end is not None:
             return
-        if self.piece is None or self.status != 200:
-            self.size += len(body)
+        if self.on_line is None or self.status != STATUS_OK:
+            self.chunk_bytes += len(body)
             self.chunks.append(body)
         else:
-            *lines, rest = body.split(b"\n")
-            for line in lines:
-                self.chunks.append(line)
-                line, self.chunks, self.size = b"".join(self.chunks), [], 0
-                if self.end is None:
-                    self.piece(self, line.strip())
-            self.size += len(rest)
-            self.chunks.append(rest)
-        if self.size > MOST_BODY:
+            self._pass_lines(body, self.on_line)
+        if self.chunk_bytes > BODY_LIMIT_BYTES:
             self.close(ConnectionEnd.TOO_LONG)
 
+    def _pass_lines(self, body: bytes, on_line: Callable[["HttpCall", bytes], None]) -> None:
+        *line_ends, rest = body.split(b"\n")
+        for line_end in line_ends:
+            self.chunks.append(line_end)
+            line = b"".join(self.chunks)
+            self.chunks = []
+            self.chunk_bytes = 0
+            if self.end is None:
+                on_line(self, line.strip())
+        self.chunk_bytes += len(rest)
+        self.chunks.append(rest)
+
     def on_message_complete(self) -> None:
-        if 100 <= self.status < 200 and self.status != 101:  # the answer is still to come
-            self.status, self.size, self.chunks, self.sized = 0, 0, [], False
+        """Take the answer's end; an interim answer (1xx) is passed over."""
+        if 100 <= self.status < 200 and self.status != STATUS_SWITCHING_PROTOCOLS:
+            self.status = 0
+            self.chunks = []
+            self.chunk_bytes = 0
+            self.has_length = False
         else:
-            self.complete = True
+            self.is_complete = True
 
     @property
     def body(self) -> bytes:
+        """The body as far as it has come."""
         return b"".join(self.chunks)
 
     def ended(self) -> None:
+        """Tell the owner."""
         self.done(self)
--- a/ravenshelf/net/stream_codec.py
+++ b/ravenshelf/net/stream_codec.py
@@ -1,10 +1,14 @@
-"""Lines of the streams: what proxies and collectors say into the module's calls, messages into lines."""
+"""The codec of the proxies' protocol: lines of streams and collectors into events, message parts into lines.
+
+The words of the wire stand here alone.
+"""
 
 from collections.abc import Callable, Iterable, Sequence
 
 from ravenshelf.errors import RavenshelfError
 from ravenshelf.policy.events import BatchAcknowledged, DemandReport, LoadReport, ProxyJoined
 from ravenshelf.settings import Settings
+from ravenshelf.state.message_part import MessagePart
 
 # what load reports on streams call the columns of the settings' telemetry
 LOAD_WORDS = {
@@ -21,20 +25,27 @@
 MOST_FIGURE = 2.0**32  # beyond any count or time that is meant
 MOST_SPAN = 600_000.0  # ms: beyond any window that a report is counted over
 NOISE = 4  # a reported mean may lie so far over what is true
-PING, PONG = "PING", b"PONG\r\n"
-KINDS = ("SUBSCRIBE", "SOURCE", "LOAD", "RATE", "ACK", PING)  # what comes to a pilot
+BEGINNING_BYTES = 12  # of a line: more than any kind of message has
+PING = "PING"
+PONG = b"PONG\r\n"
+SUBSCRIBE = "SUBSCRIBE"  # a proxy joins
+SOURCE = "SOURCE"  # a collector says which zone its load reports are of
+LOAD = "LOAD"  # a load report
+RATE = "RATE"  # a demand report
+ACK = "ACK"  # an acknowledgement
+KINDS = (SUBSCRIBE, SOURCE, LOAD, RATE, ACK, PING)
 
 
 class MalformedMessageError(RavenshelfError):
-    """A message of a known kind that is spoilt; the text says what was expected."""
+    """A message of a known kind that is malformed; the text says what was expected."""
 
 
 class UnreadableConnectionError(MalformedMessageError):
-    """No message at all, or one that cannot come here: whoever sends it is of no further use."""
+    """No message at all, or one that is not valid on its connection, which is of no further use."""
 
 
 def words(line: bytes) -> tuple[str, list[str]]:
-    """The kind of a message and its words."""
+    """Return the kind of a message and its words; raises UnreadableConnectionError."""
     try:
         kind, *rest = line.decode("utf-8").split()
     except (UnicodeDecodeError, ValueError) as why:
@@ -45,7 +56,7 @@
 
 
 def named(words: list[str]) -> dict[str, str]:
-    """Words by name; no name comes twice."""
+    """Return the fields of a message by name; raises MalformedMessageError where a name comes twice."""
     said = {}
     for word in words:
         name, equals, value = word.partition("=")
@@ -55,14 +66,15 @@
     return said
 
 
-def may_begin(rest: bytes) -> bool:
-    """Whether a message may begin so; against those who never come to the end of a line."""
-    word, space, _ = bytes(rest[:12]).partition(b" ")
-    word = word.rstrip(b"\r").decode("latin-1")
+def may_begin(rest: bytes | bytearray) -> bool:
+    """Return whether a message may begin so; a guard against lines without end."""
+    first, space, _ = bytes(rest[:BEGINNING_BYTES]).partition(b" ")
+    word = first.rstrip(b"\r").decode("latin-1")
     return word in KINDS if space else any(kind.startswith(word) for kind in KINDS)
 
 
 def number(said: dict[str, str], name: str, most: float = MOST_FIGURE) -> float:
+    """Return a field that is a number from 0 to `most`; raises MalformedMessageError."""
     try:
         value = float(said[name])
     except KeyError as why:
@@ -75,6 +87,7 @@
 
 
 def whole(said: dict[str, str], name: str, beyond: int | None = None) -> int:
+    """Return a field that is a whole number, below `beyond` where that is given."""
     value = number(said, name)
     if value != int(value) or (beyond is not None and value >= beyond):
         raise MalformedMessageError(
@@ -84,11 +97,12 @@
 
 
 def micros(said: dict[str, str], name: str, most: float = MOST_SPAN) -> int:
+    """Return a field that is in milliseconds, as microseconds."""
     return round(number(said, name, most) * 1000)
 
 
 def counted(said: dict[str, str]) -> tuple[int, int, int]:
-    """Tries, how many of them failed, and the window they were counted over."""
+    """Return attempts, how many of them failed, and the window that they were counted over (us)."""
     tries, failed, span = whole(said, "tries"), whole(said, "failed"), micros(said, "span_ms")
     if not span:
         raise MalformedMessageError("expected span_ms above 0")
@@ -96,13 +110,14 @@
 
 
 def flag(said: dict[str, str], name: str) -> bool:
+    """Return a field that is 0 or 1."""
     if said.get(name) not in ("0", "1"):
         raise MalformedMessageError(f"expected 0 or 1 as {name}")
     return said[name] == "1"
 
 
 def load_report(pairs: Iterable[tuple[str, str]], columns: Sequence[str]) -> tuple[float, ...]:
-    """The columns of a load report by name; one that lacks a column, or says it badly, is none."""
+    """Return the load columns in the settings' order; () where one is missing or malformed."""
     had = {}
     for name, text in pairs:
         try:
@@ -113,26 +128,42 @@
             return ()
         had[LOAD_WORDS.get(name, name)] = value
     wanted = [had.get(LOAD_WORDS.get(c, c)) for c in columns]
-    return () if None in wanted else tuple(wanted)
+    return tuple(value for value in wanted if value is not None) if None not in wanted else ()
+
+
+def checks_terms(said: dict[str, str]) -> bool:
+    """Return whether a proxy that joins rejects orders of an older term."""
+    return said.get("term") == "1"
 
 
 def pairs(text: str, between: str) -> list[tuple[str, str]]:
-    return [tuple(part.partition(between)[::2]) for part in text.split(",")] if text else []
+    """Return the names and values of a list with commas, such as "a=1,b=2"."""
+    if not text:
+        return []
+    found = []
+    for item in text.split(","):
+        name, _, value = item.partition(between)
+        found.append((name, value))
+    return found
 
 
 class StreamDecoder:
-    """Turns a message into an event for the controller, by the names that the settings give."""
+    """Turns the fields of a message into an event; raises MalformedMessageError.
+
+    `endpoint` gives the index of an endpoint's name, or None where it was never listed.
+    """
 
     def __init__(self, settings: Settings, endpoint: Callable[[str], int | None]):
         self.zones = {name: n for n, name in enumerate(settings.zones)}
         self.groups = {group.name: n for n, group in enumerate(settings.traffic_groups)}
         self.proxies = settings.service.proxy_count or 65536
         longest = max([group.deadline_us for group in settings.traffic_groups], default=0)
-        self.longest = NOISE * longest / 1000 or MOST_SPAN  # no try outlasts the longest expiry
+        self.longest = NOISE * longest / 1000 or MOST_SPAN  # no attempt outlasts the longest deadline
         self.columns = settings.telemetry.columns
         self.endpoint = endpoint
 
     def zone(self, said: dict[str, str]) -> int:
+        """Return the index of the zone that a message names."""
         return self._named(said, "zone", self.zones)
 
     @staticmethod
@@ -142,10 +173,11 @@
         return known[said[name]]
 
     def proxy(self, said: dict[str, str]) -> int:
+        """Return the number of the proxy that a message names."""
         return whole(said, "proxy", self.proxies)
 
     def joined(self, said: dict[str, str]) -> ProxyJoined:
-        """A proxy of which no usual rate is known may say none."""
+        """Decode a SUBSCRIBE; a proxy whose usual rate is not known may leave it out."""
         return ProxyJoined(
             self.proxy(said),
             self.zone(said),
@@ -153,15 +185,18 @@
             flag(said, "fresh"),
         )
 
-    def applied(self, said: dict[str, str]) -> BatchAcknowledged:
+    def acknowledged(self, said: dict[str, str]) -> BatchAcknowledged:
+        """Decode an ACK."""
         return BatchAcknowledged(self.proxy(said), whole(said, "mark", 65536), micros(said, "took_ms"))
 
-    def asked(self, said: dict[str, str]) -> DemandReport:
+    def demand_report(self, said: dict[str, str]) -> DemandReport:
+        """Decode a RATE."""
         return DemandReport(self.proxy(said), self._named(said, "class", self.groups), *counted(said))
 
-    def heard(self, said: dict[str, str]) -> LoadReport | None:
-        """None where the endpoint was never listed: that says nothing against the line."""
-        zone, (tries, failed, span) = self.zone(said), counted(said)
+    def load_report(self, said: dict[str, str]) -> LoadReport | None:
+        """Decode a LOAD; None where the endpoint was never listed, which says nothing against the line."""
+        zone = self.zone(said)
+        tries, failed, span = counted(said)
         if failed > tries:  # of RATE it may be so: what failed may have come in the window before
             raise MalformedMessageError(f"expected failed up to tries={tries}, not {failed}")
         mean = micros({"mean_ms": "0"} | said if failed == tries else said, "mean_ms", self.longest)
@@ -175,36 +210,44 @@
 
 
 def figure(value: float) -> str:
-    """A figure in plain decimals that reads back as itself and above 0 where it is above 0."""
+    """Return a number in plain decimals, above 0 where it is above 0."""
     text = f"{value:.6f}".rstrip("0").rstrip(".")
     return text if float(text) or not value else f"{max(value, 1e-12):.12f}".rstrip("0")
 
 
-def config(parts: list, names: list[str], groups: list[str]) -> bytes:
-    """One message: its parts as lines, all but the last saying that more comes."""
+def config(parts: list[MessagePart], names: list[str], groups: list[str]) -> bytes:
+    """Encode one message: its parts as lines, all but the last saying that more follow.
+
+    `names` are those of the endpoints and `groups` those of the traffic groups, each by index. Raises
+    ValueError where the message has too many parts or bytes.
+    """
     if len(parts) > MOST_PARTS:
         raise ValueError(f"a message of {len(parts)} parts")
-    out = []
-    for n, part in enumerate(parts):
-        said = ["CONFIG"]
-        if part.groups:
-            said.append("classes=" + "+".join(groups[g] for g in part.groups))
-        if part.is_complete:
-            said.append("whole=1")
-        if part.weights:
-            said.append("lines=" + ",".join(f"{names[e]}:{figure(weight)}" for e, weight in part.weights))
-        if part.admission_level is not None:
-            level = part.admission_level
-            said.append(f"level={figure(level.level)} retry={level.retry_mode}")
-        for word, endpoints in (("out", part.ejected), ("back", part.readmitted)):
-            if endpoints:
-                said.append(f"{word}=" + ",".join(names[e] for e in endpoints))
-        if part.marker is not None:
-            said.append(f"ticket={part.marker}")
-        if n < len(parts) - 1:
-            said.append("more=1")
-        out.append(" ".join(said))
-    message = ("\r\n".join(out) + "\r\n").encode()
+    last = len(parts) - 1
+    lines = [_part_line(part, number < last, names, groups) for number, part in enumerate(parts)]
+    message = ("\r\n".join(lines) + "\r\n").encode()
     if len(message) > MOST_LINE:
         raise ValueError(f"a message of {len(message)} bytes")
     return message
+
+
+def _part_line(part: MessagePart, has_more: bool, names: list[str], groups: list[str]) -> str:
+    words = ["CONFIG"]
+    if part.groups:
+        words.append("classes=" + "+".join(groups[group] for group in part.groups))
+    if part.is_complete:
+        words.append("whole=1")
+    if part.weights:
+        words.append("lines=" + ",".join(f"{names[e]}:{figure(weight)}" for e, weight in part.weights))
+    if part.admission_level is not None:
+        level = part.admission_level
+        words.append(f"level={figure(level.level)} retry={level.retry_mode}")
+    if part.ejected:
+        words.append("out=" + ",".join(names[endpoint] for endpoint in part.ejected))
+    if part.readmitted:
+        words.append("back=" + ",".join(names[endpoint] for endpoint in part.readmitted))
+    if part.marker is not None:
+        words.append(f"ticket={part.marker}")
+    if has_more:
+        words.append("more=1")
+    return " ".join(words)
--- a/ravenshelf/process/acceptor.py
+++ b/ravenshelf/process/acceptor.py
@@ -1,255 +1,302 @@
-"""Who comes to the pilot's address: strangers, collectors, and the streams of proxies."""
+"""Accepted connections: unidentified ones, collectors, and the streams of proxies."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Hashable
+from typing import Protocol
 
 from ravenshelf import log_events
 from ravenshelf.net import stream_codec
 from ravenshelf.net.accepted import AcceptedConnection
-from ravenshelf.net.connection_end import COLLECTOR, OURS, STRANGER, STREAM, ConnectionEnd, outcome
+from ravenshelf.net.connection_end import (
+    COLLECTOR,
+    ENDS_BY_SERVER,
+    STREAM,
+    UNIDENTIFIED,
+    ConnectionEnd,
+    outcome,
+)
 from ravenshelf.net.stream_codec import MalformedMessageError, StreamDecoder, UnreadableConnectionError
 from ravenshelf.policy.events import Event, ProxyLeft
+from ravenshelf.process.deadline_keys import ConnectionTimeout
 from ravenshelf.state.counters import Counters
-from ravenshelf.state.deadlines import DeadlineQueue
 from ravenshelf.state.slots import SlotTable
 
-JOIN_TIMEOUT = 1_500_000  # whoever has not joined so long after connecting is shut out, whatever was said
-MAY_STAY = 1_000_000  # for so long at least nobody is shut out for want of room, but at the very limit
-IDLE_TIMEOUT = 30_000_000  # a connection that was followed by a newer one, and says nothing for so long
-LATE = 1_000_000  # a mark can't have taken longer than since it was written, but for the clocks
+JOIN_TIMEOUT_US = 1_500_000  # whoever has not identified itself so long after connecting is closed
+MINIMUM_STAY_US = (
+    1_000_000  # for so long at least nobody is closed for want of capacity, but at the very limit
+)
+IDLE_TIMEOUT_US = 30_000_000  # of a superseded connection that says nothing
+CLOCK_TOLERANCE_US = 1_000_000  # an acknowledgement can't take longer than since its marker was written
+LOGGED_LINE_BYTES = 120
+
+
+class DeadlineSetter(Protocol):
+    """Sets and cancels deadlines; see `Timers`."""
+
+    def set(self, key: Hashable, at: int) -> None:
+        """Set the key's only deadline."""
+
+    def cancel(self, key: Hashable) -> None:
+        """Cancel the key's deadline, if it has one."""
 
 
 class ConnectionAcceptor:
+    """Owns the accepted connections and publishes what they report; `clock` gives microseconds.
+
+    While `reserve` slots or fewer are free, new connections make others close. `next_turn(call)` has a
+    call made in the loop's next turn.
+    """
+
     def __init__(
         self,
-        reader: StreamDecoder,
-        slots: SlotTable,
+        decoder: StreamDecoder,
+        slots: SlotTable[AcceptedConnection],
         reserve: int,
-        deadlines: DeadlineQueue,
+        timers: DeadlineSetter,
         counters: Counters,
-        set_deadline: Callable,
         clock: Callable[[], int],
-        news: Callable[[Event], None],
-        next_turn: Callable[[Callable], None],
+        publish: Callable[[Event], None],
+        next_turn: Callable[[Callable[[], None]], object],
     ):
-        self.reader, self.slots, self.reserve, self.deadlines = reader, slots, reserve, deadlines
-        self.counters, self.clock, self.news = counters, clock, news
-        self.set_deadline, self.next_turn = set_deadline, next_turn
-        self.streams: dict[int, AcceptedConnection] = {}
-        self.collectors: dict[int, AcceptedConnection] = {}  # the newest of each zone
-        self.strangers: dict[AcceptedConnection, None] = {}  # in the order in which they connected
-        self.followed: dict[AcceptedConnection, None] = {}  # the one longest silent first
-        self.idle: list[
-            AcceptedConnection
-        ] = []  # streams that said nothing between two looks, the likeliest gone last
-        self.swept = 0
+        self.decoder = decoder
+        self.slots = slots
+        self.reserve = reserve
+        self.timers = timers
+        self.counters = counters
+        self.clock = clock
+        self.publish = publish
+        self.next_turn = next_turn
+        self.streams: dict[int, AcceptedConnection] = {}  # by proxy
+        self.collectors: dict[int, AcceptedConnection] = {}  # by zone, the newest
+        self.unidentified: dict[AcceptedConnection, None] = {}  # in the order in which they connected
+        self.superseded: dict[AcceptedConnection, None] = {}  # the one longest silent first
+        self.idle_streams: list[AcceptedConnection] = []  # silent between two sweeps, the likeliest dead last
+        self.swept_at = 0
         self.lingering: set[AcceptedConnection] = set()  # at the stop: those that still get what was written
-        self.all_closed: Callable[[], None] | None = None  # told once they have it, from the stop on
-        self.kinds = {
-            "SUBSCRIBE": self._subscribe,
-            "SOURCE": self._source,
-            "LOAD": self._load,
-            "RATE": self._rate,
-            "ACK": self._ack,
+        self.all_closed: Callable[[], None] | None = None  # called once they have it, from the stop on
+        self.handlers: dict[str, Callable[[AcceptedConnection, dict[str, str]], None]] = {
+            stream_codec.SUBSCRIBE: self._subscribe,
+            stream_codec.SOURCE: self._identify_collector,
+            stream_codec.LOAD: self._load_report,
+            stream_codec.RATE: self._demand_report,
+            stream_codec.ACK: self._acknowledgement,
         }
 
     # --- connections ---
 
-    def came(self, connection: AcceptedConnection) -> None:
+    def connected(self, connection: AcceptedConnection) -> None:
+        """Take a new connection, or close it where there is no capacity."""
         self.counters["accepted"] += 1
-        connection.since = self.clock()
+        connection.connected_at = self.clock()
         if self.all_closed is not None:
             connection.close(ConnectionEnd.STOPPING)
             return
         if self.slots.size - len(self.slots) <= self.reserve:
-            self._make_room(connection.since)
+            self._make_room(connection.connected_at)
         connection.slot = self.slots.acquire(connection)
         if connection.slot is None:
             connection.close(ConnectionEnd.CROWDED)
             return
-        self.strangers[connection] = None
-        self.set_deadline(("silent", connection), connection.since + JOIN_TIMEOUT)
+        self.unidentified[connection] = None
+        self.timers.set(ConnectionTimeout(connection), connection.connected_at + JOIN_TIMEOUT_US)
 
     def _make_room(self, now: int) -> None:
-        """One that is followed goes first, then the oldest stranger, but not one that may be about to join.
+        """Close a superseded connection, else the oldest unidentified one that is not about to join.
 
-        At the very limit it is a stream that has said nothing for IDLE_TIMEOUT: machines that vanish leave theirs open, and
-        those would keep out whoever lives. Harm: a proxy without flows says nothing either, and has to join again."""
+        At the very limit it is a stream that has said nothing for IDLE_TIMEOUT_US: machines that vanish leave
+        theirs open, and those would keep out whoever lives. The price: a proxy without requests says nothing
+        either, and has to join again.
+        """
         self._sweep_idle(now)
-        full = len(self.slots) == self.slots.size
-        oldest = next(iter(self.followed), None) or next(iter(self.strangers), None)
-        if oldest is None and full:
-            while self.idle and oldest is None:
-                stream = self.idle.pop()
-                oldest = stream if stream.end is None and not stream.spoke else None
+        is_full = len(self.slots) == self.slots.size
+        oldest = next(iter(self.superseded), None) or next(iter(self.unidentified), None)
+        if oldest is None and is_full:
+            oldest = self._next_idle_stream()
             if oldest is not None:
                 oldest.close(ConnectionEnd.CROWDED)
-        elif oldest is not None and (oldest.followed or oldest.since <= now - MAY_STAY or full):
-            oldest.close(ConnectionEnd.CROWDED)
+        elif oldest is not None:
+            has_stayed = oldest.connected_at <= now - MINIMUM_STAY_US
+            if oldest.is_superseded or has_stayed or is_full:
+                oldest.close(ConnectionEnd.CROWDED)
+
+    def _next_idle_stream(self) -> AcceptedConnection | None:
+        while self.idle_streams:
+            stream = self.idle_streams.pop()
+            if stream.end is None and not stream.has_spoken:
+                return stream
+        return None
 
     def _sweep_idle(self, now: int) -> None:
-        """While room is short, notes every IDLE_TIMEOUT which streams said nothing since the last look."""
-        if now - self.swept >= IDLE_TIMEOUT:
-            self.swept, streams = now, list(self.streams.values())
-            # those that owe an answer to a mark go first: they are the likelier to be gone
-            self.idle = sorted((s for s in streams if not s.spoke), key=lambda s: bool(s.tickets))
-            for stream in streams:
-                stream.spoke = False
-
-    def _spoke(self, connection: AcceptedConnection) -> None:
-        self.followed.pop(connection, None)
-        self.followed[connection] = None
-        self.set_deadline(("silent", connection), self.clock() + IDLE_TIMEOUT)
-
-    def _known(self, connection: AcceptedConnection, purpose: str) -> None:
-        connection.purpose, connection.followed = purpose, False
-        self.strangers.pop(connection, None)
-        self.followed.pop(connection, None)
-        self.deadlines.cancel(("silent", connection))
-
-    def _followed(self, connection: AcceptedConnection) -> None:
-        """A newer one has come in its place; it stays while it speaks, for the pilot ends nothing without need."""
-        connection.followed = True
+        """Note every IDLE_TIMEOUT_US which streams said nothing since the last sweep."""
+        if now - self.swept_at < IDLE_TIMEOUT_US:
+            return
+        self.swept_at = now
+        streams = list(self.streams.values())
+        silent = [stream for stream in streams if not stream.has_spoken]
+        # those that owe an acknowledgement go first: they are the likelier to be dead
+        self.idle_streams = sorted(silent, key=lambda stream: bool(stream.pending_markers))
+        for stream in streams:
+            stream.has_spoken = False
+
+    def _identified(self, connection: AcceptedConnection, purpose: str) -> None:
+        connection.purpose = purpose
+        connection.is_superseded = False
+        self._forget_timeout(connection)
+
+    def _forget_timeout(self, connection: AcceptedConnection) -> None:
+        self.unidentified.pop(connection, None)
+        self.superseded.pop(connection, None)
+        self.timers.cancel(ConnectionTimeout(connection))
+
+    def _supersede(self, connection: AcceptedConnection) -> None:
+        """A newer one is in its place; it stays while it speaks, for the server ends nothing without need."""
+        connection.is_superseded = True
         self.counters[f"{connection.purpose}_followed"] += 1
-        self._spoke(connection)
+        self._superseded_spoke(connection)
 
-    def silent(self, connection: AcceptedConnection) -> None:
-        connection.close(ConnectionEnd.SILENT)
+    def _superseded_spoke(self, connection: AcceptedConnection) -> None:
+        self.superseded.pop(connection, None)
+        self.superseded[connection] = None
+        self.timers.set(ConnectionTimeout(connection), self.clock() + IDLE_TIMEOUT_US)
 
-    def gone(self, connection: AcceptedConnection) -> None:
+    def closed(self, connection: AcceptedConnection) -> None:
+        """Forget a connection that has ended, and publish the end of a proxy's stream."""
+        assert connection.end is not None
         self.counters[f"{connection.purpose}_{connection.end.name.lower()}"] += 1
-        self.strangers.pop(connection, None)
-        self.followed.pop(connection, None)
-        self.deadlines.cancel(("silent", connection))
+        self._forget_timeout(connection)
         self.slots.release(connection.slot)
-        self.collectors = {zone: c for zone, c in self.collectors.items() if c is not connection}
-        if connection.purpose == STREAM and self.streams.get(connection.proxy) is connection:
-            del self.streams[connection.proxy]
-            if (
-                outcome(STREAM, connection.end) is not None
-            ):  # what waits for a stream that the pilot ended goes on counting
-                self.news(ProxyLeft(connection.proxy, connection.end in OURS))
+        self.collectors = {zone: each for zone, each in self.collectors.items() if each is not connection}
+        proxy = connection.proxy
+        if connection.purpose != STREAM or proxy is None or self.streams.get(proxy) is not connection:
+            return
+        del self.streams[proxy]
+        if outcome(STREAM, connection.end) is not None:
+            # what is queued for a stream that the server ended goes on counting
+            self.publish(ProxyLeft(proxy, connection.end in ENDS_BY_SERVER))
 
     def stop(self, all_closed: Callable[[], None]) -> None:
-        """Nobody is heard any more; `all_closed` is told when all have what was written to them."""
-        self.all_closed, self.lingering = all_closed, set(self.slots.items.values())
+        """Hear nobody any more; `all_closed` is called when all have what was written to them."""
+        self.all_closed = all_closed
+        self.lingering = set(self.slots.items.values())
         for connection in list(self.lingering):
             connection.close(ConnectionEnd.STOPPING)
         if not self.lingering:
             all_closed()
 
     def abort_lingering(self) -> None:
-        """Whoever has not taken it by now does not get it."""
+        """Drop what was written to those that have not taken it by now."""
         for connection in list(self.lingering):
             connection.transport.abort()
 
-    def lost(self, connection: AcceptedConnection) -> None:
-        """The socket is gone; its end was told before."""
+    def socket_closed(self, connection: AcceptedConnection) -> None:
+        """Note that a socket is closed; the connection's end was reported before."""
         if connection in self.lingering:
             self.lingering.discard(connection)
-            if not self.lingering:
+            if not self.lingering and self.all_closed is not None:
                 self.all_closed()
 
-    def fences(self, proxy: int) -> bool:
-        """Whether the proxy refuses orders of an older term: it said so when it joined."""
+    def checks_terms(self, proxy: int) -> bool:
+        """Return whether the proxy rejects orders of an older term, as it said when it joined."""
         stream = self.streams.get(proxy)
-        return stream is not None and stream.fences
+        return stream is not None and stream.checks_terms
 
-    def write(self, proxy: int, message: bytes, ticket: int | None) -> None:
+    def write(self, proxy: int, message: bytes, marker: int | None) -> None:
+        """Write a message to a proxy's stream, if it has one."""
         stream = self.streams.get(proxy)
         if stream is not None:
-            if ticket is not None:
-                stream.tickets[ticket] = self.clock()
+            if marker is not None:
+                stream.pending_markers[marker] = self.clock()
             stream.write(message)
 
     # --- messages ---
 
-    def said(self, connection: AcceptedConnection, line: bytes) -> None:
-        connection.spoke = True
-        if connection.followed:
-            self._spoke(connection)
+    def received(self, connection: AcceptedConnection, line: bytes) -> None:
+        """Handle a line; a malformed message is logged, and an unreadable one ends its connection."""
+        connection.has_spoken = True
+        if connection.is_superseded:
+            self._superseded_spoke(connection)
         kind = "unreadable"
         try:
-            kind, said = stream_codec.words(line)
+            kind, words = stream_codec.words(line)
             if kind == stream_codec.PING:
                 self.counters["pongs_sent"] += 1
                 connection.write(stream_codec.PONG)
             else:
-                self.kinds[kind](connection, stream_codec.named(said))
+                self.handlers[kind](connection, stream_codec.named(words))
             self.counters[f"took_{kind.lower()}"] += 1
-        except MalformedMessageError as why:
+        except MalformedMessageError as error:
+            logged = repr(line[:LOGGED_LINE_BYTES])
             log_events.MESSAGE_MALFORMED(
-                purpose=connection.purpose, peer=connection.peer, line=repr(line[:120]), why=str(why)
+                purpose=connection.purpose, peer=connection.peer, line=logged, why=str(error)
             )
-            if isinstance(why, UnreadableConnectionError) or connection.purpose == STRANGER:
+            if isinstance(error, UnreadableConnectionError) or connection.purpose == UNIDENTIFIED:
                 self.counters["unreadable"] += 1
                 connection.close(ConnectionEnd.UNREADABLE)
             else:  # a slip in one message says nothing against those around it
                 self.counters[f"spoilt_{kind.lower()}"] += 1
 
-    def _subscribe(self, connection: AcceptedConnection, said: dict) -> None:
-        joined = self.reader.joined(said)
+    def _subscribe(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
+        joined = self.decoder.joined(fields)
         proxy = joined.proxy
         if connection.purpose == COLLECTOR or connection.proxy not in (None, proxy):
             raise UnreadableConnectionError("expected one proxy to a stream")
-        old = self.streams.get(proxy)
-        if connection.proxy is not None and old is not connection:
-            self.counters["stale"] += 1  # this stream was followed by a newer one
+        former = self.streams.get(proxy)
+        if connection.proxy is not None and former is not connection:
+            self.counters["stale"] += 1  # this stream is superseded
             return
-        if (
-            old is connection
-        ):  # the stream has not broken: what was written to it is still on its way and answered for
-            self.news(ProxyLeft(proxy, True))
+        if former is connection:  # the stream has not broken: what is in flight on it will be acknowledged
+            self.publish(ProxyLeft(proxy, True))
         self.streams[proxy] = connection
-        connection.proxy, connection.fences = proxy, said.get("term") == "1"
-        self._known(connection, STREAM)
-        if old is not None and old is not connection:
-            self._followed(old)  # its end, late as it may come, changes nothing any more
-        self.news(joined)
-
-    def _source(self, connection: AcceptedConnection, said: dict) -> None:
-        zone = self.reader.zone(said)
+        connection.proxy = proxy
+        connection.checks_terms = stream_codec.checks_terms(fields)
+        self._identified(connection, STREAM)
+        if former is not None and former is not connection:
+            self._supersede(former)  # its end, late as it may come, changes nothing any more
+        self.publish(joined)
+
+    def _identify_collector(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
+        zone = self.decoder.zone(fields)
         if connection.proxy is not None:
             raise UnreadableConnectionError("expected a stream or a collector, not both")
-        old = self.collectors.get(zone)
-        self.collectors[zone], connection.zone = connection, zone
-        self._known(connection, COLLECTOR)
-        if old is not None and old is not connection:
-            self._followed(old)
+        former = self.collectors.get(zone)
+        self.collectors[zone] = connection
+        connection.zone = zone
+        self._identified(connection, COLLECTOR)
+        if former is not None and former is not connection:
+            self._supersede(former)
 
-    def _load(self, connection: AcceptedConnection, said: dict) -> None:
+    def _load_report(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
         if connection.purpose != COLLECTOR:
             raise MalformedMessageError("expected SOURCE before reports")
-        report = self.reader.heard(said)
-        if self.reader.zone(said) != connection.zone:
+        report = self.decoder.load_report(fields)
+        if self.decoder.zone(fields) != connection.zone:
             raise MalformedMessageError("expected the zone of its collector")
         if report is None:
             self.counters["reports_of_unknown"] += 1
             return
-        self.news(report)
+        self.publish(report)
 
-    def _rate(self, connection: AcceptedConnection, said: dict) -> None:
-        report = self.reader.asked(said)
-        if self._stale(connection, report.proxy):
-            return
-        self.news(report)
+    def _demand_report(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
+        report = self.decoder.demand_report(fields)
+        if not self._is_stale(connection, report.proxy):
+            self.publish(report)
 
-    def _ack(self, connection: AcceptedConnection, said: dict) -> None:
-        acknowledged = self.reader.applied(said)
+    def _acknowledgement(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
+        acknowledged = self.decoder.acknowledged(fields)
         if connection.purpose == COLLECTOR:
             raise MalformedMessageError("expected marks on the stream of their proxy")
-        if self._stale(connection, acknowledged.proxy):
+        if self._is_stale(connection, acknowledged.proxy):
             return
-        written = connection.tickets.get(acknowledged.marker)
-        if written is None:
+        written_at = connection.pending_markers.get(acknowledged.marker)
+        if written_at is None:
             self.counters["acks_unasked"] += 1
             return
-        if acknowledged.elapsed > self.clock() - written + LATE:
+        if acknowledged.elapsed > self.clock() - written_at + CLOCK_TOLERANCE_US:
             raise MalformedMessageError("expected took_ms up to the time since the mark was written")
-        del connection.tickets[acknowledged.marker]
-        self.news(acknowledged)
+        del connection.pending_markers[acknowledged.marker]
+        self.publish(acknowledged)
 
-    def _stale(self, connection: AcceptedConnection, proxy: int) -> bool:
-        """Whether this comes on a stream that is not (any more) the proxy's; then it says nothing of it."""
+    def _is_stale(self, connection: AcceptedConnection, proxy: int) -> bool:
+        """Return whether the stream is not the proxy's (any more); then it says nothing of the proxy."""
         if connection.purpose == COLLECTOR or self.streams.get(proxy) is connection:
             return False
         if connection.proxy is None:
--- /dev/null
+++ b/ravenshelf/process/command_execution.py
@@ -0,0 +1,46 @@
+"""Carries out the commands of a control cycle that are no messages to proxies."""
+
+from collections.abc import Callable
+
+from ravenshelf import log_events
+from ravenshelf.policy import commands
+from ravenshelf.process.deadline_keys import ControllerTimer
+from ravenshelf.process.health_checks import HealthChecks
+from ravenshelf.process.registry_client import RegistryClient
+from ravenshelf.process.timers import Timers
+from ravenshelf.state.counters import Counters
+
+
+class CommandExecutor:
+    """Passes each command to its owner; `send_to_peer(peer, payload)` returns whether a datagram was sent."""
+
+    def __init__(
+        self,
+        timers: Timers,
+        registry_client: RegistryClient,
+        health_checks: HealthChecks,
+        send_to_peer: Callable[[int | None, bytes], bool],
+        counters: Counters,
+    ):
+        self.timers = timers
+        self.registry_client = registry_client
+        self.health_checks = health_checks
+        self.send_to_peer = send_to_peer
+        self.counters = counters
+
+    def execute(self, command: commands.Command) -> None:
+        """Carry out one command."""
+        match command:
+            case commands.StartTimer(at, key):  # expires in a later turn of the loop, even where it is past
+                self.timers.set(ControllerTimer(at, key), at)
+            case commands.LogMessage(text):
+                log_events.DECISION_MESSAGE(text=text)
+            case commands.WatchEndpoints(enabled):
+                self.registry_client.watch_endpoints(enabled)
+            case commands.FetchEndpoints():
+                self.registry_client.fetch()
+            case commands.CheckHealth(endpoint):
+                self.health_checks.begin(endpoint)
+            case commands.SendPeerMessage(peer, payload):
+                sent = self.send_to_peer(peer, payload)
+                self.counters["datagrams_sent" if sent else "datagrams_not_sent"] += 1
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -1,428 +1,362 @@
-"""One pilot: what comes in over the network, the rounds, what goes out, and the end."""
+"""The control-plane server: makes its parts, joins them, starts and stops them."""
 
 import asyncio
 import random
 import signal
-import time
-from collections.abc import Callable
+from collections.abc import Callable, Hashable
+from typing import TYPE_CHECKING, Any
 
 from ravenshelf import log_events
 from ravenshelf.net import datagrams, stream_codec
 from ravenshelf.net.accepted import AcceptedConnection
 from ravenshelf.net.connection_end import ConnectionEnd
 from ravenshelf.net.endpoint_codec import EndpointListDecoder
-from ravenshelf.net.http import HttpCall
-from ravenshelf.policy import commands, events
+from ravenshelf.policy import events
 from ravenshelf.process.acceptor import ConnectionAcceptor
-from ravenshelf.process.configuration import ConfigurationError, renewed
+from ravenshelf.process.command_execution import CommandExecutor
 from ravenshelf.process.control_cycle import ControlCycle
-from ravenshelf.process.discovery import RegistryClient
+from ravenshelf.process.cycle_scheduling import CycleScheduler
+from ravenshelf.process.deadline_keys import CallTimeout, ConnectionTimeout, ControllerTimer, ServerDeadline
 from ravenshelf.process.health_checks import HealthChecks
-from ravenshelf.settings import decode_settings
+from ravenshelf.process.optional_parts import AdmissionGate, EventObserver, OptionalParts
+from ravenshelf.process.outgoing_calls import OutgoingCalls
+from ravenshelf.process.registry_client import RegistryClient
+from ravenshelf.process.reloading import Reloader
+from ravenshelf.process.timers import Timers
+from ravenshelf.settings import Settings, decode_settings
 from ravenshelf.state.buffers import BufferPool
 from ravenshelf.state.counters import Counters
-from ravenshelf.state.deadlines import DeadlineQueue
 from ravenshelf.state.endpoint_registry import EndpointRegistry
 from ravenshelf.state.proxy_tables import ProxyTables
 from ravenshelf.state.slots import SlotTable
 
-OWN = 24  # descriptors that the process itself needs: 12 were counted
-CALLS = 64  # calls at discovery and endpoints that may be open at a time
+if TYPE_CHECKING:  # plain serve loads none of it
+    from ravenshelf.operator_config.tables import Operator
+    from ravenshelf.process.logs import Sink
+
+DEFAULT_SOCKETS = 1024
+OWN_DESCRIPTORS = 24  # that the process itself needs: 12 were counted
+CALL_LIMIT = 64  # open at a time, to the endpoint registry and to endpoints
+CALL_SHARE = 16  # at most one socket in so many is a call's
+COLLECTOR_RESERVE = 16
+DEFAULT_TICK_US = 1000
 BACKLOG = 1024
-AFTER_FAILURE = 250_000
-STOOD_STILL, READ_FIRST = 500_000, 0.02  # a timer so late means that the process stood still; seconds to read
-READ_AGAIN, READS = 500_000, 10  # a configuration that can't be used may be half written still
-LINGER_TIMEOUT = 0.25  # seconds for all to take what was written; SIGKILL comes 0.7 s after SIGTERM, the log's end is to write
+# seconds for all to take what was written; SIGKILL comes 0.7 s after SIGTERM, and the log has its end to
+# write
+LINGER_TIMEOUT_S = 0.25
 
 
 class ControlPlaneServer:
-    def __init__(self, configuration: dict, loop: asyncio.AbstractEventLoop, clock: Callable[[], int]):
-        self.configuration, self.loop, self.clock = configuration, loop, clock
+    """One server; `configuration` is checked, `clock` gives microseconds.
+
+    Events come in through `publish`, which an admission gate may hold back, or through `deliver`, which
+    it may not. The optional parts set `admission_gate`, add themselves to `observers` and set `failure`
+    before they stop the server for a reason that makes it exit with an error.
+    """
+
+    def __init__(
+        self, configuration: dict[str, Any], loop: asyncio.AbstractEventLoop, clock: Callable[[], int]
+    ):
         settings = decode_settings(configuration["settings"])
-        sockets = configuration.get("limits", {}).get("sockets", 1024)
-        pilots = settings.server_count or 1
-        proxies = settings.service.proxy_count
-        self.tick = settings.tick_us or 1000
-        self.counters, self.deadlines, self.buffers = Counters(), DeadlineQueue(), BufferPool()
-        calls = min(CALLS, sockets // 16)
-        accepted = sockets - OWN - calls
-        self.slots, self.calls = SlotTable(accepted), SlotTable(calls)
-        self.sent = ProxyTables(len(settings.traffic_groups), pilots == 1)
-        self.listing = EndpointRegistry(
-            clock, self.sent.has_endpoint, self.sent.index_reassigned, self.sent.endpoint_returned
+        self.configuration = configuration
+        self.loop = loop
+        self.clock = clock
+        self.counters = Counters()
+        self.buffers = BufferPool()
+        self.timers = Timers(loop, clock, self.counters, self.handle_deadline, self._is_optional)
+        self._make_state(settings)
+        self._make_network(settings)
+        self._make_decisions(settings)
+        self.reloader = Reloader(
+            lambda: self.configuration, self._take_configuration, self.timers, clock, self.counters
         )
-        self.catalog = EndpointListDecoder(settings, self.listing.index_of, self.listing.index_by_name.get)
-        self.rounds = ControlCycle(
-            settings, int(str(configuration.get("seed", "0")), 16), self.listing, self.sent, self.counters
+        self.peers: datagrams.Datagrams | None = None
+        self.may_message_peers = settings.limits.peer_messages_allowed
+        self.listener: asyncio.Server | None = None
+        self.counters_every_us = 0  # 0: they are not printed from time to time
+        self.optional_parts: OptionalParts | None = None
+        self.observers: list[EventObserver] = []
+        self.admission_gate: AdmissionGate | None = None
+        self.failure: str | None = None
+        self.is_stopping = False
+        self.stopped = loop.create_future()
+
+    def _make_state(self, settings: Settings) -> None:
+        self.proxy_tables = ProxyTables(len(settings.traffic_groups), (settings.server_count or 1) == 1)
+        self.registry = EndpointRegistry(
+            self.clock,
+            self.proxy_tables.has_endpoint,
+            self.proxy_tables.index_reassigned,
+            self.proxy_tables.endpoint_returned,
         )
-        self.discovery = RegistryClient(
-            self.listing,
-            self.catalog,
-            self.counters,
-            self.open_call,
-            self.news,
-            settings.discovery == "pushed",
-            self.rounds.controller.chance,
+        self.endpoint_decoder = EndpointListDecoder(
+            settings, self.registry.index_of, self.registry.index_by_name.get
         )
-        self.discovery.extend, self.discovery.schedule = self.extend, self._schedule_watch
-        self.probes = HealthChecks(
-            settings, self.listing, self.counters, self.open_call, self.news, self.clock
+
+    def _make_network(self, settings: Settings) -> None:
+        sockets = self.configuration.get("limits", {}).get("sockets", DEFAULT_SOCKETS)
+        call_limit = min(CALL_LIMIT, sockets // CALL_SHARE)
+        connection_limit = sockets - OWN_DESCRIPTORS - call_limit
+        self.outgoing_calls = OutgoingCalls(
+            self.loop,
+            self.clock,
+            self.timers,
+            self.buffers,
+            call_limit,
+            lambda: self.configuration["discovery"],
         )
-        reader = stream_codec.StreamDecoder(settings, self.listing.index_by_name.get)
-        # strangers leave room for every proxy's stream, its successor, and the collectors
-        reserve = min(accepted // 2, 2 * proxies + 16)
-        self.door = ConnectionAcceptor(
-            reader,
-            self.slots,
+        self.connections: SlotTable[AcceptedConnection] = SlotTable(connection_limit)
+        # unidentified connections leave capacity for every proxy's stream, its successor, and the collectors
+        reserve = min(connection_limit // 2, 2 * settings.service.proxy_count + COLLECTOR_RESERVE)
+        self.acceptor = ConnectionAcceptor(
+            stream_codec.StreamDecoder(settings, self.registry.index_by_name.get),
+            self.connections,
             reserve,
-            self.deadlines,
+            self.timers,
             self.counters,
-            self.set_deadline,
-            clock,
-            self.news,
-            loop.call_soon,
+            self.clock,
+            self.publish,
+            self.loop.call_soon,
         )
-        self.peers: datagrams.Datagrams | None = None
-        self.may_tell = settings.limits.peer_messages_allowed
-        self.server: asyncio.Server | None = None
-        self.timer: asyncio.Handle | None = None
-        self.timer_at: int | None = None
-        self.counters_every = 0
-        self.again: Callable[[], dict] = lambda: self.configuration
-        self.reads = 0  # left for a configuration that could not be used
-        self.operations = None  # what an operator file turns on
-        self.operator_again: Callable | None = None
-        self.ended_by: str | None = None  # what it can't go on without
-        self.log = None  # the log's sink, whose form a new operator file may change
-        self.tap = None  # hears all that the module hears, where figures are sent
-        self.sums = None  # hears it too, where a service's owner decides its tables
-        self.gate = None  # keeps from it what is other controllers', where several share the fleet
-        self.ready, self.last_round, self.round_at = False, 0, 0
-        self.stopping, self.stopped = False, loop.create_future()
-        self.came = 0  # connections accepted until the last round
-
-    # --- deadlines and rounds ---
-
-    def set_deadline(self, key, at: int) -> None:
-        self.deadlines.set(key, at)
-        self.arm()
-
-    def arm(self) -> None:
-        """One timer of the loop, for the earliest deadline."""
-        at = self.deadlines.earliest()
-        if (
-            self.stopping
-            or at is None
-            or (self.timer is not None and (self.timer_at is None or self.timer_at <= at))
-        ):
-            return
-        if self.timer is not None:
-            self.timer.cancel()
-        self.timer_at, wait = at, at - self.clock()
-        self.timer = (
-            self.loop.call_later(wait / 1e6, self.turn) if wait > 0 else self.loop.call_soon(self.turn)
+
+    def _make_decisions(self, settings: Settings) -> None:
+        seed = int(str(self.configuration.get("seed", "0")), 16)
+        self.control_cycle = ControlCycle(settings, seed, self.registry, self.proxy_tables, self.counters)
+        self.registry_client = RegistryClient(
+            self.registry,
+            self.endpoint_decoder,
+            self.counters,
+            self.outgoing_calls,
+            self.publish,
+            self._schedule_watch,
+            settings.discovery == "pushed",
+            self.control_cycle.controller.chance,
+        )
+        self.health_checks = HealthChecks(
+            settings, self.registry, self.counters, self.outgoing_calls, self.publish, self.clock
+        )
+        self.command_executor = CommandExecutor(
+            self.timers, self.registry_client, self.health_checks, self._send_to_peer, self.counters
+        )
+        self.cycle_scheduler = CycleScheduler(
+            self.control_cycle,
+            self.timers,
+            self.clock,
+            self.counters,
+            settings.tick_us or DEFAULT_TICK_US,
+            self.acceptor.write,
+            self.command_executor.execute,
         )
 
-    def turn(self) -> None:
-        now = self.clock()
-        if now - (self.timer_at or now) > STOOD_STILL:
-            # what came in meanwhile is read first: else whoever spoke in time would be taken for silent
-            self.timer_at, self.timer = None, self.loop.call_later(READ_FIRST, self.turn)
-            return
-        self.timer = self.timer_at = None
-        beside = []
-        for key in self.deadlines.take_expired(now):
-            if self.operations is not None and key[0] in self.operations.KEYS:
-                beside.append(key)  # what is beside table lines comes after them
-            else:
-                self._try_to_meet(key, now)
-        for key in beside:
-            self._try_to_meet(key, now)
-        self.arm()
-
-    def _try_to_meet(self, key: tuple, now: int) -> None:
-        try:
-            self.meet(key, now)
-        except Exception:  # one that fails must not take the others' turn, nor the next
-            self.counters["deadlines_failed"] += 1
-            log_events.TIMER_FAILED.with_traceback(key=str(key))
-
-    def meet(self, key: tuple, now: int) -> None:
-        if key[0] == "wake":
-            self.news(events.TimerExpired(key[2]))
-        elif key[0] == "silent":
-            self.door.silent(key[1])
-        elif key[0] == "call":
-            key[1].close(ConnectionEnd.SILENT)
-        elif key[0] == "watch":
-            self.discovery.begin_if_due()
-        elif key[0] == "reload":
-            self.reload(self.reads - 1)
-        elif key[0] == "round":
-            self.round()
-        elif key[0] == "count":
-            self.deadlines.set(key, now + self.counters_every)
-            self.count()
-        elif self.operations is not None:
-            self.operations.meet(key, now)
-
-    def round_due(self) -> bool:
-        """Whether table lines wait for their round."""
-        at = self.deadlines.time_of(("round",))
-        return at is not None and at <= self.clock()
-
-    def news(self, event: events.Event) -> None:
-        if self.gate is None or self.gate.heard(event):
-            self.tell(event)
-
-    def tell(self, event: events.Event) -> None:
-        self.rounds.hear(event)
-        if self.tap is not None:
-            self.tap.heard(event, self.clock())
-        if self.sums is not None:
-            self.sums.heard(event, self.clock())
-        if self.ready and ("round",) not in self.deadlines:
-            self.round_at = max(self.clock(), self.last_round + self.tick)
-            self.set_deadline(("round",), self.round_at)
-
-    def round(self) -> None:
-        """Hands all that came in to the module, and does what it ordered."""
-        now = self.clock()
-        late = now - self.round_at
-        self.counters.record_maximum("loop_lag_most_us", late)
-        self.last_round, began = now, time.perf_counter_ns()
-        calls = self.rounds.run(now, self.door.write)
-        if calls is None:  # a module that fails at every start must not take the whole core
-            self.round_at = now + AFTER_FAILURE
-            self.deadlines.set(("round",), self.round_at)
-        took = (time.perf_counter_ns() - began) // 1000
-        # as long again belongs to the sockets while connections come: the loop takes one a turn, and hundreds may come at
-        # once; with a round between each two, proxies waited 6 s to join. Harm: news waits for a round's length longer
-        came, self.came = self.came, self.counters["accepted"]
-        if came != self.came:
-            self.last_round = max(now, 2 * self.clock() - now - self.tick)
-        self.counters.record_maximum("round_most_us", took)
-        if self.tap is not None:
-            self.tap.played(late, took)
-        for command in calls or () if not self.stopping else ():
-            self.do(command)
-
-    def do(self, command: commands.Command) -> None:
-        match command:
-            case commands.StartTimer(at, key):
-                self.set_deadline(("wake", at, key), at)  # met in a later turn, even where it is past
-            case commands.LogMessage(text):
-                log_events.DECISION_MESSAGE(text=text)
-            case commands.WatchEndpoints(enabled):
-                self.discovery.observe(enabled)
-            case commands.FetchEndpoints():
-                self.discovery.fetch()
-            case commands.CheckHealth(endpoint):
-                self.probes.begin(endpoint)
-            case commands.SendPeerMessage(peer, payload):
-                sent = self.may_tell and self.peers is not None and self.peers.send(peer, payload)
-                self.counters["datagrams_sent" if sent else "datagrams_not_sent"] += 1
-
-    # --- calls to others ---
-
-    def open_call(
-        self,
-        purpose: str,
-        path: str,
-        done: Callable,
-        piece: Callable | None,
-        by: int,
-        host: str | None = None,
-    ) -> HttpCall:
-        def ended(call: HttpCall) -> None:
-            self.deadlines.cancel(("call", call))  # the call itself: its number may be another's by then
-            self.calls.release(call.slot)
-            done(call)
-
-        call = HttpCall(self.buffers, host or self.configuration["discovery"], path, ended, piece)
-        call.slot = self.calls.acquire(call)
-        if call.slot is None:
-            self.loop.call_soon(call.close, ConnectionEnd.CROWDED)
-        else:
-            self.set_deadline(("call", call), self.clock() + by)
-            call.dial(self.loop)
-        return call
+    # --- events ---
 
-    def extend(self, call: HttpCall, time: int) -> None:
-        if call.slot is not None and call.end is None:
-            self.deadlines.set(("call", call), self.clock() + time)
+    def publish(self, event: events.Event) -> None:
+        """Deliver an event, unless the admission gate says that it is not for this server's controller."""
+        if self.admission_gate is None or self.admission_gate.heard(event):
+            self.deliver(event)
 
-    def _schedule_watch(self, wait: int) -> None:
-        if ("watch",) not in self.deadlines:  # never put off by what comes meanwhile
-            self.set_deadline(("watch",), self.clock() + wait)
+    def deliver(self, event: events.Event) -> None:
+        """Give an event to the controller, with the next control cycle, and to all observers."""
+        self.control_cycle.deliver(event)
+        for observer in self.observers:
+            observer.observe(event, self.clock())
+        self.cycle_scheduler.request()
 
-    def told(self, peer: int | None, data: bytes) -> None:
+    def _receive_from_peer(self, peer: int | None, payload: bytes) -> None:
         if peer is None:
             self.counters["datagrams_of_strangers"] += 1
         else:
             self.counters["datagrams_taken"] += 1
-            self.news(events.PeerMessageReceived(peer, data))
+            self.publish(events.PeerMessageReceived(peer, payload))
+
+    def _send_to_peer(self, peer: int | None, payload: bytes) -> bool:
+        return self.may_message_peers and self.peers is not None and self.peers.send(peer, payload)
+
+    # --- deadlines ---
 
-    # --- start and stop ---
+    def _is_optional(self, key: Hashable) -> bool:
+        """Return whether an optional part handles the deadline; those come after the server's own."""
+        return (
+            self.optional_parts is not None and isinstance(key, tuple) and key[0] in self.optional_parts.KEYS
+        )
+
+    def handle_deadline(self, key: Hashable, now: int) -> None:
+        """Handle a deadline that has expired."""
+        match key:
+            case ServerDeadline.CONTROL_CYCLE:
+                self.cycle_scheduler.run_cycle()
+            case ControllerTimer(_, name):
+                self.publish(events.TimerExpired(name))
+            case ConnectionTimeout(connection):
+                connection.close(ConnectionEnd.SILENT)
+            case CallTimeout(call):
+                call.close(ConnectionEnd.SILENT)
+            case ServerDeadline.WATCH:
+                self.registry_client.open_watch_if_due()
+            case ServerDeadline.RELOAD:
+                self.reloader.retry()
+            case ServerDeadline.COUNTERS:
+                self.timers.deadlines.set(ServerDeadline.COUNTERS, now + self.counters_every_us)
+                self.report_counters()
+            case tuple() if self.optional_parts is not None:
+                self.optional_parts.meet(key, now)
+
+    def _schedule_watch(self, wait_us: int) -> None:
+        if ServerDeadline.WATCH not in self.timers.deadlines:  # never put off by what comes meanwhile
+            self.timers.set(ServerDeadline.WATCH, self.clock() + wait_us)
+
+    # --- start, reload and stop ---
 
     async def start(self) -> None:
-        """The list that was known comes first; only after it is anyone accepted."""
-        known = self.configuration.get("known")
-        if known is not None:
-            entries, addresses, broken = self.catalog.entries(known["targets"])
-            self.listing.update(
-                events.ListKind.REPLACE,
-                known["rev"],
-                [e for e in entries if e.state is not events.EndpointState.GONE],
-                addresses,
-            )
-            for _, why in broken:
-                log_events.RESTORED_ENTRY_MALFORMED(why=why)
-        self.rounds.begin()
-        self.ready, self.round_at = True, self.clock()
-        self.round()
-        if self.discovery.pushed:
-            self.discovery.begin()
+        """Restore the list, run the first control cycle, and only then accept connections."""
+        self._restore_endpoints()
+        self.cycle_scheduler.start()
+        if self.registry_client.is_pushed:
+            self.registry_client.open_watch()
         if self.configuration.get("peer_listen"):
-            peers, everyone = self.configuration.get("peers") or [], self.configuration.get("peers_all")
-            _, self.peers = await self.loop.create_datagram_endpoint(
-                lambda: datagrams.Datagrams(peers, everyone, self.told),
-                local_addr=datagrams.address(self.configuration["peer_listen"]),
-            )
-            if self.stopping:  # meanwhile: nothing begins any more
+            await self._open_peer_socket()
+            if self.is_stopping:  # meanwhile: nothing begins any more
                 return
         host, port = datagrams.address(self.configuration["listen"])
-        self.server = await self.loop.create_server(
-            lambda: AcceptedConnection(self.buffers, self.door), host, port, backlog=BACKLOG
+        self.listener = await self.loop.create_server(
+            lambda: AcceptedConnection(self.buffers, self.acceptor), host, port, backlog=BACKLOG
         )
-        if self.counters_every:
-            self.deadlines.set(("count",), self.clock() + self.counters_every)
-        self.arm()
+        if self.counters_every_us:
+            self.timers.deadlines.set(ServerDeadline.COUNTERS, self.clock() + self.counters_every_us)
+        self.timers.arm()
 
-    def reload(self, reads: int = READS) -> None:
-        """Reads the configuration again and takes it whole; one that can't be used changes nothing."""
-        if self.stopping:
-            return
-        self.deadlines.cancel(("reload",))
-        self.reads = reads
-        if self.operator_again is not None and reads == READS:
-            self._reload_operator()
-        try:
-            new, waiting = renewed(self.configuration, self.again())
-        except ConfigurationError as why:
-            self.counters["reloads_failed"] += 1
-            log_events.CONFIGURATION_REJECTED(why=str(why))
-            if reads > 1:
-                self.set_deadline(("reload",), self.clock() + READ_AGAIN)
+    def _restore_endpoints(self) -> None:
+        known = self.configuration.get("known")
+        if known is None:
             return
-        self.counters["reloads"] += 1
-        moved = new["discovery"] != self.configuration["discovery"]
-        self.configuration = new
-        log_events.CONFIGURATION_RELOADED(
-            discovery=new["discovery"],
-            waiting=f"; waits for a restart: {', '.join(waiting)}" if waiting else "",
+        entries, addresses, malformed = self.endpoint_decoder.entries(known["targets"])
+        listed = [entry for entry in entries if entry.state is not events.EndpointState.GONE]
+        self.registry.update(events.ListKind.REPLACE, known["rev"], listed, addresses)
+        for _, reason in malformed:
+            log_events.RESTORED_ENTRY_MALFORMED(why=reason)
+
+    async def _open_peer_socket(self) -> None:
+        peers = self.configuration.get("peers") or []
+        everyone = self.configuration.get("peers_all")
+        _, self.peers = await self.loop.create_datagram_endpoint(
+            lambda: datagrams.Datagrams(peers, everyone, self._receive_from_peer),
+            local_addr=datagrams.address(self.configuration["peer_listen"]),
         )
-        if moved:
-            self.discovery.move()
 
-    def _reload_operator(self) -> None:
-        """Takes a new operator file whole; one that can't be used changes nothing."""
-        from ravenshelf.operator_config.reading import OperatorConfigurationError
+    def reload(self) -> None:
+        """Read the configuration files again; see `Reloader`."""
+        self.reloader.reload()
 
-        try:
-            operator = self.operator_again()
-        except OperatorConfigurationError as why:
-            self.counters["operator_refused"] += 1
-            log_events.OPERATOR_CONFIGURATION_REJECTED(why=str(why))
-            return
-        if self.log is not None:
-            self.log.form = operator.log.format
-        self.operations.renew(
-            operator, lambda changed: log_events.OPERATOR_CONFIGURATION_RELOADED(changed=changed)
-        )
+    def _take_configuration(self, new: dict[str, Any]) -> None:
+        has_new_address = new["discovery"] != self.configuration["discovery"]
+        self.configuration = new
+        if has_new_address:
+            self.registry_client.address_changed()
 
     def stop(self) -> None:
-        """Takes no more, decides what was heard, writes what is ordered, and lets the process end.
+        """Accept no more, decide what was received, write what is ordered, and let the process end.
 
-        From here on nothing dials, watches, reloads or is due; who reads nothing holds it up for LINGER_TIMEOUT at most."""
-        if self.stopping:
+        From here on nothing is dialed, watched, reloaded or due; a peer that reads nothing holds it up for
+        LINGER_TIMEOUT_S at most.
+        """
+        if self.is_stopping:
             return
-        self.stopping = True
-        self.loop.call_later(LINGER_TIMEOUT, self._finish_stop)
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.server is not None:
-            self.server.close()
+        self.is_stopping = True
+        self.reloader.is_stopped = True
+        self.cycle_scheduler.is_stopping = True
+        self.loop.call_later(LINGER_TIMEOUT_S, self._finish_stop)
+        self.timers.stop()
+        if self.listener is not None:
+            self.listener.close()
         try:
-            for call in list(self.calls.items.values()):
-                call.close(ConnectionEnd.STOPPING)
-            if (
-                self.ready and self.rounds.news
-            ):  # a drain that was heard is played, though its round was not yet due
-                self.round()
-            if self.operations is not None:
-                self.operations.close()
-            if self.peers is not None:
+            self.outgoing_calls.close_all(ConnectionEnd.STOPPING)
+            if self.cycle_scheduler.is_started and self.control_cycle.events:
+                # a drain that was received is carried out, though no cycle is due
+                self.cycle_scheduler.run_cycle()
+            if self.optional_parts is not None:
+                self.optional_parts.close()
+            if self.peers is not None and self.peers.transport is not None:
                 self.peers.transport.close()
         finally:  # whatever fails in it, the streams get what was written
-            self.door.stop(self._finish_stop)
+            self.acceptor.stop(self._finish_stop)
 
     def _finish_stop(self) -> None:
         if not self.stopped.done():
-            self.door.abort_lingering()
+            self.acceptor.abort_lingering()
             self.stopped.set_result(None)
 
-    def failed(self, loop: asyncio.AbstractEventLoop, context: dict) -> None:
-        """What failed in a call of the loop ends its connection, if it was one's; the pilot goes on."""
+    # --- reports ---
+
+    def report_loop_failure(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Log what failed in a callback of the loop; the server goes on."""
         self.counters["calls_failed"] += 1
         log_events.CALLBACK_FAILED.with_traceback(context.get("exception"), text=str(context.get("message")))
 
-    def count(self) -> None:
+    def report_counters(self) -> None:
+        """Log how much is in use now, and all counters."""
         usage = {
-            "connections": len(self.slots),
-            "proxies": len(self.door.streams),
-            "calls": len(self.calls),
-            "endpoints": len(self.listing.entries),
-            "deadlines": len(self.deadlines),
+            "connections": len(self.connections),
+            "proxies": len(self.acceptor.streams),
+            "calls": len(self.outgoing_calls.slots),
+            "endpoints": len(self.registry.entries),
+            "deadlines": len(self.timers.deadlines),
         }
         now = " ".join(f"{name}={value}" for name, value in usage.items())
         log_events.COUNTERS_REPORTED(now=now, since_start=self.counters.text())
 
 
 async def serve(
-    configuration: dict,
-    again: Callable[[], dict],
+    configuration: dict[str, Any],
+    read_configuration: Callable[[], dict[str, Any]],
     clock: Callable[[], int],
-    counters_every: int,
-    operator=None,
-    operator_again: Callable | None = None,
-    log=None,
+    counters_every_us: int,
+    operator: "Operator | None" = None,
+    read_operator: "Callable[[], Operator] | None" = None,
+    log: "Sink | None" = None,
 ) -> None:
-    """`again` reads the configuration anew at each SIGHUP, `operator_again` the operator file, where there is one."""
+    """Run a server until it has stopped; the functions read the configuration files anew at each SIGHUP.
+
+    Raises RuntimeError where an optional part can't go on.
+    """
     loop = asyncio.get_running_loop()
-    pilot = ControlPlaneServer(configuration, loop, clock)
-    pilot.counters_every, pilot.again = counters_every, again
-    loop.set_exception_handler(pilot.failed)
-    loop.add_signal_handler(signal.SIGTERM, pilot.stop)
-    loop.add_signal_handler(signal.SIGINT, pilot.stop)
-    loop.add_signal_handler(signal.SIGUSR1, pilot.count)
-    loop.add_signal_handler(signal.SIGHUP, pilot.reload)
+    server = ControlPlaneServer(configuration, loop, clock)
+    server.counters_every_us = counters_every_us
+    server.reloader.read_configuration = read_configuration
+    loop.set_exception_handler(server.report_loop_failure)
+    loop.add_signal_handler(signal.SIGTERM, server.stop)
+    loop.add_signal_handler(signal.SIGINT, server.stop)
+    loop.add_signal_handler(signal.SIGUSR1, server.report_counters)
+    loop.add_signal_handler(signal.SIGHUP, server.reload)
     if operator is not None:
-        from ravenshelf.process.operations import Operations
-
-        pilot.operations, pilot.operator_again, pilot.log = (
-            Operations(operator, pilot, random.Random()),
-            operator_again,
-            log,
-        )
-    await pilot.start()
-    if pilot.operations is not None and not pilot.stopping:
-        await pilot.operations.start()
-    if not pilot.stopping:
-        host, port = pilot.server.sockets[0].getsockname()[:2]
+        _add_optional_parts(server, operator, read_operator, log)
+    await server.start()
+    if server.optional_parts is not None and not server.is_stopping:
+        await server.optional_parts.start()
+    if not server.is_stopping and server.listener is not None:
+        host, port = server.listener.sockets[0].getsockname()[:2]
         log_events.SERVER_LISTENING(name=configuration.get("name"), address=f"{host}:{port}")
-    await pilot.stopped
-    pilot.count()
+    await server.stopped
+    server.report_counters()
     await asyncio.sleep(0)
-    if pilot.ended_by is not None:
-        raise RuntimeError(pilot.ended_by)
+    if server.failure is not None:
+        raise RuntimeError(server.failure)
+
+
+def _add_optional_parts(
+    server: ControlPlaneServer,
+    operator: "Operator",
+    read_operator: "Callable[[], Operator] | None",
+    log: "Sink | None",
+) -> None:
+    from ravenshelf.process.operations import Operations
+
+    parts = Operations(operator, server, random.Random())
+    server.optional_parts = parts
+
+    def take_operator(new: "Operator") -> None:
+        if log is not None:
+            log.form = new.log.format
+        parts.renew(new, lambda changed: log_events.OPERATOR_CONFIGURATION_RELOADED(changed=changed))
+
+    server.reloader.read_operator = read_operator
+    server.reloader.take_operator = take_operator
--- a/ravenshelf/process/health_checks.py
+++ b/ravenshelf/process/health_checks.py
@@ -1,50 +1,66 @@
-"""Probes: one answer for each, from /_load where the deployment has reports, else from /ping."""
+"""Health checks: one result for each, from /_load where endpoints report load, else from /ping."""
 
 from collections.abc import Callable
 
-from ravenshelf.net.connection_end import PROBE, ConnectionEnd, outcome
+from ravenshelf.net.connection_end import HEALTH_CHECK, ConnectionEnd, outcome
 from ravenshelf.net.http import HttpCall
 from ravenshelf.net.stream_codec import load_report, pairs
-from ravenshelf.policy.events import HealthCheckCompleted
+from ravenshelf.policy.events import Event, HealthCheckCompleted
+from ravenshelf.process.registry_client import CallOpener
 from ravenshelf.settings import Settings
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.endpoint_registry import EndpointRegistry
 
-ANSWER_MORE = 1_000_000  # an answer may take so much longer than the dial
+DEFAULT_DIAL_TIMEOUT_US = 250_000
+ANSWER_TIMEOUT_US = 1_000_000  # beyond the dial
 
 
 class HealthChecks:
+    """Runs health checks and publishes their results; `clock` gives microseconds."""
+
     def __init__(
         self,
         settings: Settings,
-        listing: EndpointRegistry,
+        registry: EndpointRegistry,
         counters: Counters,
-        open_call: Callable,
-        news: Callable,
+        calls: CallOpener,
+        publish: Callable[[Event], None],
         clock: Callable[[], int],
     ):
-        self.allowed = settings.limits.health_checks_allowed
-        self.by = (settings.limits.dial_timeout_us or 250_000) + ANSWER_MORE
-        self.reports = settings.telemetry.source != "none"
+        self.is_allowed = settings.limits.health_checks_allowed
+        self.timeout_us = (settings.limits.dial_timeout_us or DEFAULT_DIAL_TIMEOUT_US) + ANSWER_TIMEOUT_US
+        self.has_load = settings.telemetry.source != "none"
         self.columns = settings.telemetry.columns
-        self.listing, self.counters, self.open_call = listing, counters, open_call
-        self.news, self.clock = news, clock
+        self.registry = registry
+        self.counters = counters
+        self.calls = calls
+        self.publish = publish
+        self.clock = clock
 
     def begin(self, endpoint: int) -> None:
-        address = self.listing.addresses.get(endpoint)
-        if not self.allowed or address is None:
+        """Check one endpoint; one without an address fails at once."""
+        address = self.registry.addresses.get(endpoint)
+        if not self.is_allowed or address is None:
             self.counters["probes_not_sent"] += 1
-            if self.allowed:
-                self.news(HealthCheckCompleted(endpoint, False, 0, ()))
+            if self.is_allowed:
+                self.publish(HealthCheckCompleted(endpoint, False, 0, ()))
             return
         self.counters["probes_sent"] += 1
-        began, path = self.clock(), "/_load" if self.reports else "/ping"
-        self.open_call(PROBE, path, lambda call: self._ended(call, endpoint, began), None, self.by, address)
+        began = self.clock()
+        path = "/_load" if self.has_load else "/ping"
+        self.calls.open(
+            path,
+            lambda call: self._ended(call, endpoint, began),
+            None,
+            self.timeout_us,
+            address,
+        )
 
     def _ended(self, call: HttpCall, endpoint: int, began: int) -> None:
-        if outcome(PROBE, call.end) is None:
+        assert call.end is not None
+        if outcome(HEALTH_CHECK, call.end) is None:
             return
-        good = call.end is ConnectionEnd.ANSWERED
-        text = call.body.decode("utf-8", "replace").strip() if good and self.reports else ""
-        report = load_report(pairs(text, "="), self.columns)
-        self.news(HealthCheckCompleted(endpoint, good, self.clock() - began, report))
+        has_succeeded = call.end is ConnectionEnd.ANSWERED
+        text = call.body.decode("utf-8", "replace").strip() if has_succeeded and self.has_load else ""
+        load = load_report(pairs(text, "="), self.columns)
+        self.publish(HealthCheckCompleted(endpoint, has_succeeded, self.clock() - began, load))
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -36,8 +36,8 @@
         self.background = Background(
             self._agenda(operator.background),
             pilot.clock,
-            lambda at: pilot.set_deadline(("background",), at),
-            pilot.round_due,
+            lambda at: pilot.timers.set(("background",), at),
+            pilot.cycle_scheduler.is_due,
             pilot.counters,
         )
         self.graphite = self.gatherer = self.listener = self.leadership = None
@@ -76,7 +76,7 @@
         from ravenshelf.leadership.service import clock
 
         pilot, table = self.pilot, self.operator.distribution
-        self.distribution = pilot.sums = PilotDistribution(
+        self.distribution = PilotDistribution(
             table.service,
             table.cluster,
             table.name,
@@ -84,10 +84,11 @@
             pilot.loop,
             clock,
             self.chance,
-            name_of=lambda index: pilot.listing.names[index],
-            index_of=pilot.listing.index_by_name.get,
+            name_of=lambda index: pilot.registry.names[index],
+            index_of=pilot.registry.index_by_name.get,
         )
-        pilot.rounds.decide_with(self.distribution.controller)
+        pilot.observers.append(self.distribution)
+        pilot.control_cycle.decide_with(self.distribution.controller)
 
     # --- other controllers ---
 
@@ -98,26 +99,27 @@
         pilot, table = self.pilot, self.operator.leadership
 
         def ended(why: str) -> None:
-            pilot.ended_by = why
+            pilot.failure = why
             pilot.stop()
 
         def write(proxy: int, message: bytes, mark: int | None, term: int) -> None:
-            pilot.door.write(proxy, fenced(message, term) if pilot.door.fences(proxy) else message, mark)
+            message = fenced(message, term) if pilot.acceptor.checks_terms(proxy) else message
+            pilot.acceptor.write(proxy, message, mark)
 
         self.leadership = Leadership(
             table, self.operator.store.folder, pilot.loop, self.counters, self.chance, ended
         )
-        self.leadership.adapter = pilot.gate = pilot.rounds.gate = Adapter(
+        self.leadership.adapter = pilot.admission_gate = pilot.control_cycle.admission_gate = Adapter(
             self.leadership.member,
             clock,
-            pilot.rounds.names,
+            pilot.control_cycle.group_names,
             self.counters,
-            news=pilot.tell,
+            news=pilot.deliver,
             write=write,
             put=self.leadership.put,
-            names=lambda n: pilot.listing.names[n],
-            version=lambda: pilot.listing.version,
-            index=pilot.listing.index_by_name.get,
+            names=lambda n: pilot.registry.names[n],
+            version=lambda: pilot.registry.version,
+            index=pilot.registry.index_by_name.get,
             ramps=self._ramps,
             warm=self._warm,
         )
@@ -126,20 +128,20 @@
         """Endpoints that have started of late, with their starts."""
         since = self.clock() - 60 * SECOND
         return {
-            self.pilot.listing.names[index]: entry.started_at
-            for index, entry in self.pilot.listing.entries.items()
+            self.pilot.registry.names[index]: entry.started_at
+            for index, entry in self.pilot.registry.entries.items()
             if entry.started_at > since
         }
 
     def _warm(self, starts: dict[str, int]) -> None:
         """Tells the decisions of starts that another controller knew and our list does not."""
-        listing, news = self.pilot.listing, []
+        listing, news = self.pilot.registry, []
         for name, start in starts.items():
             entry = listing.entries.get(listing.index_by_name.get(name))
             if entry is not None and entry.started_at < start:
                 news.append(entry._replace(started_at=start))
         if news:
-            self.pilot.tell(EndpointsListed(ListKind.UPDATE, tuple(news)))
+            self.pilot.deliver(EndpointsListed(ListKind.UPDATE, tuple(news)))
 
     # --- Graphite ---
 
@@ -148,23 +150,24 @@
         from ravenshelf.graphite.service import Graphite
 
         pilot, table = self.pilot, self.operator.graphite
-        self.gatherer = MetricsCollector(pilot.rounds.settings, self._prefix(table), self.clock())
+        self.gatherer = MetricsCollector(pilot.control_cycle.settings, self._prefix(table), self.clock())
         self.gatherer.level_of, self.gatherer.name_of = (
-            pilot.sent.admission_level_of,
-            lambda n: pilot.listing.names[n],
+            pilot.proxy_tables.admission_level_of,
+            lambda n: pilot.registry.names[n],
         )
-        self.gatherer.heard(EndpointsListed(ListKind.RESTORED, pilot.listing.snapshot()), self.clock())
-        for joined in pilot.rounds.joined.values():
-            self.gatherer.heard(joined, self.clock())
+        self.gatherer.observe(EndpointsListed(ListKind.RESTORED, pilot.registry.snapshot()), self.clock())
+        for joined in pilot.control_cycle.joined.values():
+            self.gatherer.observe(joined, self.clock())
         self.graphite = Graphite(
             table,
             self.chance,
             loop=pilot.loop,
             clock=self.clock,
             background=self.background,
-            again=lambda receiver, at: pilot.set_deadline(("graphite", receiver), at),
+            again=lambda receiver, at: pilot.timers.set(("graphite", receiver), at),
         )
-        pilot.tap = pilot.rounds.tap = self.gatherer
+        pilot.observers.insert(0, self.gatherer)
+        pilot.control_cycle.cycle_observer = self.gatherer
         self._next_figures(self.clock())
 
     def _prefix(self, table) -> str:
@@ -174,7 +177,7 @@
 
     def _next_figures(self, now: int) -> None:
         every = self.operator.graphite.every_s * SECOND
-        self.pilot.set_deadline(("figures",), (now // every + 1) * every)
+        self.pilot.timers.set(("figures",), (now // every + 1) * every)
 
     def figures(self, now: int) -> None:
         """Closes an interval; the points are made in the background and carry the interval's boundary as time."""
@@ -183,7 +186,7 @@
         self._next_figures(now)
         time = aligned(now, self.operator.graphite.every_s)
         take = lambda importance, points: self.graphite.take(time, importance, points)  # noqa: E731
-        work = self.gatherer.points(now, self.pilot.rounds.controller, self._counts(now), take)
+        work = self.gatherer.points(now, self.pilot.control_cycle.controller, self._counts(now), take)
         self.background.offer("figures", PRESENT, 2 * SECOND, work)
 
     def _counts(self, now: int) -> dict[str, float]:
@@ -244,7 +247,7 @@
         text = Path(table.types).read_text(encoding="utf-8") if table.types else types.OWN
         signals = Signals(self.endpoints, types.read(text, table.types or "types.db"), self.counters)
         self.listener = Listener(
-            table, known, signals, self.background, self.counters, self.clock, self.pilot.news
+            table, known, signals, self.background, self.counters, self.clock, self.pilot.publish
         )
         transport, _ = await self.pilot.loop.create_datagram_endpoint(
             lambda: self.listener, local_addr=address(table.listen)
@@ -252,11 +255,11 @@
         host, port = transport.get_extra_info("sockname")[:2]
         log_events.COLLECTD_LISTENING(address=f"{host}:{port}", security=table.security)
         if table.users:
-            self.pilot.set_deadline(("users",), self.clock() + USERS_EVERY)
+            self.pilot.timers.set(("users",), self.clock() + USERS_EVERY)
 
     def endpoints(self, host: str) -> tuple[int, ...]:
         """The listed endpoints on a collectd host: named in the operator file, or by its name, or by its address."""
-        listing = self.pilot.listing
+        listing = self.pilot.registry
         if self.places[0] != listing.version:
             places: dict[str, list[int]] = {}
             for index in listing.entries:
@@ -272,7 +275,7 @@
 
     def _look_at_users(self, now: int) -> None:
         """A changed file of users is taken without a signal, as collectd does."""
-        self.pilot.set_deadline(("users",), now + USERS_EVERY)
+        self.pilot.timers.set(("users",), now + USERS_EVERY)
 
         def work():
             from ravenshelf.collectd import users
@@ -335,8 +338,10 @@
             return
         if not new.receivers:
             self.graphite.close()
-            self.graphite = self.gatherer = self.pilot.tap = self.pilot.rounds.tap = None
-            self.pilot.deadlines.cancel(("figures",))
+            self.pilot.observers.remove(self.gatherer)
+            self.pilot.control_cycle.cycle_observer = None
+            self.graphite = self.gatherer = None
+            self.pilot.timers.cancel(("figures",))
             return
         self.graphite.renew(new)
         self.gatherer.prefix = self._prefix(new)
@@ -349,7 +354,7 @@
         if was is not None:
             was.close()
         if not self.operator.collectd.listen:
-            self.pilot.deadlines.cancel(("users",))
+            self.pilot.timers.cancel(("users",))
             return
         try:
             await self._start_collectd()
--- /dev/null
+++ b/ravenshelf/process/optional_parts.py
@@ -0,0 +1,60 @@
+"""How the parts that an operator configuration turns on join the control-plane server."""
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any, Protocol
+
+from ravenshelf.policy.events import Event
+from ravenshelf.state.message_part import MessagePart
+
+if TYPE_CHECKING:  # plain serve loads none of it
+    from ravenshelf.operator_config.tables import Operator
+
+
+class EventObserver(Protocol):
+    """Is told every event that the controller is told, such as the metrics collector."""
+
+    def observe(self, event: Event, now: int) -> None:
+        """Take an event, at the server's time in microseconds."""
+
+
+class CycleObserver(Protocol):
+    """Is told what control cycles have done."""
+
+    def sent(self, proxy: int, parts: list[MessagePart], mark: int | None) -> None:
+        """Take the message that was written to a proxy."""
+
+    def played(self, late: int, took: int) -> None:
+        """Take how late a control cycle began and how long it took, in microseconds."""
+
+
+class AdmissionGate(Protocol):
+    """Decides which events come in and which messages leave, where servers share the proxies."""
+
+    def heard(self, event: Event) -> bool:
+        """Return whether the event is for this server's controller."""
+
+    def shape(self, proxy: int, parts: list[MessagePart]) -> None:
+        """Change a message's parts before it is encoded."""
+
+    def offer(self, proxy: int, parts: list[MessagePart], message: bytes, mark: int | None) -> None:
+        """Take a message; it is written when and if it may leave."""
+
+
+class OptionalParts(Protocol):
+    """All that an operator configuration turns on, as one owner."""
+
+    @property
+    def KEYS(self) -> tuple[str, ...]:  # noqa: N802 a constant of the class
+        """First items of the deadline keys that `meet` handles."""
+
+    async def start(self) -> None:
+        """Begin to listen, dial and measure."""
+
+    def renew(self, operator: "Operator", done: Callable[[str], None]) -> None:
+        """Take a new operator configuration; `done` is told what changed."""
+
+    def meet(self, key: tuple[Any, ...], now: int) -> None:
+        """Handle a deadline."""
+
+    def close(self) -> None:
+        """End at the server's stop."""
--- a/standins/fleet/pilots.py
+++ b/standins/fleet/pilots.py
@@ -85,10 +85,10 @@
         return self._restored
 
     def hear(self, event: Event) -> None:
-        self.rounds.hear(event)
+        self.rounds.deliver(event)
 
     def due(self) -> bool:
-        return bool(self.rounds.news) or any(at <= self.world.now for at in self.wakes)
+        return bool(self.rounds.events) or any(at <= self.world.now for at in self.wakes)
 
     def round(self) -> None:
         self.wakes = [at for at in self.wakes if at > self.world.now]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,6 +8,7 @@
 from hypothesis import settings as hypothesis_settings
 
 from ravenshelf.net.accepted import AcceptedConnection
+from ravenshelf.net.connection_end import ConnectionEnd
 from ravenshelf.net.stream_codec import StreamDecoder
 from ravenshelf.policy.events import (
     EndpointsListed,
@@ -261,19 +262,18 @@
 
 
 class Entry:
-    """The door of a pilot, with a clock set by hand and the module's news kept."""
+    """A connection acceptor, with a clock set by hand; `told` holds the events that it published."""
 
     def __init__(self, slots=64, reserve=4):
         self.now, self.told, self.counters, self.deadlines = 0, [], Counters(), DeadlineQueue()
         self.reader = StreamDecoder(decode_settings(SETTINGS), {"s-1": 0, "s-2": 1}.get)
         self.slots = SlotTable(slots)
-        self.door = ConnectionAcceptor(
+        self.acceptor = ConnectionAcceptor(
             self.reader,
             self.slots,
             reserve,
             self.deadlines,
             self.counters,
-            self.deadlines.set,
             lambda: self.now,
             self.told.append,
             lambda call: call(),
@@ -281,7 +281,7 @@
         self.buffers = BufferPool()
 
     def connect(self, *said, unsent=0):
-        connection = AcceptedConnection(self.buffers, self.door)
+        connection = AcceptedConnection(self.buffers, self.acceptor)
         connection.connection_made(Wire(unsent))
         for line in said:
             feed(connection, line.encode() + b"\r\n")
@@ -290,7 +290,7 @@
     def pass_time(self, seconds):
         self.now += round(seconds * SECOND)
         for key in self.deadlines.take_expired(self.now):
-            self.door.silent(key[1])
+            key.connection.close(ConnectionEnd.SILENT)
 
 
 @pytest.fixture
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -106,7 +106,7 @@
 
 
 def test_a_line_without_end_has_a_bound(monkeypatch):
-    monkeypatch.setattr(http, "MOST_BODY", 100_000)
+    monkeypatch.setattr(http, "BODY_LIMIT_BYTES", 100_000)
     call, _ = uvloop.run(asked([CHUNKED] + [b"3e8\r\n" + b"x" * 1000 + b"\r\n"] * 200, True))
     assert call.end is ConnectionEnd.TOO_LONG
     call, lines = uvloop.run(asked([CHUNKED] + [b"3e8\r\n" + b"x" * 999 + b"\n\r\n"] * 200, True))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,6 +19,7 @@
 from ravenshelf.policy.events import BatchAcknowledged, EndpointsListed, EndpointState, ListKind, ProxyLeft
 from ravenshelf.process.clock import Clock
 from ravenshelf.process.control_plane import ControlPlaneServer
+from ravenshelf.process.deadline_keys import ServerDeadline
 from ravenshelf.state.buffers import BUFFER_BYTES
 
 ROOMY = SETTINGS | {
@@ -55,7 +56,7 @@
     )
     await pilot.start()
     try:
-        yield pilot, pilot.server.sockets[0].getsockname()[1]
+        yield pilot, pilot.listener.sockets[0].getsockname()[1]
     finally:
         pilot.stop()
         async with asyncio.timeout(20):
@@ -77,20 +78,20 @@
         ):
             proxy = await joined(port)
             calls = []
-            pilot.do = calls.append
-            entry = pilot.listing.entries[pilot.listing.index_by_name["s-1"]]
-            pilot.last_round = pilot.clock() + 10_000_000  # the next round is far away
-            pilot.news(EndpointsListed(ListKind.UPDATE, (entry._replace(state=EndpointState.DRAINING),)))
+            pilot.cycle_scheduler.execute = calls.append
+            entry = pilot.registry.entries[pilot.registry.index_by_name["s-1"]]
+            pilot.cycle_scheduler.last_cycle_at = pilot.clock() + 10_000_000  # the next round is far away
+            pilot.publish(EndpointsListed(ListKind.UPDATE, (entry._replace(state=EndpointState.DRAINING),)))
             assert b"s-1:0" not in proxy.read
             pilot.stop()
-            heard = pilot.rounds.news
+            heard = pilot.control_cycle.events
             await proxy.over
         assert (
             not heard
             and (b"out=s-1" in proxy.read or b"s-1:0" in proxy.read)
             and proxy.read.endswith(b"\r\n")
         )
-        assert not calls and not pilot.calls.items and pilot.timer.cancelled()
+        assert not calls and not pilot.outgoing_calls.slots.items and pilot.timers.loop_timer.cancelled()
 
     uvloop.run(play())
 
@@ -101,12 +102,12 @@
             proxy = await joined(port)
             pilot.stop()
             watches, rounds = pilot.counters["discovery_watches"], pilot.counters["rounds"]
-            pilot.door.came(
+            pilot.acceptor.connected(
                 late := type("Late", (), {"close": lambda self, end: setattr(self, "end", end)})()
             )
             pilot.reload()
-            pilot.news(EndpointsListed(ListKind.UPDATE, ()))
-            pilot.set_deadline(("watch",), 0)
+            pilot.publish(EndpointsListed(ListKind.UPDATE, ()))
+            pilot.timers.set(ServerDeadline.WATCH, 0)
             pilot.stop()
             await pilot.stopped
             await proxy.over
@@ -123,8 +124,8 @@
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
         async with serving() as (pilot, port):
             proxy = await joined(port)
-            pilot.news(EndpointsListed(ListKind.UPDATE, ()))
-            pilot.rounds.run = lambda now, write: 1 / 0
+            pilot.publish(EndpointsListed(ListKind.UPDATE, ()))
+            pilot.control_cycle.run = lambda now, write: 1 / 0
             asyncio.get_running_loop().call_soon(pilot.stop)
             async with asyncio.timeout(20):
                 await proxy.over
@@ -139,7 +140,7 @@
 def test_a_mark_on_its_way_is_taken_though_its_proxy_joins_again_on_the_stream(entry):
     e = entry()
     stream = e.connect("SUBSCRIBE proxy=1 zone=a weight=1 fresh=1")
-    e.door.write(1, b"CONFIG ticket=7\r\n", 7)
+    e.acceptor.write(1, b"CONFIG ticket=7\r\n", 7)
     feed(stream, b"SUBSCRIBE proxy=1 zone=a weight=1 fresh=1\r\nACK proxy=1 mark=7 took_ms=1\r\n")
     assert e.told[-1] == BatchAcknowledged(1, 7, 1000) and e.told[1] == ProxyLeft(1, True)
 
@@ -159,7 +160,7 @@
             feed(streams[n], b"PING\r\n")
         if second % 31 == 0:
             e.connect().close(ConnectionEnd.CLOSED)
-    e.door.write(3, b"CONFIG ticket=7\r\n", 7)
+    e.acceptor.write(3, b"CONFIG ticket=7\r\n", 7)
     filler = e.connect("SOURCE zone=a")
     assert filler.end is None
     newcomer = e.connect("SOURCE zone=b")
@@ -180,8 +181,8 @@
         async with serving() as (pilot, port):
             proxy = await joined(port)
             told = []
-            pilot.tell = told.append
-            pilot.door.kinds["RATE"] = lambda connection, said: 1 / 0
+            pilot.deliver = told.append
+            pilot.acceptor.handlers["RATE"] = lambda connection, said: 1 / 0
             proxy.transport.write(b"RATE proxy=1 class=look tries=1 failed=0 span_ms=1000\r\n")
             await proxy.over
             assert told == [ProxyLeft(1, True)]
@@ -196,7 +197,7 @@
     async def play():
         async with serving() as (pilot, port):
             proxy = await joined(port)
-            loop, taken, most, seen = asyncio.get_running_loop(), 0, 0, pilot.door.said
+            loop, taken, most, seen = asyncio.get_running_loop(), 0, 0, pilot.acceptor.received
 
             def said(connection, text):
                 nonlocal taken
@@ -208,7 +209,7 @@
                 most, taken = max(most, taken), 0
                 loop.call_soon(turn)
 
-            pilot.door.said = said
+            pilot.acceptor.received = said
             held = socket.socket(fileno=os.dup(proxy.transport.get_extra_info("socket").fileno()))
             sent = 0
             with contextlib.suppress(BlockingIOError):
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -58,7 +58,7 @@
             self.hear(ProxyJoined(proxy, proxy, 10.0, True))
 
     def hear(self, event):
-        self.gatherer.heard(event, self.now)
+        self.gatherer.observe(event, self.now)
 
     def figures(self, seconds=10, counts=()):
         self.now += seconds * SECOND
@@ -155,9 +155,9 @@
         )
         pilot = ControlPlaneServer(configuration(discovery.address, ["north"], 2), loop, Clock())
         await pilot.start()
-        pilot.operations = Operations(operator, pilot, random.Random(1))
-        await pilot.operations.start()
-        address = "127.0.0.1:%d" % pilot.server.sockets[0].getsockname()[1]
+        pilot.optional_parts = Operations(operator, pilot, random.Random(1))
+        await pilot.optional_parts.start()
+        address = "127.0.0.1:%d" % pilot.listener.sockets[0].getsockname()[1]
         proxies = [Proxy(lambda: address, n, "north") for n in range(2)]
         tasks = [loop.create_task(p.run()) for p in proxies]
         await carbon.until(
@@ -165,14 +165,14 @@
         )
         host, place = (
             sender.Host("machine", busy=0.9),
-            pilot.operations.listener.transport.get_extra_info("sockname"),
+            pilot.optional_parts.listener.transport.get_extra_info("sockname"),
         )
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as out:
             now = pilot.clock() / 1e6
             for n in range(3):
                 out.sendto(sender.signed(host.packet(now - 20 + 10 * n), "u", "pw"), place)
             out.sendto(host.packet(now), place)
-        noticed = pilot.rounds.controller.endpoints
+        noticed = pilot.control_cycle.controller.endpoints
         await carbon.until(
             lambda: any(p.endswith("collectd.refused_per_s") and v for (p, _), v in carbon.points.items())
         )
@@ -189,13 +189,17 @@
         # a new operator file: the figures move, collectd ends
         moved = await Carbon().start()
         done = []
-        pilot.operations.renew(
+        pilot.optional_parts.renew(
             check({"graphite": {"receivers": [moved.address], "every_s": 1, "prefix": "x"}}, "f"), done.append
         )
         assert done == ["[graphite], [collectd]"]
         await moved.until(lambda: any(p.startswith("x.toy.") for p, _ in moved.points))
-        pilot.operations.renew(check({}, "f"), done.append)
-        assert pilot.tap is None and pilot.operations.graphite is None
+        pilot.optional_parts.renew(check({}, "f"), done.append)
+        assert (
+            pilot.control_cycle.cycle_observer is None
+            and not pilot.observers
+            and pilot.optional_parts.graphite is None
+        )
         for task in tasks:
             task.cancel()
         pilot.stop()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,14 +9,14 @@
 from ravenshelf.net.connection_end import (
     COLLECTOR,
     FETCH,
-    PROBE,
-    STRANGER,
+    HEALTH_CHECK,
     STREAM,
+    UNIDENTIFIED,
     WATCH,
     ConnectionEnd,
     outcome,
 )
-from ravenshelf.net.http import MOST_BODY, HttpCall
+from ravenshelf.net.http import BODY_LIMIT_BYTES, HttpCall
 from ravenshelf.net.stream_codec import LOAD_WORDS
 from ravenshelf.policy.events import (
     BatchAcknowledged,
@@ -156,7 +156,7 @@
 def test_a_spoilt_message_is_skipped_and_those_around_it_count(entry, first, line):
     e = entry()
     c = e.connect(first)
-    e.door.write(1, b"", 7)
+    e.acceptor.write(1, b"", 7)
     before = list(e.told)
     good = [RATE] if first == JOIN else [LOAD, RATE]
     feed(c, "".join(s + "\r\n" for s in [*good, line, *good]).encode())
@@ -171,7 +171,7 @@
 def test_a_mark_counts_once_in_time(entry):
     e = entry()
     c = e.connect(JOIN)
-    e.door.write(1, b"", 7)
+    e.acceptor.write(1, b"", 7)
     e.now += 700_000
     feed(c, b"ACK proxy=1 mark=7 took_ms=700\r\nACK proxy=1 mark=7 took_ms=700\r\n")
     assert e.told[1:] == [BatchAcknowledged(1, 7, 700_000)] and e.counters["acks_unasked"] == 1
@@ -247,7 +247,7 @@
 def test_a_proxy_belongs_to_its_newest_stream(entry):
     e = entry()
     old, new = e.connect(JOIN), e.connect(JOIN.replace("fresh=1", "fresh=0"))
-    e.door.write(1, b"x", 7)
+    e.acceptor.write(1, b"x", 7)
     told = list(e.told)
     assert new.transport.written == b"x" and not old.transport.written and old.end is None
     feed(old, (RATE + "\r\nACK proxy=1 mark=7 took_ms=5\r\n" + JOIN + "\r\nPING\r\n").encode())
@@ -258,7 +258,7 @@
     )
     assert e.told[len(told) :] == [BatchAcknowledged(1, 7, 5000)] and e.counters["acks_unasked"] == 2
     old.connection_lost(None)
-    assert len(e.told) == len(told) + 1 and e.door.streams == {1: new}
+    assert len(e.told) == len(told) + 1 and e.acceptor.streams == {1: new}
 
 
 def test_a_stream_that_joins_again_asks_for_its_orders_anew(entry):
@@ -268,13 +268,13 @@
     assert [type(e.told[n]) for n in (0, 2)] == [ProxyJoined, ProxyJoined] and e.told[1:-1] == [
         ProxyLeft(1, True)
     ]
-    assert e.door.streams == {1: stream}
+    assert e.acceptor.streams == {1: stream}
 
 
 def test_who_reads_nothing_has_a_bound(entry):
     e = entry()
     stream = e.connect(JOIN, unsent=300_000)
-    e.door.write(1, b"x", None)
+    e.acceptor.write(1, b"x", None)
     assert stream.end is ConnectionEnd.UNREAD and e.told[-1] == ProxyLeft(
         1, True
     )  # what waits for it stays counted
@@ -301,7 +301,7 @@
     e = entry(slots=6, reserve=5)
     old, new = e.connect(JOIN), e.connect(JOIN)
     first = e.connect()
-    assert old.end is ConnectionEnd.CROWDED and e.door.streams == {1: new}
+    assert old.end is ConnectionEnd.CROWDED and e.acceptor.streams == {1: new}
     second = e.connect()
     assert first.end is None  # it may be about to join
     e.pass_time(1.1)
@@ -337,11 +337,11 @@
         (STREAM, ConnectionEnd.TOO_LONG, ProxyLeft),
         (STREAM, ConnectionEnd.STOPPING, None),
         (COLLECTOR, ConnectionEnd.RESET, None),
-        (STRANGER, ConnectionEnd.SILENT, None),
+        (UNIDENTIFIED, ConnectionEnd.SILENT, None),
         (WATCH, ConnectionEnd.SUPERSEDED, None),
         (WATCH, ConnectionEnd.STOPPING, None),
         (FETCH, ConnectionEnd.ANSWERED, None),
-        (PROBE, ConnectionEnd.STOPPING, None),
+        (HEALTH_CHECK, ConnectionEnd.STOPPING, None),
         *[
             (purpose, end, WatchFailed)
             for purpose in (WATCH, FETCH)
@@ -356,7 +356,11 @@
                 ConnectionEnd.TOO_LONG,
             )
         ],
-        *[(PROBE, end, HealthCheckCompleted) for end in ConnectionEnd if end is not ConnectionEnd.STOPPING],
+        *[
+            (HEALTH_CHECK, end, HealthCheckCompleted)
+            for end in ConnectionEnd
+            if end is not ConnectionEnd.STOPPING
+        ],
     ],
 )
 def test_each_end_has_one_outcome(purpose, end, told):
@@ -463,7 +467,7 @@
     feed(c, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")  # too late
     assert c.end is ConnectionEnd.SILENT and len(ended) == 1 and c.transport.ended == "abort"
     c, ended = call()
-    feed(c, b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n" + b"x" * (MOST_BODY + 1))
+    feed(c, b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n" + b"x" * (BODY_LIMIT_BYTES + 1))
     assert c.end is ConnectionEnd.TOO_LONG and len(ended) == 1
 
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -31,8 +31,9 @@
 from ravenshelf.process.configuration import ConfigurationError
 from ravenshelf.process.control_cycle import ControlCycle
 from ravenshelf.process.control_plane import ControlPlaneServer
-from ravenshelf.process.discovery import RETRY_DELAY, RegistryClient
+from ravenshelf.process.deadline_keys import CallTimeout, ConnectionTimeout, ControllerTimer, ServerDeadline
 from ravenshelf.process.health_checks import HealthChecks
+from ravenshelf.process.registry_client import RETRY_DELAY_US, RegistryClient
 from ravenshelf.rules import SECOND
 from ravenshelf.settings import decode_settings
 from ravenshelf.state.counters import Counters
@@ -45,12 +46,12 @@
 class Asked:
     """A call that was opened; the test says what comes back."""
 
-    def __init__(self, purpose, path, done, piece, by, host=None):
-        self.purpose, self.path, self.done, self.piece, self.host = purpose, path, done, piece, host
+    def __init__(self, path, done, on_line, timeout_us, address=None):
+        self.path, self.done, self.on_line, self.address = path, done, on_line, address
         self.end, self.status, self.body = None, 200, b""
 
     def says(self, rev, *targets, all=False):
-        self.piece(self, json.dumps({"rev": rev, "all": all, "targets": targets}).encode())
+        self.on_line(self, json.dumps({"rev": rev, "all": all, "targets": targets}).encode())
 
     def close(self, end):
         if self.end is None:
@@ -66,19 +67,15 @@
     def __init__(self, pushed=False):
         self.calls, self.told, self.again = [], [], []
         self.now = 0
-        self.listing = EndpointRegistry(lambda: self.now, lambda index: False)
+        self.registry = EndpointRegistry(lambda: self.now, lambda index: False)
         settings = decode_settings(SETTINGS)
-        self.listing.update(
+        self.registry.update(
             ListKind.REPLACE,
             5,
-            [ListedEndpoint(self.listing.index_of("s-1"), 0, 0, 0, EndpointState.READY, 4.0, 0)],
+            [ListedEndpoint(self.registry.index_of("s-1"), 0, 0, 0, EndpointState.READY, 4.0, 0)],
             {0: "127.0.0.1:9"},
         )
 
-        def open_call(*said):
-            self.calls.append(Asked(*said))
-            return self.calls[-1]
-
         def news(event):
             if isinstance(event, EndpointsListed):  # of an entry only what tells the cases apart
                 event = (event.kind, [(entry.endpoint, entry.state) for entry in event.entries])
@@ -86,28 +83,35 @@
 
         self.counters = Counters()
         self.discovery = RegistryClient(
-            self.listing,
-            EndpointListDecoder(settings, self.listing.index_of, self.listing.index_by_name.get),
+            self.registry,
+            EndpointListDecoder(settings, self.registry.index_of, self.registry.index_by_name.get),
             self.counters,
-            open_call,
+            self,
             news,
+            self.again.append,
             pushed,
             random.Random(5),
         )
-        self.discovery.schedule, self.extended = self.again.append, []
-        self.discovery.extend = lambda call, time: self.extended.append(call)
+        self.extended = []
         self.probes = HealthChecks(
             settings,
-            self.listing,
+            self.registry,
             self.counters,
-            open_call,
+            self,
             self.told.append,
             lambda: 0,
         )
 
+    def open(self, *said):
+        self.calls.append(Asked(*said))
+        return self.calls[-1]
+
+    def extend(self, call, timeout_us):
+        self.extended.append(call)
+
     def watched(self):
         """A watch that has spoken: of s-2, in version 6."""
-        self.discovery.observe(True)
+        self.discovery.watch_endpoints(True)
         self.calls[-1].says(6, target("s-2"))
         return self.calls[-1]
 
@@ -118,11 +122,11 @@
 
 
 def test_a_watch_is_answered_once_and_brings_changes_until_it_ends(service):
-    service.discovery.observe(True)
+    service.discovery.watch_endpoints(True)
     watch = service.calls[-1]
     assert watch.path == "/catalog/members?watch=1&after=5" and not service.told
     watch.says(7, target("s-1", state="DRAINING"))
-    watch.piece(watch, b"")
+    watch.on_line(watch, b"")
     watch.says(8, target("s-1", state="DELETED"), target("s-2"))
     watch.close(ConnectionEnd.RESET)
     assert service.extended == [watch] * 3  # each line, an empty one too, moves the deadline for silence
@@ -135,24 +139,24 @@
 
 @pytest.mark.parametrize(
     "first",
-    [lambda w: w.piece(w, b""), lambda w: w.says(5), lambda w: w.says(3, all=True)],
+    [lambda w: w.on_line(w, b""), lambda w: w.says(5), lambda w: w.says(3, all=True)],
     ids=["an empty line", "no change", "an older list"],
 )
 def test_a_watch_with_no_news_is_an_answer_too(service, first):
-    service.discovery.observe(True)
+    service.discovery.watch_endpoints(True)
     first(service.calls[-1])
-    service.calls[-1].piece(service.calls[-1], b"")
+    service.calls[-1].on_line(service.calls[-1], b"")
     assert service.told == [(ListKind.UPDATE, [])]
 
 
 @pytest.mark.parametrize("said", [b"{", b"[1]", b'{"rev":9}', b"\xff"])
 def test_a_watch_that_cannot_be_read_has_failed(service, said):
-    service.discovery.observe(True)
-    service.calls[-1].piece(service.calls[-1], said)
+    service.discovery.watch_endpoints(True)
+    service.calls[-1].on_line(service.calls[-1], said)
     assert (
         service.told == [WatchFailed()]
         and service.calls[-1].end is ConnectionEnd.UNREADABLE
-        and service.listing.version == 5
+        and service.registry.version == 5
     )
 
 
@@ -169,25 +173,25 @@
     ],
 )
 def test_each_failed_call_has_one_answer_and_the_list_holds(service, purpose, end):
-    service.discovery.observe(True) if purpose == "observe" else service.discovery.fetch()
+    service.discovery.watch_endpoints(True) if purpose == "observe" else service.discovery.fetch()
     service.calls[-1].close(end)
-    assert service.told == [WatchFailed()] and list(service.listing.entries) == [0]
+    assert service.told == [WatchFailed()] and list(service.registry.entries) == [0]
 
 
 def test_a_new_watch_takes_the_place_of_the_old_in_silence(service):
-    service.discovery.observe(True)
-    service.discovery.observe(True)
+    service.discovery.watch_endpoints(True)
+    service.discovery.watch_endpoints(True)
     old, new = service.calls
     old.says(9, target("s-9"))
     assert old.end is ConnectionEnd.SUPERSEDED and service.told == []
     new.says(7)
-    service.discovery.observe(False)
+    service.discovery.watch_endpoints(False)
     assert service.told == [(ListKind.UPDATE, [])] and new.end is ConnectionEnd.SUPERSEDED
 
 
 def test_a_new_address_is_watched_before_the_old_one_is_let_go(service):
     d, old = service.discovery, service.watched()
-    d.move()
+    d.address_changed()
     new = service.calls[-1]
     old.says(7, target("s-3"))  # changes go on at the old one meanwhile
     assert (
@@ -205,49 +209,52 @@
 def test_a_service_with_lower_versions_at_a_new_address_is_followed(service, whole):
     d = service.discovery
     service.watched().close(ConnectionEnd.RESET)
-    d.move()
+    d.address_changed()
     service.calls[-1].says(2, target("s-2"), all=whole)
     if not whole:  # changes since which version of ours can't be told: the next call asks for all
-        d.observe(True)
+        d.watch_endpoints(True)
         assert service.calls[-1].path.endswith("after=0")
         service.calls[-1].says(2, target("s-2"), all=True)
-    assert service.listing.version == 2 and service.told[-1] == (ListKind.REPLACE, [(1, EndpointState.READY)])
+    assert service.registry.version == 2 and service.told[-1] == (
+        ListKind.REPLACE,
+        [(1, EndpointState.READY)],
+    )
 
 
 def test_a_new_address_that_fails_is_asked_again(service):
     d = service.discovery
-    d.observe(True)
+    d.watch_endpoints(True)
     old = service.calls[-1]
-    d.move()
+    d.address_changed()
     service.calls[-1].close(ConnectionEnd.REFUSED)
     assert service.told[-1] == WatchFailed()
     old.close(ConnectionEnd.RESET)
-    d.observe(True)
+    d.watch_endpoints(True)
     assert service.told.count(WatchFailed()) == 1 and len(service.calls) == 3
 
 
 def test_the_former_address_is_heard_until_the_new_one_answers_however_often_it_is_asked(service):
     d, old = service.discovery, service.watched()
-    d.move()
+    d.address_changed()
     service.calls[-1].close(ConnectionEnd.REFUSED)
-    d.observe(True)  # the module asks again
+    d.watch_endpoints(True)  # the module asks again
     old.says(7, target("s-3"))
     assert old.end is None and service.told[-1] == (ListKind.UPDATE, [(2, EndpointState.READY)])
     new = service.calls[-1]
-    new.piece(new, b"<html>")  # no answer
+    new.on_line(new, b"<html>")  # no answer
     assert old.end is None and new.end is ConnectionEnd.UNREADABLE
-    d.observe(True)
-    service.calls[-1].piece(service.calls[-1], b"")
+    d.watch_endpoints(True)
+    service.calls[-1].on_line(service.calls[-1], b"")
     assert old.end is None  # its list is still to come
     service.calls[-1].says(3, target("s-3"), all=True)
-    assert old.end is ConnectionEnd.SUPERSEDED and list(service.listing.entries) == [2]
+    assert old.end is ConnectionEnd.SUPERSEDED and list(service.registry.entries) == [2]
 
 
 def test_a_second_move_keeps_the_watch_that_speaks(service):
     d, first = service.discovery, service.watched()
-    d.move()
+    d.address_changed()
     between = service.calls[-1]
-    d.move()
+    d.address_changed()
     assert (first.end, between.end, service.calls[-1].end) == (None, ConnectionEnd.SUPERSEDED, None)
     first.says(7, target("s-3"))
     assert service.told[-1] == (ListKind.UPDATE, [(2, EndpointState.READY)])
@@ -256,35 +263,35 @@
 def test_lists_from_elsewhere_never_leave_the_pilot_without_a_watch(service):
     """Any list is an answer to the module, which asks no more: so the watch that failed begins by itself."""
     d, old = service.discovery, service.watched()
-    d.move()
+    d.address_changed()
     service.calls[-1].close(ConnectionEnd.REFUSED)
     old.says(7, target("s-3"))
     old.close(ConnectionEnd.CLOSED)
-    assert len(service.calls) == 2 and [RETRY_DELAY / 2 <= wait <= RETRY_DELAY for wait in service.again] == [
-        True
-    ]
-    d.begin_if_due()
-    assert service.calls[-1].purpose == "watch" and service.calls[-1].path.endswith("after=0")
+    assert len(service.calls) == 2 and [
+        RETRY_DELAY_US / 2 <= wait <= RETRY_DELAY_US for wait in service.again
+    ] == [True]
+    d.open_watch_if_due()
+    assert service.calls[-1].path == "/catalog/members?watch=1&after=0"
     service.calls[-1].close(ConnectionEnd.REFUSED)
     d.fetch()
     service.calls[-1].answers(8, target("s-1"))
     assert len(service.again) == 2
-    d.observe(False)
-    d.begin_if_due()
+    d.watch_endpoints(False)
+    d.open_watch_if_due()
     assert d.watch is None
 
 
 def test_what_a_fetch_brings_from_the_address_left_behind_is_not_taken(service):
     d = service.discovery
-    d.observe(True)
+    d.watch_endpoints(True)
     d.fetch()
     fetch = service.calls[-1]
-    d.move()
+    d.address_changed()
     service.calls[-1].says(2, target("s-1"), all=True)
     fetch.answers(50, target("s-2"))
     assert (
-        service.listing.version == 2
-        and list(service.listing.entries) == [0]
+        service.registry.version == 2
+        and list(service.registry.entries) == [0]
         and service.told[-1] == WatchFailed()
     )
 
@@ -293,24 +300,24 @@
 def test_versions_of_a_new_address_that_are_as_high_as_ours_hide_nothing(service, rev):
     """Ours is 5 and says that s-1 is ready; at the new address it drained long before its own version 5."""
     d = service.discovery
-    d.observe(True)
-    service.calls[-1].piece(service.calls[-1], b"")
-    d.move()
+    d.watch_endpoints(True)
+    service.calls[-1].on_line(service.calls[-1], b"")
+    d.address_changed()
     assert service.calls[-1].path.endswith("after=0")
     service.calls[-1].says(rev, target("s-1", state="DRAINING"), target("s-2"))
     assert (
         service.told[-1] == (ListKind.UPDATE, [(0, EndpointState.DRAINING), (1, EndpointState.READY)])
-        and service.listing.version == rev
+        and service.registry.version == rev
     )
 
 
 def test_a_fetch_that_crosses_the_watch(service):
-    service.discovery.observe(True)
+    service.discovery.watch_endpoints(True)
     service.discovery.fetch()
     watch, fetch = service.calls
     watch.says(7, target("s-2"))
     fetch.answers(6, target("s-1"))  # older than what the watch has brought
-    assert service.told[-1] == (ListKind.UPDATE, []) and sorted(service.listing.entries) == [
+    assert service.told[-1] == (ListKind.UPDATE, []) and sorted(service.registry.entries) == [
         0,
         1,
     ]
@@ -318,7 +325,7 @@
     service.calls[-1].answers(9, target("s-2"))  # newer: it removes s-1
     watch.says(8, target("s-1"))  # what the watch says of the time before is old
     assert service.told[-1] == (ListKind.REPLACE, [(1, EndpointState.READY)]) and list(
-        service.listing.entries
+        service.registry.entries
     ) == [1]
     watch.says(10, target("s-3"))
     assert service.told[-1] == (ListKind.UPDATE, [(2, EndpointState.READY)])
@@ -327,10 +334,10 @@
 def test_broken_entries_remove_nothing(service):
     service.discovery.fetch()
     service.calls[-1].answers(6, target("s-1", state="ASLEEP"), target("s-2"))
-    assert sorted(service.listing.entries) == [0, 1] and service.counters["list_entries_broken"] == 1
+    assert sorted(service.registry.entries) == [0, 1] and service.counters["list_entries_broken"] == 1
     service.discovery.fetch()
     service.calls[-1].answers(7, target("s-2"), 5)
-    assert sorted(service.listing.entries) == [0, 1]
+    assert sorted(service.registry.entries) == [0, 1]
 
 
 def test_an_endpoint_listed_twice_counts_once_as_it_was_said_last(service):
@@ -338,7 +345,7 @@
     service.calls[-1].answers(
         6, target("s-1", az="a"), target("s-2"), target("s-1", az="b", state="DRAINING")
     )
-    assert {index: (entry.zone, entry.state) for index, entry in service.listing.entries.items()} == {
+    assert {index: (entry.zone, entry.state) for index, entry in service.registry.entries.items()} == {
         0: (1, EndpointState.DRAINING),
         1: (0, EndpointState.READY),
     }
@@ -349,8 +356,8 @@
     service.discovery.fetch()
     service.calls[-1].answers(4, target("s-2"))
     assert (
-        sorted(service.listing.entries) == [0]
-        and service.listing.version == 5
+        sorted(service.registry.entries) == [0]
+        and service.registry.version == 5
         and service.counters["lists_old"] == 1
     )
     assert service.told == [(ListKind.UPDATE, [])]
@@ -359,19 +366,19 @@
 @pytest.mark.parametrize("whole", [True, False])
 def test_a_registry_restored_from_a_backup_is_followed_once_it_cannot_be_late_any_more(service, whole):
     d = service.discovery
-    d.observe(True)
+    d.watch_endpoints(True)
     service.calls[-1].says(9, target("s-2"))
     service.now += 6 * SECOND
     service.calls[-1].says(3, target("s-1"), all=True)  # as late as lists may be
-    assert service.listing.version == 9 and sorted(service.listing.entries) == [0, 1]
+    assert service.registry.version == 9 and sorted(service.registry.entries) == [0, 1]
     service.now += 25 * SECOND
     service.calls[-1].says(4, target("s-1", state="DRAINING"), all=whole)
     if not whole:  # changes to a list that we do not have: it asks for all
         assert service.calls[-1].end is ConnectionEnd.UNREADABLE and service.told[-1] == WatchFailed()
-        d.observe(True)
+        d.watch_endpoints(True)
         assert service.calls[-1].path.endswith("after=0")
         service.calls[-1].says(4, target("s-1", state="DRAINING"), all=True)
-    assert service.listing.version == 4 and service.told[-1] == (
+    assert service.registry.version == 4 and service.told[-1] == (
         ListKind.REPLACE,
         [(0, EndpointState.DRAINING)],
     )
@@ -380,20 +387,20 @@
 
 
 def test_a_change_of_what_was_never_listed_is_taken_and_its_end_forgotten(service):
-    service.discovery.begin()
+    service.discovery.open_watch()
     service.calls[-1].says(
         6, target("s-9", state="DELETED"), target("s-2", boot_ms=4e12)
     )  # gone; starts in the future
-    assert [e.state for e in service.listing.entries.values()] == [
+    assert [e.state for e in service.registry.entries.values()] == [
         EndpointState.READY
     ] * 2 and not service.counters["list_entries_broken"]
 
 
 def test_a_pushed_list_is_watched_by_the_pilot_itself():
     service = Service(pushed=True)
-    service.discovery.observe(True)
+    service.discovery.watch_endpoints(True)
     assert not service.calls
-    service.discovery.begin()
+    service.discovery.open_watch()
     service.calls[-1].close(ConnectionEnd.RESET)
     assert service.told == [] and service.again
 
@@ -416,14 +423,14 @@
     probe = service.calls[-1]
     probe.body = body
     probe.close(end)
-    assert (probe.path, probe.host) == ("/_load", "127.0.0.1:9") and service.told == [
+    assert (probe.path, probe.address) == ("/_load", "127.0.0.1:9") and service.told == [
         HealthCheckCompleted(*values)
     ]
 
 
 @pytest.mark.parametrize("allowed, told", [(True, [HealthCheckCompleted(7, False, 0, ())]), (False, [])])
 def test_what_cannot_be_probed(service, allowed, told):
-    service.probes.allowed = allowed
+    service.probes.is_allowed = allowed
     service.probes.begin(7)
     assert not service.calls and service.told == told
 
@@ -435,26 +442,31 @@
     def __init__(self, states=("SERVING", "SERVING"), **service):
         settings = decode_settings(SETTINGS)
         settings = settings._replace(service=settings.service._replace(**service))
-        self.counters, self.now, self.out, self.sent = Counters(), 100 * SECOND, [], ProxyTables(2, True)
-        self.listing = EndpointRegistry(lambda: self.now, self.sent.has_endpoint)
-        self.listing.update(
+        self.counters, self.now, self.out, self.proxy_tables = (
+            Counters(),
+            100 * SECOND,
+            [],
+            ProxyTables(2, True),
+        )
+        self.registry = EndpointRegistry(lambda: self.now, self.proxy_tables.has_endpoint)
+        self.registry.update(
             ListKind.REPLACE,
             1,
             [
-                ListedEndpoint(self.listing.index_of(f"s-{n}"), 0, 0, 0, EndpointState.READY, 4.0, 0)
+                ListedEndpoint(self.registry.index_of(f"s-{n}"), 0, 0, 0, EndpointState.READY, 4.0, 0)
                 for n in (1, 2)
             ],
             {},
         )
-        self.rounds = ControlCycle(settings, 7, self.listing, self.sent, self.counters)
-        self.rounds.begin()
+        self.control_cycle = ControlCycle(settings, 7, self.registry, self.proxy_tables, self.counters)
+        self.control_cycle.begin()
         self.run()
 
     def run(self, *news):
         for event in news:
-            self.rounds.hear(event)
+            self.control_cycle.deliver(event)
         self.out = []
-        return self.rounds.run(
+        return self.control_cycle.run(
             self.now, lambda proxy, message, ticket: self.out.append((proxy, message.decode()))
         )
 
@@ -482,7 +494,7 @@
     p.run(join(0, False))
     assert [proxy for proxy, _ in p.out] == [0] and "whole=1" in p.out[0][1]
     p.run(ProxyLeft(0))
-    assert not p.out and not p.rounds.joined
+    assert not p.out and not p.control_cycle.joined
 
 
 def test_what_is_written_beyond_the_charge_is_added_to_the_queue(play):
@@ -490,17 +502,19 @@
     p.run(join(0))
     p.now += 20 * SECOND
     listed = EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),))
-    p.rounds.controller.write = lambda *_: None  # the table keeps the line, so it must be let back later
+    p.control_cycle.controller.write = lambda *_: (
+        None
+    )  # the table keeps the line, so it must be let back later
     p.run(listed)
     assert "out=s-1" in p.out[0][1]
     p.run(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, 0),)))
-    p.rounds.controller.channel.queued_lines = 0.0
-    p.rounds.controller.channel.batches.clear()
-    p.rounds.controller.round = lambda now, news, orders: orders.request_acknowledgement(
+    p.control_cycle.controller.channel.queued_lines = 0.0
+    p.control_cycle.controller.channel.batches.clear()
+    p.control_cycle.controller.round = lambda now, news, orders: orders.request_acknowledgement(
         5, True
     )  # charges nothing
     p.run()
-    assert p.counters["lines_beyond_charge"] == 1 + 3 == p.rounds.controller.channel.queued_lines
+    assert p.counters["lines_beyond_charge"] == 1 + 3 == p.control_cycle.controller.channel.queued_lines
 
 
 def test_an_answer_in_the_round_is_no_part_of_its_charge(play):
@@ -518,7 +532,7 @@
     p = play()
     p.run(join(0, False))
     assert "back=" not in p.out[0][1]
-    p.rounds.controller.channel.record_uncharged_lines(1e6)
+    p.control_cycle.controller.channel.record_uncharged_lines(1e6)
     p.run()
     assert not p.out
     p.now += 2000 * SECOND
@@ -529,7 +543,7 @@
 def test_a_failing_module_starts_over_and_no_half_round_goes_out(play):
     p = play()
     p.run(join(0), join(1))
-    failed = p.rounds.controller
+    failed = p.control_cycle.controller
 
     def fail(now, news, orders):
         orders.set_weight(0, 0, 0)
@@ -538,7 +552,7 @@
     failed.round = fail
     assert p.run(ProxyLeft(1)) is None and not p.out and p.counters["module_failures"] == 1
     calls = p.run()
-    assert p.rounds.controller is not failed and [proxy for proxy, _ in p.out] == [0]
+    assert p.control_cycle.controller is not failed and [proxy for proxy, _ in p.out] == [0]
     assert "whole=1 lines=s-1:" in p.out[0][1] and WatchEndpoints(True) in calls
 
 
@@ -547,16 +561,18 @@
     p = play()
     p.run(join(0), join(1))
     p.now += 5 * SECOND
-    p.rounds.controller.write = lambda *_: None  # the tables keep the line, so the withdrawal has to go out
-    names, p.listing.names = p.listing.names, []  # no message can be made
+    p.control_cycle.controller.write = lambda *_: (
+        None
+    )  # the tables keep the line, so the withdrawal has to go out
+    names, p.registry.names = p.registry.names, []  # no message can be made
     assert (
         p.run(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),)))
         is None
         and not p.out
     )
-    p.listing.names = names
-    p.sent.set_ejected(0, True)  # the new module has heard the list, and bound nobody yet
-    assert [(message.proxy, message.parts[0].ejected) for message in p.sent.take_messages()] == [
+    p.registry.names = names
+    p.proxy_tables.set_ejected(0, True)  # the new module has heard the list, and bound nobody yet
+    assert [(message.proxy, message.parts[0].ejected) for message in p.proxy_tables.take_messages()] == [
         (0, [0]),
         (1, [0]),
     ]
@@ -565,14 +581,14 @@
 def test_a_module_that_starts_over_knows_what_waits_and_gives_no_mark_twice(play):
     p = play()
     p.run(join(0), join(1))
-    channel, waited = p.rounds.controller.channel, p.rounds.controller.channel.unproved_lines()
+    channel, waited = p.control_cycle.controller.channel, p.control_cycle.controller.channel.unproved_lines()
     assert waited
-    p.rounds.controller.follow_list = lambda orders: (
+    p.control_cycle.controller.follow_list = lambda orders: (
         channel.charge([0], 50) or 1 / 0
     )  # half a round is charged
     assert p.run(EndpointsListed(ListKind.UPDATE, ())) is None
     assert (
-        p.rounds.controller.channel is channel
+        p.control_cycle.controller.channel is channel
         and channel.unproved_lines() == waited
         and not channel.cycle_charges
     )
@@ -622,26 +638,24 @@
 def begun():
     loop = Loop()
     pilot = ControlPlaneServer(GOOD, loop, lambda: loop.now)
-    pilot.rounds.begin()
-    pilot.ready = True
-    pilot.round()
-    pilot.arm()
+    pilot.cycle_scheduler.start()
+    pilot.timers.arm()
     return pilot, loop
 
 
 def test_news_wait_for_the_tick_and_go_in_one_call(begun):
     pilot, loop = begun
     loop.play(1)
-    played, seen = [], pilot.rounds.controller.round
-    pilot.rounds.controller.round = lambda now, news, orders: (
+    played, seen = [], pilot.control_cycle.controller.round
+    pilot.control_cycle.controller.round = lambda now, news, orders: (
         played.append((now, sum(isinstance(event, DemandReport) for event in news))),
         seen(now, news, orders),
     )
     for _ in range(4):
-        pilot.news(DemandReport(1, 0, 5, 0, SECOND))
+        pilot.publish(DemandReport(1, 0, 5, 0, SECOND))
     loop.play(0.0)
     for _ in range(3):
-        pilot.news(DemandReport(1, 0, 5, 0, SECOND))
+        pilot.publish(DemandReport(1, 0, 5, 0, SECOND))
     loop.play(0.1)
     assert [n for _, n in played[:2]] == [4, 3] and 4000 <= played[1][0] - played[0][0] < 4100
 
@@ -652,17 +666,17 @@
     Where none comes there is none to wait for, and news need not wait for it."""
     pilot, loop = begun
     loop.play(1)
-    began, seen = [], pilot.rounds.controller.round
+    began, seen = [], pilot.control_cycle.controller.round
 
     def long(now, news, orders):
         began.append(now)
         seen(now, news, orders)
         loop.now += 30_000
 
-    pilot.rounds.controller.round = long
+    pilot.control_cycle.controller.round = long
     for n in range(40):
         pilot.counters["accepted"] += come
-        pilot.news(DemandReport(1, 0, 5, 0, SECOND))
+        pilot.publish(DemandReport(1, 0, 5, 0, SECOND))
         loop.play(0.005)
     assert len(began) > 2 and all(apart <= b - a < apart + 8000 for a, b in zip(began, began[1:]))
 
@@ -671,14 +685,14 @@
     pilot, loop = begun
     loop.play(1)
     woken = []
-    pilot.rounds.controller.round = lambda now, news, orders: (
+    pilot.control_cycle.controller.round = lambda now, news, orders: (
         woken.extend((now, event.key) for event in news if isinstance(event, TimerExpired)),
         [orders.start_timer(now - 5, "past"), orders.start_timer(now + 50_000, "soon")]
         if not woken
         else None,
     )
     start = loop.now
-    pilot.news(DemandReport(1, 0, 5, 0, SECOND))
+    pilot.publish(DemandReport(1, 0, 5, 0, SECOND))
     loop.play(0.2)
     assert [key for _, key in woken if key != "step"] == ["past", "soon"]
     assert woken[0][0] >= start + 4000 and dict((k, t) for t, k in woken)["soon"] >= start + 50_000
@@ -686,19 +700,21 @@
 
 def test_a_deadline_that_fails_stops_no_other(begun):
     pilot, loop = begun
-    pilot.set_deadline(("silent",), loop.now + 10)  # names no slot
-    pilot.set_deadline(("wake", 0, "mine"), loop.now + 20)
+    pilot.timers.set(ConnectionTimeout(None), loop.now + 10)  # names no connection
+    pilot.timers.set(ControllerTimer(0, "mine"), loop.now + 20)
     loop.play(1)
     assert pilot.counters["deadlines_failed"] == 1 and pilot.counters["rounds"] > 2
 
 
 def test_a_reload_moves_discovery_and_loses_nothing(begun):
     pilot, loop = begun
-    pilot.news(ProxyJoined(1, 0, 10.0, True))
-    pilot.news(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, 0),)))
-    pilot.listing.index_of("s-1")
+    pilot.publish(ProxyJoined(1, 0, 10.0, True))
+    pilot.publish(
+        EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, 0),))
+    )
+    pilot.registry.index_of("s-1")
     loop.play(0.1)
-    controller, messages = pilot.rounds.controller, pilot.counters["messages_sent"]
+    controller, messages = pilot.control_cycle.controller, pilot.counters["messages_sent"]
     texts = [
         ConfigurationError("expected JSON"),
         ConfigurationError("expected JSON"),
@@ -711,12 +727,16 @@
             raise said
         return said
 
-    pilot.again = again
+    pilot.reloader.read_configuration = again
     pilot.reload()
-    assert pilot.discovery.watch.host == GOOD["discovery"] and pilot.counters["reloads_failed"] == 1
+    assert pilot.registry_client.watch.address == GOOD["discovery"] and pilot.counters["reloads_failed"] == 1
     loop.play(2)  # half written at first, whole in the end
-    assert pilot.discovery.watch.host == "127.0.0.1:99" and pilot.counters["reloads"] == 1 and not texts
-    assert pilot.rounds.controller is controller and list(pilot.sent.proxies) == [1] and messages
+    assert (
+        pilot.registry_client.watch.address == "127.0.0.1:99" and pilot.counters["reloads"] == 1 and not texts
+    )
+    assert (
+        pilot.control_cycle.controller is controller and list(pilot.proxy_tables.proxies) == [1] and messages
+    )
     assert pilot.counters["messages_sent"] == messages and pilot.configuration["limits"] == GOOD["limits"]
 
 
@@ -724,15 +744,15 @@
     """The round asks anew in the same turn in which the old call was due: the new one has the old one's slot."""
     pilot, loop = begun
     loop.play(1)
-    pilot.discovery.observe(True)
-    old, asked = pilot.discovery.watch, []
-    pilot.rounds.controller.round = lambda now, news, orders: (
+    pilot.registry_client.watch_endpoints(True)
+    old, asked = pilot.registry_client.watch, []
+    pilot.control_cycle.controller.round = lambda now, news, orders: (
         asked or asked.append(orders.watch_endpoints(True))
     )
-    pilot.extend(old, 10_000)
-    pilot.set_deadline(("round",), loop.now + 9_000)
+    pilot.outgoing_calls.extend(old, 10_000)
+    pilot.timers.set(ServerDeadline.CONTROL_CYCLE, loop.now + 9_000)
     loop.play(0.1, late=0.05)
-    new = pilot.discovery.watch
+    new = pilot.registry_client.watch
     assert new is not old and old.end is ConnectionEnd.SUPERSEDED and (new.slot, new.end) == (old.slot, None)
     loop.play(10)
     assert new.end is ConnectionEnd.SILENT  # its own deadline holds
@@ -755,14 +775,18 @@
 def test_a_reload_of_another_customers_configuration_changes_nothing(begun, change, told):
     pilot, loop = begun
     before = pilot.configuration
-    pilot.again = lambda: GOOD | {"discovery": "127.0.0.1:99", "settings": SETTINGS | change}
+    pilot.reloader.read_configuration = lambda: (
+        GOOD | {"discovery": "127.0.0.1:99", "settings": SETTINGS | change}
+    )
     with pytest.raises(ConfigurationError, match=told):
-        configuration.renewed(before, pilot.again())
+        configuration.renewed(before, pilot.reloader.read_configuration())
     pilot.reload()
     loop.play(0.01)
     assert pilot.configuration is before
     assert (
-        pilot.counters["reloads_failed"] == 1 and not pilot.counters["reloads"] and not pilot.discovery.moves
+        pilot.counters["reloads_failed"] == 1
+        and not pilot.counters["reloads"]
+        and not pilot.registry_client.address_changes
     )
 
 
@@ -776,13 +800,17 @@
             raise ConfigurationError("expected JSON")
         return GOOD | {"discovery": "127.0.0.1:99"}
 
-    pilot.again = again
+    pilot.reloader.read_configuration = again
     pilot.reload()
     loop.play(0.3)
     pilot.reload()  # a second SIGHUP, and a third that brings the whole file
     pilot.reload()
     loop.play(3)
-    assert len(reads) == 3 and pilot.counters["reloads"] == 1 and ("reload",) not in pilot.deadlines
+    assert (
+        len(reads) == 3
+        and pilot.counters["reloads"] == 1
+        and ServerDeadline.RELOAD not in pilot.timers.deadlines
+    )
 
 
 def test_a_reload_with_more_classes_and_zones_is_the_same_deployments(begun):
@@ -800,14 +828,14 @@
 )
 def test_a_pilot_that_stood_still_reads_before_it_takes_others_for_silent(begun, late, spoke, end):
     pilot, loop = begun
-    pilot.discovery.observe(True)
-    call = pilot.discovery.watch
+    pilot.registry_client.watch_endpoints(True)
+    call = pilot.registry_client.watch
     loop.waiting.clear()
-    pilot.timer = None
-    pilot.deadlines.heap, pilot.deadlines.deadlines = [], {}
-    pilot.set_deadline(("call", call), loop.now + SECOND)
+    pilot.timers.loop_timer = None
+    pilot.timers.deadlines.heap, pilot.timers.deadlines.deadlines = [], {}
+    pilot.timers.set(CallTimeout(call), loop.now + SECOND)
     if spoke:  # its line lay in the socket while the process stood still
-        loop.waiting.append((loop.now + SECOND + 1, lambda: pilot.extend(call, 5 * SECOND)))
+        loop.waiting.append((loop.now + SECOND + 1, lambda: pilot.outgoing_calls.extend(call, 5 * SECOND)))
     loop.play(2 + late, late=late)
     assert call.end is end
 
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -7,6 +7,7 @@
 import json
 import random
 import re
+from types import SimpleNamespace
 
 import pytest
 from conftest import Wire, feed, target
@@ -17,7 +18,9 @@
 from ravenshelf.net.connection_end import ConnectionEnd
 from ravenshelf.policy.events import WatchFailed
 from ravenshelf.process.control_plane import ControlPlaneServer
-from ravenshelf.process.discovery import IDLE_TIMEOUT, RegistryClient
+from ravenshelf.process.cycle_scheduling import CycleScheduler
+from ravenshelf.process.deadline_keys import CallTimeout, ConnectionTimeout, ServerDeadline
+from ravenshelf.process.registry_client import IDLE_TIMEOUT_US, RegistryClient
 from ravenshelf.rules import SECOND
 from standins.world import obeyed
 
@@ -71,24 +74,24 @@
         self.registry = Registry({"s-1": "SERVING", "s-2": "SERVING"}, 4)
         self.registries = {GOOD["discovery"]: self.registry}
         self.pilot = ControlPlaneServer(GOOD, self.loop, lambda: self.loop.now)
-        self.opened, open_call = {}, self.pilot.open_call
-        self.pilot.discovery.open_call = lambda *said: self.open(open_call(*said))
+        self.opened, calls = {}, self.pilot.outgoing_calls
+        self.pilot.registry_client.calls = SimpleNamespace(
+            open=lambda *said: self.open(calls.open(*said)), extend=calls.extend
+        )
         self.watches, self.spoke, self.silent = {}, {}, set()  # by call: its transport; when it last spoke
         self.proxies, self.tables = {}, {}
-        self.pilot.again = lambda: self.pilot.configuration
-        played = self.pilot.rounds.run
-        self.pilot.rounds.run = lambda now, write: (played(now, write), self.take_time())[0]
-        self.pilot.rounds.begin()
-        self.pilot.ready = True
-        self.pilot.round()
-        self.pilot.arm()
+        self.pilot.reloader.read_configuration = lambda: self.pilot.configuration
+        played = self.pilot.control_cycle.run
+        self.pilot.control_cycle.run = lambda now, write: (played(now, write), self.take_time())[0]
+        self.pilot.cycle_scheduler.start()
+        self.pilot.timers.arm()
 
     def open(self, call):
         self.opened[call] = self.spoke[call] = self.loop.now
         done = call.done
 
         def ended(call):
-            if call.end is ConnectionEnd.SILENT and self.loop.now - self.spoke[call] < IDLE_TIMEOUT - 1000:
+            if call.end is ConnectionEnd.SILENT and self.loop.now - self.spoke[call] < IDLE_TIMEOUT_US - 1000:
                 self.wrong.append("a call that had just begun or spoken was ended as silent")
             done(call)
 
@@ -112,7 +115,7 @@
     def accept(self):
         """Answers what is dialled, where the registry there is up."""
         for call in [c for c in self.opened if c.end is None and c not in self.watches]:
-            registry = self.registries[call.host]
+            registry = self.registries[call.address]
             if registry.up:
                 self.watches[call] = Wire()
                 call.connection_made(self.watches[call])
@@ -124,7 +127,7 @@
         number = self.chance.randrange(4)
         if number in self.proxies and self.chance.random() < 0.5:
             self.leave(number)  # else the new stream comes before the old one is seen to end
-        stream = AcceptedConnection(self.pilot.buffers, self.pilot.door)
+        stream = AcceptedConnection(self.pilot.buffers, self.pilot.acceptor)
         stream.connection_made(Wire())
         table, out = self.tables.get(number, ({}, set()))
         self.proxies[number], self.tables[number] = (stream, 0), (table, out)
@@ -149,7 +152,7 @@
         for host, registry in self.registries.items():
             line = registry.change(uid, state)
             for call in self.alive():
-                if call.host == host:
+                if call.address == host:
                     self.say(call, line)
 
     def end_watch(self):
@@ -171,13 +174,13 @@
         self.registry = self.registries[host] = Registry(self.registry.states, rev)
         self.registry.changed = dict.fromkeys(self.registry.states, 1)
         self.registry.up = self.chance.random() < 0.7
-        self.pilot.again = lambda: GOOD | {"discovery": host}
+        self.pilot.reloader.read_configuration = lambda: GOOD | {"discovery": host}
         self.pilot.reload()
 
     def toggle(self):
         self.registry.up = not self.registry.up
         if not self.registry.up:
-            for call in [c for c in self.alive() if self.registries[c.host] is self.registry]:
+            for call in [c for c in self.alive() if self.registries[c.address] is self.registry]:
                 call.connection_lost(None)
 
     def usage(self):
@@ -186,7 +189,7 @@
                 feed(stream, f"RATE proxy={number} class=look tries=5 failed=0 span_ms=1000\r\n".encode())
 
     def close_old(self):
-        for call in [c for c in self.alive() if self.registries[c.host] is not self.registry]:
+        for call in [c for c in self.alive() if self.registries[c.address] is not self.registry]:
             call.connection_lost(None)
 
     def obey(self):
@@ -209,29 +212,33 @@
 
     def owned(self):
         pilot = self.pilot
-        for key in pilot.deadlines.deadlines:
-            if key[0] in ("call", "silent") and key[1].end is not None:
-                self.wrong.append(f"a deadline without an owner: {key[0]}")
-        calls = {c for c in (pilot.discovery.watch, pilot.discovery.former) if c is not None}
-        if set(pilot.calls.items.values()) != calls:
+        for key in pilot.timers.deadlines.deadlines:
+            if isinstance(key, (CallTimeout, ConnectionTimeout)) and key[0].end is not None:
+                self.wrong.append(f"a deadline without an owner: {type(key).__name__}")
+        calls = {
+            c for c in (pilot.registry_client.watch, pilot.registry_client.former_watch) if c is not None
+        }
+        if set(pilot.outgoing_calls.slots.items.values()) != calls:
             self.wrong.append("a call without an owner")
-        if any(c.end is not None for c in pilot.slots.items.values()):
+        if any(c.end is not None for c in pilot.connections.items.values()):
             self.wrong.append("a slot without an owner")
         due = (
-            pilot.rounds.controller.ask_again
-            or ("watch",) in pilot.deadlines
-            or WatchFailed() in pilot.rounds.news
+            pilot.control_cycle.controller.ask_again
+            or ServerDeadline.WATCH in pilot.timers.deadlines
+            or WatchFailed() in pilot.control_cycle.events
         )
-        if pilot.discovery.watch is None and not due:
+        if pilot.registry_client.watch is None and not due:
             self.wrong.append("no watch is open and none is due")
 
     def step(self, what):
         before = [
-            c for c in self.alive() if self.spoke[c] > self.opened[c] or c is self.pilot.discovery.former
+            c
+            for c in self.alive()
+            if self.spoke[c] > self.opened[c] or c is self.pilot.registry_client.former_watch
         ]
         what()
         ours = [c for c in before if c.end is ConnectionEnd.SUPERSEDED]
-        if ours and not self.pilot.discovery.answered:
+        if ours and not self.pilot.registry_client.has_watch_answered:
             self.wrong.append("the only watch that speaks was given up")
         self.obey()
         self.owned()
@@ -287,7 +294,7 @@
         """A drain is heard, and the stop comes before its round."""
         serving = [uid for uid, state in self.registry.states.items() if state == "SERVING"]
         opened = len(self.opened)
-        self.pilot.last_round = self.loop.now + SECOND
+        self.pilot.cycle_scheduler.last_cycle_at = self.loop.now + SECOND
         for call in self.alive():
             self.say(call, self.registry.change(serving[0], "DRAINING"))
         heard = bool(self.alive())
@@ -306,7 +313,11 @@
             if said and not said.endswith("\r\n"):
                 self.wrong.append("a message ends half-way")
         self.loop.play(1)
-        if not self.pilot.stopped.done() or len(self.opened) != opened or self.pilot.calls.items:
+        if (
+            not self.pilot.stopped.done()
+            or len(self.opened) != opened
+            or self.pilot.outgoing_calls.slots.items
+        ):
             self.wrong.append("the stop did not end, or something began after it")
 
 
@@ -316,9 +327,9 @@
     assert Play(seed).run() == []
 
 
-def meet_by_number(pilot, key, now, seen=ControlPlaneServer.meet):
-    if key[0] == "call":
-        call = pilot.calls.get(key[1].number)
+def meet_by_number(pilot, key, now, seen=ControlPlaneServer.handle_deadline):
+    if isinstance(key, CallTimeout):
+        call = pilot.outgoing_calls.slots.get(key.call.number)
         return call.close(ConnectionEnd.SILENT) if call is not None else None
     return seen(pilot, key, now)
 
@@ -336,17 +347,17 @@
         return self.number == other.number
 
 
-def give_up_the_former(discovery, on, seen=RegistryClient.observe):
-    discovery._leave_former()
+def give_up_the_former(discovery, on, seen=RegistryClient.watch_endpoints):
+    discovery._close_former_watch()
     seen(discovery, on)
 
 
 def move_away_from_what_speaks(discovery):
-    discovery.moved, discovery.moves = True, discovery.moves + 1
+    discovery.is_new_address, discovery.address_changes = True, discovery.address_changes + 1
     if discovery.watch is not None:
-        discovery._leave_former()
-        discovery.former, discovery.watch = discovery.watch, None
-    discovery.begin()
+        discovery._close_former_watch()
+        discovery.former_watch, discovery.watch = discovery.watch, None
+    discovery.open_watch()
 
 
 @pytest.mark.parametrize(
@@ -365,20 +376,20 @@
 
         take_expired, set_ = DeadlineQueue.take_expired, DeadlineQueue.set
         monkeypatch.setattr(DeadlineQueue, "take_expired", lambda self, now: list(take_expired(self, now)))
-        monkeypatch.setattr(ControlPlaneServer, "meet", meet_by_number)
-        number = lambda key: (key[0], Numbered(key[1])) if key[0] == "call" else key  # noqa: E731
+        monkeypatch.setattr(ControlPlaneServer, "handle_deadline", meet_by_number)
+        number = lambda key: CallTimeout(Numbered(key.call)) if isinstance(key, CallTimeout) else key  # noqa: E731
         monkeypatch.setattr(DeadlineQueue, "set", lambda self, key, at: set_(self, number(key), at))
         monkeypatch.setattr(DeadlineQueue, "cancel", lambda self, key: self.deadlines.pop(number(key), None))
     elif fault == "the former given up":
-        monkeypatch.setattr(RegistryClient, "observe", give_up_the_former)
+        monkeypatch.setattr(RegistryClient, "watch_endpoints", give_up_the_former)
     elif fault == "moved away from what speaks":
-        monkeypatch.setattr(RegistryClient, "move", move_away_from_what_speaks)
+        monkeypatch.setattr(RegistryClient, "address_changed", move_away_from_what_speaks)
     elif fault == "nobody sees to a watch":
         monkeypatch.setattr(RegistryClient, "_schedule_watch", lambda self: None)
     else:
         monkeypatch.setattr(
-            ControlPlaneServer,
-            "round",
-            lambda self, seen=ControlPlaneServer.round: None if self.stopping else seen(self),
+            CycleScheduler,
+            "run_cycle",
+            lambda self, seen=CycleScheduler.run_cycle: None if self.is_stopping else seen(self),
         )
     assert any(Play(seed).run() for seed in range(400))
