--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -24,7 +24,7 @@
 
     def close(self) -> int:
         self.journal.close()
-        return len(self.journal.map)
+        return len(self.journal.entries)
 
 
 class Sqlite:
--- a/ravenshelf/commands.py
+++ b/ravenshelf/commands.py
@@ -251,12 +251,12 @@
 
 
 def opened(folder: Path, readonly: bool):
+    from ravenshelf.store.errors import DamagedSegmentError
     from ravenshelf.store.journal import Journal
-    from ravenshelf.store.segments import DamagedSegmentError
 
     try:
         if not any(folder.glob("*.segment")):
-            raise DamagedSegmentError(f"{folder}: expected a folder with segments")
+            raise DamagedSegmentError(folder, "expected a folder with segments")
         return Journal(folder, {}, readonly=readonly)
     except (DamagedSegmentError, OSError) as why:
         raise refuse(why) from None
@@ -268,10 +268,10 @@
     journal = opened(folder, True)
     said = {
         "identity": journal.identity,
-        "entries": len(journal.map),
+        "entries": len(journal.entries),
         "segments": len(journal.segments.sizes),
         "octets": sum(journal.segments.sizes.values()),
-        "torn_tail": journal.cut,
+        "torn_tail": journal.torn_tail_bytes,
     }
     if as_json:
         print(json.dumps(said))
@@ -282,7 +282,7 @@
 @store.command()
 def dump(folder: Folder):
     """Every entry, one JSON object a line."""
-    for key, value in opened(folder, True).map.items():
+    for key, value in opened(folder, True).entries.items():
         print(
             json.dumps(
                 {"key": key, "value": value}, default=lambda v: v.hex() if isinstance(v, bytes) else str(v)
@@ -296,7 +296,9 @@
     journal = opened(folder, False)
     before = sum(journal.segments.sizes.values())
     journal.compact()
-    print(f"{before} octets before, {sum(journal.segments.sizes.values())} after, {len(journal.map)} entries")
+    print(
+        f"{before} octets before, {sum(journal.segments.sizes.values())} after, {len(journal.entries)} entries"
+    )
     journal.close()
 
 
--- a/ravenshelf/graphite/outlet.py
+++ b/ravenshelf/graphite/outlet.py
@@ -266,7 +266,7 @@
             number, batches, skipped = outcome
             for lost in skipped:
                 log_events.SPOOL_CORRUPTED(
-                    receiver=self.receiver, bytes=lost.octets, file=f"{lost.file} from {lost.offset}"
+                    receiver=self.receiver, bytes=lost.size_bytes, file=f"{lost.file} from {lost.offset}"
                 )
             self.from_spool[number] = len(batches)
             self.origin.update(dict.fromkeys(batches, number))
--- a/ravenshelf/graphite/spool.py
+++ b/ravenshelf/graphite/spool.py
@@ -12,7 +12,10 @@
 import msgspec
 
 from ravenshelf.graphite.decisions import Batch
-from ravenshelf.store.segments import DamagedSegmentError, Files, Segments, Skipped
+from ravenshelf.store.errors import DamagedSegmentError
+from ravenshelf.store.file_system import FileSystem
+from ravenshelf.store.segment_format import SkippedRange
+from ravenshelf.store.segments import Segments
 
 SEGMENT = 1024 * 1024
 VERSION = 1
@@ -43,7 +46,7 @@
         most: int,
         thread: ThreadPoolExecutor,
         back: Callable[[Callable], None],
-        files: Files | None = None,
+        files: FileSystem | None = None,
     ):
         name = hashlib.sha256(receiver.encode()).hexdigest()[:16]  # a receiver is known by its address
         self.folder, self.most, self.files = folder / name, most, files
@@ -82,7 +85,7 @@
     def read(self, told: Callable) -> None:
         """The oldest segment: `told` gets (number, batches, skipped stretches), None where there is none, or why not."""
 
-        def work() -> tuple[int, list[Batch], list[Skipped]] | None:
+        def work() -> tuple[int, list[Batch], list[SkippedRange]] | None:
             segments = self._open()
             skipped, segments.skipped = segments.skipped, []
             found = segments.oldest()
--- a/ravenshelf/leadership/persistence.py
+++ b/ravenshelf/leadership/persistence.py
@@ -29,7 +29,7 @@
         self, folder: Path, cluster: str, name: str, call_in_loop: Callable[[Callable[[], None]], None]
     ) -> None:
         self.journal = Journal(folder / "leadership", {"cluster": cluster, "member": name})
-        entries: Mapping[Any, Any] = self.journal.map
+        entries: Mapping[Any, Any] = self.journal.entries
         self.votes = {key: tuple(value) for key, value in entries.items() if isinstance(key, int)}
         self.is_voting = VOTING_KEY in entries
         self.incarnation = int(entries.get(INCARNATION_KEY, 0)) + 1
@@ -38,7 +38,7 @@
 
     def has_failed(self) -> bool:
         """Whether the disk takes no more."""
-        return self.journal.failed is not None
+        return self.journal.failure is not None
 
 
 class DurableOutbox:
--- a/ravenshelf/store/__init__.py
+++ b/ravenshelf/store/__init__.py
@@ -1,1 +1,1 @@
-"""What survives a crash: append-only segments with checksums."""
+"""Data that survives a crash: append-only segments with checksums, and a journalled map."""
--- a/ravenshelf/store/journal.py
+++ b/ravenshelf/store/journal.py
@@ -1,66 +1,97 @@
-"""A map that outlives a crash: a snapshot and the changes after it, in segments of checked records.
+"""A map that survives a crash: a snapshot and the changes after it, in segments with checksums.
 
-`append` returns when its changes are on disk (written and synced); from then on they are there after a kill or a
-loss of power. A torn tail of the newest segment is a write that was never answered for, and is cut off. Damage
-anywhere else is refused with file and offset: to go on without what was acknowledged is worse than not to start.
-After a failed sync nothing since the last good one is sure, so the journal takes no more; whoever holds it ends.
+`append` returns when its changes are on disk (written and synced); from then on they are there after a kill
+or a loss of power. A torn tail of the newest segment is a write that was never acknowledged, and is cut
+off. Damage anywhere else is an error with file and offset: to continue without what was acknowledged is
+worse than not to start. After a failed sync nothing since the last good one is certain, so the journal
+takes no more; whoever uses it has to end.
 """
 
 import fcntl
 import os
 from collections.abc import Callable, Iterable, Mapping
+from enum import IntEnum
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple, TypeAlias
 
 import msgspec
 
-from ravenshelf.store.segments import DamagedSegmentError, Files, Segments
+from ravenshelf.store.errors import DamagedSegmentError, JournalFailedError
+from ravenshelf.store.file_system import FileSystem
+from ravenshelf.store.segments import Segments
 
 VERSION = 1
-CHANGE, GONE, IDENTITY, SNAPSHOT, SNAPPED = range(5)  # kinds of record
-SEGMENT = 4 * 1024 * 1024
-COMPACT_AT, COMPACT_RATIO = 1024 * 1024, 4  # octets of changes, and as many times the last snapshot
+SEGMENT_BYTES = 4 * 1024 * 1024
+UNBOUNDED_BYTES = 10**15  # a journal is bounded by compaction, not by dropping segments
+COMPACTION_BYTES = 1024 * 1024  # of changes, before they are compacted
+COMPACTION_RATIO = 4  # and as many times the size of the last snapshot
 
+Entry: TypeAlias = tuple[Any, Any]
+Migration: TypeAlias = Callable[[Any, Any], Entry | None]
 
-class Failed(Exception):
-    """The disk has failed; nothing more is taken."""
 
+class RecordKind(IntEnum):
+    """The kinds of records; their values are stored."""
 
-def encode(kind: int, key: Any = None, value: Any = None, version: int = VERSION) -> bytes:
-    return msgspec.msgpack.encode((kind, version, key, value))
+    CHANGE = 0
+    REMOVAL = 1
+    IDENTITY = 2
+    SNAPSHOT_BEGIN = 3
+    SNAPSHOT_END = 4
+
+
+class JournalRecord(NamedTuple):
+    """A record as it is stored: an array in this order."""
+
+    kind: int
+    version: int
+    key: Any
+    value: Any
+
+
+def encode(kind: RecordKind, key: Any = None, value: Any = None, version: int = VERSION) -> bytes:
+    """The body of a record."""
+    return msgspec.msgpack.encode((int(kind), version, key, value))
 
 
 class Journal:
-    """`identity` says whose it is; a folder of another's is refused by both names. `migrations[v]` turns (key, value)
-    of version v into that of v + 1, or None to let it go."""
+    """The map is `entries`. `torn_tail_bytes` is what was cut off at the start.
+
+    `identity` says whose journal it is; a folder of another's is an error. `migrations[v]` turns (key,
+    value) of version v into that of v + 1, or None to remove it. `readonly`: neither locks nor writes.
+    Raises DamagedSegmentError or OSError.
+    """
 
     def __init__(
         self,
         folder: Path,
         identity: Mapping[str, str],
-        files: Files | None = None,
+        file_system: FileSystem | None = None,
         version: int = VERSION,
-        migrations: Mapping[int, Callable] = {},
+        migrations: Mapping[int, Migration] | None = None,
         readonly: bool = False,
-    ):
-        self.folder, self.identity, self.version = folder, dict(identity), version
-        self.migrations, self.files = migrations, files or Files()
-        self.map: dict[Any, Any] = {}
-        self.failed: str | None = None
-        self.lock: int | None = None
-        self.cut = 0  # octets of a torn tail
-        self.snapshot = self.changes = 0  # octets
+    ) -> None:
+        self.folder = folder
+        self.identity = dict(identity)
+        self.version = version
+        self.migrations = migrations or {}
+        self.entries: dict[Any, Any] = {}
+        self.failure: JournalFailedError | None = None
+        self.torn_tail_bytes = 0
+        self._snapshot_bytes = 0
+        self._change_bytes = 0
+        self._lock_handle: int | None = None
         if readonly and not folder.is_dir():
-            raise DamagedSegmentError(f"{folder}: expected a folder")
+            raise DamagedSegmentError(folder, "expected a folder")
         if not readonly:
             self._lock()
         try:
             self.segments = Segments(
-                folder, 10**15, SEGMENT, self.files, sync=True, strict=True, readonly=readonly
+                folder, UNBOUNDED_BYTES, SEGMENT_BYTES, file_system, sync=True, strict=True, readonly=readonly
             )
             self._recover()
             if not self.segments.sizes and not readonly:
-                self._write([encode(IDENTITY, None, self.identity, self.version)])
+                self._write([self._encoded_identity()])
         except BaseException:
             self._unlock()
             raise
@@ -68,109 +99,132 @@
     # --- start ---
 
     def _lock(self) -> None:
-        """One process a folder; the system lets go of the lock however the process ends."""
+        """One process a folder; the system releases the lock however the process ends."""
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.lock = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
+        self._lock_handle = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
         try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError:
+            fcntl.flock(self._lock_handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except OSError as error:
             self._unlock()
-            raise DamagedSegmentError(f"{self.folder}: in use by another process") from None
+            raise DamagedSegmentError(self.folder, "in use by another process") from error
 
     def _recover(self) -> None:
-        self.cut = sum(lost.octets for lost in self.segments.skipped if lost.torn)
+        skipped = self.segments.skipped
+        self.torn_tail_bytes = sum(damage.size_bytes for damage in skipped if damage.is_torn_tail)
         for number, records in self.segments.all():
-            name, pending = self.segments.path(number).name, None
-            for offset, body in records:
-                kind, version, key, value = self._decode(body, name, offset)
-                if kind == IDENTITY:
-                    self._known(value, name)
-                elif kind == SNAPSHOT:
-                    pending, self.snapshot, self.changes = {}, 0, 0
-                elif kind == SNAPPED:
-                    if pending is None or len(pending) != value:
-                        raise DamagedSegmentError(
-                            f"{name}: a snapshot of {value} entries, {len(pending or ())} found, at {offset}"
-                        )
-                    self.map, pending = pending, None
-                else:
-                    self._apply(self.map if pending is None else pending, kind, version, key, value)
-                    if pending is None:
-                        self.changes += len(body)
-                    else:
-                        self.snapshot += len(body)
-            # a snapshot that was not finished: what it was made from is still there, it counts for nothing
-
-    def _decode(self, body: bytes, name: str, offset: int) -> tuple:
+            self._replay(self.segments.path(number).name, records)
+
+    def _replay(self, file: str, records: Iterable[tuple[int, bytes]]) -> None:
+        """Applies a segment.
+
+        An unfinished snapshot counts for nothing: what it was made from is still there.
+        """
+        snapshot: dict[Any, Any] | None = None
+        for offset, body in records:
+            record = self._decode(body, file, offset)
+            if record.kind == RecordKind.IDENTITY:
+                self._check_identity(record.value, file)
+            elif record.kind == RecordKind.SNAPSHOT_BEGIN:
+                snapshot = {}
+                self._snapshot_bytes = 0
+                self._change_bytes = 0
+            elif record.kind == RecordKind.SNAPSHOT_END:
+                if snapshot is None or len(snapshot) != record.value:
+                    found = len(snapshot or ())
+                    reason = f"a snapshot of {record.value} entries, {found} found, at {offset}"
+                    raise DamagedSegmentError(file, reason, offset)
+                self.entries = snapshot
+                snapshot = None
+            elif snapshot is not None:
+                self._apply(snapshot, record)
+                self._snapshot_bytes += len(body)
+            else:
+                self._apply(self.entries, record)
+                self._change_bytes += len(body)
+
+    def _decode(self, body: bytes, file: str, offset: int) -> JournalRecord:
         try:
             kind, version, key, value = msgspec.msgpack.decode(body)
-        except (msgspec.DecodeError, TypeError, ValueError):
-            raise DamagedSegmentError(f"{name}: expected a record at {offset}") from None
+        except (msgspec.DecodeError, TypeError, ValueError) as error:
+            raise DamagedSegmentError(file, f"expected a record at {offset}", offset) from error
         if version > self.version:
-            raise DamagedSegmentError(
-                f"{name}: a record of version {version} at {offset}, this program knows {self.version}"
-            )
-        return kind, version, tuple(key) if isinstance(key, list) else key, value
+            reason = f"a record of version {version} at {offset}, this program knows {self.version}"
+            raise DamagedSegmentError(file, reason, offset)
+        return JournalRecord(kind, version, tuple(key) if isinstance(key, list) else key, value)
 
-    def _known(self, identity: Mapping[str, str], name: str) -> None:
+    def _check_identity(self, identity: Mapping[str, str], file: str) -> None:
         if identity != self.identity and self.identity:
-            raise DamagedSegmentError(f"{name}: it is {identity}'s, expected {self.identity}'s")
+            raise DamagedSegmentError(file, f"it is {identity}'s, expected {self.identity}'s")
         self.identity = dict(identity)
 
-    def _apply(self, into: dict, kind: int, version: int, key, value) -> None:
-        while version < self.version:
-            moved = self.migrations[version](key, value) if version in self.migrations else (key, value)
-            if moved is None:
+    def _apply(self, entries: dict[Any, Any], record: JournalRecord) -> None:
+        key = record.key
+        value = record.value
+        for version in range(record.version, self.version):
+            migration = self.migrations.get(version)
+            migrated = (key, value) if migration is None else migration(key, value)
+            if migrated is None:
                 return
-            (key, value), version = moved, version + 1
-        if kind == GONE:
-            into.pop(key, None)
+            key, value = migrated
+        if record.kind == RecordKind.REMOVAL:
+            entries.pop(key, None)
         else:
-            into[key] = value
+            entries[key] = value
 
     # --- changes ---
 
-    def append(self, changes: Iterable[tuple[Any, Any]]) -> None:
-        """Puts (key, value) pairs, a value of None takes the key out. All or nothing; returns when they are on disk."""
+    def append(self, changes: Iterable[Entry]) -> None:
+        """Stores (key, value) pairs, all or none; a value of None removes the key. Returns when they are on
+        disk.
+
+        Raises JournalFailedError.
+        """
         changes = list(changes)
         bodies = [
-            encode(GONE if value is None else CHANGE, key, value, self.version) for key, value in changes
+            encode(RecordKind.REMOVAL if value is None else RecordKind.CHANGE, key, value, self.version)
+            for key, value in changes
         ]
         self._write(bodies)
         for key, value in changes:
             if value is None:
-                self.map.pop(key, None)
+                self.entries.pop(key, None)
             else:
-                self.map[key] = value
-        self.changes += sum(map(len, bodies))
-        if self.changes > max(COMPACT_AT, COMPACT_RATIO * self.snapshot):
+                self.entries[key] = value
+        self._change_bytes += sum(map(len, bodies))
+        if self._change_bytes > max(COMPACTION_BYTES, COMPACTION_RATIO * self._snapshot_bytes):
             self.compact()
 
     def _write(self, bodies: list[bytes]) -> None:
-        if self.failed:
-            raise Failed(self.failed)
+        if self.failure is not None:
+            raise JournalFailedError(self.folder, self.failure.reason)
         try:
             self.segments.append(bodies)
-        except OSError as why:
-            self.failed = f"{self.folder}: {why.strerror or why}"
-            raise Failed(self.failed) from why
+        except OSError as error:
+            self.failure = JournalFailedError(self.folder, str(error.strerror or error))
+            raise self.failure from error
 
     def compact(self) -> None:
-        """A segment of its own with all that holds; only when it is on disk do the older ones go."""
-        old = list(self.segments.sizes)
+        """Writes a segment with all entries; only when it is on disk are the older ones removed."""
+        outdated = list(self.segments.sizes)
         self.segments.close()
-        bodies = [encode(IDENTITY, None, self.identity, self.version), encode(SNAPSHOT, version=self.version)]
-        entries = [encode(CHANGE, key, value, self.version) for key, value in self.map.items()]
-        self._write(bodies + entries + [encode(SNAPPED, None, len(entries), self.version)])
-        for number in old:
+        begin = [self._encoded_identity(), encode(RecordKind.SNAPSHOT_BEGIN, version=self.version)]
+        entries = [encode(RecordKind.CHANGE, key, value, self.version) for key, value in self.entries.items()]
+        end = encode(RecordKind.SNAPSHOT_END, None, len(entries), self.version)
+        self._write([*begin, *entries, end])
+        for number in outdated:
             self.segments.drop(number)
-        self.snapshot, self.changes = sum(map(len, entries)), 0
+        self._snapshot_bytes = sum(map(len, entries))
+        self._change_bytes = 0
+
+    def _encoded_identity(self) -> bytes:
+        return encode(RecordKind.IDENTITY, None, self.identity, self.version)
 
     def close(self) -> None:
+        """Closes the files and releases the lock."""
         self.segments.close()
         self._unlock()
 
     def _unlock(self) -> None:
-        if self.lock is not None:
-            os.close(self.lock)
-            self.lock = None
+        if self._lock_handle is not None:
+            os.close(self._lock_handle)
+            self._lock_handle = None
--- a/ravenshelf/store/segments.py
+++ b/ravenshelf/store/segments.py
@@ -1,258 +1,226 @@
-"""Append-only segments of checked records in one folder: bounded, repaired at the tail, read oldest first.
+"""Append-only segments in one folder: bounded, repaired at the tail, read oldest first.
 
-A segment is a file `NUMBER.segment`: a head (magic, version), then records of a head (size, xxh64 of size and body)
-and a body. What is wrong at the end of the last one is a torn tail and is cut off; what is wrong elsewhere is
-skipped to the next record that is whole and told with its file and offset. All calls block: they belong on a
-thread of their own. `files` stands for the file system, so that tests can make it fail.
+A segment is a file `NUMBER.segment` (`segment_format`). What is invalid at the end of the last one is a
+torn tail and is cut off; what is invalid elsewhere is skipped up to the next valid record, and reported
+with its file and offset. All calls block: they belong on a thread of their own.
 """
 
-import os
-import struct
-from dataclasses import dataclass
+import errno
 from pathlib import Path
 
-import xxhash
+from ravenshelf.store.errors import DamagedSegmentError
+from ravenshelf.store.file_system import FileSystem
+from ravenshelf.store.segment_format import (
+    SkippedRange,
+    StoredRecord,
+    pack,
+    segment_header,
+    unpack,
+)
 
-from ravenshelf.errors import RavenshelfError
+SUFFIX = ".segment"
 
-HEAD, RECORD = struct.Struct("<8sI"), struct.Struct("<4sIQ")
-MAGIC, MARK, VERSION = b"rvnsegs\0", b"\xf5rec", 1
-MOST_RECORD = 4 * 1024 * 1024
 
+def surplus(sizes: dict[int, int], limit_bytes: int, writing: int | None) -> list[int]:
+    """Which segments to drop so that all fit into the limit: the oldest first, never the one that is written.
 
-class DamagedSegmentError(RavenshelfError):
-    """A folder of segments that can't be used; the text names the file and what was expected."""
-
-
-class Files:
-    """The system calls that a store makes."""
-
-    def open(self, path: Path) -> int:
-        return os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
-
-    def write(self, handle: int, data: bytes) -> int:
-        return os.write(handle, data)
-
-    def sync(self, handle: int) -> None:
-        os.fsync(handle)
-
-    def truncate(self, handle: int, size: int) -> None:
-        os.ftruncate(handle, size)
-
-    def close(self, handle: int) -> None:
-        os.close(handle)
-
-    def sync_folder(self, folder: Path) -> None:
-        """A new file's name is on disk only once its folder is."""
-        handle = os.open(folder, os.O_RDONLY)
-        try:
-            os.fsync(handle)
-        finally:
-            os.close(handle)
-
-    def remove(self, path: Path) -> None:
-        path.unlink(missing_ok=True)
-
-    def read(self, path: Path) -> bytes:
-        return path.read_bytes()
-
-
-@dataclass(frozen=True, slots=True)
-class Skipped:
-    """A stretch that holds no whole record."""
-
-    file: str
-    offset: int
-    octets: int
-    torn: bool  # at the very end of the newest segment: a write that was cut off
-
-
-def pack(body: bytes) -> bytes:
-    if len(body) > MOST_RECORD:
-        raise ValueError(f"a record of {len(body)} octets, at most {MOST_RECORD} expected")
-    return RECORD.pack(MARK, len(body), _sum(body)) + body
-
-
-def _sum(body: bytes) -> int:
-    return xxhash.xxh64_intdigest(body, seed=len(body))
-
-
-def unpack(data: bytes, file: str, newest: bool) -> tuple[list[tuple[int, bytes]], list[Skipped]]:
-    """Records as (offset, body), and what had to be skipped. Pure."""
-    if len(data) < HEAD.size and newest:
-        return [], [Skipped(file, 0, len(data), True)] if data else []
-    if len(data) < HEAD.size or data[:8] != MAGIC:
-        raise DamagedSegmentError(f"{file}: expected a segment, not {data[:8]!r}")
-    if (version := HEAD.unpack_from(data)[1]) != VERSION:
-        raise DamagedSegmentError(f"{file}: expected version {VERSION}, not {version}")
-    records, skipped, at = [], [], HEAD.size
-    while at < len(data):
-        body = _record(data, at)
-        if body is not None:
-            records.append((at, body))
-            at += RECORD.size + len(body)
-            continue
-        begin, at = at, data.find(MARK, at + 1)
-        while at >= 0 and _record(data, at) is None:
-            at = data.find(MARK, at + 1)
-        end = at if at >= 0 else len(data)
-        skipped.append(Skipped(file, begin, end - begin, newest and at < 0))
-        at = end
-    return records, skipped
-
-
-def _record(data: bytes, at: int) -> bytes | None:
-    if at + RECORD.size > len(data):
-        return None
-    mark, size, total = RECORD.unpack_from(data, at)
-    if mark != MARK or size > MOST_RECORD or at + RECORD.size + size > len(data):
-        return None
-    body = data[at + RECORD.size : at + RECORD.size + size]
-    return body if _sum(body) == total else None
-
-
-def surplus(sizes: dict[int, int], most: int, writing: int | None) -> list[int]:
-    """Which segments go so that all fit into `most` octets: the oldest first, never the one that is written. Pure."""
-    total, gone = sum(sizes.values()), []
+    `sizes` are the bytes of each segment by its number. Pure.
+    """
+    total = sum(sizes.values())
+    dropped = []
     for number in sorted(sizes):
-        if total <= most or number == writing:
+        if total <= limit_bytes or number == writing:
             break
         total -= sizes[number]
-        gone.append(number)
-    return gone
+        dropped.append(number)
+    return dropped
 
 
 class Segments:
-    """`append` returns once all is written (and synced, where asked for); what it returned from is there after a
-    kill. A write that fails leaves the segment as it was before. `strict`: damage that is no torn tail is refused;
-    `readonly`: nothing is repaired or written."""
+    """A folder of segments.
+
+    `append` returns once all is written (with `sync`: on disk); what it returned from is there after a
+    kill. A write that fails leaves the segment as it was before. Beyond `size_limit_bytes` the oldest
+    segments are dropped; a segment ends at `segment_bytes`. `strict`: damage that is no torn tail raises
+    DamagedSegmentError. `readonly`: nothing is repaired or written.
+    """
 
     def __init__(
         self,
         folder: Path,
-        most: int,
-        segment: int,
-        files: Files | None = None,
+        size_limit_bytes: int,
+        segment_bytes: int,
+        file_system: FileSystem | None = None,
         sync: bool = False,
         strict: bool = False,
         readonly: bool = False,
-    ):
-        self.folder, self.most, self.segment, self.sync = folder, most, segment, sync
-        self.strict, self.readonly = strict, readonly
-        self.files = files or Files()
+    ) -> None:
+        self.folder = folder
+        self.size_limit_bytes = size_limit_bytes
+        self.segment_bytes = segment_bytes
+        self.sync = sync
+        self.strict = strict
+        self.readonly = readonly
+        self.file_system = file_system or FileSystem()
+        self.skipped: list[SkippedRange] = []
+        self.dropped_records = 0  # removed unread to stay within the limit
+        self.counts: dict[int, int] = {}  # records, by segment
+        self.sizes: dict[int, int] = {}  # bytes, by segment
+        self._handle: int | None = None
+        self._writing: int | None = None  # the segment that is written
+        self._next_number = 1
         folder.mkdir(parents=True, exist_ok=True)
-        self.skipped: list[Skipped] = []
-        self.lost = 0  # records that were removed unread to keep within the bound
-        self.counts: dict[int, int] = {}
-        self.sizes: dict[int, int] = {}
-        self.handle: int | None = None
-        self.writing: int | None = None
         self._recover()
 
     def path(self, number: int) -> Path:
-        return self.folder / f"{number:012}.segment"
+        """The file of a segment."""
+        return self.folder / f"{number:012}{SUFFIX}"
+
+    # --- start ---
 
     def _recover(self) -> None:
-        found = sorted(int(p.stem) for p in self.folder.glob("*.segment") if p.stem.isdigit())
+        found = sorted(int(path.stem) for path in self.folder.glob(f"*{SUFFIX}") if path.stem.isdigit())
         for number in found:
-            data = self.files.read(self.path(number))
-            records, skipped = unpack(data, self.path(number).name, number == found[-1])
-            self.skipped += skipped
-            for lost in skipped if self.strict else ():
-                if not lost.torn:
-                    raise DamagedSegmentError(
-                        f"{lost.file}: {lost.octets} octets from {lost.offset} on are damaged"
-                    )
-            size = len(data)
-            if skipped and skipped[-1].torn and not self.readonly:
-                size = skipped[-1].offset
-                handle = self.files.open(self.path(number))
-                try:
-                    self.files.truncate(handle, size)
-                finally:
-                    self.files.close(handle)
-            self.sizes[number], self.counts[number] = size, len(records)
-            if not records and not self.readonly:
-                self.drop(number)
-        self.next = found[-1] + 1 if found else 1
+            self._recover_segment(number, is_newest=number == found[-1])
+        if found:
+            self._next_number = found[-1] + 1
+
+    def _recover_segment(self, number: int, is_newest: bool) -> None:
+        path = self.path(number)
+        data = self.file_system.read(path)
+        content = unpack(data, path.name, is_newest)
+        self.skipped += content.skipped
+        if self.strict:
+            self._refuse_damage(content.skipped)
+        size = len(data)
+        if content.skipped and content.skipped[-1].is_torn_tail and not self.readonly:
+            size = content.skipped[-1].offset
+            self._cut_off(path, size)
+        self.sizes[number] = size
+        self.counts[number] = len(content.records)
+        if not content.records and not self.readonly:
+            self.drop(number)
+
+    def _refuse_damage(self, skipped: list[SkippedRange]) -> None:
+        for damage in skipped:
+            if not damage.is_torn_tail:
+                raise DamagedSegmentError(
+                    damage.file,
+                    f"{damage.size_bytes} bytes from {damage.offset} on are damaged",
+                    damage.offset,
+                    damage.size_bytes,
+                )
+
+    def _cut_off(self, path: Path, size: int) -> None:
+        handle = self.file_system.open(path)
+        try:
+            self.file_system.truncate(handle, size)
+        finally:
+            self.file_system.close(handle)
 
     def __len__(self) -> int:
         return sum(self.counts.values())
 
+    # --- write ---
+
     def append(self, bodies: list[bytes]) -> None:
+        """Writes records, all or none. Raises OSError."""
         data = b"".join(map(pack, bodies))
-        if self.writing is None or self.sizes[self.writing] + len(data) > self.segment:
-            self._begin()
-        before = self.sizes[self.writing]
+        handle, number = self._segment_for(len(data))
+        size_before = self.sizes[number]
         try:
-            self._write(self.handle, data)
+            self._write(handle, data)
             if self.sync:
-                self.files.sync(self.handle)
+                self.file_system.sync(handle)
         except OSError:
-            self._undo(before)
+            self._undo(handle, size_before)
             raise
-        self.sizes[self.writing] = before + len(data)
-        self.counts[self.writing] += len(bodies)
-        for number in surplus(self.sizes, self.most, self.writing):
-            self.lost += self.counts[number]
-            self.drop(number)
+        self.sizes[number] = size_before + len(data)
+        self.counts[number] += len(bodies)
+        for dropped in surplus(self.sizes, self.size_limit_bytes, self._writing):
+            self.dropped_records += self.counts[dropped]
+            self.drop(dropped)
+
+    def _segment_for(self, size: int) -> tuple[int, int]:
+        """The handle and number of a segment with capacity for so many bytes."""
+        handle = self._handle
+        number = self._writing
+        if handle is None or number is None or self.sizes[number] + size > self.segment_bytes:
+            return self._begin()
+        return handle, number
 
     def _write(self, handle: int, data: bytes) -> None:
-        """A short write is no error: the rest is written again."""
+        """Writes all of it: a short write is no error, the rest is written after it."""
         written = 0
         while written < len(data):
-            count = self.files.write(handle, data[written:])
+            count = self.file_system.write(handle, data[written:])
             if count <= 0:
-                raise OSError(5, "nothing was written")
+                raise OSError(errno.EIO, "nothing was written")
             written += count
 
-    def _begin(self) -> None:
+    def _begin(self) -> tuple[int, int]:
         self.close()
-        number, head = self.next, HEAD.pack(MAGIC, VERSION)
-        handle = self.files.open(self.path(number))
+        number = self._next_number
+        header = segment_header()
+        handle = self.file_system.open(self.path(number))
         try:
-            self._write(handle, head)
+            self._write(handle, header)
         except OSError:
-            self.files.close(handle)
-            self.files.remove(self.path(number))
+            self.file_system.close(handle)
+            self.file_system.remove(self.path(number))
             raise
         if self.sync:
-            self.files.sync_folder(self.folder)
-        self.handle, self.writing, self.next = handle, number, number + 1
-        self.sizes[number], self.counts[number] = len(head), 0
-
-    def _undo(self, size: int) -> None:
-        """What was half written is cut off; where even that fails the segment is left, its end will be skipped."""
+            self.file_system.sync_folder(self.folder)
+        self._handle = handle
+        self._writing = number
+        self._next_number = number + 1
+        self.sizes[number] = len(header)
+        self.counts[number] = 0
+        return handle, number
+
+    def _undo(self, handle: int, size: int) -> None:
+        """Cuts off what was partly written; where that fails too, the segment ends here and its tail is
+        skipped.
+        """
         try:
-            self.files.truncate(self.handle, size)
+            self.file_system.truncate(handle, size)
         except OSError:
             self.close()
 
+    # --- read and drop ---
+
     def oldest(self) -> tuple[int, list[bytes]] | None:
-        """The oldest segment with its records; it is then written to no more. `drop` it when they are done with."""
+        """The number and bodies of the oldest segment with records, which is then written no more.
+
+        `drop` it once they are processed.
+        """
         for number in sorted(self.counts):
             if not self.counts[number]:
                 continue
-            if number == self.writing:
+            if number == self._writing:
                 self.close()
-            records, _ = unpack(self.files.read(self.path(number)), self.path(number).name, True)
-            return number, [body for _, body in records]
+            return number, [record.body for record in self._read(number)]
         return None
 
-    def all(self) -> list[tuple[int, list[tuple[int, bytes]]]]:
-        """Every segment with its records as (offset, body), oldest first."""
-        return [
-            (n, unpack(self.files.read(self.path(n)), self.path(n).name, True)[0]) for n in sorted(self.sizes)
-        ]
+    def all(self) -> list[tuple[int, list[StoredRecord]]]:
+        """Every segment's number and records, oldest first."""
+        return [(number, self._read(number)) for number in sorted(self.sizes)]
+
+    def _read(self, number: int) -> list[StoredRecord]:
+        path = self.path(number)
+        return unpack(self.file_system.read(path), path.name, True).records
 
     def drop(self, number: int) -> None:
-        if number == self.writing:
+        """Removes a segment."""
+        if number == self._writing:
             self.close()
-        self.files.remove(self.path(number))
+        self.file_system.remove(self.path(number))
         self.sizes.pop(number, None)
         self.counts.pop(number, None)
 
     def close(self) -> None:
-        if self.handle is not None:
-            self.files.close(self.handle)
-        self.handle = self.writing = None
+        """Ends the segment that is written; the next record begins another."""
+        if self._handle is not None:
+            self.file_system.close(self._handle)
+        self._handle = None
+        self._writing = None
--- a/tests/store/test_stored_data_of_earlier_versions.py
+++ b/tests/store/test_stored_data_of_earlier_versions.py
@@ -11,7 +11,7 @@
 from ravenshelf.leadership import link, message_codec
 from ravenshelf.leadership.record import Record
 from ravenshelf.store.journal import Journal
-from ravenshelf.store.segments import HEAD, MAGIC, VERSION, pack, unpack
+from ravenshelf.store.segment_format import pack, segment_header, unpack
 from tools.make_stored_fixtures import IDENTITY, MESSAGES, RECORD, play_exchange, write_journal
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -61,16 +61,16 @@
 
 def test_a_journal_of_an_earlier_version_is_continued(journal_folder):
     journal = Journal(journal_folder, IDENTITY)
-    assert journal.map == ENTRIES
+    assert journal.entries == ENTRIES
     journal.append([("after", 1)])
     journal.compact()
     journal.close()
-    assert Journal(journal_folder, IDENTITY).map == ENTRIES | {"after": 1}
+    assert Journal(journal_folder, IDENTITY).entries == ENTRIES | {"after": 1}
 
 
 def test_the_same_changes_give_the_same_segment_files(tmp_path, monkeypatch):
     monkeypatch.setattr(
-        "ravenshelf.store.journal.SEGMENT", None
+        "ravenshelf.store.journal.SEGMENT_BYTES", None
     )  # `write_journal` sets it: restored afterwards
     write_journal(tmp_path / "journal")
     written = {path.name: path.read_bytes() for path in (tmp_path / "journal").iterdir()}
@@ -82,7 +82,7 @@
     data = path.read_bytes()
     records, skipped = unpack(data, path.name, True)
     sound = data[: skipped[0].offset] if skipped else data
-    assert HEAD.pack(MAGIC, VERSION) + b"".join(pack(body) for _, body in records) == sound
+    assert segment_header() + b"".join(pack(body) for _, body in records) == sound
 
 
 def test_a_leadership_record_is_read_and_packs_to_the_same_bytes():
--- a/tests/test_graphite_sockets.py
+++ b/tests/test_graphite_sockets.py
@@ -15,7 +15,7 @@
 from ravenshelf.operator_config.tables import Graphite as Table
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.deadlines import DeadlineQueue
-from ravenshelf.store.segments import Files
+from ravenshelf.store.file_system import FileSystem
 from standins.carbon import Carbon, Close, Reset, Stall, Take, Trickle
 
 START = 1_700_000_000
@@ -294,7 +294,7 @@
 # --- the spool ---
 
 
-class Full(Files):
+class Full(FileSystem):
     full = True
 
     def write(self, handle, data):
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -12,14 +12,15 @@
 
 from ravenshelf.store import journal as journals
 from ravenshelf.store.committer import Committer
-from ravenshelf.store.journal import Failed, Journal
-from ravenshelf.store.segments import DamagedSegmentError, Files
+from ravenshelf.store.errors import DamagedSegmentError, JournalFailedError
+from ravenshelf.store.file_system import FileSystem
+from ravenshelf.store.journal import Journal
 
 ROOT = Path(__file__).resolve().parent.parent
 WHO = {"cluster": "a", "member": "c0"}
 
 
-class Disk(Files):
+class Disk(FileSystem):
     """A file system that loses what was not synced when its power goes, and fails where the test says.
 
     `steps` counts its calls; at `fail_at` one fails, at `lose_at` the power goes in it."""
@@ -94,13 +95,13 @@
     for step in range(1, whole.steps + 1, 2):
         folder, acknowledged = tmp_path / f"{how}{step}", {}
         disk = Disk(**{f"{how}_at": step}, seed=step)
-        with pytest.raises((Failed, OSError)):
+        with pytest.raises((JournalFailedError, OSError)):
             fill(folder, disk, acknowledged)
         if how == "lose":
             disk.lose_power()
         again = Journal(folder, WHO)
-        extra = {k: v for k, v in again.map.items() if acknowledged.get(k) != v}
-        assert all(again.map.get(k, -1) >= v for k, v in acknowledged.items()), step
+        extra = {k: v for k, v in again.entries.items() if acknowledged.get(k) != v}
+        assert all(again.entries.get(k, -1) >= v for k, v in acknowledged.items()), step
         assert len(extra) <= 2  # the one write that was under way may be there
         again.append([("after", 1)])
         again.close()
@@ -119,7 +120,7 @@
         journal.close()
         try:
             again = Journal(tmp_path / str(seed), WHO)
-            lost += again.map != acknowledged
+            lost += again.entries != acknowledged
             again.close()
         except DamagedSegmentError:
             lost += 1
@@ -130,11 +131,11 @@
     disk = Disk()
     journal = Journal(tmp_path, WHO, disk)
     disk.fail_at = disk.steps + 2
-    with pytest.raises(Failed):
+    with pytest.raises(JournalFailedError):
         journal.append([(1, 1)])
-    with pytest.raises(Failed, match=str(tmp_path)):
+    with pytest.raises(JournalFailedError, match=str(tmp_path)):
         journal.append([(2, 2)])
-    assert not journal.map
+    assert not journal.entries
 
 
 def test_a_damaged_middle_is_refused_with_file_and_offset_and_a_torn_tail_is_cut(tmp_path):
@@ -147,12 +148,12 @@
     for at in (200, 400):
         path.write_bytes(data[:at] + bytes([data[at] ^ 255]) + data[at + 1 :])
         with pytest.raises(
-            DamagedSegmentError, match=r"000000000001.segment: \d+ octets from \d+ on are damaged"
+            DamagedSegmentError, match=r"000000000001.segment: \d+ bytes from \d+ on are damaged"
         ):
             Journal(tmp_path, WHO)
     path.write_bytes(data[:-5])
     again = Journal(tmp_path, WHO)
-    assert again.cut and len(again.map) == 9
+    assert again.torn_tail_bytes and len(again.entries) == 9
     again.close()
 
 
@@ -176,26 +177,26 @@
     journal.close()
     moves = {1: lambda k, v: (k, [v]) if k != "gone" else None, 2: lambda k, v: (k, v + ["then"])}
     again = Journal(tmp_path, WHO, version=3, migrations=moves)
-    assert again.map == {"a": [1, "then"]}
+    assert again.entries == {"a": [1, "then"]}
     again.append([("b", [5, "then"])])
     again.compact()
     again.close()
-    assert Journal(tmp_path, WHO, version=3, migrations={}).map == {"a": [1, "then"], "b": [5, "then"]}
+    assert Journal(tmp_path, WHO, version=3, migrations={}).entries == {"a": [1, "then"], "b": [5, "then"]}
 
 
 def test_size_is_bounded_by_what_holds(tmp_path, monkeypatch):
-    monkeypatch.setattr(journals, "COMPACT_AT", 4096)
+    monkeypatch.setattr(journals, "COMPACTION_BYTES", 4096)
     journal = Journal(tmp_path, WHO)
     for n in range(2000):
         journal.append([(n % 5, "v" * 50)])
         assert sum(p.stat().st_size for p in tmp_path.glob("*.segment")) < 16_384
     journal.close()
-    assert len(Journal(tmp_path, WHO).map) == 5
+    assert len(Journal(tmp_path, WHO).entries) == 5
 
 
 def test_a_kill_at_any_moment_leaves_what_was_acknowledged(tmp_path):
     program = (
-        "import sys\nfrom pathlib import Path\nfrom ravenshelf.store import journal\njournal.COMPACT_AT = 3000\n"
+        "import sys\nfrom pathlib import Path\nfrom ravenshelf.store import journal\njournal.COMPACTION_BYTES = 3000\n"
         "j = journal.Journal(Path(sys.argv[1]), {'cluster': 'a', 'member': 'c0'})\n"
         "for n in range(10**6):\n    j.append([(n % 9, n)])\n    print(n, flush=True)\n"
     )
@@ -209,7 +210,7 @@
         rest = [int(line) for line in process.stdout.read().split(b"\n")[:-1] if line]
         process.wait()
         last = rest[-1] if rest else last
-        found = Journal(tmp_path / str(after), WHO).map
+        found = Journal(tmp_path / str(after), WHO).entries
         assert last <= max(found.values()) <= last + 1
         assert sorted(v for v in found.values() if v <= last)[-min(8, last) :] == list(
             range(last - min(8, last) + 1, last + 1)
@@ -223,7 +224,7 @@
     committer.close()
     assert told == [(n, None) for n in range(500)] and committer.batches < 400
     committer.journal.close()
-    assert Journal(tmp_path, WHO).map == {0: 498, 1: 499, 2: 497}
+    assert Journal(tmp_path, WHO).entries == {0: 498, 1: 499, 2: 497}
 
 
 def test_the_commands_verify_dump_and_compact(tmp_path):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -8,7 +8,10 @@
 
 import pytest
 
-from ravenshelf.store.segments import HEAD, DamagedSegmentError, Files, Segments, unpack
+from ravenshelf.store.errors import DamagedSegmentError
+from ravenshelf.store.file_system import FileSystem
+from ravenshelf.store.segment_format import SEGMENT_HEADER, unpack
+from ravenshelf.store.segments import Segments
 
 
 def bodies(store):
@@ -55,7 +58,7 @@
     data[at + 20] ^= 1
     path.write_bytes(data)
     store = Segments(tmp_path, 10**6, 10**5)
-    assert [(s.offset, s.torn) for s in store.skipped] == [(at, False)]
+    assert [(s.offset, s.is_torn_tail) for s in store.skipped] == [(at, False)]
     assert len(bodies(store)) == 5
 
 
@@ -63,12 +66,12 @@
     (tmp_path / "000000000001.segment").write_bytes(b"something else entirely")
     with pytest.raises(DamagedSegmentError, match="000000000001.segment: expected a segment"):
         Segments(tmp_path, 10**6, 10**5)
-    (tmp_path / "000000000001.segment").write_bytes(HEAD.pack(b"rvnsegs\0", 2))
+    (tmp_path / "000000000001.segment").write_bytes(SEGMENT_HEADER.pack(b"rvnsegs\0", 2))
     with pytest.raises(DamagedSegmentError, match="expected version 1, not 2"):
         Segments(tmp_path, 10**6, 10**5)
 
 
-class Failing(Files):
+class Failing(FileSystem):
     """Writes at most `short` octets at a time and none beyond `room`."""
 
     def __init__(self, room=10**9, short=10**9):
@@ -90,7 +93,7 @@
 
 def test_a_full_disk_fails_the_write_and_leaves_what_was_before(tmp_path):
     files = Failing()
-    store = filled(tmp_path, files=files)
+    store = filled(tmp_path, file_system=files)
     for room in range(1, 40, 3):
         files.room = room
         with pytest.raises(OSError):
@@ -107,7 +110,7 @@
     for n in range(100):
         store.append([b"%03d" % n * 30])
         assert sum(p.stat().st_size for p in tmp_path.iterdir()) <= 5000
-    assert store.lost and bodies(store)[-1] == b"099" * 30 and store.lost + 0 < 100
+    assert store.dropped_records and bodies(store)[-1] == b"099" * 30 and store.dropped_records + 0 < 100
 
 
 def test_killed_at_any_moment_what_was_acknowledged_is_there(tmp_path):
--- a/tools/make_stored_fixtures.py
+++ b/tools/make_stored_fixtures.py
@@ -143,7 +143,7 @@
 
 def write_journal(folder: Path) -> None:
     """Several segments, a compaction in between, and a torn tail."""
-    journals.SEGMENT = SMALL_SEGMENT_BYTES
+    journals.SEGMENT_BYTES = SMALL_SEGMENT_BYTES
     journal = Journal(folder, IDENTITY)
     journal.append([("incarnation", 3), ("votes", True)])
     for number in range(30):
