--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -82,7 +82,7 @@
             else:
                 self.gate.submit(proxy, parts, message, ticket)
             if self.tap is not None:
-                self.tap.sent(proxy, parts, ticket)
+                self.tap.on_message(proxy, parts, ticket)
         # not by what waits before and after: answers heard in this round have taken something out of that
         charged = channel.batches[-1].total_lines if channel.batch_number != before else 0.0
         self.counters.add("lines_charged", charged)
