--- /dev/null
+++ b/standins/controllers/shard_orders.py
@@ -0,0 +1,193 @@
+"""What a lease holder does with one of its shards: decides, records and sends orders."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from ravenshelf.leadership.decisions import LeaseState, PackedRecord, Permission
+from ravenshelf.leadership.inheritance import UNLIMITED_LEVEL, InheritedState
+from ravenshelf.leadership.record import Record
+from standins.controllers.parameters import MILLISECOND, SECOND, SHED_LEVEL, Defect, FaultMoment
+from standins.histories import (
+    BindProxy,
+    EjectEndpoint,
+    GrantRetry,
+    Order,
+    ReadmitEndpoint,
+    SetAdmissionLevel,
+)
+
+if TYPE_CHECKING:
+    from standins.controllers.member import SimulatedMember
+
+GROUP = "read"
+RETRY_MODE = 1
+BIND_INTERVAL_US = SECOND
+LEVEL_INTERVAL_US = 100 * MILLISECOND
+LEARNING_US = 3 * SECOND  # after a takeover, until the decisions know the load
+ENCODING_LIMIT_US = 3 * MILLISECOND
+LONG_AGO = -(10**18)
+
+
+class PermittedOrder(NamedTuple):
+    """An order and the permission that it needs."""
+
+    permission: Permission
+    order: Order
+
+
+class WaitingOrder(NamedTuple):
+    """An order that waits until a quorum has the record `seq`."""
+
+    seq: int
+    permission: Permission
+    order: Order
+
+
+class ShardOrders:
+    """Of one shard in one term."""
+
+    def __init__(self, holder: SimulatedMember, shard: int, term: int, packed: PackedRecord) -> None:
+        self.holder = holder
+        self.shard = shard
+        self.term = term
+        self.cluster = holder.cluster
+        self.record = Record.unpack(packed)
+        if self.cluster.has_defect(Defect.RECORD_IGNORED):
+            self.record = Record()
+        self.inherited = InheritedState(holder.clock(), self.record.copy(), self._list_version())
+        self.taken_over_at = holder.clock()
+        self.ejected: set[str] = set()
+        self.level = UNLIMITED_LEVEL
+        self._is_level_ordered = False
+        self.level_seq = 0  # of the record that has the level
+        self._waiting: list[WaitingOrder] = []
+        self._bound_at = LONG_AGO
+        self._level_sent_at = LONG_AGO
+        self._encoded_until = 0
+
+    def _list_version(self) -> int:
+        return self.cluster.endpoint_list.version(self.cluster.scheduler.now - self.holder.list_lag_us)
+
+    def send_orders(self) -> None:
+        """Called at intervals while the member is alive."""
+        now = self.holder.clock()
+        claim = self.holder.member.claims[self.shard]
+        if claim.state not in (LeaseState.HELD, LeaseState.EXPIRED) or claim.term != self.term:
+            return
+        if now - self._bound_at > BIND_INTERVAL_US:
+            self._bound_at = now
+            self._send(0, Permission.REPEAT_ONLY, BindProxy())
+        if claim.state is LeaseState.HELD:
+            self._decide(now)
+        is_level_due = self.level_seq and now - self._level_sent_at > LEVEL_INTERVAL_US
+        if claim.state is LeaseState.HELD and is_level_due:
+            # what is on record already is ordered again and again, as for proxies that connect
+            self._level_sent_at = now
+            self._send(self.level_seq, Permission.FULL, SetAdmissionLevel(GROUP, self.level))
+        waiting = self._waiting
+        self._waiting = []
+        for order in waiting:
+            if claim.committed_seq >= order.seq:
+                self._send(*order)
+            else:
+                self._waiting.append(order)
+
+    # --- decisions ---
+
+    def _decide(self, now: int) -> None:
+        record = self.record.copy()
+        orders = [
+            *self._grant_retries(record),
+            *self._eject_and_readmit(now, record),
+            *self._set_level(now, record),
+        ]
+        if self.cluster.has_defect(Defect.RECORD_AFTER_SENDING):
+            for permission, order in orders:
+                self._send(0, permission, order)
+            orders = []
+        seq = self._write(now, record, has_orders=bool(orders))
+        if seq is None:
+            self._is_level_ordered = False
+            self.ejected = set()
+            return
+        self._waiting += [WaitingOrder(seq, permission, order) for permission, order in orders]
+        if any(isinstance(order, SetAdmissionLevel) for _, order in orders):
+            self.level_seq = seq
+
+    def _write(self, now: int, record: Record, has_orders: bool) -> int | None:
+        """The number of the record that the orders wait for; None: the lease is no longer valid."""
+        member = self.holder.member
+        if record == self.record:
+            return member.claims[self.shard].seq if has_orders else 0
+        seq = member.write_record(now, self.shard, record.pack(), self.holder)
+        if seq is not None:
+            self.record = record
+        return seq
+
+    def _grant_retries(self, record: Record) -> list[PermittedOrder]:
+        orders = []
+        for key in self.cluster.waiting_requests(self.shard):
+            if key not in record.retries:
+                record.retries[key] = 1
+                orders.append(PermittedOrder(Permission.FULL, GrantRetry(key)))
+        return orders
+
+    def _eject_and_readmit(self, now: int, record: Record) -> list[PermittedOrder]:
+        endpoint_list = self.cluster.endpoint_list
+        orders: list[Order] = []
+        version = self._list_version()
+        drained = endpoint_list.drained(version)
+        self.inherited.endpoints_listed(version, endpoint_list.endpoints - drained)
+        drained |= set(self.inherited.drained_at)
+        for endpoint in drained - self.ejected:
+            listed = version if endpoint in endpoint_list.drained(version) else 0
+            record.drained_at[endpoint] = max(listed, record.drained_at.get(endpoint, -1))
+            orders.append(EjectEndpoint(endpoint, record.drained_at[endpoint]))
+        for endpoint in self.ejected - drained:
+            record.drained_at.pop(endpoint, None)
+            orders.append(ReadmitEndpoint(endpoint, version))
+        if (
+            self._bound_at == now
+        ):  # a table that was just bound readmits all that it has and that is not ejected
+            orders += [
+                ReadmitEndpoint(endpoint, version) for endpoint in sorted(endpoint_list.endpoints - drained)
+            ]
+        self.ejected = drained
+        return [PermittedOrder(Permission.REPEAT_ONLY, order) for order in orders]
+
+    def _set_level(self, now: int, record: Record) -> list[PermittedOrder]:
+        wanted = SHED_LEVEL if now - self.taken_over_at > LEARNING_US else UNLIMITED_LEVEL
+        level = self.inherited.limit_level(now, GROUP, wanted)
+        if self._is_level_ordered and level == self.level:
+            return []
+        self._is_level_ordered = True
+        self.level = level
+        record.admission_levels[GROUP] = (level, RETRY_MODE)
+        return [PermittedOrder(Permission.FULL, SetAdmissionLevel(GROUP, level))]
+
+    # --- sending ---
+
+    def _permission(self, seq: int) -> Permission | None:
+        return self.holder.member.permission(self.holder.clock(), self.shard, seq)
+
+    def _send(self, seq: int, needed: Permission, order: Order) -> None:
+        """Encodes an order, which takes a while, and then sends it if that is still permitted."""
+        is_checked_early = self.cluster.has_defect(Defect.LEASE_CHECKED_BEFORE_ENCODING)
+        early = self._permission(seq)
+        self.holder.reach_moment(FaultMoment.ORDER)
+
+        def send_if_permitted() -> None:
+            permission = early if is_checked_early else self._permission(seq)
+            is_permitted = permission is Permission.FULL or (
+                permission is not None and needed is Permission.REPEAT_ONLY
+            )
+            if not is_permitted:
+                return
+            if is_checked_early or self.holder.member.claims[self.shard].term == self.term:
+                self.cluster.deliver(self.holder, self.shard, self.term, needed, order)
+
+        now = self.cluster.scheduler.now
+        encoded_at = now + self.cluster.rng.randrange(ENCODING_LIMIT_US)
+        self._encoded_until = max(self._encoded_until, encoded_at)  # one after another
+        self.cluster.scheduler.call_later(self._encoded_until - now, send_if_permitted, self.holder)
--- a/standins/histories.py
+++ b/standins/histories.py
@@ -1,93 +1,259 @@
-"""Checks what controllers ordered and proxies took, as recorded: the rules of several controllers on one fleet.
+"""Checks what members ordered and proxies obeyed, as recorded: the rules of several members on one fleet.
 
-An event is (time, what, ...); times are true ones, which no controller knows.
+Times of events are seconds of true time, which no member knows.
+"""
 
-    ("left", controller, shard, term, kind, content)     an order left a controller; kind is granting or keeping
-    ("took", proxy, controller, term, content)           a proxy obeyed it
-    ("lost", controller)  ("owner", controller, shard)  ("whole",)
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from enum import Enum
+from typing import Any, NamedTuple, TypeAlias
+
+from ravenshelf.leadership.decisions import Permission
+
+
+class BindProxy(NamedTuple):
+    """A complete table."""
+
+
+class GrantRetry(NamedTuple):
+    """One retry of a request."""
+
+    key: str
+
+
+class EjectEndpoint(NamedTuple):
+    """An endpoint is ejected, for it is drained by this version of the list."""
+
+    endpoint: str
+    list_version: int
+
+
+class ReadmitEndpoint(NamedTuple):
+    """An endpoint is readmitted by this version of the list."""
+
+    endpoint: str
+    list_version: int
+
+
+class SetAdmissionLevel(NamedTuple):
+    """How much of a traffic group is admitted."""
+
+    group: str
+    level: float
+
+
+Order: TypeAlias = BindProxy | GrantRetry | EjectEndpoint | ReadmitEndpoint | SetAdmissionLevel
+
+
+class OrderSent(NamedTuple):
+    """An order has left a member, under this permission."""
+
+    at: float
+    member: int
+    shard: int
+    term: int
+    permission: Permission
+    order: Order
+
+
+class OrderObeyed(NamedTuple):
+    """A proxy has obeyed an order."""
+
+    at: float
+    proxy: int
+    member: int
+    term: int
+    order: Order
+
+
+class LeaseHeld(NamedTuple):
+    """A member holds a shard's lease."""
+
+    at: float
+    member: int
+    shard: int
+
+
+class MemberStopped(NamedTuple):
+    """A member was killed."""
+
+    at: float
+    member: int
 
-Contents: ("bind",), ("try", key), ("out", endpoint, version), ("back", endpoint, version), ("level", group, level).
-"""
 
-from collections.abc import Iterable
+class FaultsEnded(NamedTuple):
+    """All members are alive and connected from here on."""
 
-RULES = ("one granter", "order of terms", "try twice", "drain dropped", "let in at once", "takeover late")
+    at: float
+
+
+HistoryEvent: TypeAlias = OrderSent | OrderObeyed | LeaseHeld | MemberStopped | FaultsEnded
+
+
+class Rule(Enum):
+    """What must hold."""
+
+    SINGLE_LEASE_HOLDER = "a shard has one lease holder at a time"
+    TERMS_ASCEND = "a proxy obeys terms in ascending order"
+    RETRY_ONCE = "a retry is granted once"
+    DRAIN_KEPT = "a drained endpoint is not readmitted by an older list"
+    ADMISSION_STEPS = "a takeover raises an admission level by a step at most"
+    TAKEOVER_IN_TIME = "a shard is taken over in time"
+
+
+class Violation(NamedTuple):
+    """A broken rule."""
+
+    rule: Rule
+    at: float
+    details: str
+
+
+@dataclass(frozen=True, slots=True)
+class TermOfMember:
+    """The highest term seen, and whose it was."""
+
+    term: int
+    member: int
+
+    def is_contradicted_by(self, term: int, member: int) -> bool:
+        """Whether an order is of an earlier term, or of the same term by another member."""
+        return term < self.term or (term == self.term and member != self.member)
+
+
+class HistoryChecker:
+    """Takes the events of a history in order; `violations` has what was broken."""
+
+    def __init__(self, admission_step_limit: float) -> None:
+        self.admission_step_limit = admission_step_limit
+        self.violations: list[Violation] = []
+        self._granted: dict[int, TermOfMember] = {}  # by shard
+        self._obeyed: dict[int, TermOfMember] = {}  # by proxy
+        self._retries: dict[str, tuple[float, int]] = {}  # when and by which member
+        self._drained_by: dict[tuple[int, str], int] = {}  # (proxy, endpoint): version of the list
+        self._levels: dict[tuple[int, str], tuple[int, float]] = {}  # (proxy, group): term, level
+        self._holders: dict[int, int | None] = {}  # by shard
+        self._unheld_since: dict[int, float] = {}  # by shard
+        self._faults_ended_at: float | None = None
+        self._last_at = 0.0
+        self._handlers: dict[type, Callable[[Any], None]] = {
+            OrderSent: self._on_order_sent,
+            OrderObeyed: self._on_order_obeyed,
+            LeaseHeld: self._on_lease_held,
+            MemberStopped: self._on_member_stopped,
+            FaultsEnded: self._on_faults_ended,
+        }
+
+    def add(self, event: HistoryEvent) -> None:
+        """The next event."""
+        self._last_at = event.at
+        self._handlers[type(event)](event)
+
+    def finish(self, takeover_limit_s: float) -> None:
+        """The history ends: shards without a holder must not be without one for longer than this."""
+        if self._faults_ended_at is None:
+            return
+        for shard, since in self._unheld_since.items():
+            if self._last_at - max(since, self._faults_ended_at) > takeover_limit_s:
+                details = f"shard {shard} without a lease holder since {since:.2f}"
+                self._add_violation(Rule.TAKEOVER_IN_TIME, self._last_at, details)
+
+    def _add_violation(self, rule: Rule, at: float, details: str) -> None:
+        self.violations.append(Violation(rule, at, details))
+
+    def _on_order_sent(self, event: OrderSent) -> None:
+        if event.permission is Permission.FULL:
+            granted = self._granted.get(event.shard)
+            if granted is not None and granted.is_contradicted_by(event.term, event.member):
+                details = f"shard {event.shard}: {event.member} in term {event.term} after {granted}"
+                self._add_violation(Rule.SINGLE_LEASE_HOLDER, event.at, details)
+            else:
+                self._granted[event.shard] = TermOfMember(event.term, event.member)
+        if isinstance(event.order, GrantRetry):
+            key = event.order.key
+            if key in self._retries:
+                details = f"{key} by {event.member}, before by {self._retries[key]}"
+                self._add_violation(Rule.RETRY_ONCE, event.at, details)
+            self._retries[key] = (event.at, event.member)
+
+    def _on_order_obeyed(self, event: OrderObeyed) -> None:
+        obeyed = self._obeyed.get(event.proxy, TermOfMember(0, event.member))
+        if obeyed.is_contradicted_by(event.term, event.member):
+            details = f"proxy {event.proxy}: {event.member} in term {event.term} after {obeyed}"
+            self._add_violation(Rule.TERMS_ASCEND, event.at, details)
+        if (event.term, event.member) > (obeyed.term, obeyed.member):
+            obeyed = TermOfMember(event.term, event.member)
+        self._obeyed[event.proxy] = obeyed
+        if isinstance(event.order, EjectEndpoint):
+            self._on_ejected(event.proxy, event.order)
+        elif isinstance(event.order, ReadmitEndpoint):
+            self._on_readmitted(event, event.order)
+        elif isinstance(event.order, SetAdmissionLevel):
+            self._on_level(event, event.order)
+
+    def _on_ejected(self, proxy: int, order: EjectEndpoint) -> None:
+        place = (proxy, order.endpoint)
+        self._drained_by[place] = max(order.list_version, self._drained_by.get(place, -1))
+
+    def _on_readmitted(self, event: OrderObeyed, order: ReadmitEndpoint) -> None:
+        drained_by = self._drained_by.pop((event.proxy, order.endpoint), None)
+        if drained_by is not None and order.list_version <= drained_by:
+            details = (
+                f"proxy {event.proxy}: {order.endpoint} readmitted by list {order.list_version}, "
+                f"drained by {drained_by}"
+            )
+            self._add_violation(Rule.DRAIN_KEPT, event.at, details)
+
+    def _on_level(self, event: OrderObeyed, order: SetAdmissionLevel) -> None:
+        before = self._levels.get((event.proxy, order.group))
+        if before is not None:
+            term, level = before
+            if term != event.term and order.level > level * self.admission_step_limit:
+                details = f"proxy {event.proxy}: {order.group} from {level:g} to {order.level:g}"
+                self._add_violation(Rule.ADMISSION_STEPS, event.at, details)
+        self._levels[event.proxy, order.group] = (event.term, order.level)
+
+    def _on_lease_held(self, event: LeaseHeld) -> None:
+        self._holders[event.shard] = event.member
+        self._unheld_since.pop(event.shard, None)
+
+    def _on_member_stopped(self, event: MemberStopped) -> None:
+        for shard, member in self._holders.items():
+            if member == event.member:
+                self._holders[shard] = None
+                self._unheld_since.setdefault(shard, event.at)
+
+    def _on_faults_ended(self, event: FaultsEnded) -> None:
+        self._faults_ended_at = event.at
+
+
+def check(
+    events: Iterable[HistoryEvent], takeover_limit_s: float, admission_step_limit: float = 2.0
+) -> list[Violation]:
+    """What was broken.
+
+    `takeover_limit_s`: within which every shard has a lease holder once all faults have ended.
+    `admission_step_limit`: the factor by which a level may rise at a takeover.
+    """
+    checker = HistoryChecker(admission_step_limit)
+    for event in events:
+        checker.add(event)
+    checker.finish(takeover_limit_s)
+    return checker.violations
 
 
-def check(events: Iterable[tuple], bound: float, opens: float = 2.0) -> list[tuple[str, float, str]]:
-    """What was broken: (rule, when, words). `bound`: within which every shard has an owner once all is whole.
-    `opens`: a level may rise by so much at a takeover."""
-    broken: list[tuple[str, float, str]] = []
-    granted: dict[int, tuple[int, int]] = {}  # shard: highest term of a granting order, its controller
-    obeyed: dict[int, tuple[int, int]] = {}  # proxy: highest term taken, its controller
-    tries: dict[str, tuple[float, int]] = {}
-    out: dict[tuple[int, str], int] = {}  # (proxy, endpoint): version that drained it
-    levels: dict[tuple[int, str], tuple[int, float]] = {}  # (proxy, group): term, level
-    orphans: dict[int, float] = {}
-    owners: dict[int, int | None] = {}
-    whole_since: float | None = None
-    last = 0.0
+def takeover_times(events: Iterable[HistoryEvent]) -> list[float]:
+    """Seconds from each stop of a member to the next lease holder of each shard that it held."""
+    holders: dict[int, int] = {}
+    stopped_at: dict[int, float] = {}  # by shard
+    times = []
     for event in events:
-        at, what, *rest = event
-        last = at
-        if what == "left":
-            controller, shard, term, kind, content = rest
-            if kind == "granting":
-                had = granted.get(shard)
-                if had is not None and (term < had[0] or (term == had[0] and controller != had[1])):
-                    broken.append(
-                        ("one granter", at, f"shard {shard}: {controller} in term {term} after {had}")
-                    )
-                else:
-                    granted[shard] = (term, controller)
-            if content[0] == "try":
-                if content[1] in tries:
-                    broken.append(
-                        ("try twice", at, f"{content[1]} by {controller}, before by {tries[content[1]]}")
-                    )
-                tries[content[1]] = (at, controller)
-        elif what == "took":
-            proxy, controller, term, content = rest
-            had = obeyed.get(proxy, (0, controller))
-            if term < had[0] or (term == had[0] and controller != had[1]):
-                broken.append(
-                    ("order of terms", at, f"proxy {proxy}: {controller} in term {term} after {had}")
-                )
-            obeyed[proxy] = max(had, (term, controller))
-            if content[0] == "out":
-                out[proxy, content[1]] = max(content[2], out.get((proxy, content[1]), -1))
-            elif content[0] == "back":
-                drained = out.get((proxy, content[1]))
-                if drained is not None and content[2] <= drained:
-                    broken.append(
-                        (
-                            "drain dropped",
-                            at,
-                            f"proxy {proxy}: {content[1]} back by list {content[2]}, drained by {drained}",
-                        )
-                    )
-                out.pop((proxy, content[1]), None)
-            elif content[0] == "level":
-                _, group, level = content
-                before = levels.get((proxy, group))
-                if before is not None and before[0] != term and level > before[1] * opens:
-                    broken.append(
-                        ("let in at once", at, f"proxy {proxy}: {group} from {before[1]:g} to {level:g}")
-                    )
-                levels[proxy, group] = (term, level)
-        elif what == "owner":
-            controller, shard = rest
-            owners[shard] = controller
-            orphans.pop(shard, None)
-        elif what == "lost":
-            for shard, controller in owners.items():
-                if controller == rest[0]:
-                    owners[shard] = None
-                    orphans.setdefault(shard, at)
-        elif what == "whole":
-            whole_since = at
-    if whole_since is not None:
-        for shard, since in orphans.items():
-            if last - max(since, whole_since) > bound:
-                broken.append(("takeover late", last, f"shard {shard} without an owner since {since:.2f}"))
-    return broken
+        if isinstance(event, LeaseHeld):
+            if event.shard in stopped_at:
+                times.append(event.at - stopped_at.pop(event.shard))
+            holders[event.shard] = event.member
+        elif isinstance(event, MemberStopped):
+            for shard, member in holders.items():
+                if member == event.member:
+                    stopped_at.setdefault(shard, event.at)
+    return times
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benchmarks.leases import MODEL_BREAKS, model
+from benchmarks.leases import MODEL_DEFECTS, Day, find_counterexample
 from ravenshelf.leadership import shard_placement
 from ravenshelf.leadership.decisions import TERM_STRIDE, LeaseConfiguration, LeaseState, Member, Permission
 from ravenshelf.leadership.gate import WAITING_LIMIT, RecordRequirements, ShardGate
@@ -18,8 +18,21 @@
     InheritedState,
 )
 from ravenshelf.leadership.record import Record, UnreadableRecordError
-from standins.controllers import BREAKS, ENDS, World, takeovers
-from standins.histories import check
+from standins.controllers import END_US, Defect, SimulatedCluster
+from standins.histories import (
+    BindProxy,
+    EjectEndpoint,
+    FaultsEnded,
+    GrantRetry,
+    LeaseHeld,
+    MemberStopped,
+    OrderObeyed,
+    OrderSent,
+    ReadmitEndpoint,
+    Rule,
+    check,
+    takeover_times,
+)
 
 SECOND = 1_000_000
 BOUND = 6.0
@@ -29,14 +42,13 @@
 
 
 def play(day):
-    seed, count, extreme = day
-    return seed, check(World(seed, count, extreme=extreme).run(), BOUND)
+    return day.seed, check(day.cluster().run(), BOUND)
 
 
 def test_no_schedule_of_faults_breaks_a_rule():
     """500 days of 3, 5 and 7 controllers; on every fourth clocks run apart as far as they may."""
     days = [
-        (seed, count, seed % 4 == 0)
+        Day(seed, count)
         for count, seeds in ((3, range(380)), (5, range(1000, 1100)), (7, range(2000, 2020)))
         for seed in seeds
     ]
@@ -46,52 +58,50 @@
 
 
 def test_a_seed_plays_the_same_day_to_the_last_event():
-    assert World(11, 5).run() == World(11, 5).run()
-    assert World(11, 5).run() != World(12, 5).run()
+    assert SimulatedCluster(11, 5).run() == SimulatedCluster(11, 5).run()
+    assert SimulatedCluster(11, 5).run() != SimulatedCluster(12, 5).run()
 
 
 def test_the_days_are_of_some_use():
     """Faults happen, owners change, and most orders leave: a checker of empty days would find nothing."""
     took = tries = lost = 0
     for seed in range(10):
-        events = World(seed, 3).run()
-        took += sum(e[1] == "owner" for e in events)
-        lost += sum(e[1] == "lost" for e in events)
-        tries += sum(e[1] == "left" and e[6][0] == "try" for e in events)
+        events = SimulatedCluster(seed, 3).run()
+        took += sum(isinstance(event, LeaseHeld) for event in events)
+        lost += sum(isinstance(event, MemberStopped) for event in events)
+        tries += sum(isinstance(event, OrderSent) and isinstance(event.order, GrantRetry) for event in events)
     assert took > 90 and lost > 10 and tries > 400
 
 
 def broken_day(day):
-    seed, name = day
-    wild = {"extreme": True, "drift": 0.2} if name == "drift ignored" else {"extreme": seed % 4 == 0}
-    return seed, bool(check(World(seed, 3, breaks=[name], **wild).run(), BOUND))
+    return day.seed, bool(check(day.cluster().run(), BOUND))
 
 
-def first_found(name, most):
+def first_found(defect, most):
     """The first day on which the checker sees a deliberate break, or None."""
     with Pool() as pool:
         return next(
             (
                 seed
-                for seed, found in pool.imap(broken_day, [(seed, name) for seed in range(most)], 8)
+                for seed, found in pool.imap(broken_day, [Day(seed, 3, defect) for seed in range(most)], 8)
                 if found
             ),
             None,
         )
 
 
-@pytest.mark.parametrize("name", BREAKS)
-def test_each_deliberate_break_is_found(name):
-    assert first_found(name, 1200) is not None
+@pytest.mark.parametrize("defect", Defect, ids=lambda defect: defect.value)
+def test_each_deliberate_break_is_found(defect):
+    assert first_found(defect, 1200) is not None
 
 
 def test_a_kill_alone_is_taken_over_within_a_lease_and_a_little():
     took = []
     for seed in range(12):
-        world = World(seed, 3, faults=False)
-        world.run(6 * SECOND)
-        world.nodes[seed % 3].stop()
-        took += takeovers(world.run(12 * SECOND))
+        cluster = SimulatedCluster(seed, 3, has_faults=False)
+        cluster.run(6 * SECOND)
+        cluster.members[seed % 3].stop()
+        took += takeover_times(cluster.run(12 * SECOND))
     assert len(took) >= 12 and max(took) < 2.5
 
 
@@ -412,32 +422,34 @@
     assert not inherited.is_drained("new")
 
 
+def broken_rules(events, limit):
+    return [violation.rule for violation in check(events, limit)]
+
+
 def test_the_checker_needs_little_to_be_broken():
-    assert [
-        r
-        for r, _, _ in check(
-            [(1.0, "left", 0, 0, 70, "granting", ("bind",)), (2.0, "left", 1, 0, 65, "granting", ("bind",))],
-            1,
-        )
-    ] == ["one granter"]
-    assert [
-        r
-        for r, _, _ in check(
-            [(1.0, "took", 0, 0, 70, ("out", "s", 3)), (2.0, "took", 0, 1, 135, ("back", "s", 3))], 1
-        )
-    ] == ["drain dropped"]
-    assert [
-        r
-        for r, _, _ in check(
-            [(1.0, "owner", 0, 0), (2.0, "lost", 0), (2.5, "whole"), (9.0, "took", 0, 1, 1, ("bind",))], 3
-        )
-    ] == ["takeover late"]
-    assert ENDS > 0
+    granted = [
+        OrderSent(1.0, 0, 0, 70, Permission.FULL, BindProxy()),
+        OrderSent(2.0, 1, 0, 65, Permission.FULL, BindProxy()),
+    ]
+    assert broken_rules(granted, 1) == [Rule.SINGLE_LEASE_HOLDER]
+    drained = [
+        OrderObeyed(1.0, 0, 0, 70, EjectEndpoint("s", 3)),
+        OrderObeyed(2.0, 0, 1, 135, ReadmitEndpoint("s", 3)),
+    ]
+    assert broken_rules(drained, 1) == [Rule.DRAIN_KEPT]
+    unheld = [
+        LeaseHeld(1.0, 0, 0),
+        MemberStopped(2.0, 0),
+        FaultsEnded(2.5),
+        OrderObeyed(9.0, 0, 1, 1, BindProxy()),
+    ]
+    assert broken_rules(unheld, 3) == [Rule.TAKEOVER_IN_TIME]
+    assert END_US > 0
 
 
-@pytest.mark.parametrize("broken", MODEL_BREAKS)
-def test_the_lease_rules_hold_for_all_clocks_and_times_and_each_break_has_a_counterexample(broken):
-    assert model(broken)["found"] == ("unsat" if broken == "none" else "sat")
+@pytest.mark.parametrize("defect", MODEL_DEFECTS, ids=str)
+def test_the_lease_rules_hold_for_all_clocks_and_times_and_each_break_has_a_counterexample(defect):
+    assert find_counterexample(defect)["found"] == ("unsat" if defect is None else "sat")
 
 
 def test_a_lower_level_that_has_left_is_what_a_successor_begins_from():
