--- a/tests/test_controllers.py
+++ b/tests/leadership/test_cluster_processes.py
@@ -19,7 +19,7 @@
 from ravenshelf.operator_config import reading
 from standins.installation import Installation
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 
 def run(test, seconds=90):
--- a/tests/test_journal.py
+++ b/tests/store/test_journal.py
@@ -16,7 +16,7 @@
 from ravenshelf.store.file_system import FileSystem
 from ravenshelf.store.journal import Journal
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 WHO = {"cluster": "a", "member": "c0"}
 
 
