--- /dev/null
+++ b/tests/leadership/test_order_gate.py
@@ -0,0 +1,64 @@
+"""The gate of a shard: which orders wait for the record, and in which order they are sent."""
+
+import pytest
+
+from ravenshelf.leadership.gate import WAITING_LIMIT, RecordRequirements, ShardGate
+from ravenshelf.leadership.record import Record
+
+
+def always(_order):
+    return True
+
+
+def never(_order):
+    return False
+
+
+def messages(orders):
+    return [order.message for order in orders]
+
+
+@pytest.fixture
+def gate():
+    return ShardGate(Record())
+
+
+def test_an_order_that_admits_more_waits_for_the_record_and_later_ones_wait_behind_it(gate):
+    assert not gate.submit(1, "table", RecordRequirements())
+    assert gate.submit(1, "level", RecordRequirements(levels=[("read", 50.0, 1)]))
+    assert not gate.submit(1, "table2", RecordRequirements())
+    assert not gate.submit(2, "other", RecordRequirements())
+    assert messages(gate.take_permitted(0, always)) == ["table", "other"]
+    extended = gate.extended_record({})
+    assert extended.covers("read", 50.0, 1) and not gate.record.admission_levels
+    gate.record_written(extended, 1)
+    assert not gate.take_permitted(0, always)
+    assert messages(gate.take_permitted(1, always)) == ["level", "table2"]
+    # no more than is on record
+    assert not gate.submit(1, "again", RecordRequirements(levels=[("read", 40.0, 1)]))
+    assert gate.take_permitted(1, always) and not len(gate)
+
+
+def test_an_order_without_permission_holds_up_later_ones_until_a_later_term(gate):
+    gate.submit(1, "a", RecordRequirements())
+    gate.submit(1, "b", RecordRequirements(drains=[("s", 4)]))
+    assert gate.take_permitted(0, never) == [] and len(gate) == 2
+    assert gate.begin_term(Record())  # the new term's record lacks the drain
+    gate.record_written(gate.extended_record({}), 2)
+    assert messages(gate.take_permitted(2, always)) == ["a", "b"] and gate.record.drained_at == {"s": 4}
+    assert gate.end_drains(["s"]) and not gate.record.drained_at and not gate.end_drains(["s"])
+
+
+def test_a_proxy_with_too_many_waiting_orders_is_marked_as_overflowed(gate):
+    for number in range(WAITING_LIMIT + 1):
+        gate.submit(1, number, RecordRequirements())
+    assert gate.overflowed == {1} and len(gate) == WAITING_LIMIT
+
+
+def test_a_successor_begins_from_a_lower_level_that_was_sent():
+    gate = ShardGate(Record(admission_levels={"read": (1e6, 2)}))
+    # the record admits more: it is sent at once
+    assert not gate.submit(1, "shed", RecordRequirements(levels=[("read", 40.0, 1)]))
+    sent = gate.take_permitted(0, always)
+    assert gate.lowered_record(sent).admission_levels == {"read": (40.0, 2)}
+    assert gate.lowered_record([]) is None
--- /dev/null
+++ b/tests/leadership/test_shard_records.py
@@ -0,0 +1,47 @@
+"""Records of shards: versions, and bytes that are no record."""
+
+import msgspec
+import pytest
+
+from ravenshelf.leadership.record import Record, UnreadableRecordError
+
+
+def test_a_record_of_a_later_version_keeps_its_unknown_fields():
+    fields = {
+        "v": 3,
+        "tries": {"k": 1},
+        "levels": {"read": [5.0, 1]},
+        "drains": {},
+        "ramps": {},
+        "quotas": {"t": 7},
+    }
+    record = Record.unpack(msgspec.msgpack.encode(fields))
+    record.retries["k2"] = 1
+    packed = msgspec.msgpack.decode(record.pack())
+    assert packed["quotas"] == {"t": 7} and packed["v"] == 3 and set(packed["tries"]) == {"k", "k2"}
+
+
+def test_a_record_of_an_earlier_version_lacks_later_fields():
+    earlier = msgspec.msgpack.encode({"v": 1, "tries": {}, "levels": {}, "drains": {"s": 4}})
+    assert Record.unpack(earlier).drained_at == {"s": 4}
+    assert Record.unpack(earlier).warming_since == {}
+
+
+def test_a_shard_that_nobody_has_held_has_an_empty_record():
+    assert Record.unpack(None) == Record()
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        pytest.param(b"", id="empty"),
+        pytest.param(b"\xc1", id="no msgpack"),
+        pytest.param(b"\x01", id="number"),
+        pytest.param(b"\x80", id="map without version"),
+        pytest.param(b"\x81\xa1v\xa1x", id="version is text"),
+    ],
+)
+def test_bytes_that_are_no_record_raise(data):
+    with pytest.raises(UnreadableRecordError) as raised:
+        Record.unpack(data)
+    assert raised.value.data == data
