--- /dev/null
+++ b/tests/leadership/test_peer_connections.py
@@ -0,0 +1,180 @@
+"""Connections between members: frames, hello, fencing of orders, and settings that can't be used."""
+
+import asyncio
+import contextlib
+import random
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from ravenshelf.leadership import link as links
+from ravenshelf.leadership import message_codec
+from ravenshelf.leadership.adapter import with_term
+from ravenshelf.leadership.service import Leadership
+from ravenshelf.operator_config import reading
+from ravenshelf.operator_config.tables import Leadership as LeadershipTable
+from ravenshelf.state.counters import Counters
+
+TEST_LIMIT_S = 90
+AGREED = [8, 400_000, 3]
+
+
+class FakeTransport:
+    """A transport whose other side says nothing."""
+
+    def get_extra_info(self, name):
+        return None
+
+    def abort(self):
+        pass
+
+    def write(self, data):
+        pass
+
+
+def new_link(leadership):
+    link = leadership.connections.make_link()
+    link.connection_made(FakeTransport())
+    return link
+
+
+@pytest.fixture
+def run_with_leadership(tmp_path):
+    """Runs a test in a loop with the member c0 of three."""
+    table = LeadershipTable(
+        name="c0",
+        cluster="loopback",
+        shards=8,
+        lease_ms=400,
+        members={"c0": "127.0.0.1:1", "c1": "127.0.0.1:2", "c2": "127.0.0.1:3"},
+    )
+
+    async def play(test):
+        loop = asyncio.get_running_loop()
+        leadership = Leadership(table, str(tmp_path), loop, Counters(), random.Random(1), lambda reason: None)
+        test(leadership)
+        leadership.store.committer.close()
+        leadership.store.journal.close()
+
+    return lambda test: asyncio.run(asyncio.wait_for(play(test), TEST_LIMIT_S))
+
+
+@pytest.mark.parametrize(
+    "hello, reason",
+    [
+        pytest.param(["hello", 9, "loopback", "c1", 1, AGREED], "expected hello in version", id="version"),
+        pytest.param(["hello", 1, "other", "c1", 1, AGREED], "expected cluster loopback", id="cluster"),
+        pytest.param(["hello", 1, "loopback", "c7", 1, AGREED], "expected another of", id="unknown name"),
+        pytest.param(["hello", 1, "loopback", "c0", 1, AGREED], "expected another of", id="own name"),
+        pytest.param(
+            ["hello", 1, "loopback", "c1", 1, [9, 400_000, 3]],
+            "expected shards, lease and members",
+            id="agreed settings",
+        ),
+        pytest.param(["hello"], "expected hello", id="incomplete"),
+        pytest.param(["renew", 1, [], []], "expected hello", id="another message"),
+    ],
+)
+def test_a_connection_that_is_no_members_is_rejected_with_the_reason(run_with_leadership, hello, reason):
+    def test(leadership):
+        connections = leadership.connections
+        link = new_link(leadership)
+        assert reason in connections.hello_received(link, hello)
+        assert connections.hello_received(link, ["hello", 1, "loopback", "c1", 5, AGREED]) is None
+        earlier = new_link(leadership)
+        rejected = connections.hello_received(earlier, ["hello", 1, "loopback", "c1", 4, AGREED])
+        assert "incarnation 5 or later" in rejected
+
+    run_with_leadership(test)
+
+
+@given(st.lists(st.binary(max_size=40)), st.integers(1, 9))
+@settings(max_examples=150, deadline=None)
+def test_frames_are_complete_however_they_are_split(bodies, size):
+    data = b"".join(links.frame(["m", body]) for body in bodies)
+    frames = links.Frames()
+    received = []
+    for start in range(0, len(data), size):
+        received += frames.feed(data[start : start + size])
+    assert received == [["m", body] for body in bodies]
+
+
+@given(st.binary(max_size=60))
+@settings(max_examples=150, deadline=None)
+def test_bytes_that_are_no_frames_raise_or_are_waited_for(data):
+    with contextlib.suppress(ValueError):
+        assert all(isinstance(message, list) for message in links.Frames().feed(data))
+
+
+@pytest.mark.parametrize(
+    "message",
+    [
+        pytest.param(["unknown"], id="unknown kind"),
+        pytest.param(["hello", 1], id="hello after the first"),
+        pytest.param(["probe"], id="missing field"),
+        pytest.param(["probe", [1], 2], id="additional field"),
+        pytest.param(["write", [[0, 1, 2]]], id="incomplete record"),
+        pytest.param(["renew", "x", [], [1.0, False, 0]], id="type of a field"),
+    ],
+)
+def test_a_list_that_is_no_message_raises(message):
+    with pytest.raises(message_codec.MalformedMessageError) as raised:
+        message_codec.decode(message)
+    assert raised.value.message == message
+
+
+def test_an_order_has_its_term_first():
+    order = with_term(b"CONFIG whole=1 lines=a:1\r\n", 130)
+    assert order == b"CONFIG term=130 whole=1 lines=a:1\r\n"
+
+
+STORE = {"folder": "f"}
+
+
+@pytest.mark.parametrize(
+    "tables, reason",
+    [
+        pytest.param(
+            {"leadership": {"name": "c9", "cluster": "x", "members": {"c0": "a:1"}}, "store": STORE},
+            "expected one of members",
+            id="name is no member",
+        ),
+        pytest.param(
+            {"leadership": {"name": "c0", "cluster": "x", "members": {"c0": "a"}}, "store": STORE},
+            "expected host:port",
+            id="address without port",
+        ),
+        pytest.param(
+            {"leadership": {"name": "c0", "members": {"c0": "a:1"}}, "store": STORE},
+            "cluster: found nothing",
+            id="no cluster",
+        ),
+        pytest.param(
+            {"leadership": {"name": "c0", "cluster": "x", "members": {"c0": "a:1"}}},
+            "[store] folder: found nothing",
+            id="no store",
+        ),
+        pytest.param(
+            {
+                "leadership": {"name": "c0", "cluster": "x", "members": {"c0": "a:1", "c1": "a:1"}},
+                "store": STORE,
+            },
+            "own",
+            id="address used twice",
+        ),
+        pytest.param(
+            {
+                "leadership": {"name": "c0", "cluster": "x", "members": {"c0": "a:1"}, "key": "k"},
+                "store": STORE,
+            },
+            "together",
+            id="key without certificate",
+        ),
+    ],
+)
+def test_an_unusable_leadership_table_is_rejected_with_the_reason(tables, reason):
+    with pytest.raises(reading.OperatorConfigurationError) as raised:
+        reading.check(tables, "f")
+    assert reason in str(raised.value)
+    assert "f: " in str(raised.value)  # the file
