--- /dev/null
+++ b/tests/leadership/test_cluster_processes.py
@@ -0,0 +1,202 @@
+"""Members as processes, over sockets: killed, paused, without a quorum, administered, with certificates."""
+
+import asyncio
+import json
+import signal
+import ssl
+import subprocess
+import sys
+import time
+from pathlib import Path
+
+import pytest
+from certificates import issue_certificates
+
+from ravenshelf.leadership import link as links
+from standins.installation import Installation
+
+ROOT = Path(__file__).resolve().parents[2]
+TEST_LIMIT_S = 90
+SETTLED_LIMIT_S = 30
+
+
+def run(test):
+    return asyncio.run(asyncio.wait_for(test, TEST_LIMIT_S))
+
+
+def check_terms(obeyed):
+    """No proxy obeys an earlier term, nor two members in one."""
+    latest = {}
+    for proxy, member, term in obeyed:
+        assert term >= latest.get(proxy, (0, 0))[0]
+        assert term != latest.get(proxy, (0, 0))[0] or member == latest[proxy][1]
+        latest[proxy] = (term, member)
+
+
+def is_ejected_everywhere(installation, endpoint):
+    return all(endpoint in proxy.out or endpoint not in proxy.table for proxy in installation.proxies)
+
+
+async def take_over_a_killed_member(installation):
+    """A third of the fleet drains at the same time."""
+    shards = installation.shards_of("c0")
+    drained = {"s-0", "s-4", "s-8", "s-11"}
+    for endpoint in sorted(drained):
+        await installation.discovery.change(endpoint, "DRAINING")
+    await installation.kill("c0")
+    assert await installation.until(lambda: not installation.shards_of("c0") & shards, 15) < 5
+    await installation.until(
+        lambda: not any(drained & (proxy.table.keys() - proxy.out) for proxy in installation.proxies), 5
+    )
+    for endpoint in sorted(drained):
+        await installation.discovery.change(endpoint, "SERVING", time.time() * 1000)
+    await installation.run("c0")
+    await installation.until(lambda: installation.settled(12), SETTLED_LIMIT_S)
+
+
+async def take_over_a_paused_member(installation):
+    """When it wakes it has connections that it can write to."""
+    installation.signal("c1", signal.SIGSTOP)
+    await installation.until(lambda: not installation.shards_of("c1"), 15)
+    await installation.discovery.change("s-3", "DRAINING")
+    await installation.until(lambda: is_ejected_everywhere(installation, "s-3"), 10)
+    installation.signal("c1", signal.SIGCONT)
+    await installation.until(lambda: installation.settled(12), SETTLED_LIMIT_S)
+    assert is_ejected_everywhere(installation, "s-3")
+
+
+def test_killed_and_paused_members_are_taken_over_and_no_earlier_term_is_obeyed(tmp_path):
+    async def test():
+        obeyed = []
+        installation = await Installation(tmp_path, 3, 120, lease_ms=600, shards=24).start()
+        for proxy in installation.proxies:
+            proxy.took = lambda proxy, member, term, _fields: obeyed.append((proxy.number, member, term))
+        try:
+            await installation.until(lambda: installation.settled(12), SETTLED_LIMIT_S)
+            await take_over_a_killed_member(installation)
+            await take_over_a_paused_member(installation)
+            check_terms(obeyed)
+        finally:
+            await installation.stop()
+        assert all(process.returncode == 0 for process in installation.processes.values())
+
+    run(test())
+
+
+@pytest.fixture
+def json_logs(tmp_path, monkeypatch):
+    """Members log JSON."""
+    write_files = Installation._files
+
+    def write_files_with_logs(self, name, listen):
+        write_files(self, name, listen)
+        file = tmp_path / f"{name}.toml"
+        file.write_text('[log]\nformat = "json"\n' + file.read_text())
+
+    monkeypatch.setattr(Installation, "_files", write_files_with_logs)
+
+
+@pytest.mark.usefixtures("json_logs")
+def test_without_a_quorum_the_last_member_keeps_binding_and_logs_it(tmp_path):
+    async def test():
+        installation = await Installation(tmp_path, 3, 60, lease_ms=400, shards=8).start()
+        try:
+            await installation.until(lambda: installation.settled(4), SETTLED_LIMIT_S)
+            shards = installation.shards_of("c0")
+            await installation.kill("c1")
+            await installation.kill("c2")
+            await installation.until(
+                lambda: installation.admin("c0", {"ask": "status"})["status"]["alone"], 10
+            )
+            proxy = installation.proxies[min(shards)]
+            proxy.table = {}
+            term = proxy.term
+            proxy.streams[0].transport.abort()  # it connects again, and is bound from what is known
+            await installation.until(lambda: proxy.table, 10)
+            assert proxy.term == term
+            assert '"leadership.quorum_lost"' in (tmp_path / "c0.log").read_text()
+            await installation.run("c1")
+            await installation.until(
+                lambda: all(proxy.table and proxy.owner != 2 for proxy in installation.proxies), 20
+            )
+        finally:
+            await installation.stop()
+
+    run(test())
+
+
+@pytest.fixture
+def certificates(tmp_path, monkeypatch):
+    """Every member has a certificate of the test's authority."""
+    issue_certificates(tmp_path, "c0", "c1", "c2")
+    write_files = Installation._files
+
+    def write_files_with_certificates(self, name, listen):
+        self.extra = (
+            f'certificate = "{tmp_path}/{name}.pem"\nkey = "{tmp_path}/{name}.key"\n'
+            f'authority = "{tmp_path}/ca.pem"'
+        )
+        write_files(self, name, listen)
+
+    monkeypatch.setattr(Installation, "_files", write_files_with_certificates)
+
+
+async def controllers_command(socket, *words):
+    """The exit code and output of `ravenshelf controllers`."""
+    process = await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "ravenshelf",
+        "controllers",
+        *words,
+        "--admin",
+        socket,
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+    )
+    output, errors = await process.communicate()
+    return process.returncode, output.decode() + errors.decode()
+
+
+async def check_that_a_certificate_is_required(address):
+    """Without a certificate of the cluster's authority not even a hello is read."""
+    host, _, port = address.rpartition(":")
+    context = ssl.create_default_context()
+    context.check_hostname = False
+    context.verify_mode = ssl.CERT_NONE
+    with pytest.raises((ssl.SSLError, ConnectionError, asyncio.IncompleteReadError)):
+        reader, writer = await asyncio.open_connection(host, int(port), ssl=context)
+        writer.write(links.frame(["hello", 1, "loopback", "c2", 99, [16, 600_000, 3]]))
+        await reader.readexactly(1)
+        await reader.readexactly(10_000)
+
+
+@pytest.mark.usefixtures("certificates")
+def test_members_are_administered_and_certificates_renewed_in_service(tmp_path):
+    async def test():
+        installation = await Installation(tmp_path, 3, 90, lease_ms=600, shards=16).start()
+        socket = str(tmp_path / "c0.sock")
+        try:
+            await installation.until(lambda: installation.settled(8), SETTLED_LIMIT_S)
+            status = json.loads((await controllers_command(socket, "status", "--json"))[1])
+            assert [member["met"] for member in status["members"]] == [True] * 3
+            assert len(status["shards"]) >= 3
+            assert "incarnation 1" in (await controllers_command(socket, "status"))[1]
+            code, output = await controllers_command(socket, "handover", "--to", "nobody")
+            assert code == 2 and "expected one of c1, c2" in output
+            assert (await controllers_command(socket, "drain"))[0] == 0
+            await installation.until(lambda: not installation.shards_of("c0"), 15)
+            issue_certificates(tmp_path, "c0", "c1", "c2")
+            for name in installation.names:
+                installation.signal(name, signal.SIGHUP)
+            assert (await controllers_command(socket, "drain", "--undo"))[0] == 0
+            await installation.until(lambda: installation.settled(8), 20)
+            await installation.kill("c2")  # a new connection has to use the new certificate
+            await installation.run("c2")
+            await installation.until(lambda: installation.settled(8), SETTLED_LIMIT_S)
+            await check_that_a_certificate_is_required(installation.members["c1"])
+        finally:
+            await installation.stop()
+
+    run(test())
