--- a/benchmarks/graphite.py
+++ b/benchmarks/graphite.py
@@ -192,8 +192,8 @@
 
 async def held(points: int, measurements: int) -> dict:
     """The longest that the loop was held, and what waits in the end, with a receiver that hangs: naive and ours."""
-    from ravenshelf.background.decisions import PRESENT, JobQueue
-    from ravenshelf.background.scheduler import Background
+    from ravenshelf.background.decisions import JobQueue, Priority
+    from ravenshelf.background.scheduler import BackgroundScheduler
     from ravenshelf.graphite.service import GraphiteService
     from ravenshelf.operator_config.tables import Graphite as Table
     from ravenshelf.process.clock import Clock
@@ -236,9 +236,11 @@
     counters, background = Counters(), None
 
     def wake(at: int) -> None:
-        loop.call_later(max(0, at - clock()) / 1e6, background.turn)
+        loop.call_later(max(0, at - clock()) / 1e6, background.run_turn)
 
-    background = Background(JobQueue(256, 2000, 200_000, 5_000_000), clock, wake, lambda: False, counters)
+    background = BackgroundScheduler(
+        JobQueue(256, 2000, 200_000, 5_000_000), clock, wake, lambda: False, counters
+    )
     table = Table(receivers=[carbon.address], buffer_points=3 * points)
     service = GraphiteService(
         table,
@@ -254,7 +256,7 @@
             yield
             service.export(1_700_000_000 + n, 1, made)
 
-        background.offer("figures", PRESENT, 1_000_000, work())
+        background.offer("figures", Priority.PRESENT, 1_000_000, work())
 
     worst = await longest(give)
     exporter = service.exporters[carbon.address]
--- a/ravenshelf/background/__init__.py
+++ b/ravenshelf/background/__init__.py
@@ -1,1 +1,1 @@
-"""Work that is not table lines: its decisions are pure, the scheduler gives them loop time."""
+"""Background jobs: work beside table updates, run in slices on the event loop; their decisions are pure."""
--- a/ravenshelf/background/decisions.py
+++ b/ravenshelf/background/decisions.py
@@ -1,116 +1,160 @@
-"""Which background job runs next, how much loop time it may take, what is dropped: no I/O, the clock passed in.
+"""Which background job runs next, how much of the event loop's time it gets, and which jobs are dropped.
 
-Table lines are no job: whoever runs these asks first whether a round is due. Times are microseconds.
+No I/O; the clock is passed in, times are microseconds. Control cycles are no jobs: the scheduler lets them go
+first.
 """
 
+import enum
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
-from typing import Any
 
-SIGNAL, PRESENT, BACKFILL, UPKEEP = range(4)  # priorities, the most urgent first
-PRIORITIES = ("signal", "present", "backfill", "upkeep")
-SECOND = 1_000_000
-LEARNT = 0.2  # part of a new slice in what a job's slices are believed to take
-LEAST_PART = 0.5  # of a turn must be in the budget before a turn begins: many short ones cost more
+SECOND = 1_000_000  # microseconds
+ESTIMATE_GAIN = 0.2  # weight of a new slice in the estimated duration of a job's slices
+MIN_TURN_SHARE = 0.5  # of a turn's budget has to be available: many short turns would cost more
+MAX_SAVED_SECONDS = 0.25  # of the budget of a second
+
+
+class Priority(enum.IntEnum):
+    """The most urgent is the lowest."""
+
+    SIGNAL = 0
+    PRESENT = 1
+    BACKFILL = 2
+    UPKEEP = 3
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """`work` is the scheduler's; a perishable job is of no use after its deadline."""
+    """A job: `steps` is run a slice at a time; `on_dropped` is called if it never will be completed.
+
+    A perishable job is of no use after its deadline.
+    """
 
     name: str
-    priority: int
+    priority: Priority
     deadline: int
-    work: Any
+    steps: Iterator[None]
+    on_dropped: Callable[[], None] | None = None
     perishable: bool = False
-    came: int = 0
-    waits_since: int = 0
-    number: int = 0
-
-
-class JobQueue:
-    """`most` jobs; `turn` loop time at a stretch; `a_second` loop time in each second; `ageing` for one priority up."""
+    waiting_since: int = 0
+    number: int = 0  # in the order of arrival
 
-    def __init__(self, most: int, turn: int, a_second: int, ageing: int):
-        self.most, self.turn, self.a_second, self.ageing = most, turn, a_second, ageing
-        self.jobs: list[Job] = []
-        self.slice: dict[str, float] = {}  # by name: what a slice is believed to take
-        self.left, self.at, self.number = float(turn), None, 0
 
-    def __len__(self) -> int:
-        return len(self.jobs)
+class TimeBudget:
+    """The event loop's time for jobs: `turn` at a stretch, `per_second` in each second."""
 
-    # --- the budget ---
+    def __init__(self, turn: int, per_second: int) -> None:
+        self.turn = turn
+        self.per_second = per_second
+        self.available = float(turn)  # below 0 after a slice that took more
+        self.refilled_at: int | None = None
 
     def _refill(self, now: int) -> None:
-        if self.at is not None and now > self.at:
-            self.left = min(
-                float(max(self.turn, self.a_second // 4)),
-                self.left + self.a_second * (now - self.at) / SECOND,
-            )
-        self.at = now if self.at is None else max(now, self.at)
+        if self.refilled_at is None:
+            self.refilled_at = now
+            return
+        if now > self.refilled_at:
+            limit = float(max(self.turn, int(self.per_second * MAX_SAVED_SECONDS)))
+            earned = self.per_second * (now - self.refilled_at) / SECOND
+            self.available = min(limit, self.available + earned)
+            self.refilled_at = now
 
     def allowed(self, now: int) -> int:
-        """Loop time that a turn may take now; 0 where the second's budget is spent."""
+        """Return the time that a turn may take now; 0 where the budget is spent."""
         self._refill(now)
-        return min(self.turn, int(self.left)) if self.left >= LEAST_PART * self.turn else 0
+        if self.available < MIN_TURN_SHARE * self.turn:
+            return 0
+        return min(self.turn, int(self.available))
 
-    def ready_at(self, now: int) -> int | None:
-        """When a turn may begin, or None where there is nothing to do."""
-        if not self.jobs:
-            return None
+    def available_at(self, now: int) -> int:
+        """Return when a turn may start."""
         self._refill(now)
-        lack = LEAST_PART * self.turn - self.left
-        return now if lack <= 0 else now + int(lack * SECOND / self.a_second) + 1
+        missing = MIN_TURN_SHARE * self.turn - self.available
+        if missing <= 0:
+            return now
+        return now + int(missing * SECOND / self.per_second) + 1
 
-    def spent(self, job: Job, took: int, now: int, done: bool) -> None:
-        """A slice has run; what it took beyond the budget is paid by later turns."""
+    def spend(self, duration: int, now: int) -> None:
+        """A slice has run; what it took beyond the budget is missing in later turns."""
         self._refill(now)
-        self.left -= took
-        self.slice[job.name] = (1 - LEARNT) * self.slice.get(job.name, took) + LEARNT * took
-        job.waits_since = now
-        if done:
+        self.available -= duration
+
+
+class JobQueue:
+    """At most `max_jobs` jobs; a job that waits for `ageing` counts as one priority more urgent."""
+
+    def __init__(self, max_jobs: int, turn: int, per_second: int, ageing: int) -> None:
+        self.max_jobs = max_jobs
+        self.budget = TimeBudget(turn, per_second)
+        self.ageing = ageing
+        self.jobs: list[Job] = []
+        self.slice_estimates: dict[str, float] = {}  # microseconds, by the job's name
+        self.last_number = 0
+
+    def __len__(self) -> int:
+        return len(self.jobs)
+
+    def ready_at(self, now: int) -> int | None:
+        """Return when a turn may start, or None where there is nothing to do."""
+        return self.budget.available_at(now) if self.jobs else None
+
+    def slice_done(self, job: Job, duration: int, now: int, is_complete: bool) -> None:
+        """A slice of the job has run."""
+        self.budget.spend(duration, now)
+        estimate = self.slice_estimates.get(job.name, duration)
+        self.slice_estimates[job.name] = (1 - ESTIMATE_GAIN) * estimate + ESTIMATE_GAIN * duration
+        job.waiting_since = now
+        if is_complete:
             self.jobs.remove(job)
 
-    # --- who runs ---
+    # --- order ---
+
+    def _rank(self, job: Job, now: int) -> tuple[int, int, int]:
+        """The lowest runs first: the priority after ageing, then the earliest deadline."""
+        gained = max(0, now - job.waiting_since) // self.ageing
+        return max(Priority.SIGNAL, job.priority - gained), job.deadline, job.number
 
-    def rank(self, job: Job, now: int) -> tuple[int, int, int]:
-        """The least runs first: priority less what its waiting has earned, then the earliest deadline."""
-        earned = max(0, now - job.waits_since) // self.ageing
-        return max(SIGNAL, job.priority - earned), job.deadline, job.number
+    def next_job(self, now: int, time_left: int, is_first: bool) -> Job | None:
+        """Return the job whose slice is to run, if it is estimated to fit into the time that is left.
 
-    def next(self, now: int, left: int, first: bool) -> Job | None:
-        """The job whose slice is to run. One that is believed not to fit into what is left waits for a turn
-        of its own, where it is let run however long its slices are (`first`): else it would wait for ever."""
+        As the first of a turn a slice runs whatever its estimate: otherwise it would wait for ever.
+        """
         if not self.jobs:
             return None
-        best = min(self.jobs, key=lambda job: self.rank(job, now))
-        return best if first or self.slice.get(best.name, 0) <= left else None
+        best = min(self.jobs, key=lambda job: self._rank(job, now))
+        if is_first or self.slice_estimates.get(best.name, 0) <= time_left:
+            return best
+        return None
 
-    # --- who is dropped ---
+    # --- dropped jobs ---
 
-    def worth(self, job: Job, now: int) -> tuple:
-        """The greatest is dropped first: what has perished, then the least urgent, the latest, the newest."""
+    @staticmethod
+    def _drop_rank(job: Job, now: int) -> tuple[bool, int, int, int]:
+        """The highest is dropped first: expired, then the least urgent, the latest, the newest."""
         return job.perishable and job.deadline < now, job.priority, job.deadline, job.number
 
     def offer(self, job: Job, now: int) -> list[Job]:
-        """Takes a job in; gives what is dropped for it, which may be the job itself."""
-        self.number += 1
-        job.came = job.waits_since = now
-        job.number = self.number
+        """Add a job; return those that are dropped for it, which may include itself."""
+        self.last_number += 1
+        job.waiting_since = now
+        job.number = self.last_number
         self.jobs.append(job)
-        dropped = self.perished(now)
-        if len(self.jobs) > self.most:
-            victim = max(self.jobs, key=lambda j: self.worth(j, now))
-            self.jobs.remove(victim)
-            dropped.append(victim)
+        dropped = self.remove_expired(now)
+        if len(self.jobs) > self.max_jobs:
+            least_valuable = max(self.jobs, key=lambda queued: self._drop_rank(queued, now))
+            self.jobs.remove(least_valuable)
+            dropped.append(least_valuable)
         return dropped
 
-    def perished(self, now: int) -> list[Job]:
-        gone = [job for job in self.jobs if job.perishable and job.deadline < now]
-        self.jobs = [job for job in self.jobs if job not in gone] if gone else self.jobs
-        return gone
+    def remove_expired(self, now: int) -> list[Job]:
+        """Remove and return the perishable jobs whose deadline has passed."""
+        expired = [job for job in self.jobs if job.perishable and job.deadline < now]
+        if expired:
+            self.jobs = [job for job in self.jobs if job not in expired]
+        return expired
 
     def cancel(self, name: str) -> list[Job]:
-        gone = [job for job in self.jobs if job.name == name]
+        """Remove and return the jobs of a name."""
+        cancelled = [job for job in self.jobs if job.name == name]
         self.jobs = [job for job in self.jobs if job.name != name]
-        return gone
+        return cancelled
--- a/ravenshelf/collectd/listener.py
+++ b/ravenshelf/collectd/listener.py
@@ -7,8 +7,8 @@
 import xxhash
 
 from ravenshelf import log_events
-from ravenshelf.background.decisions import SIGNAL
-from ravenshelf.background.scheduler import Background
+from ravenshelf.background.decisions import Priority
+from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.collectd import wire
 from ravenshelf.collectd.decisions import Replays, Signals
 from ravenshelf.collectd.users import Users
@@ -28,7 +28,7 @@
         table,
         users: Users,
         signals: Signals,
-        background: Background,
+        background: BackgroundScheduler,
         counters: Counters,
         clock: Callable[[], int],
         news: Callable[[HostLoadSampled], None],
@@ -53,7 +53,7 @@
         if not self.queued:
             self.queued = True
             self.background.offer(
-                "collectd.decode", SIGNAL, WITHIN, self._decode(), dropped=self._not_decoded
+                "collectd.decode", Priority.SIGNAL, WITHIN, self._decode(), dropped=self._not_decoded
             )
 
     def error_received(self, why: Exception) -> None:
--- a/ravenshelf/graphite/exporter.py
+++ b/ravenshelf/graphite/exporter.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable, Iterator
 
 from ravenshelf import log_events
-from ravenshelf.background.decisions import BACKFILL, PRESENT
-from ravenshelf.background.scheduler import Background
+from ravenshelf.background.decisions import Priority
+from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.graphite import formats
 from ravenshelf.graphite.connection import ReceiverConnection
 from ravenshelf.graphite.decisions.connection import (
@@ -24,7 +24,7 @@
 
 MIN_SEND_DELAY = 1000  # microseconds until the queue is looked at again
 CONFIRM_INTERVAL = SECOND
-JOB_DEADLINES = {PRESENT: 5 * SECOND, BACKFILL: 60 * SECOND}
+JOB_DEADLINES = {Priority.PRESENT: 5 * SECOND, Priority.BACKFILL: 60 * SECOND}
 
 
 class Exporter:
@@ -41,7 +41,7 @@
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], int],
         wake_at: Callable[[int], None],
-        background: Background,
+        background: BackgroundScheduler,
         resolve: Resolve = resolve_name,
     ) -> None:
         self.receiver = receiver
@@ -174,10 +174,11 @@
             self.spooling.read_oldest()
         if not any(self.queue.queued):
             return
-        priority = PRESENT if self.queue.has_current(self.current_time) else BACKFILL
+        has_current = self.queue.has_current(self.current_time)
+        priority = Priority.PRESENT if has_current else Priority.BACKFILL
         self.has_send_job = True
         self.background.offer(
-            f"graphite.send.{priority}",
+            f"graphite.send.{priority.value}",
             priority,
             JOB_DEADLINES[priority],
             self._write_batch(self.connection),
--- a/ravenshelf/graphite/service.py
+++ b/ravenshelf/graphite/service.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from ravenshelf import log_events
-from ravenshelf.background.scheduler import Background
+from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.graphite import metrics
 from ravenshelf.graphite.decisions.connection import SECOND, ReceiverConnectionPolicy
 from ravenshelf.graphite.decisions.queue import Batch, PointQueue
@@ -72,7 +72,7 @@
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], int],
         wake_at: Callable[[str, int], None],
-        background: Background,
+        background: BackgroundScheduler,
         resolve: Resolve = resolve_name,
     ) -> None:
         self.random_source = random_source
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -12,8 +12,8 @@
 from typing import TYPE_CHECKING
 
 from ravenshelf import log_events
-from ravenshelf.background.decisions import PRESENT, UPKEEP, JobQueue
-from ravenshelf.background.scheduler import Background
+from ravenshelf.background.decisions import JobQueue, Priority
+from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.policy.events import EndpointsListed, ListKind
 
@@ -38,8 +38,8 @@
     def __init__(self, operator: Operator, pilot, chance: random.Random):
         self.operator, self.pilot, self.chance = operator, pilot, chance
         self.counters, self.clock = pilot.counters, pilot.clock
-        self.background = Background(
-            self._agenda(operator.background),
+        self.background = BackgroundScheduler(
+            self._job_queue(operator.background),
             pilot.clock,
             lambda at: pilot.set_deadline(("background",), at),
             pilot.round_due,
@@ -56,7 +56,7 @@
             self._lead()  # before anyone is accepted: what joins is owned or not from the first
 
     @staticmethod
-    def _agenda(table) -> JobQueue:
+    def _job_queue(table) -> JobQueue:
         return JobQueue(
             table.jobs,
             round(table.turn_ms * 1000),
@@ -191,7 +191,7 @@
         time = interval_boundary(now, self.operator.graphite.every_s)
         take = lambda importance, points: self.graphite.export(time, importance, points)  # noqa: E731
         work = self.gatherer.points(now, self.pilot.rounds.controller, self._samples(now), take)
-        self.background.offer("figures", PRESENT, 2 * SECOND, work)
+        self.background.offer("figures", Priority.PRESENT, 2 * SECOND, work)
 
     def _samples(self, now: int) -> "list[Sample]":
         """What others have counted: sums as rates a second since the last figures, levels as they are."""
@@ -203,7 +203,7 @@
         counts = {
             metrics.PROCESS_MEMORY: memory,
             metrics.PROCESS_DESCRIPTORS: descriptors,
-            metrics.BACKGROUND_QUEUED: len(self.background.agenda),
+            metrics.BACKGROUND_QUEUED: len(self.background.queue),
             metrics.BACKGROUND_DROPPED: self.counters["background_dropped"],
             metrics.CONTROL_CYCLES_FAILED: self.counters["module_failures"],
         }
@@ -296,13 +296,13 @@
             except (OSError, users.UsersFileError) as why:
                 log_events.COLLECTD_USERS_REJECTED(why=str(why))
 
-        self.background.offer("collectd.users_loaded", UPKEEP, USERS_EVERY, work(), perishable=True)
+        self.background.offer("collectd.users", Priority.UPKEEP, USERS_EVERY, work(), perishable=True)
 
     # --- the pilot's calls ---
 
     def meet(self, key: tuple, now: int) -> None:
         if key[0] == "background":
-            self.background.turn()
+            self.background.run_turn()
         elif key[0] == "figures":
             self.figures(now)
         elif key[0] == "graphite":
@@ -317,8 +317,7 @@
         old, self.operator = self.operator, operator
         names = changed(old, operator)
         if "background" in names:
-            jobs, self.background.agenda = self.background.agenda.jobs, self._agenda(operator.background)
-            self.background.agenda.jobs = jobs
+            self.background.replace_queue(self._job_queue(operator.background))
         if "graphite" in names:
             self._renew_graphite(old.graphite, operator.graphite)
         if "collectd" in names:
--- a/ravenshelf/process/relay_figures.py
+++ b/ravenshelf/process/relay_figures.py
@@ -5,7 +5,7 @@
 from collections.abc import Hashable
 
 from ravenshelf.background.decisions import JobQueue
-from ravenshelf.background.scheduler import Background
+from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.distribution.decisions.client import State
 from ravenshelf.distribution.relay_service import RelayService
 from ravenshelf.distribution.timers import Timers
@@ -42,16 +42,16 @@
         self._measured_at = self.clock()
         self._next()
 
-    def _background(self, operator: Operator) -> Background:
+    def _background(self, operator: Operator) -> BackgroundScheduler:
         table = operator.background
-        agenda = JobQueue(
+        queue = JobQueue(
             table.jobs,
             round(table.turn_ms * 1000),
             round(table.a_second_ms * 1000),
             round(table.ageing_s * SECOND),
         )
-        return Background(
-            agenda, self.clock, lambda at: self.timers.set(BACKGROUND, at), lambda: False, Counters()
+        return BackgroundScheduler(
+            queue, self.clock, lambda at: self.timers.set(BACKGROUND, at), lambda: False, Counters()
         )
 
     def stop(self) -> None:
@@ -68,7 +68,7 @@
             self._next()
             self._measure()
         elif key == BACKGROUND:
-            self.background.turn()
+            self.background.run_turn()
         else:
             self.graphite.run_due(key)
 
--- a/tests/graphite/exporting.py
+++ b/tests/graphite/exporting.py
@@ -4,7 +4,7 @@
 import random
 
 from ravenshelf.background.decisions import JobQueue
-from ravenshelf.background.scheduler import Background
+from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.graphite.decisions.connection import SECOND
 from ravenshelf.graphite.dialing import resolve_name
 from ravenshelf.graphite.service import GraphiteService, interval_boundary
@@ -20,7 +20,7 @@
 
     def __init__(self, resolve=resolve_name, **table):
         self.now, self.deadlines, self.counters = START_S * SECOND, DeadlineQueue(), Counters()
-        self.background = Background(
+        self.background = BackgroundScheduler(
             JobQueue(1000, 50_000, 900_000, SECOND),
             lambda: self.now,
             lambda at: self.deadlines.set("background", at),
@@ -39,7 +39,7 @@
 
     def run_due(self):
         for key in self.deadlines.take_expired(self.now):
-            self.background.turn() if key == "background" else self.service.run_due(key)
+            self.background.run_turn() if key == "background" else self.service.run_due(key)
 
     async def wait_until(self, condition, timeout_s=20.0):
         """Real time passes for sockets, the clock by a few milliseconds; fails where it never holds."""
--- a/tests/test_collectd.py
+++ b/tests/test_collectd.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from ravenshelf.background.decisions import JobQueue
-from ravenshelf.background.scheduler import Background
+from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.collectd import types, users, wire
 from ravenshelf.collectd.decisions import JUMP, Machine, Replays, Series, Signals
 from ravenshelf.collectd.listener import MOST_WAITING, Listener
@@ -363,7 +363,7 @@
 class Ear:
     def __init__(self, **table):
         self.now, self.told, self.counters, self.wakes = START * SECOND, [], Counters(), []
-        self.background = Background(
+        self.background = BackgroundScheduler(
             JobQueue(64, 20_000, 900_000, SECOND),
             lambda: self.now,
             self.wakes.append,
@@ -385,9 +385,9 @@
         for packet in packets:
             self.listener.datagram_received(packet, ("127.0.0.1", 1))
         self.now += round(seconds * SECOND)
-        while len(self.background.agenda):
+        while len(self.background.queue):
             self.now += 10_000
-            self.background.turn()
+            self.background.run_turn()
 
 
 def test_signed_packets_reach_the_decisions_and_a_replay_does_not():
