--- a/benchmarks/graphite.py
+++ b/benchmarks/graphite.py
@@ -136,26 +136,27 @@
 def packets(count: int) -> dict:
     from collections import Counter
 
-    from ravenshelf.collectd import types, wire
-    from ravenshelf.collectd.decisions import Signals
+    from ravenshelf.collectd import protocol, security, types
+    from ravenshelf.collectd.decisions.host_loads import HostLoads
 
     out = {}
-    for security in ("none", "sign", "encrypt"):
-        hosts = [sender.Host(f"h-{n}") for n in range(20)]
+    for level in ("none", "sign", "encrypt"):
+        hosts = [sender.SimulatedHost(f"h-{n}") for n in range(20)]
         plain = [hosts[n % 20].packet(1_700_000_000 + 10 * (n // 20)) for n in range(count)]
         sealed = {
             "none": lambda p: p,
-            "sign": lambda p: sender.signed(p, "u", "pw"),
-            "encrypt": lambda p: sender.sealed(p, "u", "pw", bytes(16)),
-        }[security]
+            "sign": lambda p: sender.sign(p, "u", "pw"),
+            "encrypt": lambda p: sender.encrypt(p, "u", "pw", bytes(16)),
+        }[level]
         made = [sealed(p) for p in plain]
-        signals = Signals(lambda host: (int(host[2:]),), types.read(types.OWN), Counter())
+        host_loads = HostLoads(lambda host: (int(host[2:]),), types.parse(types.BUILT_IN_TYPES), Counter())
         began = time.perf_counter()
         for n, packet in enumerate(made):
-            body, vouched = wire.opened(packet, lambda user: [b"pw"], security)
-            signals.take((1_700_000_000 + 10 * (n // 20)) * 1_000_000, wire.value_lists(body), False)
+            plain = security.open_packet(packet, lambda user: [b"pw"], level)
+            lists = protocol.decode_value_lists(plain.parts)
+            host_loads.add((1_700_000_000 + 10 * (n // 20)) * 1_000_000, lists, False)
         took = time.perf_counter() - began
-        out[security] = {
+        out[level] = {
             "packets_a_second": round(count / took),
             "microseconds_each": round(took / count * 1e6, 1),
         }
--- a/ravenshelf/collectd/__init__.py
+++ b/ravenshelf/collectd/__init__.py
@@ -1,1 +1,1 @@
-"""collectd's values as a signal: the binary network protocol, and what of it reaches the decisions."""
+"""Host loads of collectd: its binary network protocol, and which values are believed."""
--- a/ravenshelf/collectd/listener.py
+++ b/ravenshelf/collectd/listener.py
@@ -1,99 +1,150 @@
-"""Takes collectd's datagrams, and has them decoded by background work: a flood costs a bounded queue, no table line."""
+"""Receives collectd's datagrams and has them decoded by a background job: a flood costs a bounded queue."""
 
 import asyncio
 from collections import deque
 from collections.abc import Callable, Iterator
+from typing import Any, NamedTuple, Protocol, cast
 
 import xxhash
 
 from ravenshelf import log_events
 from ravenshelf.background.decisions import Priority
 from ravenshelf.background.scheduler import BackgroundScheduler
-from ravenshelf.collectd import wire
-from ravenshelf.collectd.decisions import Replays, Signals
+from ravenshelf.collectd import protocol, security
+from ravenshelf.collectd.decisions.host_loads import HostLoads
+from ravenshelf.collectd.decisions.replays import ReplayFilter
+from ravenshelf.collectd.protocol import MAX_PACKET_BYTES, RejectedPacketError, RejectionReason
 from ravenshelf.collectd.users import Users
-from ravenshelf.collectd.wire import MOST_PACKET, RejectedPacketError
 from ravenshelf.policy.events import HostLoadSampled
 from ravenshelf.state.counters import Counters
 
-MOST_WAITING = 1024  # packets; beyond it the newest are dropped: what waits is the older half of one read
-A_SLICE = 8  # packets
-WITHIN = 500_000
-SAID_EVERY = 10_000_000  # refusals of one reason
+MAX_QUEUED_PACKETS = 1024  # beyond it the newest are dropped: the queue is the older half of one read
+SLICE_PACKETS = 8
+DECODE_WITHIN = 500_000  # microseconds
+REJECTION_LOG_INTERVAL = 10_000_000  # microseconds, for each reason
+DECODE_JOB = "collectd.decode"
 
 
-class Listener(asyncio.DatagramProtocol):
+class CollectdTable(Protocol):
+    """The keys of the operator file's `[collectd]` that are read here."""
+
+    @property
+    def security(self) -> str:
+        """The lowest level that is accepted, one of security.SECURITY_LEVELS."""
+
+    @property
+    def plugins(self) -> list[str]:
+        """The plugins whose values are used."""
+
+    @property
+    def types(self) -> str:
+        """The path of a types.db, or ""."""
+
+
+class QueuedPacket(NamedTuple):
+    """A packet that is not decoded yet."""
+
+    received_at: int
+    sender: str
+    data: bytes
+
+
+class CollectdListener(asyncio.DatagramProtocol):
+    """The datagram endpoint; `on_host_load` gets the events."""
+
     def __init__(
         self,
-        table,
+        table: CollectdTable,
         users: Users,
-        signals: Signals,
+        host_loads: HostLoads,
         background: BackgroundScheduler,
         counters: Counters,
         clock: Callable[[], int],
-        news: Callable[[HostLoadSampled], None],
-    ):
-        self.table, self.users, self.signals, self.background = table, users, signals, background
-        self.counters, self.clock, self.news = counters, clock, news
-        self.replays = Replays()
-        self.waiting: deque[tuple[int, str, bytes]] = deque()
-        self.queued = False
-        self.said: dict[str, int] = {}
+        on_host_load: Callable[[HostLoadSampled], None],
+    ) -> None:
+        self.table = table
         self.plugins = frozenset(table.plugins)
+        self.users = users
+        self.host_loads = host_loads
+        self.background = background
+        self.counters = counters
+        self.clock = clock
+        self.on_host_load = on_host_load
+        self.replay_filter = ReplayFilter()
+        self.queued: deque[QueuedPacket] = deque()
+        self.has_decode_job = False
+        self.rejection_logged_at: dict[RejectionReason, int] = {}
         self.transport: asyncio.DatagramTransport | None = None
 
-    def connection_made(self, transport) -> None:
-        self.transport = transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport, to close it."""
+        self.transport = cast(asyncio.DatagramTransport, transport)
 
-    def datagram_received(self, data: bytes, sender) -> None:
-        if len(self.waiting) >= MOST_WAITING or len(data) > MOST_PACKET:
+    def datagram_received(self, data: bytes, address: tuple[str | Any, int]) -> None:
+        """Queue a packet."""
+        if len(self.queued) >= MAX_QUEUED_PACKETS or len(data) > MAX_PACKET_BYTES:
             self.counters["collectd_overflow"] += 1
             return
-        self.waiting.append((self.clock(), sender[0], data))
-        if not self.queued:
-            self.queued = True
+        self.queued.append(QueuedPacket(self.clock(), address[0], data))
+        if not self.has_decode_job:
+            self.has_decode_job = True
             self.background.offer(
-                "collectd.decode", Priority.SIGNAL, WITHIN, self._decode(), dropped=self._not_decoded
+                DECODE_JOB, Priority.SIGNAL, DECODE_WITHIN, self._decode(), dropped=self._on_job_dropped
             )
 
-    def error_received(self, why: Exception) -> None:
-        pass
+    def error_received(self, error: Exception) -> None:
+        """Ignore it: nothing is sent."""
 
-    def _not_decoded(self) -> None:
-        self.queued = False
+    def _on_job_dropped(self) -> None:
+        self.has_decode_job = False
 
     def _decode(self) -> Iterator[None]:
-        while self.waiting:
-            for _ in range(min(A_SLICE, len(self.waiting))):
-                self.take(*self.waiting.popleft())
+        while self.queued:
+            for _ in range(min(SLICE_PACKETS, len(self.queued))):
+                self._decode_packet(self.queued.popleft())
             yield
-        self.queued = False
-        for signal in self.signals.signals(self.clock()):
+        self.has_decode_job = False
+        for load in self.host_loads.take_loads(self.clock()):
             self.counters["collectd_signals"] += 1
-            self.news(HostLoadSampled(*signal))
-        for host, ahead in self.signals.clocks():
-            log_events.HOST_CLOCK_SKEWED(host=host, ahead=ahead)
+            self.on_host_load(HostLoadSampled(*load))
+        for host, seconds_ahead in self.host_loads.take_skewed_clocks():
+            log_events.HOST_CLOCK_SKEWED(host=host, ahead=seconds_ahead)
 
-    def take(self, came: int, sender: str, data: bytes) -> None:
-        """One packet: opened, decoded, its values told to the decisions."""
+    def _decode_packet(self, packet: QueuedPacket) -> None:
         try:
-            body, vouched = wire.opened(
-                data, lambda user: self.users.passwords(user, came), self.table.security
+            plain = security.open_packet(
+                packet.data,
+                lambda user: self.users.passwords(user, packet.received_at),
+                self.table.security,
             )
-            if vouched and self.replays.again(xxhash.xxh64_intdigest(data), came):
-                raise RejectedPacketError("replayed", "a packet that was taken before")
-            lists = wire.value_lists(body, lambda host, plugin: plugin in self.plugins)
-        except RejectedPacketError as why:
-            self.counters["collectd_refused"] += 1
-            self.counters[f"collectd_refused_{why.reason.replace(' ', '_')}"] += 1
-            if came - self.said.get(why.reason, -SAID_EVERY) >= SAID_EVERY:
-                self.said[why.reason] = came
-                log_events.PACKET_REJECTED(peer=sender, why=f"{why.reason}: {why}")
+            if plain.is_authenticated:
+                self._check_replay(packet)
+            value_lists = protocol.decode_value_lists(plain.parts, self._is_wanted)
+        except RejectedPacketError as error:
+            self._on_rejected(packet, error)
             return
         self.counters["collectd_packets"] += 1
-        self.signals.take(came, lists, vouched)
+        self.host_loads.add(packet.received_at, value_lists, plain.is_authenticated)
+
+    def _check_replay(self, packet: QueuedPacket) -> None:
+        digest = xxhash.xxh64_intdigest(packet.data)
+        if self.replay_filter.is_replay(digest, packet.received_at):
+            raise RejectedPacketError(RejectionReason.REPLAYED, "a packet that was accepted before")
+
+    def _is_wanted(self, host: str, plugin: str) -> bool:
+        del host
+        return plugin in self.plugins
+
+    def _on_rejected(self, packet: QueuedPacket, error: RejectedPacketError) -> None:
+        self.counters["collectd_rejected"] += 1
+        self.counters[f"collectd_rejected_{error.reason.counter_name}"] += 1
+        logged_at = self.rejection_logged_at.get(error.reason)
+        if logged_at is None or packet.received_at - logged_at >= REJECTION_LOG_INTERVAL:
+            self.rejection_logged_at[error.reason] = packet.received_at
+            log_events.PACKET_REJECTED(peer=packet.sender, why=f"{error.reason.value}: {error}")
 
     def close(self) -> None:
-        self.background.cancel("collectd.decode")
+        """Stop listening and drop what is queued."""
+        self.background.cancel(DECODE_JOB)
         if self.transport is not None:
             self.transport.close()
--- a/ravenshelf/collectd/types.py
+++ b/ravenshelf/collectd/types.py
@@ -1,49 +1,67 @@
-"""types.db: what values a type has, of which kind, and between what bounds. Parsing is pure."""
+"""types.db: which values a type has, of which kind and between which bounds. Pure."""
 
-from ravenshelf.collectd.wire import KINDS
+from typing import NamedTuple
+
+from ravenshelf.collectd.protocol import KINDS
 from ravenshelf.errors import RavenshelfError
 
-# what the signal is made of; an installation with types of its own names its file in the operator file
-OWN = """\
+# The types that host loads are made of; the operator file names the file of an installation with other types.
+BUILT_IN_TYPES = """\
 cpu      value:DERIVE:0:U
 load     shortterm:GAUGE:0:5000, midterm:GAUGE:0:5000, longterm:GAUGE:0:5000
 percent  value:GAUGE:0:100.1
 """
+UNBOUNDED = "U"
+MAX_SHOWN_SOURCE = 60
 
 
 class TypesFileError(RavenshelfError):
-    """A line of types.db that is none; the text names line, what was found, what was expected."""
+    """A malformed line of types.db; the text names file, line, what was found and expected."""
+
+    def __init__(self, file: str, line: int, expected: str, found: str) -> None:
+        super().__init__(f"{file}:{line}: expected {expected}, not {found}")
+        self.file = file
+        self.line = line
+        self.expected = expected
+        self.found = found
+
+
+class DataSource(NamedTuple):
+    """One value of a type; `kind` is a number of protocol.KINDS."""
+
+    name: str
+    kind: int
+    minimum: float
+    maximum: float
 
 
-Source = tuple[str, int, float, float]  # name, kind, least, most
+Types = dict[str, tuple[DataSource, ...]]
 
 
-def read(text: str, file: str = "types.db") -> dict[str, tuple[Source, ...]]:
-    out = {}
-    for number, line in enumerate(text.splitlines(), 1):
-        line = line.partition("#")[0].strip()
+def parse(text: str, file: str = "types.db") -> Types:
+    """Return the values of each type by its name; `file` is named in errors. Raises TypesFileError."""
+    types = {}
+    for number, full_line in enumerate(text.splitlines(), 1):
+        line = full_line.partition("#")[0].strip()
         if not line:
             continue
         name, *rest = line.split(None, 1)
-        sources = [part.strip() for part in rest[0].split(",")] if rest else []
+        sources = rest[0].split(",") if rest else []
         if not sources:
-            raise TypesFileError(f"{file}:{number}: {name}: expected name:KIND:least:most, not nothing")
-        out[name] = tuple(_source(file, number, part) for part in sources)
-    return out
+            raise TypesFileError(file, number, "name:KIND:least:most", f"nothing after {name}")
+        types[name] = tuple(_parse_source(file, number, source.strip()) for source in sources)
+    return types
 
 
-def _source(file: str, number: int, part: str) -> Source:
-    words = part.split(":")
+def _parse_source(file: str, line: int, text: str) -> DataSource:
     try:
-        name, kind, least, most = words
-        return (
+        name, kind, minimum, maximum = text.split(":")
+        return DataSource(
             name,
             KINDS.index(kind.upper()),
-            -float("inf") if least == "U" else float(least),
-            float("inf") if most == "U" else float(most),
+            -float("inf") if minimum == UNBOUNDED else float(minimum),
+            float("inf") if maximum == UNBOUNDED else float(maximum),
         )
-    except ValueError:
-        raise TypesFileError(
-            f"{file}:{number}: expected name:KIND:least:most with a KIND of {', '.join(KINDS)} and U for "
-            f"no bound, not {part[:60]!r}"
-        ) from None
+    except ValueError as error:
+        expected = f"name:KIND:least:most with a KIND of {', '.join(KINDS)} and U for no bound"
+        raise TypesFileError(file, line, expected, repr(text[:MAX_SHOWN_SOURCE])) from error
--- a/ravenshelf/collectd/users.py
+++ b/ravenshelf/collectd/users.py
@@ -1,58 +1,72 @@
-"""Users of collectd and their passwords: `user: password` a line, as collectd's own file has it. Pure but for `load`."""
+"""The users that sign or encrypt collectd packets: `user: password` lines, as in collectd's own file."""
 
 from ravenshelf.errors import RavenshelfError
 
-OVERLAP = 60_000_000  # a password that was changed is taken so long beside the new one
+PASSWORD_OVERLAP = 60_000_000  # microseconds for which a changed password stays valid
 
 
 class UsersFileError(RavenshelfError):
-    """A file of users that can't be used; the text names file, line, what was found, what was expected."""
+    """A password file that cannot be used; the text names file, line, what was found and expected."""
 
+    def __init__(self, file: str, problem: str, line: int | None = None) -> None:
+        super().__init__(f"{file}: {problem}" if line is None else f"{file}:{line}: {problem}")
+        self.file = file
+        self.line = line
+        self.problem = problem
 
-def read(text: str, file: str) -> dict[str, bytes]:
-    out = {}
+
+def parse(text: str, file: str) -> dict[str, bytes]:
+    """Return the passwords by user; `file` is named in errors. Raises UsersFileError."""
+    passwords: dict[str, bytes] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.lstrip().startswith("#"):
             continue
-        name, colon, password = line.partition(":")
-        name, password = name.strip(), password.strip()
+        name, colon, password = (word.strip() for word in line.partition(":"))
         if not colon or not name or not password:
-            raise UsersFileError(
-                f"{file}:{number}: expected `user: password`, found {'no colon' if not colon else 'half of it'}"
-            )
-        if name in out:
-            raise UsersFileError(f"{file}:{number}: expected each user once, found {name!r} again")
-        out[name] = password.encode()
-    return out
+            found = "half of it" if colon else "no colon"
+            raise UsersFileError(file, f"expected `user: password`, found {found}", number)
+        if name in passwords:
+            raise UsersFileError(file, f"expected each user once, found {name!r} again", number)
+        passwords[name] = password.encode()
+    return passwords
 
 
 def load(file: str) -> dict[str, bytes]:
+    """Read a password file; raises UsersFileError."""
     try:
         with open(file, encoding="utf-8") as opened:
-            return read(opened.read(), file)
-    except OSError as why:
-        raise UsersFileError(f"{file}: {why.strerror}") from None
-    except UnicodeDecodeError:
-        raise UsersFileError(f"{file}: expected UTF-8") from None
+            return parse(opened.read(), file)
+    except OSError as error:
+        raise UsersFileError(file, str(error.strerror)) from error
+    except UnicodeDecodeError as error:
+        raise UsersFileError(file, "expected UTF-8") from error
 
 
 class Users:
-    """Who is known now. A change of a password in service refuses nobody who has yet to learn of it."""
+    """The users that are known; a changed password stays valid for a while, until hosts have the new one."""
 
-    def __init__(self, known: dict[str, bytes]):
-        self.known, self.former = known, {}  # former: user -> (password, until)
+    def __init__(self, current: dict[str, bytes]) -> None:
+        self.current = current
+        self.former: dict[str, tuple[bytes, int]] = {}  # password and the time until which it is valid
 
-    def renew(self, known: dict[str, bytes], now: int) -> None:
-        """A user who is gone is gone at once: that is how one is shut out."""
-        self.former = {name: kept for name, kept in self.former.items() if kept[1] > now and name in known}
-        for name, password in self.known.items():
-            if name in known and known[name] != password:
-                self.former[name] = (password, now + OVERLAP)
-        self.known = known
+    def update(self, current: dict[str, bytes], now: int) -> None:
+        """Use new passwords; a user who was removed is rejected at once."""
+        former = {
+            name: (password, valid_until)
+            for name, (password, valid_until) in self.former.items()
+            if valid_until > now and name in current
+        }
+        for name, password in self.current.items():
+            if name in current and current[name] != password:
+                former[name] = (password, now + PASSWORD_OVERLAP)
+        self.former = former
+        self.current = current
 
     def passwords(self, name: str, now: int) -> list[bytes]:
-        out = [self.known[name]] if name in self.known else []
-        former = self.former.get(name)
-        if former is not None and former[1] > now:
-            out.append(former[0])
-        return out
+        """Return the passwords that are valid for a user, the current one first."""
+        valid = [self.current[name]] if name in self.current else []
+        if name in self.former:
+            password, valid_until = self.former[name]
+            if valid_until > now:
+                valid.append(password)
+        return valid
--- a/ravenshelf/operator_config/reading.py
+++ b/ravenshelf/operator_config/reading.py
@@ -239,7 +239,7 @@
         from ravenshelf.collectd import types
 
         try:
-            types.read(Path(operator.collectd.types).read_text(encoding="utf-8"), operator.collectd.types)
+            types.parse(Path(operator.collectd.types).read_text(encoding="utf-8"), operator.collectd.types)
         except OSError as why:
             wrong.append(f"{file}: [collectd] types: {operator.collectd.types}: {why.strerror}")
         except (types.TypesFileError, UnicodeDecodeError) as why:
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -228,7 +228,7 @@
         if self.listener is not None:
             sums |= {
                 metrics.PACKETS_ACCEPTED: self.counters["collectd_packets"],
-                metrics.PACKETS_REJECTED: self.counters["collectd_refused"],
+                metrics.PACKETS_REJECTED: self.counters["collectd_rejected"],
                 metrics.COLLECTD_VALUES: self.counters["collectd_values"],
             }
         was, self.before = self.before, sums | {"at": now}
@@ -243,16 +243,16 @@
         from pathlib import Path
 
         from ravenshelf.collectd import types, users
-        from ravenshelf.collectd.decisions import Signals
-        from ravenshelf.collectd.listener import Listener
+        from ravenshelf.collectd.decisions.host_loads import HostLoads
+        from ravenshelf.collectd.listener import CollectdListener
         from ravenshelf.net.datagrams import address
 
         table = self.operator.collectd
         known = users.Users(users.load(table.users) if table.users else {})
-        text = Path(table.types).read_text(encoding="utf-8") if table.types else types.OWN
-        signals = Signals(self.endpoints, types.read(text, table.types or "types.db"), self.counters)
-        self.listener = Listener(
-            table, known, signals, self.background, self.counters, self.clock, self.pilot.news
+        text = Path(table.types).read_text(encoding="utf-8") if table.types else types.BUILT_IN_TYPES
+        host_loads = HostLoads(self.endpoints, types.parse(text, table.types or "types.db"), self.counters)
+        self.listener = CollectdListener(
+            table, known, host_loads, self.background, self.counters, self.clock, self.pilot.news
         )
         transport, _ = await self.pilot.loop.create_datagram_endpoint(
             lambda: self.listener, local_addr=address(table.listen)
@@ -275,7 +275,7 @@
                     places.setdefault(place, []).append(index)
             self.places = listing.version, {place: tuple(found) for place, found in places.items()}
             if self.listener is not None:
-                self.listener.signals.forget_strangers()
+                self.listener.host_loads.forget_unlisted_hosts()
         return self.places[1].get(host, ())
 
     def _look_at_users(self, now: int) -> None:
@@ -291,7 +291,7 @@
                 if changed != self.users_seen:
                     yield
                     known, self.users_seen = users.load(file), changed
-                    self.listener.users.renew(known, self.clock())
+                    self.listener.users.update(known, self.clock())
                     log_events.COLLECTD_USERS_LOADED(users=len(known))
             except (OSError, users.UsersFileError) as why:
                 log_events.COLLECTD_USERS_REJECTED(why=str(why))
@@ -364,7 +364,7 @@
             log_events.OPERATOR_CONFIGURATION_REJECTED(why=f"[collectd] listen: {why}")
             return
         if was is not None and was.table.types == self.operator.collectd.types:
-            self.listener.signals.machines = was.signals.machines
+            self.listener.host_loads.hosts = was.host_loads.hosts
 
     def close(self) -> None:
         if self.distribution is not None:
--- /dev/null
+++ b/tests/collectd/test_configuration_files.py
@@ -0,0 +1,32 @@
+"""types.db and the password file."""
+
+import pytest
+
+from ravenshelf.collectd import types, users
+
+SECOND = 1_000_000
+
+
+def test_types_are_parsed_and_a_malformed_line_is_named():
+    parsed = types.parse("# none\nif_octets rx:DERIVE:0:U, tx:derive:0:100\n")
+    assert parsed["if_octets"] == (("rx", 2, 0.0, float("inf")), ("tx", 2, 0.0, 100.0))
+    for bad in ("x", "x value:DERIVE:0", "x value:SOME:0:U", "x value:GAUGE:a:U"):
+        with pytest.raises(types.TypesFileError, match=r"file:2: .*expected name:KIND"):
+            types.parse(f"load a:GAUGE:0:U\n{bad}", "file")
+
+
+def test_a_changed_password_stays_valid_for_a_while_and_a_removed_user_is_rejected_at_once():
+    known = users.Users({"u": b"old", "v": b"v"})
+    known.update({"u": b"new"}, 0)
+    assert known.passwords("u", 59 * SECOND) == [b"new", b"old"] and known.passwords("v", 1) == []
+    assert known.passwords("u", 60 * SECOND) == [b"new"]
+
+
+@pytest.mark.parametrize(
+    "text",
+    ["u", "u:", ": pw", "u: a\nu: b"],
+    ids=["no colon", "no password", "no user", "a user twice"],
+)
+def test_a_malformed_line_of_the_password_file_is_named(text):
+    with pytest.raises(users.UsersFileError, match=r"auth:\d: expected"):
+        users.parse(text, "auth")
--- a/tests/operations/test_server_operations.py
+++ b/tests/operations/test_server_operations.py
@@ -53,13 +53,13 @@
             lambda: any(p.endswith("proxies.bound") and v == 2 for (p, _), v in carbon.points.items())
         )
         host, place = (
-            sender.Host("machine", busy=0.9),
+            sender.SimulatedHost("machine", busy=0.9),
             server.operations.listener.transport.get_extra_info("sockname"),
         )
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as out:
             now = server.clock() / 1e6
             for n in range(3):
-                out.sendto(sender.signed(host.packet(now - 20 + 10 * n), "u", "pw"), place)
+                out.sendto(sender.sign(host.packet(now - 20 + 10 * n), "u", "pw"), place)
             out.sendto(host.packet(now), place)
         noticed = server.rounds.controller.endpoints
         await carbon.wait_until(
