--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -78,7 +78,7 @@
 
     def _subscribe(self) -> None:
         from ravenshelf.distribution.pilot_service import PilotDistribution
-        from ravenshelf.leadership.service import clock
+        from ravenshelf.leadership.cluster import clock
 
         pilot, table = self.pilot, self.operator.distribution
         self.distribution = pilot.sums = PilotDistribution(
@@ -97,8 +97,9 @@
     # --- other controllers ---
 
     def _lead(self) -> None:
-        from ravenshelf.leadership.adapter import Adapter, fenced
-        from ravenshelf.leadership.service import Leadership, clock
+        from ravenshelf.leadership.adapter import Adapter, with_term
+        from ravenshelf.leadership.cluster import clock
+        from ravenshelf.leadership.service import Leadership
 
         pilot, table = self.pilot, self.operator.leadership
 
@@ -107,7 +108,7 @@
             pilot.stop()
 
         def write(proxy: int, message: bytes, mark: int | None, term: int) -> None:
-            pilot.door.write(proxy, fenced(message, term) if pilot.door.fences(proxy) else message, mark)
+            pilot.door.write(proxy, with_term(message, term) if pilot.door.fences(proxy) else message, mark)
 
         self.leadership = Leadership(
             table, self.operator.store.folder, pilot.loop, self.counters, self.chance, ended
@@ -117,14 +118,14 @@
             clock,
             pilot.rounds.names,
             self.counters,
-            news=pilot.tell,
+            report_event=pilot.tell,
             write=write,
-            put=self.leadership.put,
-            names=lambda n: pilot.listing.names[n],
-            version=lambda: pilot.listing.version,
-            index=pilot.listing.index_by_name.get,
-            ramps=self._ramps,
-            warm=self._warm,
+            write_record=self.leadership.write_record,
+            endpoint_name=lambda n: pilot.listing.names[n],
+            list_version=lambda: pilot.listing.version,
+            endpoint_index=pilot.listing.index_by_name.get,
+            warming_since=self._ramps,
+            restore_warm_up=self._warm,
         )
 
     def _ramps(self) -> dict[str, int]:
@@ -218,11 +219,11 @@
             lead = self.leadership
             counts |= {
                 metrics.SHARDS_OWNED: len(lead.member.held_shards()),
-                metrics.MEMBERS_CONNECTED: 1 + len(lead.links),
+                metrics.MEMBERS_CONNECTED: 1 + len(lead.connections.links),
                 metrics.COMMANDS_WAITING: sum(len(owned.gate) for owned in lead.adapter.owned.values()),
             }
             sums |= {
-                metrics.STORE_COMMITS: lead.committer.batches,
+                metrics.STORE_COMMITS: lead.store.committer.batches,
                 metrics.RECORDS_WRITTEN: self.counters["records_written"],
             }
         if self.listener is not None:
