--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -25,15 +25,15 @@
     NEVER,
     Delta,
     EndpointEntry,
-    EndpointSums,
+    EndpointLoad,
     Entry,
-    GroupSums,
+    GroupDemand,
     Heartbeat,
-    Report,
     Snapshot,
     Subscribe,
     TableLine,
     Version,
+    ZoneLoadReport,
     decode,
     encode,
 )
@@ -112,7 +112,7 @@
 def heartbeat_cpu(services: int) -> float:
     """Seconds for a subscriber to read a heartbeat."""
     client = subscriber(services)
-    payload = encode(Heartbeat(client.held.value))
+    payload = encode(Heartbeat(client.held_versions.value))
     began = time.process_time()
     for _ in range(REPEATS):
         client.receive(START, decode(payload))
@@ -126,7 +126,7 @@
     distributor = Distributor({topic.name: topic}, DistributorLimits(children))
     names = [f"pilot-{n}" for n in range(children)]
     for name in names:
-        distributor.accept(START, name)
+        distributor.add_subscriber(START, name)
         distributor.receive(name, Subscribe(topic.name, topic.version))
         distributor.pull(START, name, 65_536)
     rounds = 200
@@ -144,7 +144,7 @@
     began = time.process_time()
     for payload in payloads:
         topic.receive(decode(payload))
-        for name in distributor.changed(topic.name):
+        for name in distributor.topic_changed(topic.name):
             distributor.pull(START, name, 65_536)
     return (time.process_time() - began) / rounds
 
@@ -161,7 +161,7 @@
         by_service.append([message.topic for message in messages])
     distributor = Distributor(held)
     for child in range(64):
-        distributor.accept(START, f"pilot-{child}")
+        distributor.add_subscriber(START, f"pilot-{child}")
         for k in range(12):
             for topic in by_service[(child * 12 + k) % services]:
                 distributor.receive(f"pilot-{child}", Subscribe(topic, NEVER))
@@ -173,44 +173,48 @@
     made = ServicePlanner("service-1", decode_settings(settings(zones, zones)), seed)
     made.configure({f"service-1-{n:03d}": EndpointEntry(n % zones, True, 4.0) for n in range(endpoints)})
     for zone in range(zones):
-        made.subscribe_zone(zone, 100.0)
+        made.add_zone(zone, 100.0)
     return made
 
 
-def play(made: ServicePlanner, zones: int, seconds: int, chance: random.Random, begin: int = 0) -> None:
+def play(
+    made: ServicePlanner, zones: int, seconds: int, random_source: random.Random, begin: int = 0
+) -> None:
     """So many seconds of sums and rounds."""
     names = list(made.endpoints)
     for second in range(begin, begin + seconds):
         for zone in range(zones):
             local = [name for name in names if made.endpoints[name].zone == zone] or names[:2]
             sums = {
-                name: EndpointSums(100, chance.randint(0, 2), 100 * chance.randint(150_000, 250_000))
+                name: EndpointLoad(
+                    100, random_source.randint(0, 2), 100 * random_source.randint(150_000, 250_000)
+                )
                 for name in local
             }
-            made.report(
-                Report(
+            made.add_report(
+                ZoneLoadReport(
                     "service-1",
                     zone,
                     second,
                     "relay",
                     second + 1,
                     sums,
-                    {0: GroupSums(chance.randint(90, 110) * len(local))},
+                    {0: GroupDemand(random_source.randint(90, 110) * len(local))},
                 ),
                 SECOND,
             )
         for quarter in range(4):
-            made.round(START + second * SECOND + quarter * SECOND // 4)
+            made.run_cycle(START + second * SECOND + quarter * SECOND // 4)
 
 
 def planner_cpu(zones: int, endpoints: int, seconds: int = 10) -> float:
     """Seconds of a core a second that one service costs its owner, its topics included."""
-    made, chance = planner(zones, endpoints), random.Random(2)
+    made, random_source = planner(zones, endpoints), random.Random(2)
     publications = {zone: Publication(Topic(zone_topic("service-1", zone)), 1) for zone in range(zones)}
-    play(made, zones, 4, chance)
+    play(made, zones, 4, random_source)
     began = time.process_time()
     for second in range(4, 4 + seconds):
-        play(made, zones, 1, chance, second)
+        play(made, zones, 1, random_source, second)
         for zone, publication in publications.items():
             publication.put_all(START + second * SECOND, made.zone_entries(zone))
             publication.flush()
@@ -219,14 +223,14 @@
 
 def table_bytes(zones: int, seconds: int = 40) -> float:
     """Bytes a second of one topic in ordinary traffic: what the planner's own changes of a table cost a subscriber."""
-    made, chance = planner(zones), random.Random(3)
+    made, random_source = planner(zones), random.Random(3)
     publication = Publication(Topic(zone_topic("service-1", 0)), 1)
-    play(made, zones, 10, chance)
+    play(made, zones, 10, random_source)
     publication.put_all(START, made.zone_entries(0))
     publication.flush()
     sent = 0
     for second in range(10, 10 + seconds):
-        play(made, zones, 1, chance, second)
+        play(made, zones, 1, random_source, second)
         publication.put_all(START + second * SECOND, made.zone_entries(0))
         if publication.due_at is not None:
             sent += len(encode(publication.flush()))
@@ -238,9 +242,9 @@
     return float(len(encode(_report("pilot-12345", 100, endpoints))))
 
 
-def _report(reporter: str, sequence: int, endpoints: int) -> Report:
-    sums = {f"service-1-{n:03d}": EndpointSums(17, 1, 3_200_000) for n in range(endpoints)}
-    return Report("service-1", 7, 1_700_000, reporter, sequence, sums, {0: GroupSums(170, 2)})
+def _report(reporter: str, sequence: int, endpoints: int) -> ZoneLoadReport:
+    sums = {f"service-1-{n:03d}": EndpointLoad(17, 1, 3_200_000) for n in range(endpoints)}
+    return ZoneLoadReport("service-1", 7, 1_700_000, reporter, sequence, sums, {0: GroupDemand(170, 2)})
 
 
 def aggregation_cpu(reporters: int) -> float:
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -91,7 +91,7 @@
 
     def __init__(self, pilots: int, seed: int, parts: Sequence[str]):
         self.world = World(size(pilots), seed, checked=False)
-        self.chance = random.Random(f"{seed}/player")
+        self.random_source = random.Random(f"{seed}/player")
         self.fleet = Fleet(pilots, sum(len(level) for level in self.world.levels), seed, list(parts))
 
     def play(self) -> Fleet:
@@ -139,7 +139,7 @@
         return sum(
             version == NEVER
             for pilot in self.world.pilots
-            for version in pilot.client.held.versions().values()
+            for version in pilot.client.held_versions.versions().values()
         )
 
     # --- parts ---
@@ -157,7 +157,7 @@
 
     def changes(self) -> None:
         """Ten changes of single services, one each half second."""
-        services = self.chance.sample(self.world.services, 10)
+        services = self.random_source.sample(self.world.services, 10)
         marked: dict[str, int] = {}
         before = sum(owner.messages_out for owner in self.world.owners)
         for service in services:
@@ -208,14 +208,14 @@
         self.world.write_table(
             service,
             {
-                LINE + name: TableLine(round(self.chance.uniform(10, 100), 2))
+                LINE + name: TableLine(round(self.random_source.uniform(10, 100), 2))
                 for name in names[:LINES_REWRITTEN]
             },
         )
 
     def level_killed(self) -> None:
         """All relays next to the owners die and come back after 5 s; services change in the middle of it."""
-        services = self.chance.sample(self.world.services, 5)
+        services = self.random_source.sample(self.world.services, 5)
         snapshots = self.world.snapshot_bytes()
         dials = len(self.world.network.dials)
         for relay in self.world.levels[0]:
@@ -234,7 +234,7 @@
         count = max(1, round(RESTARTS_A_MINUTE / 6 * self.fleet.pilots / PILOTS))
 
         def restart() -> None:
-            for pilot in self.chance.sample(self.world.pilots, count):
+            for pilot in self.random_source.sample(self.world.pilots, count):
                 pilot.away(2, forget=True)
                 self.world.run(10 / count)
             self.world.run(5)
@@ -248,11 +248,11 @@
         self.world.network.cut_off(region)
         self.world.run(8)
         services = [
-            self.chance.choice(self.world.services)
+            self.random_source.choice(self.world.services)
             for _ in range(max(5, HOUR_OF_CHANGES * self.fleet.pilots // PILOTS))
         ]
         for service in services:
-            self.world.change(service, "hourly", str(self.chance.random()))
+            self.world.change(service, "hourly", str(self.random_source.random()))
         marked = self.mark(sorted(set(services)))
         self.world.run(4)
         healed = self.world.events.now
--- a/benchmarks/scale/sockets.py
+++ b/benchmarks/scale/sockets.py
@@ -17,9 +17,10 @@
 from benchmarks.scale.distribution import SERVICE_ENDPOINTS, TABLE_LINES
 from benchmarks.scale.fits import Measurement, Point, summarize
 from ravenshelf.distribution.decisions.distributor import DistributorLimits
-from ravenshelf.distribution.decisions.ownership import Tenure
+from ravenshelf.distribution.decisions.ownership import PublicationLease
 from ravenshelf.distribution.decisions.planner import ENDPOINT, LINE, service_topic, zone_topic
 from ravenshelf.distribution.messages import EndpointEntry, Entry, TableLine
+from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.owner_service import OwnerService
 from ravenshelf.distribution.subscription_service import SubscriptionService
 from standins.installation import ports
@@ -58,7 +59,7 @@
         self.delays: list[float] = []  # milliseconds from a change to a subscriber
         limits = DistributorLimits(64)
         self.owner = OwnerService(
-            self.loop, clock, "bench", "owner-0", 1, 8, self.content, {}, random.Random(1), limits
+            Node(self.loop, clock, "bench", "owner-0", {}), 1, 8, self.content, random.Random(1), limits
         )
         self.subscribers: list[SubscriptionService] = []
 
@@ -74,7 +75,7 @@
     async def start(self) -> None:
         owner_at = await self.owner.start("127.0.0.1:0")
         for service in self.services:
-            self.owner.acquire(service, Tenure(1, clock() + 3600 * SECOND))
+            self.owner.acquire(service, PublicationLease(1, clock() + 3600 * SECOND))
         relay_at = f"127.0.0.1:{ports(1)[0]}"
         file = self.folder / "relay.toml"
         file.write_text(
@@ -102,12 +103,7 @@
                 self.delays.append((clock() - self.told[topic.name]) / 1000)
 
         return SubscriptionService(
-            self.loop,
-            clock,
-            "bench",
-            f"pilot-{number}",
-            ["relay-0"],
-            {"relay-0": relay_at},
+            Node(self.loop, clock, "bench", f"pilot-{number}", {"relay-0": relay_at}),
             random.Random(number),
             changed,
         )
--- a/ravenshelf/distribution/__init__.py
+++ b/ravenshelf/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Interest-scoped distribution: each service is decided once, and pilots subscribe only to what their proxies call."""
+"""Interest-scoped distribution: each service is decided once, and servers subscribe to what they use."""
--- a/ravenshelf/distribution/connection.py
+++ b/ravenshelf/distribution/connection.py
@@ -1,89 +1,96 @@
-"""One connection between a subscriber and its parent: frames of messages."""
+"""One connection between a subscriber and its parent: a stream of framed messages."""
 
-from typing import Protocol
+from typing import Any, Protocol
 
-from ravenshelf.distribution.messages import Message, MessageError, decode, encode
+from ravenshelf.distribution.messages import MalformedMessageError, Message, decode, encode
 from ravenshelf.net.buffered_connection import BufferedConnection
 from ravenshelf.net.connection_end import ConnectionEnd
 from ravenshelf.net.frames import Frames, pack
 from ravenshelf.state.buffers import BufferPool
 
-ROOM = 65_536  # bytes that wait unsent before no more is pulled for a subscriber
+WRITE_BUFFER_BYTES = 65_536  # unsent bytes from which on no more is pulled for a subscriber
 
 
-class Side(Protocol):
-    """Who holds the connection."""
+class ConnectionListener(Protocol):
+    """Is notified of the events of a connection."""
 
-    def opened(self, connection: "MessageConnection") -> None:
-        """It is open for writing."""
+    def connection_opened(self, connection: "MessageConnection") -> None:
+        """The connection is open for writing."""
 
-    def said(self, connection: "MessageConnection", message: Message) -> None:
-        """A message has come."""
+    def message_received(self, connection: "MessageConnection", message: Message) -> None:
+        """A message has arrived."""
 
-    def over(self, connection: "MessageConnection") -> None:
-        """It has ended, whoever ended it."""
+    def connection_ended(self, connection: "MessageConnection") -> None:
+        """The connection has ended, whichever side ended it."""
 
-    def drained(self, connection: "MessageConnection") -> None:
-        """It has room again."""
+    def write_resumed(self, connection: "MessageConnection") -> None:
+        """The write buffer has capacity again."""
 
 
 class MessageConnection(BufferedConnection):
-    """Tells its side of each message, and when it has room again."""
+    """Notifies its listener of each message, and when the write buffer has capacity again.
 
-    def __init__(self, buffers: BufferPool, side: Side, name: str = ""):
-        """`name`: of the parent that was dialled, or of the subscriber once it has said so."""
+    Counts messages, and their bytes without frames.
+    """
+
+    def __init__(self, buffers: BufferPool, listener: ConnectionListener, name: str = ""):
+        """`name`: of the parent that was dialled, or of the subscriber once it has identified itself."""
         super().__init__(buffers)
-        self.side, self.name = side, name
+        self.listener = listener
+        self.name = name
         self.frames = Frames()
-        self.paused = False
-        self.bytes_in = self.bytes_out = self.messages_in = self.messages_out = 0
-
-    def connection_made(self, transport) -> None:
-        """Called by the loop."""
+        self.paused = False  # the write buffer is full
+        self.bytes_in = 0
+        self.bytes_out = 0
+        self.messages_in = 0
+        self.messages_out = 0
+
+    def connection_made(self, transport: Any) -> None:
+        """Called by the event loop."""
         self.transport = transport
         if self.end is not None:
             transport.abort()
             return
-        transport.set_write_buffer_limits(high=ROOM)
-        self.side.opened(self)
+        transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
+        self.listener.connection_opened(self)
 
     def pause_writing(self) -> None:
-        """Called by the loop: ROOM bytes wait."""
+        """Called by the event loop: the write buffer is full."""
         self.paused = True
 
     def resume_writing(self) -> None:
-        """Called by the loop: there is room again."""
+        """Called by the event loop: the write buffer has capacity again."""
         self.paused = False
         if self.end is None:
-            self.side.drained(self)
+            self.listener.write_resumed(self)
 
     def received(self, data: bytes) -> None:
-        """Octets have come."""
+        """Handle received bytes."""
         try:
-            messages = [decode(body) for body in self._counted(self.frames.feed(data))]
-        except (ValueError, MessageError):
+            messages = [decode(body) for body in self._count_received(self.frames.feed(data))]
+        except (ValueError, MalformedMessageError):
             self.close(ConnectionEnd.UNREADABLE)
             return
         for message in messages:
             if self.end is None:
-                self.side.said(self, message)
+                self.listener.message_received(self, message)
 
-    def _counted(self, bodies: list[bytes]) -> list[bytes]:
+    def _count_received(self, bodies: list[bytes]) -> list[bytes]:
         self.messages_in += len(bodies)
         self.bytes_in += sum(map(len, bodies))
         return bodies
 
     def send(self, message: Message) -> None:
-        """Encodes and writes a message."""
+        """Encode and write a message."""
         self.write(encode(message))
 
     def write(self, payload: bytes) -> None:
-        """Writes the bytes of a message."""
+        """Write an encoded message; ignored once the connection has ended."""
         if self.end is None and self.transport is not None:
             self.messages_out += 1
             self.bytes_out += len(payload)
             self.transport.write(pack(payload))
 
     def ended(self) -> None:
-        """Told once, by whatever ended it."""
-        self.side.over(self)
+        """Called once, whichever side ended the connection."""
+        self.listener.connection_ended(self)
--- a/ravenshelf/distribution/decisions/aggregation.py
+++ b/ravenshelf/distribution/decisions/aggregation.py
@@ -1,24 +1,25 @@
-"""Sums on the way up: the reports of many pilots become one report a service, zone and window.
+"""Aggregation of load reports: the reports of many servers become one report for each service, zone and
+window.
 
-Each hop counts a report once: it is known by its reporter, a name for each start of a process, and its sequence number.
-What comes after its window was passed on goes with the next one, so a late report is counted late and never twice. What
-is on its way when a connection breaks is lost.
+Each hop counts a report once: a report is identified by its reporter (a name that is unique for each
+incarnation) and its sequence number. A report that arrives after its window was flushed is counted in the
+next one, so it is counted late and never twice. Reports in transit on a connection that breaks are lost.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ravenshelf.distribution.messages import EndpointSums, GroupSums, Report
+from ravenshelf.distribution.messages import EndpointLoad, GroupDemand, ZoneLoadReport
 
-WINDOW = 1_000_000  # microseconds of a window
-REPORTERS_FORGOTTEN_AFTER = 600  # windows without a report
+REPORT_WINDOW = 1_000_000  # microseconds
+REPORTER_EXPIRY_WINDOWS = 600  # a reporter without a report for so many windows is forgotten
 
 
 @dataclass
-class _Pending:
+class _PendingReport:
     window: int
-    endpoints: dict[str, EndpointSums] = field(default_factory=dict)
-    groups: dict[int, GroupSums] = field(default_factory=dict)
+    endpoints: dict[str, EndpointLoad] = field(default_factory=dict)
+    groups: dict[int, GroupDemand] = field(default_factory=dict)
 
 
 @dataclass
@@ -27,54 +28,61 @@
     window: int
 
 
-def add_endpoint(one: EndpointSums, other: EndpointSums) -> EndpointSums:
-    """The sums of both together."""
-    return EndpointSums(
-        one.tries + other.tries, one.failures + other.failures, one.latency_sum + other.latency_sum
+def add_endpoint(one: EndpointLoad, other: EndpointLoad) -> EndpointLoad:
+    """Return the sum of two endpoint loads."""
+    return EndpointLoad(
+        one.attempts + other.attempts, one.failures + other.failures, one.latency_sum + other.latency_sum
     )
 
 
-def add_group(one: GroupSums, other: GroupSums) -> GroupSums:
-    """The sums of both together."""
-    return GroupSums(one.requests + other.requests, one.unanswered + other.unanswered)
+def add_group(one: GroupDemand, other: GroupDemand) -> GroupDemand:
+    """Return the sum of two group demands."""
+    return GroupDemand(one.requests + other.requests, one.unanswered + other.unanswered)
+
+
+def _may_always_send(_service: str) -> bool:
+    return True
 
 
 class Aggregator:
-    """One hop of the way up."""
+    """Sums the load reports that reach one hop until they are flushed."""
 
     def __init__(self, name: str):
+        """`name`: the reporter of the flushed reports, unique for each incarnation."""
         self.name = name
         self.duplicates = 0
         self._sequence = 0
-        self._pending: dict[tuple[str, int], _Pending] = {}  # by service and proxy zone
+        self._pending: dict[tuple[str, int], _PendingReport] = {}  # by service and proxy zone
         self._reporters: dict[str, _Reporter] = {}
 
-    def add(self, report: Report) -> bool:
-        """Counts a report; False where it was counted before."""
+    def add(self, report: ZoneLoadReport) -> bool:
+        """Count a report; return False if it was counted before."""
         reporter = self._reporters.get(report.reporter)
         if reporter is not None and report.sequence <= reporter.sequence:
             self.duplicates += 1
             return False
         self._reporters[report.reporter] = _Reporter(report.sequence, report.window)
-        pending = self._pending.setdefault((report.service, report.zone), _Pending(report.window))
+        pending = self._pending.setdefault((report.service, report.zone), _PendingReport(report.window))
         pending.window = max(pending.window, report.window)
-        for name, sums in report.endpoints.items():
-            known = pending.endpoints.get(name)
-            pending.endpoints[name] = sums if known is None else add_endpoint(known, sums)
-        for group, asked in report.groups.items():
-            before = pending.groups.get(group)
-            pending.groups[group] = asked if before is None else add_group(before, asked)
+        for name, load in report.endpoints.items():
+            known_load = pending.endpoints.get(name)
+            pending.endpoints[name] = load if known_load is None else add_endpoint(known_load, load)
+        for group, demand in report.groups.items():
+            known_demand = pending.groups.get(group)
+            pending.groups[group] = demand if known_demand is None else add_group(known_demand, demand)
         return True
 
-    def flush(self, window: int, may_send: Callable[[str], bool] = lambda service: True) -> list[Report]:
-        """What came in, as this hop's own reports; called at the end of each window. Sums of services that `may_send`
-        denies, for their owner is out of reach, stay and are added to."""
+    def flush(self, window: int, may_send: Callable[[str], bool] = _may_always_send) -> list[ZoneLoadReport]:
+        """Return the pending loads as this hop's own reports; called at the end of each window.
+
+        Loads of services for which `may_send` is false (their owner can't be reached) stay pending.
+        """
         reports = []
         for service, zone in [key for key in self._pending if may_send(key[0])]:
             pending = self._pending.pop((service, zone))
             self._sequence += 1
             reports.append(
-                Report(
+                ZoneLoadReport(
                     service,
                     zone,
                     pending.window,
@@ -84,12 +92,12 @@
                     pending.groups,
                 )
             )
-        self._forget(window)
+        self._expire_reporters(window)
         return reports
 
-    def _forget(self, window: int) -> None:
-        before = window - REPORTERS_FORGOTTEN_AFTER
-        if window % REPORTERS_FORGOTTEN_AFTER == 0:
+    def _expire_reporters(self, window: int) -> None:
+        oldest = window - REPORTER_EXPIRY_WINDOWS
+        if window % REPORTER_EXPIRY_WINDOWS == 0:
             self._reporters = {
-                name: known for name, known in self._reporters.items() if known.window >= before
+                name: reporter for name, reporter in self._reporters.items() if reporter.window >= oldest
             }
--- a/ravenshelf/distribution/decisions/backoff.py
+++ b/ravenshelf/distribution/decisions/backoff.py
@@ -1,44 +1,53 @@
-"""When a subscriber dials again, and how much of a relay's capacity goes into snapshots."""
+"""Backoff of dials, and the token bucket that bounds the bytes of snapshots."""
 
 import random
 
-SECOND = 1_000_000
-FIRST_CEILING = SECOND // 2  # of the first wait; it doubles with each failure
+SECOND = 1_000_000  # microseconds
+FIRST_CEILING = SECOND // 2  # microseconds; doubles with each failure
 LAST_CEILING = 2 * SECOND  # a relay has a bounded number of children, so it bears one dial a second from each
+MAX_DOUBLINGS = 20  # keeps the ceiling a small number
 
 
 class Backoff:
-    """Exponential backoff with full jitter: each wait is drawn evenly from zero to a ceiling that doubles."""
+    """Exponential backoff with full jitter: each delay is uniform between zero and a ceiling that doubles."""
 
-    def __init__(self, chance: random.Random, first: int = FIRST_CEILING, last: int = LAST_CEILING):
-        self.chance, self.first, self.last = chance, first, last
+    def __init__(self, random_source: random.Random, first: int = FIRST_CEILING, last: int = LAST_CEILING):
+        """`first` and `last`: the ceilings of the first delay and of all later ones, in microseconds."""
+        self.random_source = random_source
+        self.first = first
+        self.last = last
         self.failures = 0
 
-    def wait(self) -> int:
-        """Microseconds until the next attempt, after one more failure."""
-        ceiling = min(self.last, self.first * 2 ** min(self.failures, 20))
+    def next_delay(self) -> int:
+        """Count a failure; return the microseconds until the next attempt."""
+        ceiling = min(self.last, self.first * 2 ** min(self.failures, MAX_DOUBLINGS))
         self.failures += 1
-        return int(self.chance.uniform(0, ceiling))
+        return int(self.random_source.uniform(0, ceiling))
 
     def reset(self) -> None:
-        """An attempt has come off."""
+        """An attempt has succeeded."""
         self.failures = 0
 
 
 class TokenBucket:
-    """So many units a second, and at most `burst` at once."""
+    """Grants `per_second` tokens a second, and at most `burst` at once."""
 
     def __init__(self, per_second: float, burst: float):
-        self.per_second, self.burst = per_second, burst
-        self.tokens, self.at = burst, 0
+        self.per_second = per_second
+        self.burst = burst
+        self.tokens = burst
+        self.filled_at = 0  # microseconds
 
     def _fill(self, now: int) -> None:
-        if now > self.at:
-            self.tokens = min(self.burst, self.tokens + self.per_second * (now - self.at) / SECOND)
-            self.at = now
+        if now > self.filled_at:
+            self.tokens = min(self.burst, self.tokens + self.per_second * (now - self.filled_at) / SECOND)
+            self.filled_at = now
 
     def take(self, now: int, amount: float) -> bool:
-        """Takes `amount`, or nothing. More than a whole burst is given once the bucket is full, and paid off later."""
+        """Take `amount` tokens, or none and return False.
+
+        More than a whole burst is granted once the bucket is full; the bucket then goes into debt.
+        """
         self._fill(now)
         if self.tokens < min(amount, self.burst):
             return False
@@ -46,7 +55,9 @@
         return True
 
     def ready_at(self, now: int, amount: float) -> int:
-        """When `take` will give that much, if nobody else takes any."""
+        """Return the time at which `take` will grant `amount`, if nobody else takes any."""
         self._fill(now)
         missing = min(amount, self.burst) - self.tokens
-        return now + max(0, int(missing / self.per_second * SECOND) + 1) if missing > 0 else now
+        if missing <= 0:
+            return now
+        return now + max(0, int(missing / self.per_second * SECOND) + 1)
--- a/ravenshelf/distribution/decisions/client.py
+++ b/ravenshelf/distribution/decisions/client.py
@@ -1,4 +1,5 @@
-"""The subscribing side of a pilot, relay or replica: which parent to dial, what to ask for, what to do on a gap."""
+"""The subscribing side of a server, relay or replica: which parent to dial, what to request, how to recover
+from a gap."""
 
 import random
 from collections.abc import MutableMapping, Sequence
@@ -19,14 +20,14 @@
     Unsubscribe,
 )
 
-SILENCE = 3 * SECOND  # without a heartbeat for so long the parent counts as lost
+SILENCE_TIMEOUT = 3 * SECOND  # a parent that sends nothing for so long counts as lost
 DIAL_TIMEOUT = 3 * SECOND
-DIFFERENCES_MOST = 2  # heartbeats in a row with another digest; one may have crossed a subscription
-REHOME_AFTER = (60 * SECOND, 180 * SECOND)  # from connecting to another parent until the preferred is tried
+MAX_DIGEST_MISMATCHES = 2  # heartbeats in a row; one may have crossed a subscription in transit
+REHOME_DELAY_RANGE = (60 * SECOND, 180 * SECOND)  # until the preferred parent is tried again
 
 
-class State(Enum):
-    """Of the connection to a parent."""
+class ConnectionState(Enum):
+    """State of the connection to a parent."""
 
     WAITING = "waiting"
     DIALLING = "dialling"
@@ -42,12 +43,12 @@
 
 @dataclass(frozen=True)
 class HangUp:
-    """Close the connection, or give up the dial; `lost` has been counted already."""
+    """Close the connection, or give up the dial; `lost` must not be called for it."""
 
 
 @dataclass(frozen=True)
 class Send:
-    """Send this on the connection."""
+    """Send this message on the connection."""
 
     message: Message
 
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True)
 class LivenessChanged:
-    """The parent says whether a topic's owner can be reached."""
+    """The parent reports whether it can reach a topic's owner."""
 
     topic: str
     live: bool
@@ -77,128 +78,137 @@
         self,
         parents: Sequence[str],
         topics: MutableMapping[str, Topic],
-        chance: random.Random,
+        random_source: random.Random,
         started: int = 0,
     ):
+        """`topics`: shared with the caller; `started`: time of the first dial. Raises ValueError without
+        parents."""
         if not parents:
             raise ValueError("expected at least one parent")
-        self.parents, self.topics, self.chance = list(parents), topics, chance
-        self.state, self.place = State.WAITING, 0
-        self.held = Digest()  # the topics that are wanted, and the versions held
-        self.backoff = Backoff(chance)
+        self.parents = list(parents)
+        self.topics = topics
+        self.random_source = random_source
+        self.state = ConnectionState.WAITING
+        self.parent_index = 0
+        self.held_versions = Digest()  # of the topics that are subscribed to
+        self.backoff = Backoff(random_source)
         self.outcomes: dict[Outcome, int] = dict.fromkeys(Outcome, 0)
         self.resyncs = 0
         self.disconnected_since: int | None = started
-        self._act_at = started  # when to dial, give up a dial, or count the parent as silent
+        self._deadline = started  # of the next dial, of a dial under way, or of the parent's silence
         self._rehome_at: int | None = None
-        self._asked_again: set[str] = set()
-        self._differences = 0
+        self._resync_requested: set[str] = set()
+        self._digest_mismatches = 0
 
     @property
     def parent(self) -> str:
         """The parent that is connected or dialled, or dialled next."""
-        return self.parents[self.place]
+        return self.parents[self.parent_index]
 
-    # --- what is wanted ---
+    # --- subscriptions ---
 
     def want(self, topic: str) -> list[Action]:
-        """Subscribes to a topic."""
-        if topic in self.held:
+        """Subscribe to a topic."""
+        if topic in self.held_versions:
             return []
         state = self.topics.setdefault(topic, Topic(topic))
-        self.held.set(topic, state.version)
+        self.held_versions.set(topic, state.version)
         return self._send(Subscribe(topic, state.version))
 
     def unwant(self, topic: str) -> list[Action]:
-        """Subscribes to a topic no more. Its state stays with the caller."""
-        if topic not in self.held:
+        """Cancel a subscription. The topic's state stays with the caller."""
+        if topic not in self.held_versions:
             return []
-        self.held.remove(topic)
-        self._asked_again.discard(topic)
+        self.held_versions.remove(topic)
+        self._resync_requested.discard(topic)
         return self._send(Unsubscribe(topic))
 
     def _send(self, message: Message) -> list[Action]:
-        return [Send(message)] if self.state is State.CONNECTED else []
+        return [Send(message)] if self.state is ConnectionState.CONNECTED else []
 
-    # --- the connection ---
+    # --- connection ---
 
     def connected(self, now: int) -> list[Action]:
-        """The dial has come off: tells all that is wanted, with the versions held."""
-        self.state, self.disconnected_since = State.CONNECTED, None
-        self._act_at = now + SILENCE
-        self._rehome_at = now + self.chance.randint(*REHOME_AFTER) if self.place else None
-        self._asked_again.clear()
-        self._differences = 0
-        return [Send(Subscribe(topic, version)) for topic, version in self.held.versions().items()]
+        """The dial has succeeded: subscribe to all topics, with the versions held."""
+        self.state = ConnectionState.CONNECTED
+        self.disconnected_since = None
+        self._deadline = now + SILENCE_TIMEOUT
+        is_preferred = self.parent_index == 0
+        self._rehome_at = None if is_preferred else now + self.random_source.randint(*REHOME_DELAY_RANGE)
+        self._resync_requested.clear()
+        self._digest_mismatches = 0
+        return [Send(Subscribe(topic, version)) for topic, version in self.held_versions.versions().items()]
 
     def lost(self, now: int) -> list[Action]:
-        """The connection has ended, or the dial has failed: the next parent is dialled after a while."""
-        if self.state is State.CONNECTED:
+        """The connection has ended, or the dial has failed: the next parent is dialled after a backoff."""
+        if self.state is ConnectionState.CONNECTED:
             self.disconnected_since = now
-        for topic in self.held.versions():
+        for topic in self.held_versions.versions():
             self.topics[topic].drop_partial()
-        self.state = State.WAITING
-        self.place = (self.place + 1) % len(self.parents)
-        self._act_at = now + self.backoff.wait()
+        self.state = ConnectionState.WAITING
+        self.parent_index = (self.parent_index + 1) % len(self.parents)
+        self._deadline = now + self.backoff.next_delay()
         return []
 
     def due_at(self) -> int:
-        """When `tick` has something to do."""
-        if self.state is State.CONNECTED and self._rehome_at is not None:
-            return min(self._act_at, self._rehome_at)
-        return self._act_at
+        """Return the time at which `tick` has something to do."""
+        if self.state is ConnectionState.CONNECTED and self._rehome_at is not None:
+            return min(self._deadline, self._rehome_at)
+        return self._deadline
 
     def tick(self, now: int) -> list[Action]:
-        """Dials, or gives up what has been silent for too long."""
+        """Dial, or give up a dial or a parent that has been silent for too long."""
         if now < self.due_at():
             return []
-        if self.state is State.WAITING:
-            self.state, self._act_at = State.DIALLING, now + DIAL_TIMEOUT
+        if self.state is ConnectionState.WAITING:
+            self.state = ConnectionState.DIALLING
+            self._deadline = now + DIAL_TIMEOUT
             return [Dial(self.parent)]
-        rehoming = self.state is State.CONNECTED and now < self._act_at
+        rehoming = self.state is ConnectionState.CONNECTED and now < self._deadline
         self.lost(now)
         if rehoming:
-            self.place, self._act_at = 0, now
+            self.parent_index = 0
+            self._deadline = now
         return [HangUp(), *self.tick(now)]
 
-    # --- what the parent says ---
+    # --- messages of the parent ---
 
     def receive(self, now: int, message: Message) -> list[Action]:
-        """Takes a message of the connected parent."""
-        self._act_at = now + SILENCE
+        """Handle a message of the connected parent."""
+        self._deadline = now + SILENCE_TIMEOUT
         if isinstance(message, Snapshot | Delta):
-            return self._take(message)
+            return self._apply_update(message)
         if isinstance(message, Heartbeat):
-            self.backoff.reset()  # a parent that ends connections at once is no parent yet
-            return self._compare(message)
+            self.backoff.reset()  # not before: a parent that ends connections at once is not available
+            return self._check_digest(message)
         if isinstance(message, TopicLive):
             return [LivenessChanged(message.topic, message.live)]
         return []
 
-    def _take(self, message: Snapshot | Delta) -> list[Action]:
+    def _apply_update(self, message: Snapshot | Delta) -> list[Action]:
         topic = message.topic
-        if topic not in self.held:
+        if topic not in self.held_versions:
             return []
         outcome = self.topics[topic].receive(message)
         self.outcomes[outcome] += 1
         if outcome is Outcome.APPLIED:
-            self.held.set(topic, self.topics[topic].version)
-            self._asked_again.discard(topic)
+            self.held_versions.set(topic, self.topics[topic].version)
+            self._resync_requested.discard(topic)
             return [TopicChanged(topic)]
-        if outcome is Outcome.GAP and topic not in self._asked_again:
-            self._asked_again.add(topic)
+        if outcome is Outcome.GAP and topic not in self._resync_requested:
+            self._resync_requested.add(topic)
             self.resyncs += 1
             return [Send(Subscribe(topic, self.topics[topic].version))]
         return []
 
-    def _compare(self, heartbeat: Heartbeat) -> list[Action]:
-        """Finds what was lost though nothing came after it."""
-        if heartbeat.digest == self.held.value:
-            self._differences = 0
+    def _check_digest(self, heartbeat: Heartbeat) -> list[Action]:
+        """Detect lost messages that no later message revealed."""
+        if heartbeat.digest == self.held_versions.value:
+            self._digest_mismatches = 0
             return []
-        self._differences += 1
-        if self._differences < DIFFERENCES_MOST:
+        self._digest_mismatches += 1
+        if self._digest_mismatches < MAX_DIGEST_MISMATCHES:
             return []
-        self._differences = 0
+        self._digest_mismatches = 0
         self.resyncs += 1
-        return [Send(Resync(self.held.versions()))]
+        return [Send(Resync(self.held_versions.versions()))]
--- a/ravenshelf/distribution/decisions/distributor.py
+++ b/ravenshelf/distribution/decisions/distributor.py
@@ -1,8 +1,9 @@
-"""The serving side of a controller or relay: who subscribes to what, and what each is sent next.
+"""The serving side of a controller or relay: who subscribes to what, and what each subscriber is sent next.
 
-Nothing is queued for a subscriber but the parts of one snapshot. What is kept is the version that it was last sent of each
-topic; when its connection has room it is sent what brings that version up to the present one. So a slow subscriber costs
-a number a topic, receives fewer but larger deltas, and holds up nobody else.
+Nothing is queued for a subscriber but the parts of one snapshot. The distributor keeps the version of each
+topic that a subscriber was last sent; when its connection has capacity, it is sent the update from that
+version to the present one. So a slow subscriber costs one version for each topic, receives fewer but larger
+deltas, and delays nobody else.
 """
 
 from collections import deque
@@ -24,12 +25,13 @@
     encode,
 )
 
-HEARTBEAT_EVERY = SECOND
+HEARTBEAT_INTERVAL = SECOND
+MIN_BUDGET_WAIT = 10_000  # microseconds until a snapshot without budget is tried again
 
 
 @dataclass(frozen=True)
 class DistributorLimits:
-    """What a distributor gives at the most."""
+    """Upper bounds of what a distributor serves."""
 
     subscribers: int = 64
     snapshot_bytes_per_second: float = 4_000_000.0
@@ -37,88 +39,90 @@
 
 
 class Outgoing:
-    """A message and its bytes, made once for all who are sent it."""
+    """A message and its bytes, encoded once for all subscribers that are sent it."""
 
     __slots__ = ("message", "payload")
 
     def __init__(self, message: Message):
-        self.message, self.payload = message, encode(message)
+        self.message = message
+        self.payload = encode(message)
 
 
 @dataclass
-class _Encoded:
-    version: Version
-    updates: dict[Version, list[Outgoing]] = field(
-        default_factory=dict
-    )  # by the version that a subscriber holds
+class _EncodedUpdates:
+    version: Version  # of the topic
+    updates: dict[Version, list[Outgoing]] = field(default_factory=dict)  # by the subscriber's version
 
 
 @dataclass
 class _Subscriber:
     heartbeat_at: int
     sent: Digest = field(default_factory=Digest)  # the version of each topic that it has been sent
-    dirty: dict[str, None] = field(default_factory=dict)  # topics to be looked at, the oldest first
-    parts: deque[Outgoing] = field(default_factory=deque)  # rest of a snapshot that has begun
-    not_live: set[str] = field(default_factory=set)  # topics it was told have no owner
+    dirty: dict[str, None] = field(default_factory=dict)  # topics to be examined, the oldest first
+    parts: deque[Outgoing] = field(default_factory=deque)  # messages to send before any other
+    not_live: set[str] = field(default_factory=set)  # topics reported to it as without a reachable owner
 
 
 class Distributor:
-    """Serves the topics of `topics`, which its owner keeps up to date, to subscribers."""
+    """Serves the topics of `topics`, which the caller keeps up to date, to subscribers."""
 
     def __init__(self, topics: Mapping[str, Topic], limits: DistributorLimits = DistributorLimits()):
-        self.topics, self.limits = topics, limits
+        self.topics = topics
+        self.limits = limits
         self.subscribers: dict[str, _Subscriber] = {}
-        self.interested: dict[str, dict[str, None]] = {}  # topic: its subscribers
-        self.snapshot_bytes = 0  # ever sent
+        self.subscriptions: dict[str, dict[str, None]] = {}  # by topic: its subscribers, in order
+        self.snapshot_bytes = 0  # sent in total
         self._not_live: set[str] = set()
         self._bucket = TokenBucket(limits.snapshot_bytes_per_second, limits.snapshot_burst_bytes)
-        self._encoded: dict[str, _Encoded] = {}  # by topic
+        self._encoded: dict[str, _EncodedUpdates] = {}  # by topic
 
-    # --- subscribers come and go ---
+    # --- subscribers ---
 
-    def accept(self, now: int, name: str) -> bool:
-        """A subscriber connects; False where there is no room for it. One of the same name is replaced."""
-        self.lost(name)
+    def add_subscriber(self, now: int, name: str) -> bool:
+        """Accept a subscriber, replacing one of the same name; return False if the limit is reached."""
+        self.remove_subscriber(name)
         if len(self.subscribers) >= self.limits.subscribers:
             return False
-        self.subscribers[name] = _Subscriber(now + HEARTBEAT_EVERY)
+        self.subscribers[name] = _Subscriber(now + HEARTBEAT_INTERVAL)
         return True
 
-    def lost(self, name: str) -> list[str]:
-        """Its connection has ended; gives the topics that nobody is interested in any more."""
+    def remove_subscriber(self, name: str) -> list[str]:
+        """Remove a subscriber whose connection has ended; return the topics that have no subscriber left."""
         subscriber = self.subscribers.pop(name, None)
         if subscriber is None:
             return []
-        return [topic for topic in subscriber.sent.versions() if self._no_longer(name, topic)]
+        return [topic for topic in subscriber.sent.versions() if self._remove_subscription(name, topic)]
 
-    def _no_longer(self, name: str, topic: str) -> bool:
-        others = self.interested.get(topic, {})
-        others.pop(name, None)
-        if not others:
-            self.interested.pop(topic, None)
-        return not others
+    def _remove_subscription(self, name: str, topic: str) -> bool:
+        """Remove a subscription; return whether the topic has no subscriber left."""
+        remaining = self.subscriptions.get(topic, {})
+        remaining.pop(name, None)
+        if not remaining:
+            self.subscriptions.pop(topic, None)
+        return not remaining
 
     def receive(self, name: str, message: Subscribe | Unsubscribe | Resync) -> list[str]:
-        """Takes what a subscriber says; gives the topics of which the first interest came or the last went."""
+        """Handle a subscriber's message; return the topics that got their first or lost their last
+        subscriber."""
         subscriber = self.subscribers[name]
         if isinstance(message, Resync):
             return self._resync(name, subscriber, message)
         if isinstance(message, Subscribe):
-            first = message.topic not in self.interested
+            is_first = message.topic not in self.subscriptions
             self._subscribe(name, subscriber, message)
-            return [message.topic] if first else []
+            return [message.topic] if is_first else []
         subscriber.sent.remove(message.topic)
         subscriber.dirty.pop(message.topic, None)
-        return [message.topic] if self._no_longer(name, message.topic) else []
+        return [message.topic] if self._remove_subscription(name, message.topic) else []
 
     def _subscribe(self, name: str, subscriber: _Subscriber, message: Subscribe) -> None:
-        self.interested.setdefault(message.topic, {})[name] = None
+        self.subscriptions.setdefault(message.topic, {})[name] = None
         subscriber.sent.set(message.topic, message.version)
         subscriber.not_live.discard(message.topic)
         subscriber.dirty[message.topic] = None
 
     def _resync(self, name: str, subscriber: _Subscriber, message: Resync) -> list[str]:
-        """Its versions hold, not ours; what it does not name it does not want."""
+        """The subscriber's versions replace ours; topics that it does not list are unsubscribed."""
         changed = []
         for topic in subscriber.sent.versions():
             if topic not in message.versions:
@@ -127,56 +131,66 @@
             changed += self.receive(name, Subscribe(topic, version))
         return changed
 
-    # --- topics change ---
+    # --- topics ---
 
-    def changed(self, topic: str) -> Iterator[str]:
-        """A topic has a new version; gives the subscribers that have something to pull now."""
-        for name in self.interested.get(topic, ()):
+    def topic_changed(self, topic: str) -> Iterator[str]:
+        """A topic has a new version; yield the subscribers that have something to pull."""
+        for name in self.subscriptions.get(topic, ()):
             self.subscribers[name].dirty[topic] = None
             yield name
 
     def set_live(self, topic: str, live: bool) -> Iterator[str]:
-        """Whether a topic's owner can be reached; gives the subscribers to be told."""
+        """Record whether a topic's owner can be reached; yield the subscribers to be notified."""
         if live == (topic not in self._not_live):
             return
-        (self._not_live.discard if live else self._not_live.add)(topic)
-        yield from self.changed(topic)
+        if live:
+            self._not_live.discard(topic)
+        else:
+            self._not_live.add(topic)
+        yield from self.topic_changed(topic)
+
+    def remove_topic(self, topic: str) -> None:
+        """The topic is no longer served."""
+        self._encoded.pop(topic, None)
+        self._not_live.discard(topic)
 
-    # --- what is sent ---
+    # --- outgoing messages ---
 
-    def pull(self, now: int, name: str, room: int) -> list[Outgoing]:
-        """What the subscriber is sent next, some `room` bytes of it (at least one message, if there is any)."""
-        subscriber, out, taken = self.subscribers[name], [], 0
+    def pull(self, now: int, name: str, byte_limit: int) -> list[Outgoing]:
+        """Return the subscriber's next messages, about `byte_limit` bytes (at least one message, if there is
+        any)."""
+        subscriber = self.subscribers[name]
+        outgoing: list[Outgoing] = []
         if now >= subscriber.heartbeat_at and not subscriber.parts:
-            subscriber.heartbeat_at = now + HEARTBEAT_EVERY
-            out.append(Outgoing(Heartbeat(subscriber.sent.value)))
-        waiting: list[str] = []  # snapshots for which the budget has no bytes now
-        while taken < room:
+            subscriber.heartbeat_at = now + HEARTBEAT_INTERVAL
+            outgoing.append(Outgoing(Heartbeat(subscriber.sent.value)))
+        deferred: list[str] = []  # topics whose snapshots exceed the present budget
+        pulled_bytes = 0
+        while pulled_bytes < byte_limit:
             if subscriber.parts:
-                outgoing = subscriber.parts.popleft()
-                out.append(outgoing)
-                taken += len(outgoing.payload)
+                part = subscriber.parts.popleft()
+                outgoing.append(part)
+                pulled_bytes += len(part.payload)
             elif subscriber.dirty:
                 topic = next(iter(subscriber.dirty))
                 del subscriber.dirty[topic]
-                if not self._begin(now, subscriber, topic):
-                    waiting.append(topic)
+                if not self._queue_updates(now, subscriber, topic):
+                    deferred.append(topic)
             else:
                 break
-        for topic in waiting:
+        for topic in deferred:
             subscriber.dirty[topic] = None
-        return out
-
-    def _begin(self, now: int, subscriber: _Subscriber, topic: str) -> bool:
-        """Puts what a topic needs into the subscriber's parts; False where the budget does not allow it yet."""
-        live = topic not in self._not_live
-        if live == (topic in subscriber.not_live):
-            (subscriber.not_live.discard if live else subscriber.not_live.add)(topic)
-            subscriber.parts.append(Outgoing(TopicLive(topic, live)))
-        held, state = subscriber.sent.get(topic), self.topics.get(topic)
-        if held is None or state is None:
+        return outgoing
+
+    def _queue_updates(self, now: int, subscriber: _Subscriber, topic: str) -> bool:
+        """Queue the updates of a topic as the subscriber's parts; return False if the budget does not allow
+        it yet."""
+        self._queue_liveness(subscriber, topic)
+        sent_version = subscriber.sent.get(topic)
+        state = self.topics.get(topic)
+        if sent_version is None or state is None:
             return True
-        updates = self._updates(state, held)
+        updates = self._updates(state, sent_version)
         if not updates:
             return True
         if isinstance(updates[0].message, Snapshot):
@@ -188,27 +202,30 @@
         subscriber.parts.extend(updates)
         return True
 
+    def _queue_liveness(self, subscriber: _Subscriber, topic: str) -> None:
+        live = topic not in self._not_live
+        if live != (topic in subscriber.not_live):
+            return
+        if live:
+            subscriber.not_live.discard(topic)
+        else:
+            subscriber.not_live.add(topic)
+        subscriber.parts.append(Outgoing(TopicLive(topic, live)))
+
     def _updates(self, state: Topic, held: Version) -> list[Outgoing]:
-        """The topic's messages for those who hold a version, encoded once while the present version stands."""
+        """Return the updates from a held version, encoded once while the topic's present version stands."""
         encoded = self._encoded.get(state.name)
         if encoded is None or encoded.version != state.version:
-            encoded = self._encoded[state.name] = _Encoded(state.version)
+            encoded = self._encoded[state.name] = _EncodedUpdates(state.version)
         if held not in encoded.updates:
             encoded.updates[held] = [Outgoing(message) for message in state.updates_since(held)]
         return encoded.updates[held]
 
-    # --- time ---
-
     def due_at(self, now: int, name: str) -> int:
-        """When to pull next for a subscriber whose connection has room."""
+        """Return the time of the next pull for a subscriber whose connection has capacity."""
         subscriber = self.subscribers[name]
         if subscriber.parts:
             return now
-        if subscriber.dirty:  # they wait for the budget
-            return min(subscriber.heartbeat_at, max(now + 10_000, self._bucket.ready_at(now, 1.0)))
+        if subscriber.dirty:  # deferred until the snapshot budget allows them
+            return min(subscriber.heartbeat_at, max(now + MIN_BUDGET_WAIT, self._bucket.ready_at(now, 1.0)))
         return subscriber.heartbeat_at
-
-    def forget(self, topic: str) -> None:
-        """The topic is not kept any more."""
-        self._encoded.pop(topic, None)
-        self._not_live.discard(topic)
--- a/ravenshelf/distribution/decisions/fallback.py
+++ b/ravenshelf/distribution/decisions/fallback.py
@@ -1,15 +1,15 @@
-"""What a pilot goes by for one zone of its service: the owner's table, the last one it had, or its own decisions."""
+"""Which table a server uses for one zone of its service: the owner's, the last one received, or its own."""
 
 from enum import Enum
 
 from ravenshelf.distribution.decisions.backoff import SECOND
 
-HOLD_FOR = (
+LAST_TABLE_HOLD = (
     10 * SECOND
-)  # without an owner: four beats of the solver, then the last table is older than its evidence
+)  # four solve intervals; then the last table is older than the evidence it rests on
 
 
-class Source(Enum):
+class TableSource(Enum):
     """Whose table is in use."""
 
     OWNER = "owner"
@@ -17,17 +17,17 @@
     LOCAL = "local"
 
 
-class OwnerReach:
-    """Whether an owner can be reached, and for how long not. Its table takes over again as soon as it can."""
+class OwnerReachability:
+    """How long the service owner has been unreachable. Its table is used again once it is back."""
 
     def __init__(self) -> None:
         self._lost_at: int | None = None
 
-    def source(self, now: int, reachable: bool) -> Source:
-        """Whose table is in use now, given whether the owner can be reached."""
+    def source(self, now: int, reachable: bool) -> TableSource:
+        """Return whose table is in use now, given whether the owner can be reached."""
         if reachable:
             self._lost_at = None
-            return Source.OWNER
+            return TableSource.OWNER
         if self._lost_at is None:
             self._lost_at = now
-        return Source.LAST_TABLE if now - self._lost_at < HOLD_FOR else Source.LOCAL
+        return TableSource.LAST_TABLE if now - self._lost_at < LAST_TABLE_HOLD else TableSource.LOCAL
--- a/ravenshelf/distribution/decisions/ownership.py
+++ b/ravenshelf/distribution/decisions/ownership.py
@@ -1,7 +1,8 @@
-"""Which controller decides a service: shards, replicas, claims under epochs, and the right to publish.
+"""Which controller owns a service: shards, replicas, claims with epochs, and the lease that permits
+publication.
 
-Services fall into the shards that `leadership` divides among the living controllers by rendezvous hashing and grants by
-leases; the term of a shard's lease is the epoch of all that its owner publishes.
+Services are hashed to the shards that `leadership` assigns to the living controllers by rendezvous hashing
+and grants by leases; the term of a shard's lease is the epoch of all that its owner publishes.
 """
 
 from collections.abc import Mapping
@@ -15,44 +16,47 @@
 
 
 def shard_of_service(service: str, shards: int) -> int:
-    """The shard of a service, the same at every controller."""
+    """Return the shard of a service, the same at every controller."""
     return xxhash.xxh64_intdigest(service.encode()) % shards
 
 
 def replicas(shard: int, owner: int, weights: Mapping[int, float], count: int = REPLICAS) -> list[int]:
-    """The controllers that stand ready to take a shard over, the likeliest successor first."""
+    """Return the controllers that replicate a shard, the likeliest successor first."""
     return [member for member in rank(shard, weights) if member != owner][:count]
 
 
 @dataclass(frozen=True)
 class Claim:
-    """A controller says that it owns a service, under an epoch."""
+    """A controller's claim that it owns a service, with the epoch of its lease."""
 
     owner: str
     epoch: int
 
 
 class OwnershipView:
-    """What a relay has heard of owners: for each service the claim of the latest epoch, whoever made it."""
+    """A relay's view of service owners: for each service the claim with the latest epoch."""
 
     def __init__(self) -> None:
         self._claims: dict[str, Claim] = {}
-        self._vacant: set[str] = set()  # services whose last owner has given them up
-
-    def hear(self, service: str, claim: Claim) -> bool:
-        """Takes a claim; True where it changes who owns the service."""
-        known, was_vacant = self._claims.get(service), service in self._vacant
-        again = was_vacant and claim == known  # its lease was good for nothing for a while, and is the same
-        if known is not None and claim.epoch <= known.epoch and not again:
+        self._vacant: set[str] = set()  # services whose last owner has withdrawn its claim
+
+    def update(self, service: str, claim: Claim) -> bool:
+        """Record a claim; return whether it changes the owner of the service."""
+        known = self._claims.get(service)
+        was_vacant = service in self._vacant
+        is_renewed = was_vacant and claim == known  # the same lease, which could not be renewed for a while
+        if known is not None and claim.epoch <= known.epoch and not is_renewed:
             return False
         self._vacant.discard(service)
         self._claims[service] = claim
         return known is None or was_vacant or known.owner != claim.owner
 
-    def hear_all(self, owner: str, claims: Mapping[str, Claim]) -> set[str]:
-        """Takes all that a controller claims now; gives the services whose owner has changed, to it, or to nobody where it
-        claims them no more."""
-        changed = {service for service, claim in claims.items() if self.hear(service, claim)}
+    def update_all(self, owner: str, claims: Mapping[str, Claim]) -> set[str]:
+        """Record all present claims of a controller; return the services whose owner changes.
+
+        A service that this controller owned and no longer claims becomes vacant.
+        """
+        changed = {service for service, claim in claims.items() if self.update(service, claim)}
         for service, claim in self._claims.items():
             if claim.owner == owner and service not in claims and service not in self._vacant:
                 self._vacant.add(service)
@@ -60,20 +64,25 @@
         return changed
 
     def claim(self, service: str) -> Claim | None:
-        """The latest claim; None where nobody claims the service."""
+        """Return the latest claim, or None for a vacant or unknown service."""
         return None if service in self._vacant else self._claims.get(service)
 
 
-class Tenure:
-    """An owner's right to publish: its lease, by its own clock, which must go on while the process stands still."""
+class PublicationLease:
+    """Permission to publish a service's topics until `expires_at`.
+
+    Times are of the owner's own clock, which must advance while the process is suspended.
+    """
 
-    def __init__(self, epoch: int, good_until: int):
-        self.epoch, self.good_until = epoch, good_until
+    def __init__(self, epoch: int, expires_at: int):
+        self.epoch = epoch
+        self.expires_at = expires_at
 
-    def renew(self, good_until: int) -> None:
-        """The lease has been prolonged."""
-        self.good_until = max(self.good_until, good_until)
+    def renew(self, expires_at: int) -> None:
+        """Extend the lease."""
+        self.expires_at = max(self.expires_at, expires_at)
 
     def may_publish(self, now: int) -> bool:
-        """To be asked right before each write: a process that was paused finds its lease lapsed."""
-        return now < self.good_until
+        """Return whether the lease is valid; to be checked before each write, for a process may have been
+        suspended."""
+        return now < self.expires_at
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -1,45 +1,66 @@
-"""The tables of one service, decided once for all pilots.
+"""The tables of one service, decided once for all servers.
 
-This is the decision module as each pilot runs it (`rules.Controller`, KurmaCost), with one proxy for each zone: that zone's
-proxies together, whose sums come up the tree. What it orders is kept as the entries of the zone's topic.
+The same controller as in each server (`rules.Controller`, KurmaCost) runs with one proxy for each zone, which
+stands for all proxies of that zone; their load reports come up the tree. Its commands are recorded as entries
+of the zone's topic.
 """
 
 from collections.abc import Mapping
 
 from ravenshelf.distribution.decisions.allowance import largest_share
-from ravenshelf.distribution.messages import AdmissionLevel, EndpointEntry, Entry, Report, Setting, TableLine
+from ravenshelf.distribution.messages import (
+    AdmissionLevel,
+    EndpointEntry,
+    Entry,
+    Setting,
+    TableLine,
+    ZoneLoadReport,
+)
 from ravenshelf.policy import events
 from ravenshelf.policy.commands import ALL_TABLES
 from ravenshelf.rules import Controller
 from ravenshelf.settings import Settings
 
-ENDPOINT, LINE, LEVEL, SETTING = "e:", "t:", "l:", "c:"  # prefixes of a topic's keys
-USUAL_UNKNOWN = 1.0  # requests a second of a zone of which nothing was heard yet
+# prefixes of a topic's keys
+ENDPOINT = "e:"
+LINE = "t:"
+LEVEL = "l:"
+SETTING = "c:"
+
+DEFAULT_USUAL_RATE = 1.0  # requests a second of a zone without load reports
+NO_TABLE = -1
+NO_ENDPOINT = -1
 
 
 def service_topic(service: str) -> str:
-    """The topic of a service's list and settings, the same for all zones."""
+    """Return the topic of a service's endpoints and settings, the same for all zones."""
     return f"{service}@"
 
 
 def zone_topic(service: str, zone: int) -> str:
-    """The topic of a service's table and levels for the proxies of a zone."""
+    """Return the topic of a service's table and admission levels for the proxies of a zone."""
     return f"{service}@{zone}"
 
 
-class TableOrders:
-    """The orders of a `Controller`, kept as the present table and levels of each proxy zone."""
+class RecordedTables:
+    """Receives the commands of a `Controller` and records the present table and admission levels of each
+    zone.
+
+    In the commands, the number of a proxy is that of its zone. Commands that concern one server only are
+    ignored.
+    """
 
     def __init__(self, groups: int):
+        """`groups`: the number of traffic groups."""
         self.groups = groups
-        self.tables: dict[int, dict[int, float]] = {}
-        self.levels: dict[int, dict[int, tuple[float, int]]] = {}
-        self.bound: dict[int, int] = {}
-        self.shut_out: set[int] = set()
-        self.marks: list[int] = []
+        self.tables: dict[int, dict[int, float]] = {}  # by table and endpoint: weight
+        self.levels: dict[int, dict[int, tuple[float, int]]] = {}  # by table and group: level, retry mode
+        self.table_of_zone: dict[int, int] = {}
+        self.ejected: set[int] = set()
+        self.markers: list[int] = []  # of requested acknowledgements
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
-        """Sets a line; weight 0 removes it."""
+        """Set a line; weight 0 removes it."""
         lines = self.tables.setdefault(table, {})
         if weight:
             lines[endpoint] = weight
@@ -47,95 +68,94 @@
             lines.pop(endpoint, None)
 
     def clear_table(self, table: int) -> None:
-        """Empties a table."""
-        self.tables[table], self.levels[table] = {}, {}
-
-    def set_ejected(self, endpoint: int, out: bool) -> None:
-        """Shuts an endpoint out of all tables, or lets it back."""
-        (self.shut_out.add if out else self.shut_out.discard)(endpoint)
+        """Empty a table."""
+        self.tables[table] = {}
+        self.levels[table] = {}
+
+    def set_ejected(self, endpoint: int, ejected: bool) -> None:
+        """Eject an endpoint from all tables, or readmit it."""
+        if ejected:
+            self.ejected.add(endpoint)
+        else:
+            self.ejected.discard(endpoint)
 
-    def bind_proxy(self, proxy: int, table: int, groups: int = 0) -> None:
-        """Leads a zone to a table."""
-        self.bound[proxy] = table
+    def bind_proxy(self, proxy: int, table: int, groups: int = 0) -> None:  # noqa: ARG002 (one table for all groups)
+        """Have a zone use a table."""
+        self.table_of_zone[proxy] = table
 
-    def set_admission_level(self, table: int, groups: int, level: float, tries: int) -> None:
-        """Sets the admission level of the groups in the bit mask (0: all)."""
-        held = self.levels.setdefault(table, {})
+    def set_admission_level(self, table: int, groups: int, level: float, retry_mode: int) -> None:
+        """Set the admission level of the traffic groups in the bit mask (0: all)."""
+        levels = self.levels.setdefault(table, {})
         for group in range(self.groups):
             if not groups or groups >> group & 1:
-                held[group] = (level, tries)
+                levels[group] = (level, retry_mode)
 
-    def request_acknowledgement(self, number: int, everyone: bool = False) -> None:
-        """Asks for an acknowledgement; the distribution counts its own versions, so it is given at once."""
-        self.marks.append(number)
+    def request_acknowledgement(self, marker: int, everyone: bool = False) -> None:  # noqa: ARG002 (always everyone)
+        """Record a requested acknowledgement; it is given at once, for the distribution has versions of its
+        own."""
+        self.markers.append(marker)
 
     def start_timer(self, at: int, key: str) -> None:
-        """The owner calls a round each quarter second anyway."""
+        """Ignored: the service owner runs a control cycle each quarter second anyway."""
 
-    def watch_endpoints(self, on: bool) -> None:
-        """The list comes from the service's own configuration."""
+    def watch_endpoints(self, enabled: bool) -> None:
+        """Ignored: endpoints come from the service's own configuration."""
 
     def fetch_endpoints(self) -> None:
-        """As `observe`."""
+        """Ignored, as `watch_endpoints`."""
 
     def check_health(self, endpoint: int) -> None:
-        """Owners do not probe."""
+        """Ignored: service owners do not check health."""
 
-    def send_peer_message(self, peer: int | None, octets: bytes) -> None:
-        """Owners tell each other nothing of tables."""
+    def send_peer_message(self, peer: int | None, payload: bytes) -> None:
+        """Ignored: service owners do not gossip."""
 
     def log(self, text: str) -> None:
-        """What an owner decides is seen in its topics."""
+        """Ignored: what a service owner decides is published in its topics."""
 
-    def lines_of(self, proxy: int) -> dict[int, float]:
-        """The table of a zone, without what is shut out."""
-        lines = self.tables.get(self.bound.get(proxy, -1), {})
-        return {endpoint: weight for endpoint, weight in lines.items() if endpoint not in self.shut_out}
+    def table_lines(self, zone: int) -> dict[int, float]:
+        """Return the weights of a zone's table by endpoint, without ejected endpoints."""
+        lines = self.tables.get(self.table_of_zone.get(zone, NO_TABLE), {})
+        return {endpoint: weight for endpoint, weight in lines.items() if endpoint not in self.ejected}
 
-    def levels_of(self, proxy: int) -> dict[int, tuple[float, int]]:
-        """The levels of a zone."""
-        return {**self.levels.get(ALL_TABLES, {}), **self.levels.get(self.bound.get(proxy, -1), {})}
+    def admission_levels(self, zone: int) -> dict[int, tuple[float, int]]:
+        """Return the admission level and retry mode of each traffic group in a zone."""
+        own_table = self.table_of_zone.get(zone, NO_TABLE)
+        return {**self.levels.get(ALL_TABLES, {}), **self.levels.get(own_table, {})}
 
 
 class ServicePlanner:
     """Decides the tables of one service for the proxy zones that have subscribers."""
 
     def __init__(self, service: str, deployment: Settings, seed: int):
-        """`deployment`: its zones, traffic groups and rules are used; admission levels are fractions."""
+        """`deployment`: its zones, traffic groups and rules apply to all services; admission levels are
+        fractions."""
         self.service = service
         self.endpoints: dict[str, EndpointEntry] = {}
         self.settings: dict[str, str] = {}
         self.zones: set[int] = set()  # proxy zones with subscribers
         self._indices: dict[str, int] = {}
         self._names: list[str] = []
-        self._news: list[events.Event] = []
-        self._listed_zones = max(1, len(deployment.zones))
-        self.orders = TableOrders(len(deployment.traffic_groups))
+        self._events: list[events.Event] = []  # for the next control cycle
+        self.tables = RecordedTables(len(deployment.traffic_groups))
         self.controller = Controller(deployment, seed)
 
-    # --- what comes in ---
+    # --- input ---
 
     def configure(
         self, endpoints: Mapping[str, EndpointEntry], settings: Mapping[str, str] | None = None
     ) -> None:
-        """The service's whole list and settings."""
+        """Replace the service's endpoints and, unless empty, its settings."""
         self.settings = dict(settings or self.settings)
         for name in [name for name in self.endpoints if name not in endpoints]:
             self.endpoints.pop(name)
         self.endpoints.update(endpoints)
-        entries = tuple(
-            events.ListedEndpoint(
-                self._index(name),
-                entry.zone,
-                0,
-                0,
-                events.EndpointState.READY if entry.ready else events.EndpointState.DRAINING,
-                entry.weight,
-                entry.started,
-            )
-            for name, entry in self.endpoints.items()
-        )
-        self._news.append(events.EndpointsListed(events.ListKind.REPLACE, entries))
+        listed = tuple(self._listed(name, entry) for name, entry in self.endpoints.items())
+        self._events.append(events.EndpointsListed(events.ListKind.REPLACE, listed))
+
+    def _listed(self, name: str, entry: EndpointEntry) -> events.ListedEndpoint:
+        state = events.EndpointState.READY if entry.ready else events.EndpointState.DRAINING
+        return events.ListedEndpoint(self._index(name), entry.zone, 0, 0, state, entry.weight, entry.started)
 
     def _index(self, name: str) -> int:
         if name not in self._indices:
@@ -143,72 +163,67 @@
             self._names.append(name)
         return self._indices[name]
 
-    def subscribe_zone(self, zone: int, usual: float = USUAL_UNKNOWN) -> None:
-        """The first pilot of a zone subscribes. `usual`: requests a second until sums come."""
+    def add_zone(self, zone: int, usual: float = DEFAULT_USUAL_RATE) -> None:
+        """A zone has subscribers now. `usual`: its requests a second until load is reported."""
         if zone not in self.zones:
             self.zones.add(zone)
-            self._news.append(events.ProxyJoined(zone, zone, usual, True))
+            self._events.append(events.ProxyJoined(zone, zone, usual, True))
 
-    def unsubscribe_zone(self, zone: int) -> None:
-        """The last pilot of a zone has gone: it costs nothing any more."""
+    def remove_zone(self, zone: int) -> None:
+        """A zone has no subscribers any more: its tables are no longer decided."""
         if zone in self.zones:
             self.zones.discard(zone)
-            self._news.append(events.ProxyLeft(zone))
+            self._events.append(events.ProxyLeft(zone))
 
-    def report(self, report: Report, window: int) -> None:
-        """Sums from a zone's proxies over a window of so many microseconds."""
-        for name, sums in report.endpoints.items():
+    def add_report(self, report: ZoneLoadReport, window: int) -> None:
+        """Record the load that a zone's proxies report for a window of so many microseconds."""
+        for name, load in report.endpoints.items():
             index = self._indices.get(name)
             if index is not None:
-                answered = max(1, sums.tries - sums.failures)
-                self._news.append(
+                succeeded = max(1, load.attempts - load.failures)
+                mean_latency = load.latency_sum // succeeded
+                self._events.append(
                     events.LoadReport(
-                        report.zone,
-                        index,
-                        sums.tries,
-                        sums.failures,
-                        sums.latency_sum // answered,
-                        window,
-                        (),
+                        report.zone, index, load.attempts, load.failures, mean_latency, window, ()
                     )
                 )
         if report.zone in self.zones:
-            for group, asked in report.groups.items():
-                self._news.append(
-                    events.DemandReport(report.zone, group, asked.requests, asked.unanswered, window)
+            for group, demand in report.groups.items():
+                self._events.append(
+                    events.DemandReport(report.zone, group, demand.requests, demand.unanswered, window)
                 )
 
-    # --- what goes out ---
+    # --- output ---
 
-    def round(self, now: int) -> None:
-        """Plays a round of the decisions; called each quarter second while there are subscribers."""
-        news, self._news = self._news, []
-        self.controller.round(now, news, self.orders)
-        for number in self.orders.marks:  # versions of topics take the place of the channel's answers
+    def run_cycle(self, now: int) -> None:
+        """Run a control cycle; called each quarter second while there are subscribers."""
+        pending, self._events = self._events, []
+        self.controller.round(now, pending, self.tables)
+        for marker in self.tables.markers:
             for zone in self.zones:
-                self.controller.channel.applied(zone, number, 0)
-        self.orders.marks.clear()
+                self.controller.channel.applied(zone, marker, 0)
+        self.tables.markers.clear()
 
     def service_entries(self) -> dict[str, Entry]:
-        """All that the service's topic says now."""
+        """Return the present state of the service's topic."""
         entries: dict[str, Entry] = {SETTING + name: Setting(value) for name, value in self.settings.items()}
         entries.update((ENDPOINT + name, entry) for name, entry in self.endpoints.items())
         return entries
 
     def zone_entries(self, zone: int) -> dict[str, Entry]:
-        """All that the topic of a proxy zone says now."""
+        """Return the present state of the topic of a proxy zone."""
         entries: dict[str, Entry] = {}
-        lines = self.orders.lines_of(zone)
+        lines = self.tables.table_lines(zone)
         total = sum(lines.values()) or 1.0
         for index, weight in lines.items():
             entries[LINE + self._names[index]] = self._line(index, weight, weight / total)
-        for group, (level, retry_mode) in self.orders.levels_of(zone).items():
+        for group, (level, retry_mode) in self.tables.admission_levels(zone).items():
             entries[f"{LEVEL}{group}"] = AdmissionLevel(level, retry_mode)
         return entries
 
     def is_warm(self, name: str) -> bool:
-        """Whether a listed endpoint has reached its full capacity, as far as its start tells."""
-        endpoint = self.controller.endpoints.get(self._indices.get(name, -1))
+        """Return whether a listed endpoint has reached its full capacity, as far as its start time tells."""
+        endpoint = self.controller.endpoints.get(self._indices.get(name, NO_ENDPOINT))
         return endpoint is not None and self.controller.ramp(endpoint) == 1
 
     def _line(self, index: int, weight: float, share: float) -> TableLine:
@@ -218,10 +233,10 @@
 
 
 def table_of(entries: Mapping[str, Entry]) -> dict[str, TableLine]:
-    """The table among a topic's entries."""
+    """Return the table lines among a topic's entries, by endpoint."""
     return {key[len(LINE) :]: entry for key, entry in entries.items() if isinstance(entry, TableLine)}
 
 
 def endpoints_of(entries: Mapping[str, Entry]) -> dict[str, EndpointEntry]:
-    """The listed endpoints among a topic's entries."""
+    """Return the listed endpoints among a topic's entries, by name."""
     return {key[len(ENDPOINT) :]: entry for key, entry in entries.items() if isinstance(entry, EndpointEntry)}
--- a/ravenshelf/distribution/decisions/publication.py
+++ b/ravenshelf/distribution/decisions/publication.py
@@ -1,51 +1,59 @@
-"""What an owner publishes of its topics: changes are gathered and leave as one delta a flush."""
+"""Publication of a topic by its owner: changes are collected and leave as one delta for each flush."""
 
 from collections.abc import Mapping
 
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.messages import Changes, Delta, Entry, Version
 
-FLUSH_EVERY = 100_000  # microseconds between two deltas of a topic: a burst of changes leaves as ten a second
+FLUSH_INTERVAL = (
+    100_000  # microseconds between two deltas of a topic: a burst of changes leaves as ten a second
+)
 
 
 class Publication:
-    """A topic at its owner, under the epoch of the owner's lease."""
+    """A topic at its owner, with the epoch of the owner's lease."""
 
     def __init__(self, topic: Topic, epoch: int):
-        """`topic` is empty, or what the owner held as a replica: then the first flush hands it over to the new epoch."""
+        """`topic`: empty, or as the owner replicated it; then the first flush hands it over to the new epoch.
+
+        Raises ValueError if the epoch is not later than the topic's.
+        """
         if epoch <= topic.version.epoch:
             raise ValueError(f"epoch {epoch} of {topic.name} is not later than {topic.version.epoch}")
-        self.topic, self.epoch = topic, epoch
+        self.topic = topic
+        self.epoch = epoch
         self._pending: Changes = {}
         self._flush_at: int | None = 0  # the handover is due at once
 
     @property
     def due_at(self) -> int | None:
-        """When to flush; None while nothing has changed."""
+        """The time of the next flush; None while nothing has changed."""
         return self._flush_at
 
     def put(self, now: int, key: str, entry: Entry | None) -> None:
-        """Sets a key, or removes it (None). Nothing happens where it already is so."""
+        """Set a key, or remove it (None); an equal entry is no change."""
         current = self._pending[key] if key in self._pending else self.topic.entries.get(key)
         if current == entry:
             return
         self._pending[key] = entry
         if self._flush_at is None:
-            self._flush_at = now + FLUSH_EVERY
+            self._flush_at = now + FLUSH_INTERVAL
 
     def put_all(self, now: int, entries: Mapping[str, Entry]) -> None:
-        """Makes the state equal to `entries`."""
+        """Make the state equal to `entries`."""
         for key in [key for key in {**self.topic.entries, **self._pending} if key not in entries]:
             self.put(now, key, None)
         for key, entry in entries.items():
             self.put(now, key, entry)
 
     def flush(self) -> Delta:
-        """Publishes what is pending as the next version."""
+        """Publish the pending changes as the next version."""
         version = self.topic.version
-        following = Version(self.epoch, version.sequence + 1 if version.epoch == self.epoch else 1)
+        next_sequence = version.sequence + 1 if version.epoch == self.epoch else 1
+        next_version = Version(self.epoch, next_sequence)
         changes = {key: entry for key, entry in self._pending.items() if self.topic.entries.get(key) != entry}
-        delta = Delta(self.topic.name, version, following, changes)
+        delta = Delta(self.topic.name, version, next_version, changes)
         self.topic.apply(delta)
-        self._pending, self._flush_at = {}, None
+        self._pending = {}
+        self._flush_at = None
         return delta
--- /dev/null
+++ b/ravenshelf/distribution/decisions/service_decisions.py
@@ -0,0 +1,192 @@
+"""The services that a controller owns, each decided by a planner of its own from the load reports that come
+up the tree.
+
+A planner exists while a service has subscribers. After a takeover the previous owner's tables, as replicated,
+stay in use until the planner has received load reports for two solve intervals: a planner without reports
+would split evenly.
+"""
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, field
+
+from ravenshelf.distribution.decisions.aggregation import REPORT_WINDOW, Aggregator
+from ravenshelf.distribution.decisions.backoff import SECOND
+from ravenshelf.distribution.decisions.claims import service_of
+from ravenshelf.distribution.decisions.planner import (
+    LINE,
+    ServicePlanner,
+    endpoints_of,
+    service_topic,
+    table_of,
+    zone_topic,
+)
+from ravenshelf.distribution.decisions.service_owner import ServiceOwner
+from ravenshelf.distribution.messages import EndpointEntry, Entry, TableLine, ZoneLoadReport
+from ravenshelf.settings import Settings
+
+CYCLE_INTERVAL = SECOND // 4
+WARM_UP_WITH_REPORTS = 5 * SECOND  # two solve intervals with load reports
+WARM_UP_WITHOUT_REPORTS = 10 * SECOND  # where none arrive at all
+
+
+@dataclass(frozen=True)
+class Service:
+    """Configuration of a service: its endpoints and settings by name."""
+
+    endpoints: Mapping[str, EndpointEntry]
+    settings: Mapping[str, str]
+
+
+@dataclass
+class _PlannedService:
+    planner: ServicePlanner
+    started_at: int
+    first_report_at: int | None = None
+    inherited_tables: dict[int, dict[str, Entry]] = field(default_factory=dict)  # by zone
+    configuration: Service | None = None
+
+    def is_warm(self, now: int) -> bool:
+        """Return whether the planner's own tables are better than the inherited ones."""
+        if self.first_report_at is not None and now - self.first_report_at >= WARM_UP_WITH_REPORTS:
+            return True
+        return now - self.started_at >= WARM_UP_WITHOUT_REPORTS and self.first_report_at is None
+
+
+class ServiceDecisions:
+    """Decides all services that one controller owns.
+
+    Pass `content` to the `ServiceOwner`, then call `attach` with it before anything else.
+    """
+
+    def __init__(self, deployment: Settings, configuration_of: Callable[[str], Service], seed: int):
+        """`deployment`: as `ServicePlanner` takes it; `configuration_of` returns a service's present
+        configuration."""
+        self.deployment = deployment
+        self.configuration_of = configuration_of
+        self.seed = seed
+        self.planned_services: dict[str, _PlannedService] = {}
+        self.aggregator = Aggregator("owner")
+        self._attached_owner: ServiceOwner | None = None
+        self._window = 0
+
+    def attach(self, owner: ServiceOwner) -> None:
+        """Set the owner whose services are decided here."""
+        self._attached_owner = owner
+
+    @property
+    def owner(self) -> ServiceOwner:
+        """The owner whose services are decided here; `attach` must have been called."""
+        assert self._attached_owner is not None, "attach has not been called"
+        return self._attached_owner
+
+    # --- load reports ---
+
+    def add_load_report(self, report: ZoneLoadReport) -> None:
+        """Record a relay's load report."""
+        self.aggregator.add(report)
+
+    def _apply_load_reports(self, now: int) -> None:
+        self._window = now // REPORT_WINDOW
+        for report in self.aggregator.flush(self._window):
+            planned = self.planned_services.get(report.service)
+            if planned is not None:
+                if planned.first_report_at is None:
+                    planned.first_report_at = now
+                planned.planner.add_report(report, REPORT_WINDOW)
+
+    # --- control cycles ---
+
+    def run_cycle(self, now: int) -> None:
+        """Decide all services that have subscribers, and refresh their topics; called each CYCLE_INTERVAL."""
+        if now // REPORT_WINDOW != self._window:
+            self._apply_load_reports(now)
+        subscribed_zones = self._subscribed_zones()
+        for service in [service for service in self.planned_services if service not in subscribed_zones]:
+            del self.planned_services[service]
+        for service, zones in subscribed_zones.items():
+            self._decide(now, service, zones)
+
+    def _subscribed_zones(self) -> dict[str, set[int]]:
+        """Return the owned services with subscribers, and the zones of these."""
+        subscribed: dict[str, set[int]] = {}
+        for topic in self.owner.distributor.subscriptions:
+            service = service_of(topic)
+            if service in self.owner.owned_services:
+                zone = topic[len(service) + 1 :]
+                subscribed.setdefault(service, set()).update([int(zone)] if zone.isdigit() else [])
+        return subscribed
+
+    def _decide(self, now: int, service: str, zones: set[int]) -> None:
+        planned = self._planned_service(now, service)
+        planner = planned.planner
+        for zone in planner.zones - zones:
+            planner.remove_zone(zone)
+            planned.inherited_tables.pop(zone, None)
+        for zone in sorted(zones - planner.zones):
+            planner.add_zone(zone)
+            self._inherit_table(planned, service, zone)
+        planner.run_cycle(now)
+        self.owner.refresh(now, service_topic(service))
+        for zone in planner.zones:
+            self.owner.refresh(now, zone_topic(service, zone))
+
+    def _planned_service(self, now: int, service: str) -> _PlannedService:
+        planned = self.planned_services.get(service)
+        if planned is None:
+            planned = _PlannedService(ServicePlanner(service, self.deployment, self.seed), now)
+            self.planned_services[service] = planned
+        configuration = self.configuration_of(service)
+        if configuration != planned.configuration:
+            planned.configuration = configuration
+            planned.planner.configure(configuration.endpoints, configuration.settings)
+        return planned
+
+    def _inherit_table(self, planned: _PlannedService, service: str, zone: int) -> None:
+        replicated = self.owner.topics.get(zone_topic(service, zone))
+        if replicated is not None and table_of(replicated.entries):
+            planned.inherited_tables[zone] = dict(replicated.entries)
+
+    # --- content of topics ---
+
+    def content(self, topic: str) -> Mapping[str, Entry] | None:
+        """Return the present state of a topic of an owned service; None while it is not known.
+
+        A table is never emptied: if no endpoint is left, the last table stands.
+        """
+        service = service_of(topic)
+        planned = self.planned_services.get(service)
+        if planned is None:
+            return self._last_content(topic)
+        if topic == service_topic(service):
+            return planned.planner.service_entries()
+        return self._zone_content(planned, topic, int(topic[len(service) + 1 :]))
+
+    def _last_content(self, topic: str) -> Mapping[str, Entry] | None:
+        """Return what this controller published last, or replicated."""
+        state = self.owner.topics.get(topic)
+        return dict(state.entries) if state is not None and state.entries else None
+
+    def _zone_content(self, planned: _PlannedService, topic: str, zone: int) -> Mapping[str, Entry] | None:
+        own = planned.planner.zone_entries(zone)
+        if planned.is_warm(planned.planner.controller.now):
+            planned.inherited_tables.pop(zone, None)
+        inherited = planned.inherited_tables.get(zone)
+        usable = self._usable_lines(planned, inherited) if inherited is not None else {}
+        for entries in (usable, own):
+            if table_of(entries):
+                return entries
+        return self._last_content(topic)
+
+    @staticmethod
+    def _usable_lines(planned: _PlannedService, inherited: Mapping[str, Entry]) -> dict[str, Entry]:
+        """Return the inherited entries without endpoints that are draining, gone or restarted since."""
+        ready = {
+            name
+            for name, entry in endpoints_of(planned.planner.service_entries()).items()
+            if entry.ready and planned.planner.is_warm(name)
+        }
+        return {
+            key: entry
+            for key, entry in inherited.items()
+            if not isinstance(entry, TableLine) or key[len(LINE) :] in ready
+        }
--- a/ravenshelf/distribution/decisions/topics.py
+++ b/ravenshelf/distribution/decisions/topics.py
@@ -1,4 +1,4 @@
-"""The state of one topic: entries, version, and enough history to bring a late subscriber up by a delta."""
+"""The state of one topic: entries, version, and enough history to update a late subscriber by a delta."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -6,33 +6,32 @@
 
 from ravenshelf.distribution.messages import NEVER, Changes, Delta, Entry, Snapshot, Version
 
-PART_ENTRIES = (
-    128  # entries in one part of a snapshot, some 5 KB: a reader of 7 KB/s hears something each second
-)
+SNAPSHOT_PART_ENTRIES = 128  # some 5 KB: a reader of 7 KB/s receives a message each second
+MIN_HISTORY_CHANGES = 16
 
 
 class Outcome(Enum):
-    """What came of a message on a topic."""
+    """Result of receiving an update of a topic."""
 
     APPLIED = "applied"
     INCOMPLETE = "incomplete"  # a snapshot that lacks parts
-    DUPLICATE = "duplicate"  # nothing that was not known
-    STALE_EPOCH = "stale epoch"  # from an owner that was deposed
-    GAP = "gap"  # something in between was missed: only a resync helps
+    DUPLICATE = "duplicate"  # no news
+    STALE_EPOCH = "stale epoch"  # from a deposed owner
+    GAP = "gap"  # an update in between was missed: only a resync helps
 
 
 @dataclass
 class _PartialSnapshot:
     version: Version
     parts: int
-    entries: dict[int, dict[str, Entry]]
+    entries: dict[int, dict[str, Entry]]  # by number of the part
 
 
 class Topic:
     """One topic as its owner, a relay or a subscriber holds it.
 
-    Versions never go back within an epoch, and never to an earlier epoch. A delta is applied only where it covers all that
-    happened since the version held.
+    Versions never go back within an epoch, and never to an earlier epoch. A delta is applied only if it
+    covers all changes since the version held.
     """
 
     def __init__(self, name: str):
@@ -44,18 +43,20 @@
         self._partial: _PartialSnapshot | None = None
 
     def receive(self, message: Snapshot | Delta) -> Outcome:
-        """Takes a message of the topic's upstream."""
-        return self._take_snapshot(message) if isinstance(message, Snapshot) else self._take_delta(message)
+        """Handle an update from the topic's upstream."""
+        if isinstance(message, Snapshot):
+            return self._receive_snapshot(message)
+        return self._receive_delta(message)
 
     def drop_partial(self) -> None:
-        """The connection has broken: the rest of a snapshot does not come."""
+        """Drop an incomplete snapshot: its connection has broken."""
         self._partial = None
 
     # --- snapshots ---
 
-    def _take_snapshot(self, part: Snapshot) -> Outcome:
+    def _receive_snapshot(self, part: Snapshot) -> Outcome:
         if part.version <= self.version:
-            return Outcome.STALE_EPOCH if part.version.epoch < self.version.epoch else Outcome.DUPLICATE
+            return self._rejected(part.version)
         partial = self._partial
         if partial is None or partial.version < part.version:
             partial = self._partial = _PartialSnapshot(part.version, part.parts, {})
@@ -70,33 +71,38 @@
         self.replace(part.version, entries)
         return Outcome.APPLIED
 
+    def _rejected(self, version: Version) -> Outcome:
+        """Return the outcome of an update that is not later than the version held."""
+        return Outcome.STALE_EPOCH if version.epoch < self.version.epoch else Outcome.DUPLICATE
+
     def replace(self, version: Version, entries: dict[str, Entry]) -> None:
-        """The whole state is a new one; what led to it is not known, so the history begins anew."""
-        self.version, self.entries = version, entries
+        """Replace the complete state; the history restarts, as the changes in between are unknown."""
+        self.version = version
+        self.entries = entries
         self._partial = None
         self._history.clear()
         self._history_changes = 0
 
     # --- deltas ---
 
-    def _take_delta(self, delta: Delta) -> Outcome:
+    def _receive_delta(self, delta: Delta) -> Outcome:
         if delta.version <= self.version:
-            return Outcome.STALE_EPOCH if delta.version.epoch < self.version.epoch else Outcome.DUPLICATE
+            return self._rejected(delta.version)
         if not self._covers(delta):
             return Outcome.GAP
         self.apply(delta)
         return Outcome.APPLIED
 
     def _covers(self, delta: Delta) -> bool:
-        """Whether the delta holds all that happened since the version held."""
+        """Return whether the delta holds all changes since the version held."""
         if (
             delta.version.epoch != self.version.epoch
-        ):  # a handover starts from exactly what the successor knew
+        ):  # a handover starts from exactly what the successor held
             return delta.since == self.version
         return delta.since <= self.version and delta.since.epoch == self.version.epoch
 
     def apply(self, delta: Delta) -> None:
-        """Takes a delta that is known to cover all since the version held."""
+        """Apply a delta that is known to cover all changes since the version held."""
         for key, entry in delta.changes.items():
             if entry is None:
                 self.entries.pop(key, None)
@@ -106,25 +112,29 @@
             delta = Delta(delta.topic, self.version, delta.version, delta.changes)
         self.version = delta.version
         self._partial = None
-        self._remember(delta)
+        self._append_history(delta)
 
-    def _remember(self, delta: Delta) -> None:
+    def _append_history(self, delta: Delta) -> None:
         self._history.append(delta)
         self._history_changes += len(delta.changes) + 1
-        while self._history_changes > max(len(self.entries), 16):  # from there on a snapshot is as small
+        # beyond this limit a snapshot is as small as the delta
+        while self._history_changes > max(len(self.entries), MIN_HISTORY_CHANGES):
             self._history_changes -= len(self._history.popleft().changes) + 1
 
-    # --- what a subscriber is sent ---
+    # --- updates of subscribers ---
 
     def updates_since(self, held: Version) -> list[Snapshot | Delta]:
-        """What brings a subscriber from `held` to the present version; empty where it is as far or further."""
+        """Return the updates from version `held` to the present one; empty if the subscriber is as far or
+        further."""
         if held >= self.version:
             return []
         delta = self._delta_since(held)
-        return [delta] if delta is not None else self.snapshot()
+        if delta is not None:
+            return [delta]
+        return [*self.snapshot()]
 
     def _delta_since(self, held: Version) -> Delta | None:
-        first = next((n for n, delta in enumerate(self._history) if delta.since == held), None)
+        first = next((number for number, delta in enumerate(self._history) if delta.since == held), None)
         if first is None:
             return None
         changes: Changes = {}
@@ -133,16 +143,16 @@
         return Delta(self.name, held, self.version, changes)
 
     def snapshot(self) -> list[Snapshot]:
-        """The whole state, in parts."""
+        """Return the complete state, in parts."""
         keys = list(self.entries)
-        cuts = range(0, max(1, len(keys)), PART_ENTRIES)
+        starts = range(0, max(1, len(keys)), SNAPSHOT_PART_ENTRIES)
         return [
             Snapshot(
                 self.name,
                 self.version,
                 number,
-                len(cuts),
-                {key: self.entries[key] for key in keys[cut : cut + PART_ENTRIES]},
+                len(starts),
+                {key: self.entries[key] for key in keys[start : start + SNAPSHOT_PART_ENTRIES]},
             )
-            for number, cut in enumerate(cuts)
+            for number, start in enumerate(starts)
         ]
--- a/ravenshelf/distribution/leased_services.py
+++ b/ravenshelf/distribution/leased_services.py
@@ -1,122 +1,138 @@
-"""Between leases and publication: a shard that is won or lost makes its services owned, or given up.
+"""Between leases and publication: the services of a shard are acquired and released with the shard's lease.
 
-Takes the place of the proxies' adapter in `leadership.service.Leadership`.
+`LeasedServices` has the interface of the proxies' adapter in `leadership.service.Leadership`.
 """
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from ravenshelf.distribution.decisions.ownership import Tenure, replicas, shard_of_service
+from ravenshelf.distribution.decisions.ownership import PublicationLease, replicas, shard_of_service
 from ravenshelf.distribution.owner_service import OwnerService
 from ravenshelf.leadership.decisions import GRANTING, Member
 
-UNCLAIMED_AFTER = 5_000_000  # microseconds without a good lease: then its services are not claimed any more
+UNCLAIM_AFTER = 5_000_000  # microseconds without a valid lease until the claims of its services are withdrawn
 
 
-class LeasedTenure(Tenure):
-    """The right to publish as the lease itself says at that moment."""
+class ShardLease(PublicationLease):
+    """Permission to publish while the shard's lease is valid in the term of its acquisition."""
 
     def __init__(self, member: Member, shard: int, term: int):
         super().__init__(term, 0)
-        self._member, self._shard = member, shard
+        self._member = member
+        self._shard = shard
 
     def may_publish(self, now: int) -> bool:
-        """Whether a majority's lease in this term is good now."""
+        """Return whether the lease is valid now, in this term."""
         same_term = self._member.claims[self._shard].term == self.epoch
         return same_term and self._member.may_order(now, self._shard) == GRANTING
 
 
 @dataclass(frozen=True)
 class OwnedShard:
-    """A shard that this controller owns. Orders do not wait here: what a topic says is its whole state."""
+    """A shard that this controller owns. `gate` is always empty: topics are states, so no commands are
+    queued."""
 
     term: int
     gate: tuple = ()
 
 
 class LeasedServices:
-    """What `Leadership` tells of shards, for the services of an `OwnerService`."""
+    """Acquires and releases the services of an `OwnerService` as `Leadership` gains and loses shards."""
 
     def __init__(self, member: Member, names: list[str], clock: Callable[[], int], shards: int):
-        """`names`: the controllers, in the order of their numbers."""
-        self.member, self.names, self.clock, self.shards = member, names, clock, shards
+        """`names`: the controllers by member number; `clock`: microseconds. Call `attach` before anything
+        else."""
+        self.member = member
+        self.names = names
+        self.clock = clock
+        self.shards = shards
         self.owned: dict[int, OwnedShard] = {}
-        self.present: dict[int, int] = {}  # proxies with a stream: there are none
-        self.publisher: OwnerService | None = None
+        self.present: dict[int, int] = {}  # proxies with a stream: always empty
         self.services: set[str] = set()
-        self._lapsed_since: dict[int, int] = {}  # owned shards whose lease is not good
-
-    def serve(self, publisher: OwnerService, services: Iterable[str]) -> None:
-        """Publishes by this; the services as the file has them."""
-        self.publisher = publisher
-        self.list_services(services)
-
-    def list_services(self, services: Iterable[str]) -> None:
-        """The file has changed: new services of owned shards are acquired, those that are gone given up."""
-        before, self.services = self.services, set(services)
-        for service in sorted(before - self.services):
+        self._attached_publisher: OwnerService | None = None
+        self._invalid_since: dict[int, int] = {}  # owned shards whose lease is not valid
+
+    def attach(self, publisher: OwnerService, services: Iterable[str]) -> None:
+        """Set the publisher, and the services as configured."""
+        self._attached_publisher = publisher
+        self.set_services(services)
+
+    @property
+    def publisher(self) -> OwnerService:
+        """The publisher of the services; `attach` must have been called."""
+        assert self._attached_publisher is not None, "attach has not been called"
+        return self._attached_publisher
+
+    def set_services(self, services: Iterable[str]) -> None:
+        """The configuration has changed: acquire new services of owned shards, release removed ones."""
+        previous = self.services
+        self.services = set(services)
+        for service in sorted(previous - self.services):
             self.publisher.release(service)
-        for service in sorted(self.services - before):
+        for service in sorted(self.services - previous):
             shard = shard_of_service(service, self.shards)
             if shard in self.owned:
                 self._acquire(service, shard)
 
-    def _of(self, shard: int) -> list[str]:
+    def _services_of(self, shard: int) -> list[str]:
         return sorted(service for service in self.services if shard_of_service(service, self.shards) == shard)
 
     def _acquire(self, service: str, shard: int) -> None:
-        self.publisher.acquire(service, LeasedTenure(self.member, shard, self.owned[shard].term))
+        self.publisher.acquire(service, ShardLease(self.member, shard, self.owned[shard].term))
 
-    # --- what Leadership tells ---
+    # --- calls of Leadership ---
 
     def took(self, shard: int, term: int, _record: bytes | None) -> None:
-        """A majority has granted the shard's lease."""
+        """A quorum has granted the shard's lease."""
         self.owned[shard] = OwnedShard(term)
-        self._lapsed_since.pop(shard, None)
-        for service in self._of(shard):
+        self._invalid_since.pop(shard, None)
+        for service in self._services_of(shard):
             self._acquire(service, shard)
 
     def lost(self, shard: int) -> None:
-        """The shard is another's, or was given away."""
+        """Another controller has the shard's lease, or it was released."""
         self.owned.pop(shard, None)
-        self._lapsed_since.pop(shard, None)
-        for service in self._of(shard):
+        self._invalid_since.pop(shard, None)
+        for service in self._services_of(shard):
             self.publisher.release(service)
 
     def released(self) -> None:
-        """Called at each turn: a lease that is good again lets what is pending leave."""
-        if self.publisher is not None:
-            self.publisher.publish()
+        """Called at each step of the leases: publish what a lease that is valid again permits."""
+        if self._attached_publisher is not None:
+            self._attached_publisher.publish()
 
-    def proxies(self, shards: Iterable[int]) -> int:
-        """Streams of proxies in these shards: there are none."""
+    def proxies(self, _shards: Iterable[int]) -> int:
+        """Return the number of proxies with a stream in these shards: always 0."""
         return 0
 
-    def look_at_leases(self) -> None:
-        """Called each second: a lease that has not been good for a while is told by claiming its services no more."""
+    # --- each second ---
+
+    def check_leases(self) -> None:
+        """Withdraw the claims of services whose lease has not been valid for a while; claim them again when
+        it is."""
         now = self.clock()
         for shard in list(self.owned):
             if self.member.may_order(now, shard) != GRANTING:
-                since = self._lapsed_since.setdefault(shard, now)
-                if now - since >= UNCLAIMED_AFTER:
-                    self._claim(shard, False)
-            elif self._lapsed_since.pop(shard, None) is not None:
-                self._claim(shard, True)
-
-    def _claim(self, shard: int, claimed: bool) -> None:
-        for service in self._of(shard):
-            self.publisher.claim(service, claimed)
-
-    # --- replicas ---
-
-    def follow(self) -> None:
-        """Follows the shards for which this controller stands ready, by the owners that it believes in now."""
+                since = self._invalid_since.setdefault(shard, now)
+                if now - since >= UNCLAIM_AFTER:
+                    self._set_claimed(shard, False)
+            elif self._invalid_since.pop(shard, None) is not None:
+                self._set_claimed(shard, True)
+
+    def _set_claimed(self, shard: int, claimed: bool) -> None:
+        for service in self._services_of(shard):
+            self.publisher.set_claimed(service, claimed)
+
+    def update_followed_shards(self) -> None:
+        """Replicate the shards that this controller is a likely successor for, from their present owners."""
         now = self.clock()
         weights = self.member.there(now)
         for shard in range(self.shards):
             owner = self.member.holder(now, shard)
-            other = owner is not None and owner != self.member.me
-            if other and self.member.me in replicas(shard, owner, weights):
-                self.publisher.follow(shard, self.names[owner])
-            elif shard in self.publisher.owner.followed and owner is not None:
-                self.publisher.unfollow(shard)
+            if owner is None:
+                continue
+            is_other = owner != self.member.me
+            if is_other and self.member.me in replicas(shard, owner, weights):
+                self.publisher.follow_shard(shard, self.names[owner])
+            elif shard in self.publisher.owner.followed_shards:
+                self.publisher.unfollow_shard(shard)
--- a/ravenshelf/distribution/messages.py
+++ b/ravenshelf/distribution/messages.py
@@ -1,25 +1,30 @@
-"""Messages between controllers, relays and pilots, and their encoding (MessagePack, arrays tagged by type).
+"""Messages between controllers, relays and control-plane servers, and their encoding.
 
-A topic is what one proxy zone needs of one service. Its state is a map of keys to entries; a version names the state that
-an owner published. Times are microseconds, weights are unitless shares of a table.
+Messages are MessagePack arrays tagged by type, so the order of fields and the tags are the wire format; field
+names are not. A topic is what one proxy zone needs of one service. Its state is a map of keys to entries; a
+version identifies a state that the service owner published. Times are in microseconds; weights are unitless
+shares of a table.
 """
 
 import msgspec
 
+from ravenshelf.errors import RavenshelfError
+
 
 class Version(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """Which state of a topic: the epoch of the owner's lease, then a sequence number within it."""
+    """Version of a topic's state: the epoch of the owner's lease, then a sequence number within it."""
 
     epoch: int
     sequence: int
 
 
-PROTOCOL = 1
-NEVER = Version(0, 0)  # held by a subscriber that has seen nothing yet
+PROTOCOL = 1  # version of this protocol
+NEVER = Version(0, 0)  # held by a subscriber that has received nothing yet
 
 
 class EndpointEntry(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """A listed endpoint: its zone, whether it is ready, its listed weight and the start of its process."""
+    """A listed endpoint: zone, readiness, listed weight and start time of its process in microseconds (0:
+    unknown)."""
 
     zone: int
     ready: bool
@@ -28,21 +33,22 @@
 
 
 class TableLine(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """A line of a proxy zone's table. `largest_share`: the most of the table's requests that it may ever receive."""
+    """A line of a proxy zone's table. `largest_share`: upper bound of its share of the table's requests, 0 to
+    1."""
 
     weight: float
     largest_share: float = 1.0
 
 
 class AdmissionLevel(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """What proxies admit of a traffic group, and their retry mode."""
+    """Admission level of a traffic group (0 to 1) and the proxies' retry mode for it."""
 
     level: float
     retry_mode: int
 
 
 class Setting(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """A value of the service's configuration."""
+    """One value of the service's configuration."""
 
     value: str
 
@@ -52,7 +58,7 @@
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag=15):
-    """The first message of whoever dials: the protocol's version, the cluster and its own name in it."""
+    """First message of a dialling process: protocol version, cluster, and its own name in the cluster."""
 
     protocol: int
     cluster: str
@@ -60,20 +66,20 @@
 
 
 class Subscribe(msgspec.Struct, frozen=True, array_like=True, tag=16):
-    """A subscriber wants a topic and holds this version of it."""
+    """A subscriber requests a topic, of which it holds this version."""
 
     topic: str
     version: Version
 
 
 class Unsubscribe(msgspec.Struct, frozen=True, array_like=True, tag=17):
-    """A subscriber wants a topic no more."""
+    """A subscriber no longer needs a topic."""
 
     topic: str
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True, tag=18):
-    """One of `parts` parts of a topic's whole state."""
+    """Part number `part` of the `parts` parts of a topic's complete state."""
 
     topic: str
     version: Version
@@ -83,7 +89,7 @@
 
 
 class Delta(msgspec.Struct, frozen=True, array_like=True, tag=19):
-    """What changed from version `since` to `version`, as absolute values."""
+    """Changes from version `since` to `version`, as absolute values."""
 
     topic: str
     since: Version
@@ -92,69 +98,74 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag=20):
-    """The sender lives. `digest` covers the versions that it believes the subscriber holds."""
+    """Sign of life of a parent. `digest` covers the versions that it believes the subscriber holds."""
 
     digest: int
 
 
 class Resync(msgspec.Struct, frozen=True, array_like=True, tag=21):
-    """A subscriber whose digest differs tells all versions that it holds."""
+    """All versions that a subscriber holds, sent when its digest differs from a heartbeat's."""
 
     versions: dict[str, Version]
 
 
 class TopicLive(msgspec.Struct, frozen=True, array_like=True, tag=22):
-    """Whether a topic's owner can be reached from here."""
+    """Whether the sender can reach the owner of a topic."""
 
     topic: str
     live: bool
 
 
-class EndpointSums(msgspec.Struct, frozen=True, array_like=True):
-    """Outcomes of one endpoint as met by the proxies of one zone."""
+class EndpointLoad(msgspec.Struct, frozen=True, array_like=True):
+    """Attempts at one endpoint by the proxies of one zone, summed over a window."""
 
-    tries: int
+    attempts: int
     failures: int
-    latency_sum: int = 0  # microseconds, over the tries that did not fail
+    latency_sum: int = 0  # microseconds, over the attempts that succeeded
 
 
-class GroupSums(msgspec.Struct, frozen=True, array_like=True):
-    """Requests of one traffic group as asked of the proxies of one zone."""
+class GroupDemand(msgspec.Struct, frozen=True, array_like=True):
+    """Requests of one traffic group to the proxies of one zone, summed over a window."""
 
     requests: int
     unanswered: int = 0
 
 
-class Report(msgspec.Struct, frozen=True, array_like=True, tag=23):
-    """Sums of a service's window from the proxies of one zone. `reporter` counts its reports by `sequence`."""
+class ZoneLoadReport(msgspec.Struct, frozen=True, array_like=True, tag=23):
+    """Load of a service in one window from the proxies of one zone. `sequence` numbers the reports of
+    `reporter`."""
 
     service: str
     zone: int
     window: int  # number of the window since the epoch of the clock
     reporter: str
     sequence: int
-    endpoints: dict[str, EndpointSums]
-    groups: dict[int, GroupSums]
+    endpoints: dict[str, EndpointLoad]
+    groups: dict[int, GroupDemand]
 
 
-Message = Hello | Subscribe | Unsubscribe | Snapshot | Delta | Heartbeat | Resync | TopicLive | Report
+Message = Hello | Subscribe | Unsubscribe | Snapshot | Delta | Heartbeat | Resync | TopicLive | ZoneLoadReport
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Message)
 
 
-class MessageError(ValueError):
-    """Bytes that are no message."""
+class MalformedMessageError(RavenshelfError, ValueError):
+    """Bytes that do not encode a message; `detail` is the decoder's complaint."""
+
+    def __init__(self, detail: str):
+        super().__init__(detail)
+        self.detail = detail
 
 
 def encode(message: Message) -> bytes:
-    """The message as bytes, without a frame."""
+    """Encode a message, without a frame."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """The message of these bytes; raises MessageError."""
+    """Decode a message; raises MalformedMessageError."""
     try:
         return _decoder.decode(data)
     except msgspec.DecodeError as error:
-        raise MessageError(str(error)) from None
+        raise MalformedMessageError(str(error)) from error
--- a/ravenshelf/distribution/owner_service.py
+++ b/ravenshelf/distribution/owner_service.py
@@ -1,63 +1,73 @@
-"""A controller's publishing side as part of a process: its subscribers, and the owners that it follows as a replica."""
+"""A controller's publishing side as part of a process: its subscribers, and the owners whose shards it
+replicates."""
 
-import asyncio
 import random
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 
 from ravenshelf.distribution.decisions.distributor import DistributorLimits
-from ravenshelf.distribution.decisions.owner import Content, Owner
-from ravenshelf.distribution.decisions.ownership import Tenure
-from ravenshelf.distribution.messages import Message, Report, Resync, Subscribe, Unsubscribe
-from ravenshelf.distribution.serving import LOOK_AGAIN, ServingService
-from ravenshelf.distribution.upstreams import Clock
+from ravenshelf.distribution.decisions.ownership import PublicationLease
+from ravenshelf.distribution.decisions.service_owner import Content, ServiceOwner
+from ravenshelf.distribution.messages import Message, Resync, Subscribe, Unsubscribe, ZoneLoadReport
+from ravenshelf.distribution.node import Node
+from ravenshelf.distribution.serving import MAX_TICK_INTERVAL, ServingService
+
+
+def _ignore_report(_report: ZoneLoadReport) -> None:
+    pass
 
 
 class OwnerService(ServingService):
-    """Runs an `Owner` on sockets. Leases are told by the caller: `acquire`, `claim`, `release`, `follow`, `unfollow`."""
+    """Runs a `ServiceOwner` on sockets. The caller reports changes of leases and of shards to replicate."""
 
     def __init__(
         self,
-        loop: asyncio.AbstractEventLoop,
-        clock: Clock,
-        cluster: str,
-        name: str,
+        node: Node,
         incarnation: int,
         shards: int,
         content: Content,
-        others: Mapping[str, str],
-        chance: random.Random,
+        random_source: random.Random,
         limits: DistributorLimits = DistributorLimits(),
-        reported: Callable[[Report], None] = lambda report: None,
+        report_received: Callable[[ZoneLoadReport], None] = _ignore_report,
     ):
-        """`others`: host:port of the other controllers; `reported` is told of sums; the rest as `Owner` takes it."""
-        self.reported = reported
-        self.owner = Owner(name, incarnation, shards, content, list(others), chance, clock(), limits)
-        super().__init__(loop, clock, cluster, name, self.owner.clients, others, self.owner.distributor)
+        """`node`: its parents are the other controllers; `report_received`: called with each load report; the
+        rest as `ServiceOwner` takes it."""
+        self.report_received = report_received
+        self.owner = ServiceOwner(
+            node.name,
+            incarnation,
+            shards,
+            content,
+            list(node.parent_addresses),
+            random_source,
+            node.clock(),
+            limits,
+        )
+        super().__init__(node, self.owner.clients, self.owner.distributor)
 
     # --- leases ---
 
-    def acquire(self, service: str, tenure: Tenure) -> None:
+    def acquire(self, service: str, lease: PublicationLease) -> None:
         """A service's lease was granted."""
-        self.owner.acquire(self.clock(), service, tenure)
+        self.owner.acquire(self.clock(), service, lease)
         self.publish()
 
-    def claim(self, service: str, claimed: bool) -> None:
-        """Whether relays are told that this controller owns a service of its own."""
-        self.owner.claim(self.clock(), service, claimed)
+    def set_claimed(self, service: str, claimed: bool) -> None:
+        """Claim an owned service, or withdraw the claim."""
+        self.owner.set_claimed(self.clock(), service, claimed)
         self.publish()
 
     def release(self, service: str) -> None:
-        """A service's lease has ended."""
+        """A service's lease has expired or was released."""
         self.owner.release(self.clock(), service)
         self.publish()
 
-    def follow(self, shard: int, other: str) -> None:
-        """This controller is a replica of a shard that another owns."""
-        self.upstreams.perform(self.owner.follow(shard, other))
+    def follow_shard(self, shard: int, other: str) -> None:
+        """Replicate a shard from the controller that owns it."""
+        self.upstreams.perform(self.owner.follow_shard(shard, other))
 
-    def unfollow(self, shard: int) -> None:
-        """It is a replica of the shard no more."""
-        self.upstreams.perform(self.owner.unfollow(shard))
+    def unfollow_shard(self, shard: int) -> None:
+        """Stop replicating a shard."""
+        self.upstreams.perform(self.owner.unfollow_shard(shard))
 
     def refresh(self, topic: str) -> None:
         """The topic's content may have changed."""
@@ -67,45 +77,46 @@
     # --- time ---
 
     def tick(self) -> None:
-        """Dials the others, publishes what is due."""
+        """Dial the other controllers, and publish what is due."""
         now = self.clock()
         for name, client in self.clients.items():
-            self.upstreams.perform((name, action) for action in client.tick(now))
+            actions = client.tick(now)
+            self.upstreams.perform((name, action) for action in actions)
         self.publish()
 
     def publish(self) -> None:
-        """Publishes what is due; called after the decisions of a round."""
+        """Publish what is due; called after the decisions of a control cycle."""
         now = self.clock()
         _, to_pull = self.owner.publish(now)
         self.subscribers.pump(to_pull)
-        pending = self.owner.due_at(now)
-        dues = [client.due_at() for client in self.clients.values()] + (
-            [pending] if pending is not None else []
-        )
-        self.tick_at(min(dues, default=now + LOOK_AGAIN))
+        deadlines = [client.due_at() for client in self.clients.values()]
+        publication_due_at = self.owner.due_at(now)
+        if publication_due_at is not None:
+            deadlines.append(publication_due_at)
+        self.tick_at(min(deadlines, default=now + MAX_TICK_INTERVAL))
 
-    # --- the other controllers ---
+    # --- other controllers ---
 
     def upstream_connected(self, upstream: str) -> None:
-        """A dial has come off."""
+        """A dial has succeeded."""
         actions = self.clients[upstream].connected(self.clock())
         self.upstreams.perform((upstream, action) for action in actions)
 
-    def upstream_said(self, upstream: str, message: Message) -> None:
-        """A parent says something."""
-        self.apply(self.owner.upstream_said(self.clock(), upstream, message))
+    def upstream_message_received(self, upstream: str, message: Message) -> None:
+        """Another controller has sent a message."""
+        self.apply(self.owner.upstream_message_received(self.clock(), upstream, message))
 
     # --- subscribers ---
 
-    def subscriber_said(self, name: str, message: Subscribe | Unsubscribe | Resync) -> None:
-        """What a subscriber wants has changed."""
-        self.owner.subscriber_said(self.clock(), name, message)
+    def subscriber_message_received(self, name: str, message: Subscribe | Unsubscribe | Resync) -> None:
+        """A subscriber has changed its subscriptions."""
+        self.owner.subscriber_message_received(self.clock(), name, message)
         self.publish()
 
-    def subscriber_reported(self, report: Report) -> None:
-        """A subscriber's sums."""
-        self.reported(report)
+    def load_report_received(self, report: ZoneLoadReport) -> None:
+        """A subscriber has reported load."""
+        self.report_received(report)
 
     def subscriber_lost(self, name: str) -> None:
         """A subscriber's connection has ended."""
-        self.owner.subscriber_lost(self.clock(), name)
+        self.owner.subscriber_lost(name)
--- a/ravenshelf/distribution/relay_service.py
+++ b/ravenshelf/distribution/relay_service.py
@@ -1,14 +1,13 @@
-"""A relay as a process: its upstreams, its subscribers, and what an operator may ask of it."""
+"""A relay as a process: its upstreams, its subscribers, and its status for operators."""
 
-import asyncio
 import random
 from collections.abc import Mapping, Sequence
 
 from ravenshelf.distribution.decisions.distributor import DistributorLimits
 from ravenshelf.distribution.decisions.relay import Relay
-from ravenshelf.distribution.messages import Message, Report, Resync, Subscribe, Unsubscribe
+from ravenshelf.distribution.messages import Message, Resync, Subscribe, Unsubscribe, ZoneLoadReport
+from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.serving import ServingService
-from ravenshelf.distribution.upstreams import Clock
 
 
 class RelayService(ServingService):
@@ -16,72 +15,68 @@
 
     def __init__(
         self,
-        loop: asyncio.AbstractEventLoop,
-        clock: Clock,
-        cluster: str,
-        name: str,
+        node: Node,
         upstreams: Mapping[str, Sequence[str]],
-        addresses: Mapping[str, str],
-        chance: random.Random,
+        random_source: random.Random,
         limits: DistributorLimits = DistributorLimits(),
-        owners: bool = False,
+        upstreams_are_owners: bool = False,
     ):
-        """`upstreams` and `owners` as `Relay` takes them; `addresses`: host:port of each parent."""
-        self.relay = Relay(name, upstreams, chance, clock(), limits, owners)
-        super().__init__(loop, clock, cluster, name, self.relay.clients, addresses, self.relay.distributor)
+        """`upstreams` and `upstreams_are_owners`: as `Relay` takes them."""
+        self.relay = Relay(node.name, upstreams, random_source, node.clock(), limits, upstreams_are_owners)
+        super().__init__(node, self.relay.clients, self.relay.distributor)
 
     def tick(self) -> None:
-        """Dials, passes sums on, forgets what nobody wants."""
+        """Dial, forward reports, drop topics that nobody wants, as far as each is due."""
         self.apply(self.relay.tick(self.clock()))
         self.tick_at(self.relay.due_at())
 
     # --- upstreams ---
 
     def upstream_connected(self, upstream: str) -> None:
-        """A dial has come off."""
+        """A dial has succeeded."""
         self.apply(self.relay.upstream_connected(self.clock(), upstream))
 
-    def upstream_said(self, upstream: str, message: Message) -> None:
-        """A parent says something."""
-        self.apply(self.relay.upstream_said(self.clock(), upstream, message))
+    def upstream_message_received(self, upstream: str, message: Message) -> None:
+        """A parent has sent a message."""
+        self.apply(self.relay.upstream_message_received(self.clock(), upstream, message))
 
     # --- subscribers ---
 
-    def subscriber_said(self, name: str, message: Subscribe | Unsubscribe | Resync) -> None:
-        """What a subscriber wants has changed."""
-        self.apply(self.relay.subscriber_said(self.clock(), name, message))
+    def subscriber_message_received(self, name: str, message: Subscribe | Unsubscribe | Resync) -> None:
+        """A subscriber has changed its subscriptions."""
+        self.apply(self.relay.subscriber_message_received(self.clock(), name, message))
 
-    def subscriber_reported(self, report: Report) -> None:
-        """A subscriber's sums."""
-        self.relay.subscriber_reported(report)
+    def load_report_received(self, report: ZoneLoadReport) -> None:
+        """A subscriber has reported load."""
+        self.relay.load_report_received(report)
 
     def subscriber_lost(self, name: str) -> None:
         """A subscriber's connection has ended."""
         self.apply(self.relay.subscriber_lost(self.clock(), name))
 
-    # --- what an operator asks ---
+    # --- status ---
 
     def status(self) -> dict:
-        """What `ravenshelf distribution status` shows."""
+        """Return what `ravenshelf distribution status` shows; its keys are the operators'."""
         distributor = self.relay.distributor
         upstreams = [
             {
                 "name": name,
                 "state": client.state.value,
                 "parent": client.parent,
-                "topics": len(client.held),
+                "topics": len(client.held_versions),
                 "gaps": client.resyncs,
             }
             for name, client in self.relay.clients.items()
         ]
         return {
             "name": self.name,
-            "cluster": self.cluster,
+            "cluster": self.node.cluster,
             "topics": len(self.relay.topics),
-            "wanted": len(distributor.interested),
+            "wanted": len(distributor.subscriptions),
             "subscribers": len(distributor.subscribers),
             "subscribers_most": distributor.limits.subscribers,
-            "refused": self.subscribers.refused,
+            "refused": self.subscribers.rejected,
             "snapshot_bytes": distributor.snapshot_bytes,
             "upstreams": upstreams,
         }
--- /dev/null
+++ b/ravenshelf/distribution/server_distribution.py
@@ -0,0 +1,135 @@
+"""A control-plane server's part in the distribution: the tables of its service, and its proxies' load
+reports."""
+
+import random
+from collections import defaultdict
+from collections.abc import Callable
+from typing import Any
+
+from ravenshelf.distribution.decisions.aggregation import REPORT_WINDOW, Aggregator
+from ravenshelf.distribution.decisions.distributed_controller import DistributedController
+from ravenshelf.distribution.decisions.fallback import OwnerReachability, TableSource
+from ravenshelf.distribution.decisions.planner import service_topic, table_of, zone_topic
+from ravenshelf.distribution.decisions.relay import INCARNATION_BITS
+from ravenshelf.distribution.decisions.topics import Topic
+from ravenshelf.distribution.messages import EndpointLoad, GroupDemand, TableLine, ZoneLoadReport
+from ravenshelf.distribution.node import Node
+from ravenshelf.distribution.subscription_service import SubscriptionService
+from ravenshelf.distribution.timers import Timers
+from ravenshelf.policy.events import DemandReport, Event, LoadReport, ProxyJoined, ProxyLeft
+
+REPORT = "report"  # key of the timer
+OWN_REPORTER = "own"
+
+
+class ServerDistribution:
+    """Subscribes to the service's topics for the zones of the joined proxies, and reports their load each
+    window."""
+
+    def __init__(
+        self,
+        node: Node,
+        service: str,
+        random_source: random.Random,
+        name_of: Callable[[int], str],
+        index_of: Callable[[str], int | None],
+    ):
+        """`name_of` and `index_of`: convert between the names and the indices of listed endpoints."""
+        self.service = service
+        self.clock = node.clock
+        self.name_of = name_of
+        self.index_of = index_of
+        self.subscription = SubscriptionService(
+            node, random_source, self._topic_changed, self._liveness_changed
+        )
+        self.aggregator = Aggregator(f"{node.name}#{random_source.getrandbits(INCARNATION_BITS):012x}")
+        self.zones: set[int] = set()
+        self.proxies: dict[int, int] = {}  # zone of each joined proxy
+        self._not_live: set[str] = set()  # topics
+        self._reachability: defaultdict[int, OwnerReachability] = defaultdict(OwnerReachability)  # by zone
+        self._controller: DistributedController | None = None
+        self._timers: Timers[str] = Timers(node.loop, node.clock, self._report_due)
+        self._sequence = 0
+
+    def make_controller(self, *arguments: Any) -> DistributedController:
+        """Return a controller that uses the owner's tables; `arguments` as `Controller` takes them."""
+        controller = DistributedController(*arguments, owners_table=self.owners_table, index_of=self.index_of)
+        self._controller = controller
+        return controller
+
+    def start(self) -> None:
+        """Dial the first parent."""
+        topics = [service_topic(self.service)]
+        topics.extend(zone_topic(self.service, zone) for zone in self.zones)
+        self.subscription.start(topics)
+        self._timers.set(REPORT, self.clock() + REPORT_WINDOW)
+
+    def stop(self) -> None:
+        """End the connection."""
+        self._timers.stop()
+        self.subscription.stop()
+
+    # --- tables ---
+
+    def owners_table(self, _now: int, zone: int) -> tuple[TableSource, dict[str, TableLine]]:
+        """Return whose table is in use for a zone, and the owner's table."""
+        topic = self.subscription.topics.get(zone_topic(self.service, zone))
+        return self._source(zone), table_of(topic.entries) if topic is not None else {}
+
+    def _source(self, zone: int) -> TableSource:
+        return self._reachability[zone].source(self.clock(), self._is_reachable(zone))
+
+    def _is_connected(self) -> bool:
+        return self.subscription.client.disconnected_since is None
+
+    def _is_reachable(self, zone: int) -> bool:
+        return self._is_connected() and zone_topic(self.service, zone) not in self._not_live
+
+    def _topic_changed(self, topic: Topic) -> None:
+        if self._controller is not None and topic.name != service_topic(self.service):
+            self._controller.owners_table_changed()
+
+    def _liveness_changed(self, topic: str, live: bool) -> None:
+        if live:
+            self._not_live.discard(topic)
+        else:
+            self._not_live.add(topic)
+
+    # --- load reports ---
+
+    def record_event(self, event: Event, _now: int) -> None:
+        """Record the proxies and the load in an event of the server's controller."""
+        match event:
+            case ProxyJoined(proxy, zone):
+                self._proxy_joined(proxy, zone)
+            case ProxyLeft(proxy):
+                self.proxies.pop(proxy, None)
+            case LoadReport(zone, endpoint, attempts, failed, mean_latency):
+                succeeded = max(0, attempts - failed)
+                load = EndpointLoad(attempts, failed, succeeded * mean_latency)
+                self._add_load(zone, {self.name_of(endpoint): load}, {})
+            case DemandReport(proxy, group, requests, unanswered):
+                if proxy in self.proxies:
+                    self._add_load(self.proxies[proxy], {}, {group: GroupDemand(requests, unanswered)})
+
+    def _proxy_joined(self, proxy: int, zone: int) -> None:
+        self.proxies[proxy] = zone
+        if zone not in self.zones:
+            self.zones.add(zone)
+            self.subscription.want(zone_topic(self.service, zone))
+
+    def _add_load(
+        self, zone: int, endpoints: dict[str, EndpointLoad], groups: dict[int, GroupDemand]
+    ) -> None:
+        self._sequence += 1
+        window = self.clock() // REPORT_WINDOW
+        self.aggregator.add(
+            ZoneLoadReport(self.service, zone, window, OWN_REPORTER, self._sequence, endpoints, groups)
+        )
+
+    def _report_due(self, _key: str) -> None:
+        now = self.clock()
+        connected = self._is_connected()
+        for report in self.aggregator.flush(now // REPORT_WINDOW, lambda _: connected):
+            self.subscription.report(report)
+        self._timers.set(REPORT, now + REPORT_WINDOW)
--- a/ravenshelf/distribution/services_file.py
+++ b/ravenshelf/distribution/services_file.py
@@ -12,14 +12,20 @@
 
 import msgspec
 
-from ravenshelf.distribution.decisions.deciding import Service
+from ravenshelf.distribution.decisions.service_decisions import Service
 from ravenshelf.distribution.messages import EndpointEntry
+from ravenshelf.errors import RavenshelfError
 
-NOT_IN_A_NAME = set("@/")
+FORBIDDEN_IN_NAMES = frozenset("@/")
 
 
-class ServicesFileError(Exception):
-    """The file can't be used; its text names what is wrong and where."""
+class ServicesFileError(RavenshelfError):
+    """The file `path` can't be used; `detail` names the problem and its place."""
+
+    def __init__(self, path: Path, detail: str):
+        super().__init__(f"{path}: {detail}")
+        self.path = path
+        self.detail = detail
 
 
 class _Endpoint(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -35,29 +41,31 @@
 
 
 def read(path: Path, zones: int) -> dict[str, Service]:
-    """The services of a file, by name. `zones`: how many there are, by the configuration."""
+    """Return the services of a file by name; raises ServicesFileError. `zones`: the number of configured
+    zones."""
     try:
-        said = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), dict[str, _Service])
+        document = tomllib.loads(path.read_text(encoding="utf-8"))
+        services = msgspec.convert(document, dict[str, _Service])
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
-        raise ServicesFileError(f"{path}: {error}") from None
-    for name, service in said.items():
+        raise ServicesFileError(path, str(error)) from error
+    for name, service in services.items():
         _check(path, name, service, zones)
-    return {name: _service(service) for name, service in said.items()}
+    return {name: _service(service) for name, service in services.items()}
 
 
 def _check(path: Path, name: str, service: _Service, zones: int) -> None:
-    if not name or NOT_IN_A_NAME & set(name):
-        raise ServicesFileError(f"{path}: [{name}]: expected a name without @ and /")
+    if not name or FORBIDDEN_IN_NAMES & set(name):
+        raise ServicesFileError(path, f"[{name}]: expected a name without @ and /")
     for uid, endpoint in service.endpoints.items():
         if endpoint.zone >= zones:
             raise ServicesFileError(
-                f"{path}: [{name}.endpoints] {uid}: found zone {endpoint.zone}, expected one below {zones}"
+                path, f"[{name}.endpoints] {uid}: found zone {endpoint.zone}, expected one below {zones}"
             )
 
 
 def _service(service: _Service) -> Service:
     endpoints = {
-        uid: EndpointEntry(one.zone, one.ready, one.weight, one.started)
-        for uid, one in service.endpoints.items()
+        uid: EndpointEntry(endpoint.zone, endpoint.ready, endpoint.weight, endpoint.started)
+        for uid, endpoint in service.endpoints.items()
     }
     return Service(endpoints, service.settings)
--- a/ravenshelf/distribution/serving.py
+++ b/ravenshelf/distribution/serving.py
@@ -1,67 +1,90 @@
-"""What relays and controllers have in common on sockets: upstreams, subscribers, and one timer."""
+"""What relays and service owners have in common on sockets: upstreams, subscribers, and one timer."""
 
-import asyncio
+from abc import ABC, abstractmethod
 from collections.abc import Mapping
 
 from ravenshelf.distribution.decisions.client import SubscriptionClient
 from ravenshelf.distribution.decisions.distributor import Distributor
 from ravenshelf.distribution.decisions.relay import Effects
+from ravenshelf.distribution.messages import Message, Resync, Subscribe, Unsubscribe, ZoneLoadReport
+from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.subscribers import Subscribers
 from ravenshelf.distribution.timers import Timers
-from ravenshelf.distribution.upstreams import Clock, Upstreams
+from ravenshelf.distribution.upstreams import Upstreams
 from ravenshelf.state.buffers import BufferPool
 
-LOOK_AGAIN = 1_000_000  # microseconds: what is due is looked at so often at the least
+MAX_TICK_INTERVAL = 1_000_000  # microseconds
 TICK = "tick"
 
 
-class ServingService:
-    """Serves a distributor's subscribers from what its clients bring. A kind of service adds what it does with both."""
-
-    def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        clock: Clock,
-        cluster: str,
-        name: str,
-        clients: Mapping[str, SubscriptionClient],
-        addresses: Mapping[str, str],
-        distributor: Distributor,
-    ):
-        """`addresses`: host:port of each parent of the clients."""
-        self.clock, self.cluster, self.name, self.clients = clock, cluster, name, clients
+class ServingService(ABC):
+    """Serves a distributor's subscribers from what its clients receive; subclasses add the decisions."""
+
+    def __init__(self, node: Node, clients: Mapping[str, SubscriptionClient], distributor: Distributor):
+        """`clients`: by name of the upstream."""
+        self.node = node
+        self.clock = node.clock
+        self.clients = clients
         buffers = BufferPool()
-        self.upstreams = Upstreams(loop, buffers, cluster, name, clients, addresses, self)
-        self.subscribers = Subscribers(loop, clock, buffers, cluster, distributor, self)
-        self._timers = Timers(loop, clock, lambda _: self.tick())
+        self.upstreams = Upstreams(node, buffers, clients, self)
+        self.subscribers = Subscribers(node, buffers, distributor, self)
+        self._timers: Timers[str] = Timers(node.loop, node.clock, self._tick_due)
+
+    @property
+    def name(self) -> str:
+        """The name of this process in the cluster."""
+        return self.node.name
 
     async def start(self, listen: str) -> str:
-        """Listens and dials; gives the address."""
+        """Listen at host:port and dial; return the address."""
         address = await self.subscribers.start(listen)
         self.tick()
         return address
 
     def stop(self) -> None:
-        """Ends all connections."""
+        """End all connections."""
         self._timers.stop()
         self.upstreams.stop()
         self.subscribers.stop()
 
+    @abstractmethod
     def tick(self) -> None:
-        """Meets what is due, and has itself called again."""
-        raise NotImplementedError
+        """Do what is due, and schedule the next tick."""
+
+    def _tick_due(self, _key: str) -> None:
+        self.tick()
 
     def tick_at(self, at: int) -> None:
-        """The next tick is at this time, or in LOOK_AGAIN where that is sooner."""
-        self._timers.set(TICK, min(at, self.clock() + LOOK_AGAIN))
+        """Schedule the next tick, at most MAX_TICK_INTERVAL from now."""
+        self._timers.set(TICK, min(at, self.clock() + MAX_TICK_INTERVAL))
 
     def apply(self, effects: Effects) -> None:
-        """Does what follows from a decision."""
+        """Apply the effects of a decision."""
         self.upstreams.perform(effects.actions)
         self.subscribers.pump(effects.to_pull)
 
+    @abstractmethod
+    def upstream_connected(self, upstream: str) -> None:
+        """A dial has succeeded."""
+
+    @abstractmethod
+    def upstream_message_received(self, upstream: str, message: Message) -> None:
+        """A parent has sent a message."""
+
     def upstream_lost(self, upstream: str) -> None:
         """A connection has ended, or a dial has failed."""
         client = self.clients[upstream]
         self.upstreams.perform((upstream, action) for action in client.lost(self.clock()))
         self.tick_at(client.due_at())
+
+    @abstractmethod
+    def subscriber_message_received(self, name: str, message: Subscribe | Unsubscribe | Resync) -> None:
+        """A subscriber has changed its subscriptions."""
+
+    @abstractmethod
+    def load_report_received(self, report: ZoneLoadReport) -> None:
+        """A subscriber has reported load."""
+
+    @abstractmethod
+    def subscriber_lost(self, name: str) -> None:
+        """A subscriber's connection has ended."""
--- a/ravenshelf/distribution/subscribers.py
+++ b/ravenshelf/distribution/subscribers.py
@@ -1,31 +1,46 @@
-"""The serving side on sockets: accepts subscribers, and sends each what the distributor has for it while it reads."""
+"""The serving side on sockets: accepts subscribers, and sends each the distributor's messages as fast as it
+reads."""
 
 import asyncio
 from collections.abc import Iterable
-from typing import Protocol
+from typing import Literal, Protocol
 
-from ravenshelf.distribution.connection import ROOM, MessageConnection
+from ravenshelf.distribution.connection import WRITE_BUFFER_BYTES, MessageConnection
 from ravenshelf.distribution.decisions.distributor import Distributor
-from ravenshelf.distribution.messages import PROTOCOL, Hello, Message, Report, Resync, Subscribe, Unsubscribe
+from ravenshelf.distribution.messages import (
+    PROTOCOL,
+    Hello,
+    Message,
+    Resync,
+    Subscribe,
+    Unsubscribe,
+    ZoneLoadReport,
+)
+from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.timers import Timers
-from ravenshelf.distribution.upstreams import Clock
 from ravenshelf.net.connection_end import ConnectionEnd
 from ravenshelf.net.datagrams import address
 from ravenshelf.state.buffers import BufferPool
 
-STRANGER_FOR = 2_000_000  # microseconds in which who dials must have said who it is
-STRANGERS_MOST = 256
-UNREAD_FOR = 30_000_000  # microseconds for which a subscriber may leave what it was sent unread
+IDENTIFICATION_TIMEOUT = 2_000_000  # microseconds until the first message of a connection must have arrived
+MAX_UNIDENTIFIED = 256  # connections
+UNREAD_TIMEOUT = 30_000_000  # microseconds for which a subscriber may leave its messages unread
 
+# keys of the timers: by name of the subscriber, and for unidentified connections by their id
+PULL: Literal["pull"] = "pull"
+UNREAD: Literal["unread"] = "unread"
+IDENTIFICATION: Literal["identification"] = "identification"
+_TimerKey = tuple[Literal["pull", "unread"], str] | tuple[Literal["identification"], int]
 
-class Listener(Protocol):
-    """Who is told of subscribers."""
 
-    def subscriber_said(self, name: str, message: Subscribe | Unsubscribe | Resync) -> None:
-        """What a subscriber wants has changed."""
+class SubscriberListener(Protocol):
+    """Is notified of the events of subscribers."""
 
-    def subscriber_reported(self, report: Report) -> None:
-        """A subscriber's sums."""
+    def subscriber_message_received(self, name: str, message: Subscribe | Unsubscribe | Resync) -> None:
+        """A subscriber has changed its subscriptions."""
+
+    def load_report_received(self, report: ZoneLoadReport) -> None:
+        """A subscriber has reported load."""
 
     def subscriber_lost(self, name: str) -> None:
         """A subscriber's connection has ended."""
@@ -35,127 +50,129 @@
     """The connections of a distributor's subscribers."""
 
     def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        clock: Clock,
-        buffers: BufferPool,
-        cluster: str,
-        distributor: Distributor,
-        listener: Listener,
+        self, node: Node, buffers: BufferPool, distributor: Distributor, listener: SubscriberListener
     ):
-        self.loop, self.clock, self.buffers, self.cluster = loop, clock, buffers, cluster
-        self.distributor, self.listener = distributor, listener
+        self.node = node
+        self.buffers = buffers
+        self.distributor = distributor
+        self.listener = listener
         self.connections: dict[str, MessageConnection] = {}
-        self.refused = 0
-        self.bytes_out = 0  # messages ever sent, without frames
-        self._strangers: dict[int, MessageConnection] = {}
-        self._timers = Timers(loop, clock, self._due)
-        self._server: asyncio.AbstractServer | None = None
+        self.rejected = 0  # connections, in total
+        self.bytes_out = 0  # of all messages ever sent, without frames
+        self._unidentified: dict[int, MessageConnection] = {}
+        self._timers: Timers[_TimerKey] = Timers(node.loop, node.clock, self._due)
+        self._server: asyncio.Server | None = None
 
     async def start(self, listen: str) -> str:
-        """Listens; gives host:port, with the port that the system gave for 0."""
+        """Listen at host:port; return the address with the port that the system chose for 0."""
         host, port = address(listen)
-        self._server = await self.loop.create_server(
+        self._server = await self.node.loop.create_server(
             lambda: MessageConnection(self.buffers, self), host, port
         )
         host, port = self._server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
     def stop(self) -> None:
-        """Listens no more and ends all connections."""
+        """Stop listening and end all connections."""
         if self._server is not None:
             self._server.close()
         self._timers.stop()
-        connections = [*self.connections.values(), *self._strangers.values()]
+        connections = [*self.connections.values(), *self._unidentified.values()]
         self.connections.clear()
-        self._strangers.clear()
+        self._unidentified.clear()
         for connection in connections:
             connection.close(ConnectionEnd.STOPPING)
 
     # --- connections ---
 
-    def opened(self, connection: MessageConnection) -> None:
-        """Somebody dials."""
-        if len(self._strangers) >= STRANGERS_MOST:
+    def connection_opened(self, connection: MessageConnection) -> None:
+        """Accept a connection, unless too many are unidentified."""
+        if len(self._unidentified) >= MAX_UNIDENTIFIED:
             connection.close(ConnectionEnd.CROWDED)
             return
-        self._strangers[id(connection)] = connection
-        self._timers.set(("stranger", id(connection)), self.clock() + STRANGER_FOR)
+        self._unidentified[id(connection)] = connection
+        self._timers.set((IDENTIFICATION, id(connection)), self.node.clock() + IDENTIFICATION_TIMEOUT)
 
-    def said(self, connection: MessageConnection, message: Message) -> None:
-        """Takes a message; the first must be who dials."""
-        if id(connection) in self._strangers:
-            self._introduced(connection, message)
+    def message_received(self, connection: MessageConnection, message: Message) -> None:
+        """Handle a message; the first of a connection must identify the subscriber."""
+        if id(connection) in self._unidentified:
+            self._identify(connection, message)
         elif isinstance(message, Subscribe | Unsubscribe | Resync):
-            self.listener.subscriber_said(connection.name, message)
+            self.listener.subscriber_message_received(connection.name, message)
             self.pump([connection.name])
-        elif isinstance(message, Report):
-            self.listener.subscriber_reported(message)
+        elif isinstance(message, ZoneLoadReport):
+            self.listener.load_report_received(message)
         else:
             connection.close(ConnectionEnd.UNREADABLE)
 
-    def _introduced(self, connection: MessageConnection, message: Message) -> None:
-        self._forget_stranger(connection)
-        known = isinstance(message, Hello) and (message.protocol, message.cluster) == (PROTOCOL, self.cluster)
-        if not known or not message.name:
-            self._refuse(connection)
+    def _identify(self, connection: MessageConnection, message: Message) -> None:
+        self._forget_unidentified(connection)
+        if not self._is_valid_hello(message):
+            self._reject(connection)
             return
-        before = self.connections.pop(message.name, None)
-        if before is not None:  # the process has dialled again
-            before.close(ConnectionEnd.SUPERSEDED)
+        assert isinstance(message, Hello)
+        superseded = self.connections.pop(message.name, None)
+        if superseded is not None:  # the process has dialled again
+            superseded.close(ConnectionEnd.SUPERSEDED)
             self.listener.subscriber_lost(message.name)
-        if not self.distributor.accept(self.clock(), message.name):
-            self._refuse(connection)
+        if not self.distributor.add_subscriber(self.node.clock(), message.name):
+            self._reject(connection)
             return
         connection.name = message.name
         self.connections[message.name] = connection
         self.pump([message.name])
 
-    def _refuse(self, connection: MessageConnection) -> None:
-        self.refused += 1
+    def _is_valid_hello(self, message: Message) -> bool:
+        if not isinstance(message, Hello):
+            return False
+        return (message.protocol, message.cluster) == (PROTOCOL, self.node.cluster) and message.name != ""
+
+    def _reject(self, connection: MessageConnection) -> None:
+        self.rejected += 1
         connection.close(ConnectionEnd.DECLINED)
 
-    def _forget_stranger(self, connection: MessageConnection) -> None:
-        if self._strangers.pop(id(connection), None) is not None:
-            self._timers.drop(("stranger", id(connection)))
+    def _forget_unidentified(self, connection: MessageConnection) -> None:
+        if self._unidentified.pop(id(connection), None) is not None:
+            self._timers.drop((IDENTIFICATION, id(connection)))
 
-    def over(self, connection: MessageConnection) -> None:
-        """A connection has ended."""
-        self._forget_stranger(connection)
+    def connection_ended(self, connection: MessageConnection) -> None:
+        """Remove a connection that has ended."""
+        self._forget_unidentified(connection)
         if self.connections.get(connection.name) is connection:
             del self.connections[connection.name]
-            self._timers.drop(("pull", connection.name))
-            self._timers.drop(("unread", connection.name))
+            self._timers.drop((PULL, connection.name))
+            self._timers.drop((UNREAD, connection.name))
             self.listener.subscriber_lost(connection.name)
 
-    # --- what they are sent ---
+    # --- outgoing messages ---
 
-    def drained(self, connection: MessageConnection) -> None:
+    def write_resumed(self, connection: MessageConnection) -> None:
         """A subscriber has read what it was sent."""
         if connection.name in self.connections:
-            self._timers.drop(("unread", connection.name))
+            self._timers.drop((UNREAD, connection.name))
             self.pump([connection.name])
 
     def pump(self, names: Iterable[str]) -> None:
-        """Sends these subscribers what there is for them, as far as they read."""
+        """Send these subscribers their pending messages, as far as their write buffers have capacity."""
         for name in dict.fromkeys(names):
             connection = self.connections.get(name)
             if connection is None or connection.paused:
                 continue
-            now = self.clock()
-            for outgoing in self.distributor.pull(now, name, ROOM):
+            now = self.node.clock()
+            for outgoing in self.distributor.pull(now, name, WRITE_BUFFER_BYTES):
                 connection.write(outgoing.payload)
                 self.bytes_out += len(outgoing.payload)
             if connection.paused:
-                self._timers.set(("unread", name), now + UNREAD_FOR)
+                self._timers.set((UNREAD, name), now + UNREAD_TIMEOUT)
             elif connection.end is None:
-                self._timers.set(("pull", name), self.distributor.due_at(now, name))
-
-    def _due(self, key: tuple) -> None:
-        kind, whom = key
-        if kind == "pull":
-            self.pump([whom])
-        elif kind == "unread":
-            self.connections[whom].close(ConnectionEnd.UNREAD)
-        elif whom in self._strangers:
-            self._strangers[whom].close(ConnectionEnd.SILENT)
+                self._timers.set((PULL, name), self.distributor.due_at(now, name))
+
+    def _due(self, key: _TimerKey) -> None:
+        if key[0] == IDENTIFICATION:
+            unidentified = self._unidentified.get(key[1])
+            if unidentified is not None:
+                unidentified.close(ConnectionEnd.SILENT)
+        elif key[0] == PULL:
+            self.pump([key[1]])
+        else:
+            self.connections[key[1]].close(ConnectionEnd.UNREAD)
--- a/ravenshelf/distribution/subscription_service.py
+++ b/ravenshelf/distribution/subscription_service.py
@@ -1,24 +1,29 @@
-"""A subscriber on sockets: keeps the topics that are wanted up to date from one of its parents."""
+"""A subscriber on sockets: keeps its topics up to date from one of its parents."""
 
-import asyncio
 import random
-from collections.abc import Callable, Iterable, Mapping, Sequence
+from collections.abc import Callable, Iterable
 
 from ravenshelf.distribution.decisions.client import (
     Action,
+    ConnectionState,
     LivenessChanged,
     Send,
-    State,
     SubscriptionClient,
     TopicChanged,
 )
 from ravenshelf.distribution.decisions.topics import Topic
-from ravenshelf.distribution.messages import Message, Report
+from ravenshelf.distribution.messages import Message, ZoneLoadReport
+from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.timers import Timers
-from ravenshelf.distribution.upstreams import Clock, Upstreams
+from ravenshelf.distribution.upstreams import Upstreams
 from ravenshelf.state.buffers import BufferPool
 
-TREE = "tree"
+TREE = "tree"  # name of the only upstream
+TICK = "tick"
+
+
+def _ignore_liveness(_topic: str, _live: bool) -> None:
+    pass
 
 
 class SubscriptionService:
@@ -26,73 +31,79 @@
 
     def __init__(
         self,
-        loop: asyncio.AbstractEventLoop,
-        clock: Clock,
-        cluster: str,
-        name: str,
-        parents: Sequence[str],
-        addresses: Mapping[str, str],
-        chance: random.Random,
-        changed: Callable[[Topic], None],
-        live: Callable[[str, bool], None] = lambda topic, live: None,
+        node: Node,
+        random_source: random.Random,
+        topic_changed: Callable[[Topic], None],
+        liveness_changed: Callable[[str, bool], None] = _ignore_liveness,
     ):
-        """`changed` is told of each topic that has a new version, `live` of each whose owner is lost or found."""
-        self.clock, self.changed, self.live = clock, changed, live
+        """`topic_changed`: called with each topic that has a new version; `liveness_changed`: with each topic
+        whose owner is lost or can be reached again."""
+        self.clock = node.clock
+        self.topic_changed = topic_changed
+        self.liveness_changed = liveness_changed
         self.topics: dict[str, Topic] = {}
-        self.client = SubscriptionClient(parents, self.topics, chance, clock())
-        self.upstreams = Upstreams(loop, BufferPool(), cluster, name, {TREE: self.client}, addresses, self)
-        self._timers = Timers(loop, clock, lambda _: self._tick())
+        self.client = SubscriptionClient(
+            list(node.parent_addresses), self.topics, random_source, node.clock()
+        )
+        self.upstreams = Upstreams(node, BufferPool(), {TREE: self.client}, self)
+        self._timers: Timers[str] = Timers(node.loop, node.clock, self._tick_due)
 
     def start(self, topics: Iterable[str]) -> None:
-        """Wants these topics and dials."""
+        """Subscribe to these topics and dial."""
         for topic in topics:
             self.want(topic)
         self._tick()
 
     def want(self, topic: str) -> None:
-        """Subscribes to one more topic."""
+        """Subscribe to one more topic."""
         self._perform(self.client.want(topic))
 
     def unwant(self, topic: str) -> None:
-        """Subscribes to a topic no more, and forgets it."""
+        """Cancel a subscription and drop the topic's state."""
         self._perform(self.client.unwant(topic))
         self.topics.pop(topic, None)
 
-    def report(self, report: Report) -> bool:
-        """Sends sums up; False where there is no connection now: the caller adds them to the next."""
-        if self.client.state is not State.CONNECTED:
+    def report(self, report: ZoneLoadReport) -> bool:
+        """Send a load report; return False without a connection, so that it can be sent later."""
+        if self.client.state is not ConnectionState.CONNECTED:
             return False
         self._perform([Send(report)])
         return True
 
     def stop(self) -> None:
-        """Ends the connection."""
+        """End the connection."""
         self._timers.stop()
         self.upstreams.stop()
 
     def _perform(self, actions: Iterable[Action]) -> None:
         for action in actions:
             if isinstance(action, TopicChanged):
-                self.changed(self.topics[action.topic])
+                self.topic_changed(self.topics[action.topic])
             elif isinstance(action, LivenessChanged):
-                self.live(action.topic, action.live)
+                self.liveness_changed(action.topic, action.live)
             else:
                 self.upstreams.perform([(TREE, action)])
 
     def _tick(self) -> None:
         self._perform(self.client.tick(self.clock()))
-        self._timers.set("tick", self.client.due_at())
+        self._schedule_tick()
+
+    def _tick_due(self, _key: str) -> None:
+        self._tick()
+
+    def _schedule_tick(self) -> None:
+        self._timers.set(TICK, self.client.due_at())
 
-    def upstream_connected(self, upstream: str) -> None:
-        """A dial has come off."""
+    def upstream_connected(self, _upstream: str) -> None:
+        """The dial has succeeded."""
         self._perform(self.client.connected(self.clock()))
-        self._timers.set("tick", self.client.due_at())
+        self._schedule_tick()
 
-    def upstream_said(self, upstream: str, message: Message) -> None:
-        """A parent says something."""
+    def upstream_message_received(self, _upstream: str, message: Message) -> None:
+        """The parent has sent a message."""
         self._perform(self.client.receive(self.clock(), message))
 
-    def upstream_lost(self, upstream: str) -> None:
-        """A connection has ended, or a dial has failed."""
+    def upstream_lost(self, _upstream: str) -> None:
+        """The connection has ended, or the dial has failed."""
         self._perform(self.client.lost(self.clock()))
-        self._timers.set("tick", self.client.due_at())
+        self._schedule_tick()
--- a/ravenshelf/distribution/timers.py
+++ b/ravenshelf/distribution/timers.py
@@ -1,38 +1,43 @@
-"""The deadlines of one part of a process, met by the loop."""
+"""The deadlines of one part of a process, on the event loop."""
 
 import asyncio
 from collections.abc import Callable, Hashable
+from typing import Generic, TypeVar, cast
 
+from ravenshelf.distribution.node import Clock
 from ravenshelf.state.deadlines import DeadlineQueue
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # microseconds
 
+Key = TypeVar("Key", bound=Hashable)
 
-class Timers:
-    """Calls `due` with each key when its deadline has come."""
 
-    def __init__(
-        self, loop: asyncio.AbstractEventLoop, clock: Callable[[], int], due: Callable[[Hashable], None]
-    ):
-        self.loop, self.clock, self.due = loop, clock, due
+class Timers(Generic[Key]):
+    """Calls `due` with each key when its deadline has passed. Times are microseconds of `clock`."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, due: Callable[[Key], None]):
+        self.loop = loop
+        self.clock = clock
+        self.due = due
         self._deadlines = DeadlineQueue()
         self._handle: asyncio.TimerHandle | None = None
         self._armed_for: int | None = None
 
-    def set(self, key: Hashable, at: int) -> None:
-        """The key's only deadline is at this time of the clock."""
+    def set(self, key: Key, at: int) -> None:
+        """Set the key's only deadline."""
         self._deadlines.set(key, at)
         self._arm()
 
-    def drop(self, key: Hashable) -> None:
-        """The key has no deadline any more."""
+    def drop(self, key: Key) -> None:
+        """Remove the key's deadline."""
         self._deadlines.drop(key)
 
     def stop(self) -> None:
-        """Nothing is due any more."""
+        """Cancel the timer of the loop; no more deadlines are met until the next `set`."""
         if self._handle is not None:
             self._handle.cancel()
-        self._handle = self._armed_for = None
+        self._handle = None
+        self._armed_for = None
 
     def _arm(self) -> None:
         at = self._deadlines.next()
@@ -43,7 +48,8 @@
         self._handle = self.loop.call_later(max(0, at - self.clock()) / SECOND, self._met)
 
     def _met(self) -> None:
-        self._handle = self._armed_for = None
+        self._handle = None
+        self._armed_for = None
         for key in self._deadlines.due(self.clock()):
-            self.due(key)
+            self.due(cast(Key, key))
         self._arm()
--- a/ravenshelf/distribution/upstreams.py
+++ b/ravenshelf/distribution/upstreams.py
@@ -1,25 +1,26 @@
-"""The dialling side on sockets: does what subscription clients want done, and tells of what comes of it."""
+"""The dialling side on sockets: performs the actions of subscription clients, and reports the results."""
 
 import asyncio
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Iterable, Mapping
 from typing import Protocol
 
 from ravenshelf.distribution.connection import MessageConnection
 from ravenshelf.distribution.decisions.client import Action, Dial, HangUp, Send, SubscriptionClient
 from ravenshelf.distribution.messages import PROTOCOL, Hello, Message
+from ravenshelf.distribution.node import Node
 from ravenshelf.net.connection_end import ConnectionEnd
 from ravenshelf.net.datagrams import address
 from ravenshelf.state.buffers import BufferPool
 
 
-class Listener(Protocol):
-    """Who is told of the upstreams."""
+class UpstreamListener(Protocol):
+    """Is notified of the events of upstreams."""
 
     def upstream_connected(self, upstream: str) -> None:
-        """A dial has come off."""
+        """A dial has succeeded."""
 
-    def upstream_said(self, upstream: str, message: Message) -> None:
-        """A parent says something."""
+    def upstream_message_received(self, upstream: str, message: Message) -> None:
+        """A parent has sent a message."""
 
     def upstream_lost(self, upstream: str) -> None:
         """A connection has ended, or a dial has failed."""
@@ -28,60 +29,63 @@
 class _Upstream:
     """The connection of one client, at most one at a time."""
 
-    def __init__(self, name: str, upstreams: "Upstreams"):
-        self.name, self.upstreams = name, upstreams
+    def __init__(self, name: str, node: Node, listener: UpstreamListener):
+        self.name = name
+        self.node = node
+        self.listener = listener
         self.connection: MessageConnection | None = None
         self.dial: asyncio.Task | None = None
 
-    def opened(self, connection: MessageConnection) -> None:
-        connection.send(Hello(PROTOCOL, self.upstreams.cluster, self.upstreams.own_name))
+    def connection_opened(self, connection: MessageConnection) -> None:
+        connection.send(Hello(PROTOCOL, self.node.cluster, self.node.name))
 
-    def said(self, connection: MessageConnection, message: Message) -> None:
+    def message_received(self, connection: MessageConnection, message: Message) -> None:
         if connection is self.connection:
-            self.upstreams.listener.upstream_said(self.name, message)
+            self.listener.upstream_message_received(self.name, message)
 
-    def drained(self, connection: MessageConnection) -> None:
-        """What goes up is little, and not held back."""
+    def write_resumed(self, connection: MessageConnection) -> None:
+        """Nothing to do: messages to parents are small and not deferred."""
 
-    def over(self, connection: MessageConnection) -> None:
+    def connection_ended(self, connection: MessageConnection) -> None:
         if connection is self.connection:
             self.connection = None
-            self.upstreams.listener.upstream_lost(self.name)
+            self.listener.upstream_lost(self.name)
 
 
 class Upstreams:
-    """`addresses`: host:port of each parent by name."""
+    """The connections of a node's subscription clients to their parents."""
 
     def __init__(
         self,
-        loop: asyncio.AbstractEventLoop,
+        node: Node,
         buffers: BufferPool,
-        cluster: str,
-        own_name: str,
         clients: Mapping[str, SubscriptionClient],
-        addresses: Mapping[str, str],
-        listener: Listener,
+        listener: UpstreamListener,
     ):
-        self.loop, self.buffers, self.cluster, self.own_name = loop, buffers, cluster, own_name
-        self.clients, self.addresses, self.listener = clients, addresses, listener
-        self._upstreams = {name: _Upstream(name, self) for name in clients}
+        """`clients`: by name of the upstream."""
+        self.node = node
+        self.buffers = buffers
+        self.clients = clients
+        self.listener = listener
+        self._upstreams = {name: _Upstream(name, node, listener) for name in clients}
 
     def perform(self, actions: Iterable[tuple[str, Action]]) -> None:
-        """Does what a client wants done."""
+        """Perform clients' actions, each given with its upstream."""
         for name, action in actions:
             upstream = self._upstreams[name]
             if isinstance(action, Send) and upstream.connection is not None:
                 upstream.connection.send(action.message)
             elif isinstance(action, Dial):
-                upstream.dial = self.loop.create_task(self._dial(upstream, action.parent))
+                upstream.dial = self.node.loop.create_task(self._dial(upstream, action.parent))
             elif isinstance(action, HangUp):
                 self._hang_up(upstream, ConnectionEnd.SILENT)
 
     async def _dial(self, upstream: _Upstream, parent: str) -> None:
-        """The client gives a dial up in its own time; then this task is cancelled."""
+        """Dial without a timeout of its own: the client gives the dial up, which cancels this task."""
+        host, port = address(self.node.parent_addresses[parent])
         try:
-            _, connection = await self.loop.create_connection(
-                lambda: MessageConnection(self.buffers, upstream, parent), *address(self.addresses[parent])
+            _, connection = await self.node.loop.create_connection(
+                lambda: MessageConnection(self.buffers, upstream, parent), host, port
             )
         except OSError:
             upstream.dial = None
@@ -91,22 +95,20 @@
         upstream.connection = connection
         if connection.end is None:
             self.listener.upstream_connected(upstream.name)
-        else:  # closed between the connection and this task's turn
-            upstream.over(connection)
+        else:  # closed before this task was resumed
+            upstream.connection_ended(connection)
 
     @staticmethod
     def _hang_up(upstream: _Upstream, end: ConnectionEnd) -> None:
         if upstream.dial is not None:
             upstream.dial.cancel()
             upstream.dial = None
-        connection, upstream.connection = upstream.connection, None
+        connection = upstream.connection
+        upstream.connection = None
         if connection is not None:
             connection.close(end)
 
     def stop(self) -> None:
-        """Ends all connections without a word to the listener."""
+        """End all connections and dials without notifying the listener."""
         for upstream in self._upstreams.values():
             self._hang_up(upstream, ConnectionEnd.STOPPING)
-
-
-Clock = Callable[[], int]
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -178,7 +178,7 @@
         if self.tap is not None:
             self.tap.heard(event, self.clock())
         if self.sums is not None:
-            self.sums.heard(event, self.clock())
+            self.sums.record_event(event, self.clock())
         if self.ready and ("round",) not in self.deadlines.at:
             self.round_at = max(self.clock(), self.last_round + self.tick)
             self.set_deadline(("round",), self.round_at)
--- a/ravenshelf/process/controller.py
+++ b/ravenshelf/process/controller.py
@@ -1,17 +1,19 @@
-"""A controller's process: leases, the services that they give it, their decisions and publication."""
+"""A service owner's process: leases, the services that these grant, their decisions and publication."""
 
 import asyncio
 import random
 import signal
 from pathlib import Path
+from typing import Any, cast
 
 import uvloop
 
 from ravenshelf import log_events
 from ravenshelf.distribution import services_file
-from ravenshelf.distribution.decisions.deciding import ROUND_EVERY, ServiceDecisions
 from ravenshelf.distribution.decisions.planner import service_topic
+from ravenshelf.distribution.decisions.service_decisions import CYCLE_INTERVAL, ServiceDecisions
 from ravenshelf.distribution.leased_services import LeasedServices
+from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.owner_service import OwnerService
 from ravenshelf.leadership.service import Leadership, clock
 from ravenshelf.operator_config.tables import Operator
@@ -20,57 +22,70 @@
 from ravenshelf.settings import decode_settings
 from ravenshelf.state.counters import Counters
 
-SECOND = 1_000_000
-FOLLOW_EVERY = SECOND
+SECOND = 1_000_000  # microseconds
+FOLLOW_INTERVAL = SECOND
+SEED_BITS = 32
+FAREWELL_TIME = 0.1  # seconds for the messages that release leases
+EXIT_FAILED = 1
 
 
-class Controller:
+class OwnerProcess:
     """One of the controllers that share the services of a file."""
 
     def __init__(self, configuration: dict, operator: Operator, loop: asyncio.AbstractEventLoop):
         """Reads the services; raises ServicesFileError."""
-        table, settings = operator.distribution, decode_settings(configuration["settings"])
-        self.file, self.zones = Path(table.services), len(settings.zones)
+        table = operator.distribution
+        settings = decode_settings(configuration["settings"])
+        self.file = Path(table.services)
+        self.zones = len(settings.zones)
         self.services = services_file.read(self.file, self.zones)
-        self.loop, self.listen = loop, table.listen
-        self.ended = loop.create_future()
-        chance = random.Random()
+        self.loop = loop
+        self.listen = table.listen
+        self.ended: asyncio.Future[str] = loop.create_future()
+        random_source = random.Random()
         self.leadership = Leadership(
-            operator.leadership, operator.store.folder, loop, Counters(), chance, self._end
+            operator.leadership, operator.store.folder, loop, Counters(), random_source, self._end
         )
-        self.leases = self.leadership.adapter = LeasedServices(
-            self.leadership.member, self.leadership.names, clock, operator.leadership.shards
+        shards = operator.leadership.shards
+        self.leases = LeasedServices(self.leadership.member, self.leadership.names, clock, shards)
+        self.leadership.adapter = cast(Any, self.leases)  # has the calls of Leadership, but not its class
+        self.decisions = ServiceDecisions(
+            settings, self.services.__getitem__, random_source.getrandbits(SEED_BITS)
         )
-        self.decisions = ServiceDecisions(settings, self.services.__getitem__, chance.getrandbits(32))
         self.publisher = OwnerService(
-            loop, clock, table.cluster, table.name, self.leadership.incarnation, operator.leadership.shards,
-            self.decisions.content, table.parents, chance, limits(table), self.decisions.reported,
-        )  # fmt: skip
+            Node(loop, clock, table.cluster, table.name, table.parents),
+            self.leadership.incarnation,
+            shards,
+            self.decisions.content,
+            random_source,
+            limits(table),
+            self.decisions.add_load_report,
+        )
         self.decisions.attach(self.publisher.owner)
-        self.leases.serve(self.publisher, self.services)
+        self.leases.attach(self.publisher, self.services)
         self._followed_at = 0
 
     async def start(self) -> str:
-        """Listens, meets the other controllers, begins its rounds; gives the address."""
+        """Listen, connect to the other controllers, begin the control cycles; return the address."""
         address = await self.publisher.start(self.listen)
         await self.leadership.start()
-        self.loop.call_soon(self._round)
+        self.loop.call_soon(self._run_cycle)
         return address
 
-    def _round(self) -> None:
+    def _run_cycle(self) -> None:
         if self.ended.done():
             return
         now = clock()
-        if now - self._followed_at >= FOLLOW_EVERY:
+        if now - self._followed_at >= FOLLOW_INTERVAL:
             self._followed_at = now
-            self.leases.follow()
-            self.leases.look_at_leases()
-        self.decisions.round(now)
+            self.leases.update_followed_shards()
+            self.leases.check_leases()
+        self.decisions.run_cycle(now)
         self.publisher.publish()
-        self.loop.call_later(ROUND_EVERY / SECOND, self._round)
+        self.loop.call_later(CYCLE_INTERVAL / SECOND, self._run_cycle)
 
     def reload(self) -> None:
-        """Reads the services anew; a file that can't be used changes nothing."""
+        """Read the services again; a file that can't be used changes nothing."""
         try:
             services = services_file.read(self.file, self.zones)
         except services_file.ServicesFileError as error:
@@ -78,13 +93,13 @@
             return
         self.services.clear()
         self.services.update(services)
-        self.leases.list_services(self.services)
+        self.leases.set_services(self.services)
         for service in self.services:
             self.publisher.refresh(service_topic(service))
         log_events.SERVICES_TAKEN(services=len(self.services))
 
     def stop(self) -> None:
-        """Gives its shards up and ends all connections."""
+        """Request the end of the process."""
         self._end("")
 
     def _end(self, why: str) -> None:
@@ -92,37 +107,38 @@
             self.ended.set_result(why)
 
     def close(self) -> None:
-        """What `stop` promised, once the loop is through."""
+        """Release all leases and end all connections."""
         self.leadership.close()
         self.publisher.stop()
 
 
 async def serve(configuration: dict, operator: Operator) -> int:
-    """Runs a controller until SIGTERM; gives the exit code."""
+    """Run a controller until SIGTERM or SIGINT; return the exit code."""
     loop = asyncio.get_running_loop()
-    controller = Controller(configuration, operator, loop)
+    process = OwnerProcess(configuration, operator, loop)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, controller.stop)
-    loop.add_signal_handler(signal.SIGHUP, controller.reload)
-    address = await controller.start()
+        loop.add_signal_handler(number, process.stop)
+    loop.add_signal_handler(signal.SIGHUP, process.reload)
+    address = await process.start()
     log_events.CONTROLLER_READY(
-        name=operator.distribution.name, address=address, services=len(controller.services)
+        name=operator.distribution.name, address=address, services=len(process.services)
     )
-    why = await controller.ended
-    controller.close()
-    await asyncio.sleep(0.1)  # what was given up is told
+    why = await process.ended
+    process.close()
+    await asyncio.sleep(FAREWELL_TIME)
     if why:
         log_events.RELAY_FAILED(why=why)
-    return 1 if why else 0
+        return EXIT_FAILED
+    return 0
 
 
 def run(configuration: dict, operator: Operator, level: str) -> int:
-    """Runs the controller of the operator file; gives the exit code. Raises ServicesFileError."""
+    """Run the controller of the operator file; return the exit code. Raises ServicesFileError."""
     sink = logs.start(level, operator.log.format)
     try:
         code = uvloop.run(serve(configuration, operator))
     except OSError as error:
         log_events.RELAY_FAILED(why=str(error))
-        code = 1
+        code = EXIT_FAILED
     sink.finish(logs.FLUSH_TIMEOUT)
     return code
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -72,22 +72,20 @@
     # --- tables of the service's owner ---
 
     def _subscribe(self) -> None:
-        from ravenshelf.distribution.pilot_service import PilotDistribution
+        from ravenshelf.distribution.node import Node
+        from ravenshelf.distribution.server_distribution import ServerDistribution
         from ravenshelf.leadership.service import clock
 
         pilot, table = self.pilot, self.operator.distribution
-        self.distribution = pilot.sums = PilotDistribution(
+        node = Node(pilot.loop, clock, table.cluster, table.name, table.parents)
+        self.distribution = pilot.sums = ServerDistribution(
+            node,
             table.service,
-            table.cluster,
-            table.name,
-            table.parents,
-            pilot.loop,
-            clock,
             self.chance,
             name_of=lambda index: pilot.listing.names[index],
             index_of=pilot.listing.index.get,
         )
-        pilot.rounds.decide_with(self.distribution.controller)
+        pilot.rounds.decide_with(self.distribution.make_controller)
 
     # --- other controllers ---
 
--- a/standins/distribution/leases.py
+++ b/standins/distribution/leases.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ravenshelf.distribution.decisions.ownership import Tenure, replicas, shard_of_service
+from ravenshelf.distribution.decisions.ownership import PublicationLease, replicas, shard_of_service
 from ravenshelf.leadership.dividing import rank
 from standins.fleet.clock import SECOND
 
@@ -25,7 +25,7 @@
     owner: int
     incarnation: int
     epoch: int
-    good_until: int
+    expires_at: int
 
 
 class Leases:
@@ -63,10 +63,10 @@
                 grant is not None
                 and grant.owner in weights
                 and (self.world.owners[grant.owner].incarnation == grant.incarnation)
-                and now < grant.good_until
+                and now < grant.expires_at
             ):
-                grant.good_until = now + LEASE
-            elif (grant is None or now >= grant.good_until) and weights and not self.grants_nothing:
+                grant.expires_at = now + LEASE
+            elif (grant is None or now >= grant.expires_at) and weights and not self.grants_nothing:
                 self._grant(shard, rank(shard, weights)[0])
         standby = self._standby(weights)
         for place in weights:
@@ -100,17 +100,17 @@
 
     def _apply(self, node: "OwnerNode", owned: dict[int, _Grant], standby: dict[int, int]) -> None:
         owner, now = node.owner, node.now
-        for service in [service for service in owner.tenures if self.shard[service] not in owned]:
+        for service in [service for service in owner.owned_services if self.shard[service] not in owned]:
             owner.release(now, service)
         for shard, grant in owned.items():
             for service in self.services.get(shard, ()):
-                tenure = owner.tenures.get(service)
-                if tenure is None or tenure.epoch != grant.epoch:
-                    owner.acquire(now, service, Tenure(grant.epoch, grant.good_until))
+                lease = owner.owned_services.get(service)
+                if lease is None or lease.epoch != grant.epoch:
+                    owner.acquire(now, service, PublicationLease(grant.epoch, grant.expires_at))
                 else:
-                    tenure.renew(grant.good_until)
-        for shard in [shard for shard in owner.followed if shard not in standby]:
-            node.perform(owner.unfollow(shard))
+                    lease.renew(grant.expires_at)
+        for shard in [shard for shard in owner.followed_shards if shard not in standby]:
+            node.perform(owner.unfollow_shard(shard))
         for shard, place in standby.items():
-            node.perform(owner.follow(shard, self.world.owners[place].name))
+            node.perform(owner.follow_shard(shard, self.world.owners[place].name))
         node.publish()
--- a/standins/distribution/network.py
+++ b/standins/distribution/network.py
@@ -78,17 +78,22 @@
 
     def _carry(self, last: int, wait: int, call: Callable[[], None]) -> int:
         """Delivers in order; gives when. In a cut nothing comes through."""
-        network, chance, rules = self.network, self.network.chance, self.network.rules
-        at = network.events.now + wait + self.delay + (RETRANSMISSION if chance.random() < rules.loss else 0)
-        if network.is_cut(self.child.region, self.parent.region) or chance.random() < rules.dropped:
+        network, random_source, rules = self.network, self.network.random_source, self.network.rules
+        at = (
+            network.events.now
+            + wait
+            + self.delay
+            + (RETRANSMISSION if random_source.random() < rules.loss else 0)
+        )
+        if network.is_cut(self.child.region, self.parent.region) or random_source.random() < rules.dropped:
             return last
-        if chance.random() < rules.reordered:
-            network.at(at + chance.randint(0, RETRANSMISSION), lambda: self.open and call())
+        if random_source.random() < rules.reordered:
+            network.at(at + random_source.randint(0, RETRANSMISSION), lambda: self.open and call())
             return last
         at = max(at, last)
         network.at(at, lambda: self.open and call())
-        if chance.random() < rules.repeated:
-            network.at(at + chance.randint(0, RETRANSMISSION), lambda: self.open and call())
+        if random_source.random() < rules.repeated:
+            network.at(at + random_source.randint(0, RETRANSMISSION), lambda: self.open and call())
         return at
 
     def close(self, by: "Node", silently: bool = False) -> None:
@@ -104,10 +109,10 @@
 
 
 class Network:
-    def __init__(self, events: EventQueue, chance: random.Random, regions: int, rules: NetworkRules):
-        self.events, self.chance, self.rules = events, chance, rules
+    def __init__(self, events: EventQueue, random_source: random.Random, regions: int, rules: NetworkRules):
+        self.events, self.random_source, self.rules = events, random_source, rules
         self._delays = {
-            (one, other): chance.randint(*rules.between_regions)
+            (one, other): random_source.randint(*rules.between_regions)
             for one in range(regions)
             for other in range(one)
         }
@@ -125,7 +130,7 @@
     def delay(self, one: int, other: int) -> int:
         """One way between two regions."""
         if one == other:
-            return self.chance.randint(*self.rules.within_region)
+            return self.random_source.randint(*self.rules.within_region)
         return self._delays[max(one, other), min(one, other)]
 
     def cut_off(self, region: int) -> None:
--- a/standins/distribution/node.py
+++ b/standins/distribution/node.py
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from standins.distribution.world import World
 
-ROOM = 65_536  # bytes that a connection takes before it has to drain
-LOOK_AGAIN = SECOND  # what is due is looked at so often, at the least
+WRITE_BUFFER_BYTES = 65_536  # bytes that a connection takes before it has to drain
+MAX_TICK_INTERVAL = SECOND  # what is due is looked at so often, at the least
 UNLIMITED = float("inf")
 
 
@@ -43,7 +43,7 @@
         return min((client.due_at() for client in self.clients.values()), default=None)
 
     def soon_due_at(self) -> int | None:
-        """As `due_at`, of what a message may have made due within LOOK_AGAIN."""
+        """As `due_at`, of what a message may have made due within MAX_TICK_INTERVAL."""
         return None
 
     def tick(self) -> None:
@@ -78,11 +78,13 @@
         self.arm()
 
     def arm(self) -> None:
-        """Has the timer fire when something is due. What is due is looked at again when it fires, and each LOOK_AGAIN:
+        """Has the timer fire when something is due. What is due is looked at again when it fires, and each MAX_TICK_INTERVAL:
         messages put most of it off, and a node with many connections gets many."""
         if self._timer_at is None or self._timer_at <= self.now:
             due = self.due_at()
-            self._set_timer(LOOK_AGAIN + self.now if due is None else min(due, self.now + LOOK_AGAIN))
+            self._set_timer(
+                MAX_TICK_INTERVAL + self.now if due is None else min(due, self.now + MAX_TICK_INTERVAL)
+            )
             return
         soon = self.soon_due_at()
         if soon is not None and soon < self._timer_at:
@@ -162,7 +164,7 @@
         if name in self.served:
             self.served.pop(name).open = False
             self.on_subscriber_lost(name)
-        if not self.distributor.accept(self.now, name):
+        if not self.distributor.add_subscriber(self.now, name):
             return False
         self.served[name] = connection
         self.schedule_pump(name, self.distributor.due_at(self.now, name))
@@ -211,7 +213,7 @@
         if connection.free_at > self.now:
             self.schedule_pump(name, connection.free_at)
             return
-        for outgoing in self.distributor.pull(self.now, name, ROOM):
+        for outgoing in self.distributor.pull(self.now, name, WRITE_BUFFER_BYTES):
             connection.down(outgoing)
         self.schedule_pump(name, max(connection.free_at, self.distributor.due_at(self.now, name)))
 
--- a/standins/distribution/nodes.py
+++ b/standins/distribution/nodes.py
@@ -6,8 +6,8 @@
 
 from ravenshelf.distribution.decisions.client import LivenessChanged, SubscriptionClient, TopicChanged
 from ravenshelf.distribution.decisions.distributor import DistributorLimits
-from ravenshelf.distribution.decisions.owner import Owner
 from ravenshelf.distribution.decisions.relay import Effects, Relay
+from ravenshelf.distribution.decisions.service_owner import ServiceOwner
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.messages import Message, Version
 from standins.distribution.node import Node
@@ -27,17 +27,17 @@
         region: int,
         parents: list[str],
         wanted: Iterable[str],
-        chance: random.Random,
+        random_source: random.Random,
         starts: int,
     ):
         super().__init__(world, name, region)
-        self.parents, self.chance = parents, chance
+        self.parents, self.random_source = parents, random_source
         self.topics: dict[str, Topic] = {}
         self.live: dict[str, bool] = {}
         self._start(wanted, starts)
 
     def _start(self, wanted: Iterable[str], at: int) -> None:
-        client = SubscriptionClient(self.parents, self.topics, self.chance, at)
+        client = SubscriptionClient(self.parents, self.topics, self.random_source, at)
         self.clients = {"tree": client}
         for topic in wanted:
             client.want(topic)
@@ -49,7 +49,7 @@
 
     def away(self, seconds: float, forget: bool) -> None:
         """Is down for a while; `forget`: it comes back without what it held."""
-        wanted = list(self.client.held.versions())
+        wanted = list(self.client.held_versions.versions())
         self.stop()
         if forget:
             self.topics = {}
@@ -87,7 +87,7 @@
 
     def version(self, topic: str) -> Version | None:
         """The version held of a topic; None where it is not wanted."""
-        return self.client.held.get(topic)
+        return self.client.held_versions.get(topic)
 
 
 class ServingNode(Node):
@@ -116,16 +116,21 @@
         name: str,
         region: int,
         upstreams: dict[str, list[str]],
-        chance: random.Random,
+        random_source: random.Random,
         limits: DistributorLimits,
         owners: bool,
     ):
         super().__init__(world, name, region)
-        self.upstreams, self.chance, self.limits, self.owners = upstreams, chance, limits, owners
+        self.upstreams, self.random_source, self.limits, self.owners = (
+            upstreams,
+            random_source,
+            limits,
+            owners,
+        )
         self.begin()
 
     def begin(self) -> None:
-        self.relay = Relay(self.name, self.upstreams, self.chance, self.now, self.limits, self.owners)
+        self.relay = Relay(self.name, self.upstreams, self.random_source, self.now, self.limits, self.owners)
         self.clients, self.distributor = self.relay.clients, self.relay.distributor
         self.arm()
 
@@ -143,10 +148,10 @@
         self._apply(self.relay.upstream_connected(self.now, upstream))
 
     def on_message(self, upstream: str, message: Message) -> None:
-        self._apply(self.relay.upstream_said(self.now, upstream, message))
+        self._apply(self.relay.upstream_message_received(self.now, upstream, message))
 
     def on_subscriber_message(self, name: str, message: Message) -> None:
-        self._apply(self.relay.subscriber_said(self.now, name, message))
+        self._apply(self.relay.subscriber_message_received(self.now, name, message))
 
     def on_subscriber_lost(self, name: str) -> None:
         self._apply(self.relay.subscriber_lost(self.now, name))
@@ -161,22 +166,22 @@
         name: str,
         region: int,
         others: list[str],
-        chance: random.Random,
+        random_source: random.Random,
         limits: DistributorLimits,
     ):
         super().__init__(world, name, region)
-        self.others, self.chance, self.limits, self.incarnation = others, chance, limits, 0
+        self.others, self.random_source, self.limits, self.incarnation = others, random_source, limits, 0
         self.begin()
 
     def begin(self) -> None:
         self.incarnation += 1
-        self.owner = Owner(
+        self.owner = ServiceOwner(
             self.name,
             self.incarnation,
             self.world.size.shards,
             self.world.content,
             self.others,
-            self.chance,
+            self.random_source,
             self.now,
             self.limits,
         )
@@ -205,12 +210,12 @@
         self.perform((upstream, action) for action in self.clients[upstream].connected(self.now))
 
     def on_message(self, upstream: str, message: Message) -> None:
-        effects = self.owner.upstream_said(self.now, upstream, message)
+        effects = self.owner.upstream_message_received(self.now, upstream, message)
         self.perform(effects.actions)
         self.pump_all(effects.to_pull)
 
     def on_subscriber_message(self, name: str, message: Message) -> None:
-        self.owner.subscriber_said(self.now, name, message)
+        self.owner.subscriber_message_received(self.now, name, message)
 
     def on_subscriber_lost(self, name: str) -> None:
-        self.owner.subscriber_lost(self.now, name)
+        self.owner.subscriber_lost(name)
