--- a/standins/distribution/schedules.py
+++ b/standins/distribution/schedules.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from ravenshelf.distribution.decisions.backoff import Backoff
-from ravenshelf.distribution.decisions.ownership import Tenure
+from ravenshelf.distribution.decisions.ownership import PublicationLease
 from ravenshelf.distribution.decisions.planner import LINE
 from ravenshelf.distribution.decisions.topics import Outcome, Topic
 from ravenshelf.distribution.messages import Delta, Snapshot, TableLine, Version
@@ -31,17 +31,17 @@
     broken: str = ""  # the name of a deliberate break
 
 
-def sizes(chance: random.Random) -> Size:
-    regions = chance.choice((1, 2, 3))
+def sizes(random_source: random.Random) -> Size:
+    regions = random_source.choice((1, 2, 3))
     return Size(
-        controllers=chance.choice((2, 3, 5)),
-        pilots=chance.choice((12, 24, 40)),
-        services=chance.choice((2, 5, 8)),
-        endpoints=chance.choice((2, 4, 600)),
-        services_called=chance.choice((1, 2, 4)),
+        controllers=random_source.choice((2, 3, 5)),
+        pilots=random_source.choice((12, 24, 40)),
+        services=random_source.choice((2, 5, 8)),
+        endpoints=random_source.choice((2, 4, 600)),
+        services_called=random_source.choice((1, 2, 4)),
         regions=regions,
-        zones=chance.choice((1, 2)) * regions,
-        fan_out=chance.choice((6, 12, 32)),
+        zones=random_source.choice((1, 2)) * regions,
+        fan_out=random_source.choice((6, 12, 32)),
         shards=4,
     )
 
@@ -49,8 +49,8 @@
 class Script:
     """Draws faults, and ends each of them before the schedule's time for faults is over."""
 
-    def __init__(self, world: World, chance: random.Random):
-        self.world, self.chance = world, chance
+    def __init__(self, world: World, random_source: random.Random):
+        self.world, self.random_source = world, random_source
         self.ends = world.events.now + FAULTS_FOR * SECOND
 
     def begin(self) -> None:
@@ -69,10 +69,10 @@
             self.relay_slow,
             self.relay_dies_with_a_change,
         ]
-        for _ in range(self.chance.randint(4, 14)):
-            self._in(self.chance.uniform(5, FAULTS_FOR - 10), self.chance.choice(faults))
-        for _ in range(self.chance.randint(5, 60)):
-            self._in(self.chance.uniform(3, FAULTS_FOR), self.change)
+        for _ in range(self.random_source.randint(4, 14)):
+            self._in(self.random_source.uniform(5, FAULTS_FOR - 10), self.random_source.choice(faults))
+        for _ in range(self.random_source.randint(5, 60)):
+            self._in(self.random_source.uniform(3, FAULTS_FOR), self.change)
 
     def _in(self, seconds: float, call: Callable[[], None]) -> None:
         self.world.network.later(round(seconds * SECOND), call)
@@ -80,41 +80,41 @@
     def _length(self, most: float) -> float:
         """Seconds of a fault, over in time."""
         left = (self.ends - self.world.events.now) / SECOND
-        return min(self.chance.uniform(0.5, most), max(0.1, left))
+        return min(self.random_source.uniform(0.5, most), max(0.1, left))
 
     def change(self) -> None:
-        service = self.chance.choice(self.world.services)
-        if self.chance.random() < 0.5:
+        service = self.random_source.choice(self.world.services)
+        if self.random_source.random() < 0.5:
             self.world.change(service)
         else:
             self.world.write_table(
-                service, {f"{LINE}{service}-0": TableLine(round(self.chance.uniform(1, 100), 2))}
+                service, {f"{LINE}{service}-0": TableLine(round(self.random_source.uniform(1, 100), 2))}
             )
 
     def burst(self) -> None:
-        service = self.chance.choice(self.world.services)
+        service = self.random_source.choice(self.world.services)
         for n in range(300):
             self._in(n / 300, lambda n=n: self.world.change(service, f"burst-{n % 7}"))
 
     def _relay(self) -> RelayNode:
-        return self.chance.choice(self.chance.choice(self.world.levels))
+        return self.random_source.choice(self.random_source.choice(self.world.levels))
 
     def relay_dies(self) -> None:
         relay = self._relay()
         if relay.alive:
-            relay.away(self._length(20), silently=self.chance.random() < 0.5)
+            relay.away(self._length(20), silently=self.random_source.random() < 0.5)
 
     def relay_dies_with_a_change(self) -> None:
         """While what it was about to serve is on its way."""
         for service in self.world.services:
             self.world.change(service)
-        self._in(self.chance.uniform(0.0, 0.3), self.relay_dies)
+        self._in(self.random_source.uniform(0.0, 0.3), self.relay_dies)
 
     def relay_slow(self) -> None:
         self._slow(self._relay())
 
     def pilot_slow(self) -> None:
-        self._slow(self.chance.choice(self.world.pilots))
+        self._slow(self.random_source.choice(self.world.pilots))
 
     def _slow(self, node) -> None:
         for connection in node.connections.values():
@@ -127,23 +127,25 @@
             connection.bytes_per_second = connection.network.rules.bytes_per_second
 
     def owner_dies(self) -> None:
-        owner = self.chance.choice(self.world.owners)
+        owner = self.random_source.choice(self.world.owners)
         if owner.alive and sum(node.alive for node in self.world.owners) > 1:
-            owner.away(self._length(25), silently=self.chance.random() < 0.5)
+            owner.away(self._length(25), silently=self.random_source.random() < 0.5)
 
     def owner_pauses(self) -> None:
-        owner = self.chance.choice(self.world.owners)
+        owner = self.random_source.choice(self.world.owners)
         if owner.alive and not owner.is_paused():
             owner.paused_until = self.world.events.now + round(self._length(60) * SECOND)
 
     def region_parts(self) -> None:
-        region = self.chance.randrange(self.world.size.regions)
+        region = self.random_source.randrange(self.world.size.regions)
         self.world.network.cut_off(region)
         self._in(self._length(30), lambda: self.world.network.heal(region))
 
     def transport_spoils(self) -> None:
         rules = self.world.network.rules
-        rules.dropped, rules.repeated, rules.reordered = (self.chance.uniform(0, 0.2) for _ in range(3))
+        rules.dropped, rules.repeated, rules.reordered = (
+            self.random_source.uniform(0, 0.2) for _ in range(3)
+        )
         self._in(self._length(20), self._transport_heals)
 
     def _transport_heals(self) -> None:
@@ -151,17 +153,20 @@
         rules.dropped = rules.repeated = rules.reordered = 0.0
 
     def pilot_away(self) -> None:
-        pilot = self.chance.choice(self.world.pilots)
+        pilot = self.random_source.choice(self.world.pilots)
         if pilot.alive:
-            pilot.away(self._length(40), forget=self.chance.random() < 0.3)
+            pilot.away(self._length(40), forget=self.random_source.random() < 0.3)
 
     def interest_changes(self) -> None:
-        pilot, service = self.chance.choice(self.world.pilots), self.chance.choice(self.world.services)
+        pilot, service = (
+            self.random_source.choice(self.world.pilots),
+            self.random_source.choice(self.world.services),
+        )
         zone = pilot.region * self.world.size.zones // self.world.size.regions
         if not pilot.alive:
             return
         for topic in self.world.topics_of(service, zone):
-            if topic in pilot.client.held:
+            if topic in pilot.client.held_versions:
                 pilot.unwant(topic)
                 self.world.seen.pop((pilot.name, topic), None)
             else:
@@ -170,10 +175,12 @@
 
 def play(schedule: Schedule) -> list[Violation]:
     """Plays a schedule; gives the broken invariants."""
-    chance = random.Random(f"{schedule.seed}/schedule")
+    random_source = random.Random(f"{schedule.seed}/schedule")
     with deliberate_break(schedule.broken):
-        world = World(sizes(chance), schedule.seed, NetworkRules(loss=chance.choice((0.0, 0.01, 0.05))))
-        Script(world, chance).begin()
+        world = World(
+            sizes(random_source), schedule.seed, NetworkRules(loss=random_source.choice((0.0, 0.01, 0.05)))
+        )
+        Script(world, random_source).begin()
         world.run(FAULTS_FOR + SETTLE_FOR)
         world.check_converged()
         check_dials(world)
@@ -218,8 +225,8 @@
         (Topic, "updates_since", _updates_by_sequence),
     ],
     "delta over a gap": [(Topic, "_covers", lambda self, delta: True)],
-    "resync without jitter": [(Backoff, "wait", lambda self: self.first)],
-    "lease not asked": [(Tenure, "may_publish", lambda self, now: True)],
+    "resync without jitter": [(Backoff, "next_delay", lambda self: self.first)],
+    "lease not asked": [(PublicationLease, "may_publish", lambda self, now: True)],
 }
 
 
--- a/standins/distribution/world.py
+++ b/standins/distribution/world.py
@@ -6,8 +6,8 @@
 
 from ravenshelf.distribution.decisions.claims import service_of
 from ravenshelf.distribution.decisions.distributor import DistributorLimits
-from ravenshelf.distribution.decisions.owner import Owner
 from ravenshelf.distribution.decisions.planner import ENDPOINT, LINE, SETTING, service_topic, zone_topic
+from ravenshelf.distribution.decisions.service_owner import ServiceOwner
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.decisions.tree import levels, preferred_parents
 from ravenshelf.distribution.messages import EndpointEntry, Entry, Setting, TableLine, Version
@@ -51,7 +51,7 @@
     def __init__(self, size: Size, seed: int, rules: NetworkRules | None = None, checked: bool = True):
         self.size, self.seed, self.checked = size, seed, checked
         self.events = EventQueue()
-        self.chance = random.Random(f"{seed}/script")
+        self.random_source = random.Random(f"{seed}/script")
         self.network = Network(
             self.events, random.Random(f"{seed}/network"), size.regions, rules or NetworkRules()
         )
@@ -147,11 +147,11 @@
     def _pilot(self, place: int) -> PilotNode:
         zone = place * self.size.zones // self.size.pilots
         region = zone * self.size.regions // self.size.zones
-        called = self.chance.sample(self.services, min(self.size.services_called, len(self.services)))
+        called = self.random_source.sample(self.services, min(self.size.services_called, len(self.services)))
         wanted = [topic for service in called for topic in self.topics_of(service, zone)]
         parents = preferred_parents(place, self.size.pilots, self.last_level)
         name = f"pilot-{place}"
-        starts = self.events.now + self.chance.randint(0, self.size.start_spread)
+        starts = self.events.now + self.random_source.randint(0, self.size.start_spread)
         return self._add(PilotNode(self, name, region, parents, wanted, self._random(name), starts))
 
     def topics_of(self, service: str, zone: int) -> tuple[str, str]:
@@ -182,10 +182,10 @@
 
     def _refresh(self, service: str, topics: list[str]) -> None:
         for node in self.owners:
-            if service in node.owner.tenures:
+            if service in node.owner.owned_services:
                 node.run(lambda node=node: [node.owner.refresh(self.events.now, topic) for topic in topics])
 
-    def published(self, owner: Owner, topics: Iterable[str]) -> None:
+    def published(self, owner: ServiceOwner, topics: Iterable[str]) -> None:
         """Records what an owner has published just now."""
         for topic in topics if self.checked else ():
             publication = owner.publications[topic]
@@ -227,7 +227,8 @@
         return [
             pilot
             for pilot in self.pilots
-            if pilot.alive and any(service_of(topic) == service for topic in pilot.client.held.versions())
+            if pilot.alive
+            and any(service_of(topic) == service for topic in pilot.client.held_versions.versions())
         ]
 
     def snapshot_bytes(self) -> int:
@@ -241,7 +242,7 @@
     def check_converged(self) -> None:
         """Every living pilot holds what the owners are to say now."""
         for pilot in self.pilots:
-            for topic in pilot.client.held.versions() if pilot.alive else ():
+            for topic in pilot.client.held_versions.versions() if pilot.alive else ():
                 if pilot.topics[topic].entries != self.content(topic):
                     self._violated("converged", f"{pilot.name} {topic} holds {pilot.topics[topic].version}")
 
--- a/tests/test_distribution_controllers.py
+++ b/tests/distribution/test_controller_processes.py
@@ -14,8 +14,9 @@
 
 from ravenshelf.distribution.decisions.ownership import shard_of_service
 from ravenshelf.distribution.decisions.planner import service_topic, table_of, zone_topic
-from ravenshelf.distribution.leased_services import UNCLAIMED_AFTER, LeasedServices
+from ravenshelf.distribution.leased_services import UNCLAIM_AFTER, LeasedServices
 from ravenshelf.distribution.messages import Setting
+from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.relay_service import RelayService
 from ravenshelf.distribution.services_file import ServicesFileError, read
 from ravenshelf.distribution.subscription_service import SubscriptionService
@@ -23,7 +24,7 @@
 from standins.installation import ports
 from standins.world import configuration
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parent.parent.parent
 SERVICES = [f"service-{n}" for n in range(6)]
 NAMES = ["c0", "c1", "c2"]
 
@@ -57,20 +58,13 @@
             self._write_operator_file(name)
             await self.run(name)
         self.relay = RelayService(
-            self.loop,
-            clock,
-            "test",
-            "relay-0",
+            Node(self.loop, clock, "test", "relay-0", self.listen),
             {name: [name] for name in NAMES},
-            self.listen,
             random.Random(2),
-            owners=True,
+            upstreams_are_owners=True,
         )
         at = await self.relay.start("127.0.0.1:0")
-        self.pilot = SubscriptionService(
-            self.loop, clock, "test", "pilot-0", ["relay-0"], {"relay-0": at}, random.Random(3),
-            lambda topic: self.versions.setdefault(topic.name, []).append(topic.version),
-        )  # fmt: skip
+        self.pilot = SubscriptionService(Node(self.loop, clock, "test", "pilot-0", {"relay-0": at}), random.Random(3), lambda topic: self.versions.setdefault(topic.name, []).append(topic.version))  # fmt: skip
         self.pilot.start(
             [topic for service in SERVICES for topic in (service_topic(service), zone_topic(service, 0))]
         )
@@ -217,18 +211,18 @@
     told, now = [], [0]
     leases = LeasedServices(LapsingMember(), NAMES, lambda: now[0], 8)
     publisher = SimpleNamespace(
-        acquire=lambda *words: None, claim=lambda service, claimed: told.append((service, claimed))
+        acquire=lambda *words: None, set_claimed=lambda service, claimed: told.append((service, claimed))
     )
-    leases.serve(publisher, ["s"])
+    leases.attach(publisher, ["s"])
     leases.took(shard_of_service("s", 8), 4, None)
     leases.member.good = False
     for seconds in range(10):
         now[0] = seconds * SECOND
-        leases.look_at_leases()
-    assert told and set(told) == {("s", False)} and len(told) == 10 - UNCLAIMED_AFTER // SECOND
+        leases.check_leases()
+    assert told and set(told) == {("s", False)} and len(told) == 10 - UNCLAIM_AFTER // SECOND
     leases.member.good = True
-    leases.look_at_leases()
-    leases.look_at_leases()
+    leases.check_leases()
+    leases.check_leases()
     assert told[-1] == ("s", True) and told.count(("s", True)) == 1
 
 
--- a/tests/test_distribution_pilot.py
+++ b/tests/distribution/test_distributed_controller.py
@@ -10,10 +10,11 @@
 from conftest import Kept, listed, met
 from test_distribution_sockets import SECOND, WAIT, clock
 
-from ravenshelf.distribution.decisions.fallback import Source
-from ravenshelf.distribution.decisions.ownership import Tenure
-from ravenshelf.distribution.decisions.pilot_controller import DistributedController
-from ravenshelf.distribution.messages import Report, Setting, TableLine
+from ravenshelf.distribution.decisions.distributed_controller import DistributedController
+from ravenshelf.distribution.decisions.fallback import TableSource
+from ravenshelf.distribution.decisions.ownership import PublicationLease
+from ravenshelf.distribution.messages import Setting, TableLine, ZoneLoadReport
+from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.owner_service import OwnerService
 from ravenshelf.distribution.relay_service import RelayService
 from ravenshelf.policy.events import ListKind, ProxyJoined
@@ -22,7 +23,7 @@
 from standins.installation import ports
 from standins.world import Discovery, Proxy, configuration, entry
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parent.parent.parent
 INDICES = {f"s-{n}": n for n in range(4)}
 
 
@@ -30,7 +31,7 @@
     """The distributed decisions on a clock set by hand; endpoints 0 and 1 in zone 0, 2 and 3 in zone 1."""
 
     def __init__(self, **weights: float):
-        self.source = Source.OWNER
+        self.source = TableSource.OWNER
         self.table = {f"s-{name[1:]}": TableLine(weight) for name, weight in weights.items()}
         self.now, self.kept = 1000 * SECOND, Kept()
         settings = Settings(
@@ -107,7 +108,7 @@
 
 
 @pytest.mark.parametrize(
-    "source, first", [(Source.OWNER, 0.9), (Source.LAST_TABLE, 0.9), (Source.LOCAL, 0.5)]
+    "source, first", [(TableSource.OWNER, 0.9), (TableSource.LAST_TABLE, 0.9), (TableSource.LOCAL, 0.5)]
 )
 def test_without_an_owner_the_last_table_and_then_the_own_decisions(source, first):
     pilot = Pilot(s0=900.0, s1=100.0).run(3)
@@ -117,7 +118,7 @@
 
 def test_alone_it_decides_by_kurmacost_as_a_pilot_without_distribution_does():
     pilot = Pilot(s0=900.0, s1=100.0)
-    pilot.source = Source.LOCAL
+    pilot.source = TableSource.LOCAL
     plain = Controller(pilot.controller.settings, 7)
     kept, now = Kept(), 1000 * SECOND
     plain.round(
@@ -138,7 +139,7 @@
 def test_a_real_pilot_takes_the_owners_table_sends_sums_up_and_goes_on_alone(tmp_path):
     """serve as a process, with a proxy; an owner and a relay in this one."""
     table = {f"t:s-{n}": TableLine(weight) for n, weight in enumerate((800.0, 100.0, 100.0))}
-    reports: list[Report] = []
+    reports: list[ZoneLoadReport] = []
 
     async def until(true, seconds: float = WAIT) -> None:
         async with asyncio.timeout(seconds):
@@ -148,28 +149,20 @@
     async def play() -> None:
         loop = asyncio.get_running_loop()
         owner = OwnerService(
-            loop,
-            clock,
-            "test",
-            "owner-0",
+            Node(loop, clock, "test", "owner-0", {}),
             1,
             8,
             lambda topic: {"c:x": Setting("1")} if topic == "s@" else table,
-            {},
             random.Random(1),
-            reported=reports.append,
+            report_received=reports.append,
         )
         owner_at = await owner.start("127.0.0.1:0")
-        owner.acquire("s", Tenure(1, clock() + 600 * SECOND))
+        owner.acquire("s", PublicationLease(1, clock() + 600 * SECOND))
         relay = RelayService(
-            loop,
-            clock,
-            "test",
-            "relay-0",
+            Node(loop, clock, "test", "relay-0", {"owner-0": owner_at}),
             {"owner-0": ["owner-0"]},
-            {"owner-0": owner_at},
             random.Random(2),
-            owners=True,
+            upstreams_are_owners=True,
         )
         relay_at = await relay.start("127.0.0.1:0")
         discovery = await Discovery([entry(f"s-{n}", "north") for n in range(3)]).start()
--- a/tests/test_distribution.py
+++ b/tests/distribution/test_distribution_decisions.py
@@ -7,41 +7,40 @@
 import pytest
 
 from ravenshelf.distribution.decisions.aggregation import Aggregator
-from ravenshelf.distribution.decisions.allowance import largest_share, shares
+from ravenshelf.distribution.decisions.allowance import largest_share, received_shares
 from ravenshelf.distribution.decisions.backoff import SECOND, Backoff, TokenBucket
 from ravenshelf.distribution.decisions.claims import read_claims, service_claim, service_of
 from ravenshelf.distribution.decisions.client import (
+    ConnectionState,
     Dial,
     HangUp,
     Send,
-    State,
     SubscriptionClient,
     TopicChanged,
 )
 from ravenshelf.distribution.decisions.distributor import Distributor, DistributorLimits
-from ravenshelf.distribution.decisions.fallback import HOLD_FOR, OwnerReach, Source
-from ravenshelf.distribution.decisions.owner import Owner
+from ravenshelf.distribution.decisions.fallback import LAST_TABLE_HOLD, OwnerReachability, TableSource
 from ravenshelf.distribution.decisions.ownership import (
     Claim,
     OwnershipView,
-    Tenure,
+    PublicationLease,
     replicas,
     shard_of_service,
 )
 from ravenshelf.distribution.decisions.planner import ServicePlanner, endpoints_of, table_of
-from ravenshelf.distribution.decisions.publication import FLUSH_EVERY, Publication
+from ravenshelf.distribution.decisions.publication import FLUSH_INTERVAL, Publication
 from ravenshelf.distribution.decisions.relay import Relay
-from ravenshelf.distribution.decisions.topics import PART_ENTRIES, Outcome, Topic
+from ravenshelf.distribution.decisions.service_owner import ServiceOwner
+from ravenshelf.distribution.decisions.topics import SNAPSHOT_PART_ENTRIES, Outcome, Topic
 from ravenshelf.distribution.decisions.tree import levels, preferred_parents
 from ravenshelf.distribution.messages import (
     NEVER,
     Delta,
     EndpointEntry,
-    EndpointSums,
-    GroupSums,
+    EndpointLoad,
+    GroupDemand,
     Heartbeat,
-    MessageError,
-    Report,
+    MalformedMessageError,
     Resync,
     Setting,
     Snapshot,
@@ -49,6 +48,7 @@
     TableLine,
     Unsubscribe,
     Version,
+    ZoneLoadReport,
     decode,
     encode,
 )
@@ -85,7 +85,7 @@
         Delta("t", NEVER, version(1, 1), {"e:a": EndpointEntry(3, True, 2.0, 5), "c:x": None}),
         Heartbeat(2**64 - 1),
         Resync({"t": version(4, 5)}),
-        Report("s", 1, 7, "r", 8, {"a": EndpointSums(3, 1, 9)}, {0: GroupSums(4)}),
+        ZoneLoadReport("s", 1, 7, "r", 8, {"a": EndpointLoad(3, 1, 9)}, {0: GroupDemand(4)}),
     ],
 )
 def test_messages_come_back_as_they_were_sent(message):
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("data", [b"", b"\x00", b"\x93\x01", encode(Subscribe("t", NEVER))[:-1], b"\xc1" * 9])
 def test_bytes_that_are_no_message_are_refused(data):
-    with pytest.raises(MessageError):
+    with pytest.raises(MalformedMessageError):
         decode(data)
 
 
@@ -134,7 +134,7 @@
 
 
 def test_a_snapshot_broken_off_is_not_joined_with_the_parts_of_another():
-    source = holding(1, 5, **{f"k{n}": ONE for n in range(3 * PART_ENTRIES)})
+    source = holding(1, 5, **{f"k{n}": ONE for n in range(3 * SNAPSHOT_PART_ENTRIES)})
     first, second, third = source.snapshot()
     topic = Topic("t")
     assert topic.receive(first) is Outcome.INCOMPLETE and not topic.entries
@@ -145,8 +145,8 @@
 
 def test_parts_of_an_older_snapshot_do_not_disturb_a_newer_one():
     old, new = (
-        holding(1, 5, **{f"k{n}": ONE for n in range(2 * PART_ENTRIES)}),
-        holding(1, 6, **{f"k{n}": TWO for n in range(2 * PART_ENTRIES)}),
+        holding(1, 5, **{f"k{n}": ONE for n in range(2 * SNAPSHOT_PART_ENTRIES)}),
+        holding(1, 6, **{f"k{n}": TWO for n in range(2 * SNAPSHOT_PART_ENTRIES)}),
     )
     topic = Topic("t")
     topic.receive(old.snapshot()[0])
@@ -176,7 +176,7 @@
         if publication.due_at is not None and publication.due_at <= now:
             flushed += len(publication.flush().changes) > 0
         publication.put(now, f"k{n % 20}", Setting(str(n)))
-    assert flushed <= SECOND // FLUSH_EVERY and len(publication.topic.entries) == 20
+    assert flushed <= SECOND // FLUSH_INTERVAL and len(publication.topic.entries) == 20
 
 
 def test_a_change_that_is_taken_back_before_the_flush_costs_nothing():
@@ -200,7 +200,7 @@
         self.distributor = Distributor({"t": topic}, DistributorLimits(**limits))
 
     def subscribe(self, name: str, held: Version = NEVER) -> None:
-        assert self.distributor.accept(NOW, name)
+        assert self.distributor.add_subscriber(NOW, name)
         self.distributor.receive(name, Subscribe("t", held))
 
     def pulled(self, name: str, room: int = 10**6, now: int = NOW) -> list:
@@ -209,7 +209,7 @@
     def change(self, **changes) -> list[str]:
         held = self.topic.version
         self.topic.apply(delta(held, version(held.epoch, held.sequence + 1), **changes))
-        return list(self.distributor.changed("t"))
+        return list(self.distributor.topic_changed("t"))
 
 
 def test_a_slow_subscriber_gets_one_delta_for_many_and_holds_up_nobody():
@@ -246,8 +246,8 @@
 
 def test_no_more_subscribers_than_the_limit_and_the_same_name_once():
     distributor = Distributor({}, DistributorLimits(subscribers=2))
-    assert distributor.accept(NOW, "a") and distributor.accept(NOW, "b")
-    assert not distributor.accept(NOW, "c") and distributor.accept(NOW, "a")
+    assert distributor.add_subscriber(NOW, "a") and distributor.add_subscriber(NOW, "b")
+    assert not distributor.add_subscriber(NOW, "c") and distributor.add_subscriber(NOW, "a")
 
 
 # --- client ---
@@ -265,7 +265,7 @@
     def connect(self) -> None:
         self.now = max(self.now, self.client.due_at())
         assert isinstance(self.client.tick(self.now)[-1], Dial)
-        assert self.served.distributor.accept(self.now, "child")
+        assert self.served.distributor.add_subscriber(self.now, "child")
         self.up(self.client.connected(self.now))
 
     def up(self, actions) -> None:
@@ -315,7 +315,7 @@
 
 @pytest.mark.parametrize("how", [{"twice": True}, {"reverse": True}])
 def test_repeated_and_reordered_messages_end_in_the_same_state(how):
-    child = Child(holding(1, 1, **{f"k{n}": ONE for n in range(2 * PART_ENTRIES)}))
+    child = Child(holding(1, 1, **{f"k{n}": ONE for n in range(2 * SNAPSHOT_PART_ENTRIES)}))
     child.connect()
     child.down(**how)
     child.served.change(k1=TWO)
@@ -326,14 +326,14 @@
 
 
 def test_a_parent_that_dies_within_a_snapshot_is_replaced_and_the_rest_asked_of_another():
-    topic = holding(1, 1, **{f"k{n}": ONE for n in range(3 * PART_ENTRIES)})
+    topic = holding(1, 1, **{f"k{n}": ONE for n in range(3 * SNAPSHOT_PART_ENTRIES)})
     child = Child(topic)
     child.connect()
     for message in child.served.pulled("child", room=1):
         child.client.receive(child.now, message)
     assert child.entries == {}
     child.client.lost(child.now)
-    child.served.distributor.lost("child")
+    child.served.distributor.remove_subscriber("child")
     assert child.client.parent == "p1"
     child.connect()
     child.down()
@@ -347,7 +347,7 @@
     assert client.tick(NOW + 2 * SECOND) == []
     assert client.tick(NOW + 3 * SECOND)[0] == HangUp()
     dialled = client.tick(client.due_at())
-    assert dialled == [Dial("p1")] and client.state is State.DIALLING
+    assert dialled == [Dial("p1")] and client.state is ConnectionState.DIALLING
     assert client.tick(client.due_at())[0] == HangUp() and client.parent == "p0"
 
 
@@ -362,8 +362,8 @@
     fullest = max(sum(at <= wait < at + 50_000 for wait in waits) for at in range(0, 500_000, 10_000))
     assert fullest < 0.15 * len(clients)
     backoff = Backoff(random.Random(1))
-    assert max(backoff.wait() for _ in range(40)) <= 2 * SECOND
-    assert sum(backoff.wait() for _ in range(100)) / 100 > 0.7 * SECOND
+    assert max(backoff.next_delay() for _ in range(40)) <= 2 * SECOND
+    assert sum(backoff.next_delay() for _ in range(100)) / 100 > 0.7 * SECOND
 
 
 def test_the_preferred_parent_is_taken_again_after_a_while():
@@ -374,7 +374,7 @@
     client.tick(now)
     client.connected(now)
     for second in count(1):
-        client.receive(now + second * SECOND, Heartbeat(client.held.value))
+        client.receive(now + second * SECOND, Heartbeat(client.held_versions.value))
         actions = client.tick(now + second * SECOND)
         if actions:
             break
@@ -393,25 +393,25 @@
 
 def test_a_claim_of_an_earlier_epoch_changes_nothing():
     view = OwnershipView()
-    assert view.hear("s", Claim("b", 7))
-    assert not view.hear("s", Claim("a", 6)) and view.claim("s") == Claim("b", 7)
-    assert view.hear("s", Claim("a", 8))
+    assert view.update("s", Claim("b", 7))
+    assert not view.update("s", Claim("a", 6)) and view.claim("s") == Claim("b", 7)
+    assert view.update("s", Claim("a", 8))
     key, entry = service_claim("s", 8)
     assert list(read_claims("a", {key: entry, "junk": ONE})) == [("s", Claim("a", 8))]
 
 
 def test_a_service_that_its_owner_gives_up_has_none_until_it_is_claimed_again():
     view = OwnershipView()
-    assert view.hear_all("a", {"s": Claim("a", 3), "t": Claim("a", 3)}) == {"s", "t"}
-    assert view.hear_all("a", {"t": Claim("a", 3)}) == {"s"} and view.claim("s") is None
-    assert view.hear_all("a", {"t": Claim("a", 3)}) == set()
-    assert view.hear_all("b", {"s": Claim("b", 2)}) == set() and view.claim("s") is None
-    assert view.hear_all("a", {"s": Claim("a", 3), "t": Claim("a", 3)}) == {"s"} and view.claim("s") == Claim(
-        "a", 3
-    )
-    assert view.hear_all("a", {"s": Claim("a", 4), "t": Claim("a", 3)}) == set() and view.claim("s") == Claim(
-        "a", 4
-    )
+    assert view.update_all("a", {"s": Claim("a", 3), "t": Claim("a", 3)}) == {"s", "t"}
+    assert view.update_all("a", {"t": Claim("a", 3)}) == {"s"} and view.claim("s") is None
+    assert view.update_all("a", {"t": Claim("a", 3)}) == set()
+    assert view.update_all("b", {"s": Claim("b", 2)}) == set() and view.claim("s") is None
+    assert view.update_all("a", {"s": Claim("a", 3), "t": Claim("a", 3)}) == {"s"} and view.claim(
+        "s"
+    ) == Claim("a", 3)
+    assert view.update_all("a", {"s": Claim("a", 4), "t": Claim("a", 3)}) == set() and view.claim(
+        "s"
+    ) == Claim("a", 4)
 
 
 def test_services_spread_evenly_and_a_lost_owner_moves_only_its_own():
@@ -425,29 +425,29 @@
 
 
 def test_an_owner_whose_lease_has_lapsed_publishes_nothing():
-    owner = Owner("a", 1, 8, lambda topic: {"c:x": ONE}, [], random.Random(1), NOW)
-    owner.acquire(NOW, "s", Tenure(4, NOW + 2 * SECOND))
-    owner.distributor.accept(NOW, "relay")
-    owner.subscriber_said(NOW, "relay", Subscribe("s@0", NEVER))
+    owner = ServiceOwner("a", 1, 8, lambda topic: {"c:x": ONE}, [], random.Random(1), NOW)
+    owner.acquire(NOW, "s", PublicationLease(4, NOW + 2 * SECOND))
+    owner.distributor.add_subscriber(NOW, "relay")
+    owner.subscriber_message_received(NOW, "relay", Subscribe("s@0", NEVER))
     asleep_until = NOW + 60 * SECOND
     assert all(not service_of(topic) for topic in owner.publish(asleep_until)[0])
     assert owner.due_at(asleep_until) is None and owner.topics["s@0"].version == NEVER
-    owner.tenures["s"].renew(asleep_until + SECOND)
+    owner.owned_services["s"].renew(asleep_until + SECOND)
     assert owner.publish(asleep_until)[0] == ["s@0"] and owner.topics["s@0"].version == version(4, 1)
 
 
 def test_a_topic_subscribed_to_before_the_lease_is_granted_is_published_with_it():
-    owner = Owner("a", 1, 8, lambda topic: {"c:x": ONE}, [], random.Random(1), NOW)
-    owner.distributor.accept(NOW, "relay")
-    owner.subscriber_said(NOW, "relay", Subscribe("s@0", version(1, 2)))
-    owner.acquire(NOW, "s", Tenure(2, NOW + SECOND))
+    owner = ServiceOwner("a", 1, 8, lambda topic: {"c:x": ONE}, [], random.Random(1), NOW)
+    owner.distributor.add_subscriber(NOW, "relay")
+    owner.subscriber_message_received(NOW, "relay", Subscribe("s@0", version(1, 2)))
+    owner.acquire(NOW, "s", PublicationLease(2, NOW + SECOND))
     assert "s@0" in owner.publish(NOW + 100_000)[0] and owner.topics["s@0"].version == version(2, 1)
 
 
 def test_a_service_without_subscribers_is_not_published():
     asked = []
-    owner = Owner("a", 1, 8, lambda topic: asked.append(topic) or {}, [], random.Random(1), NOW)
-    owner.acquire(NOW, "s", Tenure(1, NOW + 100 * SECOND))
+    owner = ServiceOwner("a", 1, 8, lambda topic: asked.append(topic) or {}, [], random.Random(1), NOW)
+    owner.acquire(NOW, "s", PublicationLease(1, NOW + 100 * SECOND))
     for second in range(50):
         owner.refresh(NOW + second * SECOND, "s@0")
         owner.publish(NOW + second * SECOND)
@@ -480,15 +480,15 @@
 # --- sums on the way up ---
 
 
-def report(reporter: str, sequence: int, tries: int = 10, zone: int = 0) -> Report:
-    return Report(
+def report(reporter: str, sequence: int, tries: int = 10, zone: int = 0) -> ZoneLoadReport:
+    return ZoneLoadReport(
         "s",
         zone,
         100 + sequence,
         reporter,
         sequence,
-        {"a": EndpointSums(tries, 1, 9000)},
-        {0: GroupSums(tries, 2)},
+        {"a": EndpointLoad(tries, 1, 9000)},
+        {0: GroupDemand(tries, 2)},
     )
 
 
@@ -496,12 +496,12 @@
     leaf, top = Aggregator("leaf"), Aggregator("top")
     assert all(leaf.add(report(f"p{n}", 1)) for n in range(64)) and not leaf.add(report("p3", 1))
     [summed] = leaf.flush(101)
-    assert summed.endpoints == {"a": EndpointSums(640, 64, 64 * 9000)} and summed.groups == {
-        0: GroupSums(640, 128)
+    assert summed.endpoints == {"a": EndpointLoad(640, 64, 64 * 9000)} and summed.groups == {
+        0: GroupDemand(640, 128)
     }
     assert top.add(summed) and not top.add(summed) and leaf.flush(102) == []
     assert leaf.add(report("p3", 2)) and top.add(leaf.flush(103)[0])
-    assert top.flush(104)[0].endpoints["a"].tries == 650 and leaf.duplicates == top.duplicates == 1
+    assert top.flush(104)[0].endpoints["a"].attempts == 650 and leaf.duplicates == top.duplicates == 1
 
 
 # --- planner, allowance, fallback ---
@@ -528,27 +528,27 @@
     endpoints = {f"e{n}": EndpointEntry(n // 4, True, 1.0) for n in range(8)}
     planner.configure(endpoints)
     for zone in (0, 1):
-        planner.subscribe_zone(zone)
+        planner.add_zone(zone)
     for quarter in range(4 * seconds):
         now = NOW + quarter * SECOND // 4
         if quarter == 4 * (seconds - 1) and changed:
             planner.configure(endpoints | {"e0": EndpointEntry(0, True, 1.0, now)})
         for zone in (0, 1) if quarter % 4 == 0 else ():
             tries = demand[zone]
-            sums = EndpointSums(tries, failures[zone], (tries - failures[zone]) * 200_000)
-            planner.report(
-                Report(
+            sums = EndpointLoad(tries, failures[zone], (tries - failures[zone]) * 200_000)
+            planner.add_report(
+                ZoneLoadReport(
                     "s",
                     zone,
                     quarter,
                     "r",
                     quarter + 1,
                     {f"e{n}": sums for n in range(4 * zone, 4 * zone + 4)},
-                    {0: GroupSums(4 * tries)},
+                    {0: GroupDemand(4 * tries)},
                 ),
                 SECOND,
             )
-        planner.round(now)
+        planner.run_cycle(now)
     return planner
 
 
@@ -566,14 +566,14 @@
     cold = table["e0"]
     total = sum(line.weight for line in table.values())
     assert 0 < cold.largest_share < 1 and table["e1"].largest_share == 1.0
-    chance = random.Random(5)
+    random_source = random.Random(5)
     for most_out in (2, 3):
         received = 0.0
         for _ in range(
             18_000
         ):  # each pilot has shut out what it likes, by an older list or by failures that it met
-            out = chance.sample(["e1", "e2", "e3"], chance.randint(0, most_out))
-            given = shares(table, out)
+            out = random_source.sample(["e1", "e2", "e3"], random_source.randint(0, most_out))
+            given = received_shares(table, out)
             received += given["e0"]
             assert sum(given.values()) <= 1 + 1e-9 and (
                 len(out) == 3 or sum(given.values()) == pytest.approx(1)
@@ -591,12 +591,12 @@
 
 
 def test_an_owner_out_of_reach_leaves_its_last_table_for_a_while_and_takes_over_again_at_once():
-    reach = OwnerReach()
-    assert reach.source(NOW, True) is Source.OWNER
-    assert reach.source(NOW + SECOND, False) is Source.LAST_TABLE
-    assert reach.source(NOW + HOLD_FOR, False) is Source.LAST_TABLE
-    assert reach.source(NOW + SECOND + HOLD_FOR, False) is Source.LOCAL
-    assert reach.source(NOW + 2 * HOLD_FOR, True) is Source.OWNER
+    reach = OwnerReachability()
+    assert reach.source(NOW, True) is TableSource.OWNER
+    assert reach.source(NOW + SECOND, False) is TableSource.LAST_TABLE
+    assert reach.source(NOW + LAST_TABLE_HOLD, False) is TableSource.LAST_TABLE
+    assert reach.source(NOW + SECOND + LAST_TABLE_HOLD, False) is TableSource.LOCAL
+    assert reach.source(NOW + 2 * LAST_TABLE_HOLD, True) is TableSource.OWNER
 
 
 def test_a_change_is_told_to_the_caller():
@@ -610,9 +610,9 @@
     names = {Relay("r", {"tree": ["p"]}, random.Random(seed), NOW).aggregator.name for seed in (1, 2)}
     assert len(names) == 2 and all(name.startswith("r#") for name in names)
     relay = Relay("r", {"tree": ["p"]}, random.Random(1), NOW)
-    relay.subscriber_reported(report("a", 1))
+    relay.load_report_received(report("a", 1))
     assert not any(isinstance(action, Send) for _, action in relay.tick(NOW + SECOND).actions)
     relay.upstream_connected(NOW + SECOND, "tree")
-    relay.subscriber_reported(report("b", 1))
+    relay.load_report_received(report("b", 1))
     sent = [action.message for _, action in relay.tick(NOW + 2 * SECOND).actions if isinstance(action, Send)]
-    assert [one.endpoints["a"].tries for one in sent] == [20]
+    assert [one.endpoints["a"].attempts for one in sent] == [20]
--- a/tests/test_distribution_sockets.py
+++ b/tests/distribution/test_distribution_sockets.py
@@ -11,29 +11,30 @@
 from pathlib import Path
 
 import pytest
-from test_distribution import SETTINGS
+from test_distribution_decisions import SETTINGS
 
 from ravenshelf.distribution import subscribers
 from ravenshelf.distribution.connection import MessageConnection
-from ravenshelf.distribution.decisions.deciding import Service, ServiceDecisions
 from ravenshelf.distribution.decisions.distributor import DistributorLimits
-from ravenshelf.distribution.decisions.ownership import Tenure
+from ravenshelf.distribution.decisions.ownership import PublicationLease
 from ravenshelf.distribution.decisions.planner import table_of
+from ravenshelf.distribution.decisions.service_decisions import Service, ServiceDecisions
 from ravenshelf.distribution.messages import (
     NEVER,
     PROTOCOL,
     Delta,
     EndpointEntry,
-    EndpointSums,
-    GroupSums,
+    EndpointLoad,
+    GroupDemand,
     Heartbeat,
     Hello,
-    Report,
     Setting,
     Snapshot,
     Subscribe,
+    ZoneLoadReport,
     encode,
 )
+from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.owner_service import OwnerService
 from ravenshelf.distribution.relay_service import RelayService
 from ravenshelf.distribution.subscription_service import SubscriptionService
@@ -46,7 +47,7 @@
 
 SECOND = 1_000_000
 WAIT = 10.0
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parent.parent.parent
 
 
 def clock() -> int:
@@ -60,29 +61,25 @@
         self.loop = asyncio.get_running_loop()
         self.content = {"c:x": Setting("0")}
         self.owner = OwnerService(
-            self.loop, clock, "test", "owner-0", 1, 8, lambda topic: self.content, {}, random.Random(1)
+            Node(self.loop, clock, "test", "owner-0", {}), 1, 8, lambda topic: self.content, random.Random(1)
         )
         self.count, self.most = subscribers, most
         self.versions: dict[tuple[str, str], list] = {}  # by subscriber and topic, as they came
 
     async def start(self) -> "Installation":
         self.owner_at = await self.owner.start("127.0.0.1:0")
-        self.owner.acquire("s", Tenure(1, clock() + 60 * SECOND))
+        self.owner.acquire("s", PublicationLease(1, clock() + 60 * SECOND))
         self.relay = await self.start_relay("127.0.0.1:0")
         self.subscribers = [self.subscriber(n) for n in range(self.count)]
         return self
 
     async def start_relay(self, listen: str) -> RelayService:
         relay = RelayService(
-            self.loop,
-            clock,
-            "test",
-            "relay-0",
+            Node(self.loop, clock, "test", "relay-0", {"owner-0": self.owner_at}),
             {"owner-0": ["owner-0"]},
-            {"owner-0": self.owner_at},
             random.Random(2),
             DistributorLimits(self.most),
-            owners=True,
+            upstreams_are_owners=True,
         )
         self.relay_at = await relay.start(listen)
         return relay
@@ -90,12 +87,7 @@
     def subscriber(self, number: int) -> SubscriptionService:
         name = f"pilot-{number}"
         made = SubscriptionService(
-            self.loop,
-            clock,
-            "test",
-            name,
-            ["relay-0"],
-            {"relay-0": self.relay_at},
+            Node(self.loop, clock, "test", name, {"relay-0": self.relay_at}),
             random.Random(number),
             lambda topic: self.versions.setdefault((name, topic.name), []).append(topic.version),
         )
@@ -173,16 +165,16 @@
     def __init__(self):
         self.heard, self.open, self.ended = [], asyncio.Event(), asyncio.Event()
 
-    def opened(self, connection) -> None:
+    def connection_opened(self, connection) -> None:
         self.open.set()
 
-    def said(self, connection, message) -> None:
+    def message_received(self, connection, message) -> None:
         self.heard.append(message)
 
-    def over(self, connection) -> None:
+    def connection_ended(self, connection) -> None:
         self.ended.set()
 
-    def drained(self, connection) -> None:
+    def write_resumed(self, connection) -> None:
         pass
 
 
@@ -228,7 +220,7 @@
 
 
 def test_a_subscriber_that_reads_nothing_is_ended_and_the_others_go_on(monkeypatch):
-    monkeypatch.setattr(subscribers, "UNREAD_FOR", SECOND // 2)
+    monkeypatch.setattr(subscribers, "UNREAD_TIMEOUT", SECOND // 2)
 
     async def play(there: Installation) -> None:
         await there.until(lambda: there.holds("0"))
@@ -290,39 +282,28 @@
         loop = asyncio.get_running_loop()
         state = World(world.size, 1)  # for what the topics say, and nothing else
         owner = OwnerService(
-            loop, clock, "test", "owner-0", 1, world.size.shards, state.content, {}, random.Random(1)
+            Node(loop, clock, "test", "owner-0", {}), 1, world.size.shards, state.content, random.Random(1)
         )
         owner_at = await owner.start("127.0.0.1:0")
-        owner.acquire("service-0", Tenure(1, clock() + 60 * SECOND))
+        owner.acquire("service-0", PublicationLease(1, clock() + 60 * SECOND))
         relay = RelayService(
-            loop,
-            clock,
-            "test",
-            "relay-0",
+            Node(loop, clock, "test", "relay-0", {"owner-0": owner_at}),
             {"owner-0": ["owner-0"]},
-            {"owner-0": owner_at},
             random.Random(2),
-            owners=True,
+            upstreams_are_owners=True,
         )
         relay_at = await relay.start("127.0.0.1:0")
         pilot = SubscriptionService(
-            loop,
-            clock,
-            "test",
-            "pilot-0",
-            ["relay-0"],
-            {"relay-0": relay_at},
-            random.Random(3),
-            lambda topic: None,
+            Node(loop, clock, "test", "pilot-0", {"relay-0": relay_at}), random.Random(3), lambda topic: None
         )
-        said = pilot.upstream_said
+        said = pilot.upstream_message_received
 
         def heard(upstream, message):
             if isinstance(message, Snapshot | Delta):
                 real.append((type(message).__name__, message.topic, len(encode(message))))
             said(upstream, message)
 
-        pilot.upstream_said = heard
+        pilot.upstream_message_received = heard
         pilot.start(["service-0@", "service-0@0"])
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(WAIT):
@@ -439,39 +420,26 @@
     async def play() -> dict[str, float]:
         loop = asyncio.get_running_loop()
         owner = OwnerService(
-            loop,
-            clock,
-            "test",
-            "owner-0",
+            Node(loop, clock, "test", "owner-0", {}),
             1,
             8,
             decisions.content,
-            {},
             random.Random(1),
-            reported=decisions.reported,
+            report_received=decisions.add_load_report,
         )
         decisions.attach(owner.owner)
         owner_at = await owner.start("127.0.0.1:0")
-        owner.acquire("s", Tenure(1, clock() + 60 * SECOND))
+        owner.acquire("s", PublicationLease(1, clock() + 60 * SECOND))
         relay = RelayService(
-            loop,
-            clock,
-            "test",
-            "relay-0",
+            Node(loop, clock, "test", "relay-0", {"owner-0": owner_at}),
             {"owner-0": ["owner-0"]},
-            {"owner-0": owner_at},
             random.Random(2),
-            owners=True,
+            upstreams_are_owners=True,
         )
         relay_at = await relay.start("127.0.0.1:0")
         pilots = [
             SubscriptionService(
-                loop,
-                clock,
-                "test",
-                f"pilot-{n}",
-                ["relay-0"],
-                {"relay-0": relay_at},
+                Node(loop, clock, "test", f"pilot-{n}", {"relay-0": relay_at}),
                 random.Random(n),
                 lambda topic: None,
             )
@@ -483,17 +451,19 @@
             async with asyncio.timeout(2 * WAIT):
                 for turn in itertools.count(1):
                     await asyncio.sleep(0.1)
-                    decisions.round(clock())
+                    decisions.run_cycle(clock())
                     owner.publish()
                     for number, pilot in enumerate(pilots):
                         sums = {
-                            name: EndpointSums(
+                            name: EndpointLoad(
                                 10, 10 if name == "e2" else 0, 0 if name == "e2" else 2_000_000
                             )
                             for name in names
                         }
                         pilot.report(
-                            Report("s", 0, turn, f"pilot-{number}#1", turn, sums, {0: GroupSums(40)})
+                            ZoneLoadReport(
+                                "s", 0, turn, f"pilot-{number}#1", turn, sums, {0: GroupDemand(40)}
+                            )
                         )
                     tables = [table_of(pilot.topics["s@0"].entries) for pilot in pilots]
                     if all(table and table["e2"].weight < 0.3 * table["e1"].weight for table in tables):
--- a/tests/test_distribution_world.py
+++ b/tests/distribution/test_distribution_world.py
@@ -30,7 +30,7 @@
     """By region, the epochs in which pilots hold the service."""
     found: dict[int, set[int]] = {}
     for pilot in world.pilots:
-        for topic, version in pilot.client.held.versions().items():
+        for topic, version in pilot.client.held_versions.versions().items():
             if service_of(topic) == service:
                 found.setdefault(pilot.region, set()).add(version.epoch)
     return found
@@ -78,14 +78,14 @@
     world.change("service-1")
     world.run(60)
     assert all(held == {2} for held in epochs(world, "service-1").values())
-    assert "service-1" not in owner.owner.tenures
+    assert "service-1" not in owner.owner.owned_services
     converged(world)
 
 
 def test_two_owners_seen_by_different_pilots_end_as_one():
     world = settled(Size(pilots=30, controllers=3, regions=3))
-    owner = next(node for node in world.owners if node.region == 2 and node.owner.tenures)
-    service = next(iter(owner.owner.tenures))
+    owner = next(node for node in world.owners if node.region == 2 and node.owner.owned_services)
+    service = next(iter(owner.owner.owned_services))
     world.network.cut_off(2)
     world.run(15)
     world.change(service)
@@ -110,7 +110,7 @@
         topic: version
         for pilot in world.pilots
         if pilot.region == 1
-        for topic, version in pilot.client.held.versions().items()
+        for topic, version in pilot.client.held_versions.versions().items()
     }
     assert held and all(version != NEVER for version in held.values())  # they go on with what they have
     before = sum(relay.distributor.snapshot_bytes for level in world.levels for relay in level)
@@ -172,12 +172,15 @@
 
 def test_when_all_controllers_are_gone_pilots_keep_their_tables_and_are_told():
     world = settled()
-    held = {pilot.name: dict(pilot.client.held.versions()) for pilot in world.pilots}
+    held = {pilot.name: dict(pilot.client.held_versions.versions()) for pilot in world.pilots}
     for owner in world.owners:
         owner.away(120, silently=True)
     world.run(60)
     for pilot in world.pilots:
-        assert pilot.client.held.versions() == held[pilot.name] and pilot.client.state.value == "connected"
+        assert (
+            pilot.client.held_versions.versions() == held[pilot.name]
+            and pilot.client.state.value == "connected"
+        )
         assert not any(pilot.live[topic] for topic in held[pilot.name])
     world.run(120)
     assert all(all(pilot.live.values()) for pilot in world.pilots)
@@ -186,9 +189,9 @@
 
 def test_when_no_lease_can_be_granted_pilots_are_told_though_the_controllers_live():
     world = settled()
-    topics = {pilot.name: list(pilot.client.held.versions()) for pilot in world.pilots}
+    topics = {pilot.name: list(pilot.client.held_versions.versions()) for pilot in world.pilots}
     for owner in world.owners:
-        for service in list(owner.owner.tenures):
+        for service in list(owner.owner.owned_services):
             owner.run(lambda owner=owner, service=service: owner.owner.release(owner.now, service))
     world.leases.grants.clear()
     world.leases.grants_nothing = True
@@ -214,9 +217,9 @@
 
 def test_a_topic_that_nobody_wants_any_more_is_forgotten_up_to_its_owner():
     world = settled(Size(pilots=6, services=2, services_called=1, regions=1))
-    topic = next(iter(world.pilots[0].client.held.versions()))
+    topic = next(iter(world.pilots[0].client.held_versions.versions()))
     for pilot in world.pilots:
-        if topic in pilot.client.held:
+        if topic in pilot.client.held_versions:
             pilot.unwant(topic)
             world.seen.pop((pilot.name, topic))
     world.run(60)
--- a/tests/test_distribution_deciding.py
+++ b/tests/distribution/test_service_decisions.py
@@ -3,23 +3,28 @@
 import random
 
 import pytest
-from test_distribution import SETTINGS
+from test_distribution_decisions import SETTINGS
 
-from ravenshelf.distribution.decisions.deciding import ROUND_EVERY, WARM_AFTER, Service, ServiceDecisions
-from ravenshelf.distribution.decisions.owner import Owner
-from ravenshelf.distribution.decisions.ownership import Tenure
+from ravenshelf.distribution.decisions.ownership import PublicationLease
 from ravenshelf.distribution.decisions.planner import service_topic, table_of, zone_topic
+from ravenshelf.distribution.decisions.service_decisions import (
+    CYCLE_INTERVAL,
+    WARM_UP_WITHOUT_REPORTS,
+    Service,
+    ServiceDecisions,
+)
+from ravenshelf.distribution.decisions.service_owner import ServiceOwner
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.messages import (
     NEVER,
     EndpointEntry,
-    EndpointSums,
-    GroupSums,
-    Report,
+    EndpointLoad,
+    GroupDemand,
     Subscribe,
     TableLine,
     Unsubscribe,
     Version,
+    ZoneLoadReport,
 )
 
 SECOND = 1_000_000
@@ -34,18 +39,18 @@
         self.now = NOW
         self.service = Service({name: EndpointEntry(0, True, 1.0) for name in NAMES}, {"team": "orders"})
         self.decisions = ServiceDecisions(SETTINGS, lambda service: self.service, 1)
-        self.owner = Owner("a", 1, 8, self.decisions.content, [], random.Random(1), NOW)
+        self.owner = ServiceOwner("a", 1, 8, self.decisions.content, [], random.Random(1), NOW)
         self.decisions.attach(self.owner)
-        self.owner.distributor.accept(NOW, "relay")
+        self.owner.distributor.add_subscriber(NOW, "relay")
         self.reports = 0
 
     def own(self, epoch: int = 5) -> "Controller":
-        self.owner.acquire(self.now, "s", Tenure(epoch, NOW + 10_000 * SECOND))
+        self.owner.acquire(self.now, "s", PublicationLease(epoch, NOW + 10_000 * SECOND))
         return self
 
     def subscribe(self, *zones: int) -> "Controller":
         for topic in (service_topic("s"), *(zone_topic("s", zone) for zone in zones)):
-            self.owner.subscriber_said(self.now, "relay", Subscribe(topic, NEVER))
+            self.owner.subscriber_message_received(self.now, "relay", Subscribe(topic, NEVER))
         return self
 
     def listed(self, **changed: EndpointEntry) -> None:
@@ -53,10 +58,10 @@
 
     def run(self, seconds: float, bad: str = "") -> "Controller":
         for _ in range(round(seconds * 4)):
-            self.now += ROUND_EVERY
+            self.now += CYCLE_INTERVAL
             if bad and self.now % SECOND == 0:
                 self.report(bad)
-            self.decisions.round(self.now)
+            self.decisions.run_cycle(self.now)
             self.owner.publish(self.now)
         return self
 
@@ -64,11 +69,11 @@
         """A second's sums of zone 0, in which one endpoint fails."""
         self.reports += 1
         sums = {
-            name: EndpointSums(50, 50 if name == bad else 0, 0 if name == bad else 50 * 200_000)
+            name: EndpointLoad(50, 50 if name == bad else 0, 0 if name == bad else 50 * 200_000)
             for name in NAMES
         }
-        self.decisions.reported(
-            Report("s", 0, self.now // SECOND, "relay#1", self.reports, sums, {0: GroupSums(200)})
+        self.decisions.add_load_report(
+            ZoneLoadReport("s", 0, self.now // SECOND, "relay#1", self.reports, sums, {0: GroupDemand(200)})
         )
 
     def table(self, zone: int = 0) -> dict[str, float]:
@@ -104,14 +109,14 @@
 
 def test_a_service_is_decided_only_while_it_has_subscribers():
     controller = Controller().own().run(5)
-    assert controller.decisions.planned == {}
+    assert controller.decisions.planned_services == {}
     controller.subscribe(0, 1).run(1)
-    assert controller.decisions.planned["s"].planner.zones == {0, 1}
-    controller.owner.subscriber_said(controller.now, "relay", Unsubscribe(zone_topic("s", 1)))
-    assert controller.run(1).decisions.planned["s"].planner.zones == {0}
+    assert controller.decisions.planned_services["s"].planner.zones == {0, 1}
+    controller.owner.subscriber_message_received(controller.now, "relay", Unsubscribe(zone_topic("s", 1)))
+    assert controller.run(1).decisions.planned_services["s"].planner.zones == {0}
     for topic in (service_topic("s"), zone_topic("s", 0)):
-        controller.owner.subscriber_said(controller.now, "relay", Unsubscribe(topic))
-    assert controller.run(1).decisions.planned == {}
+        controller.owner.subscriber_message_received(controller.now, "relay", Unsubscribe(topic))
+    assert controller.run(1).decisions.planned_services == {}
 
 
 def test_a_successor_keeps_the_former_table_until_it_has_heard_enough():
@@ -123,7 +128,9 @@
 
 
 def test_without_any_sums_the_former_table_gives_way_after_a_while():
-    controller = replica(Controller(), e0=900.0, e1=100.0).own().subscribe(0).run(WARM_AFTER / SECOND - 1)
+    controller = (
+        replica(Controller(), e0=900.0, e1=100.0).own().subscribe(0).run(WARM_UP_WITHOUT_REPORTS / SECOND - 1)
+    )
     assert controller.table() == {"e0": 900.0, "e1": 100.0}
     assert controller.run(2).table() == dict.fromkeys(NAMES, 250.0)
 
@@ -156,5 +163,5 @@
     controller = Controller().own().subscribe(0).run(1)
     controller.owner.release(controller.now, "s")
     held = controller.owner.topics[zone_topic("s", 0)].version
-    assert controller.run(3, bad="e0").decisions.planned == {}
+    assert controller.run(3, bad="e0").decisions.planned_services == {}
     assert controller.owner.topics[zone_topic("s", 0)].version == held
--- a/tools/write_distribution_fixtures.py
+++ b/tools/write_distribution_fixtures.py
@@ -1,7 +1,8 @@
 """Writes tests/fixtures/distribution/messages.json: encoded samples of every distribution message.
 
-The samples are built with positional arguments, so that renamed fields do not change them. Run it only when a new message
-type is added; the bytes of existing samples must never change, for other versions of the program read them.
+The samples are built with positional arguments, so that renamed fields do not change them. Run it only when a
+new message type is added; the bytes of existing samples must never change, for other versions of the program
+read them.
 
     python tools/write_distribution_fixtures.py
 """
@@ -21,9 +22,9 @@
 def samples() -> dict[str, m.Message]:
     """One or more samples of each message type, by name."""
     version, later = m.Version(3, 17), m.Version(4, 1)
-    report_types = m.Report.__annotations__
-    endpoint_load = report_types["endpoints"].__args__[1]
-    group_load = report_types["groups"].__args__[1]
+    annotations = m.ZoneLoadReport.__annotations__
+    endpoint_load = annotations["endpoints"].__args__[1]
+    group_load = annotations["groups"].__args__[1]
     return {
         "hello": m.Hello(m.PROTOCOL, "lisbon", "relay-1-0"),
         "subscribe_new": m.Subscribe("checkout@0", m.NEVER),
@@ -51,7 +52,7 @@
         "resync": m.Resync({"checkout@": version, "checkout@0": m.NEVER}),
         "topic_live": m.TopicLive("checkout@0", True),
         "topic_not_live": m.TopicLive("checkout@0", False),
-        "report": m.Report(
+        "report": m.ZoneLoadReport(
             "checkout",
             1,
             1_764_000_000,
@@ -60,7 +61,7 @@
             {"s-17": endpoint_load(100, 3, 1_234_567), "s-18": endpoint_load(1, 1)},
             {0: group_load(90, 2), 3: group_load(11)},
         ),
-        "report_empty": m.Report("checkout", 0, 0, "own", 1, {}, {}),
+        "report_empty": m.ZoneLoadReport("checkout", 0, 0, "own", 1, {}, {}),
     }
 
 
