--- a/ravenshelf/distribution/decisions/distributed_controller.py
+++ b/ravenshelf/distribution/decisions/distributed_controller.py
@@ -10,7 +10,8 @@
 from ravenshelf.distribution.decisions.allowance import received_shares
 from ravenshelf.distribution.decisions.fallback import TableSource
 from ravenshelf.distribution.messages import TableLine
-from ravenshelf.rules import Channel, Controller
+from ravenshelf.policy.flow_control import ChannelFlowControl
+from ravenshelf.rules import Controller
 from ravenshelf.settings import Settings
 
 TABLE_TOTAL = 1000.0  # sum of a table's weights, as in the server's own tables
@@ -27,7 +28,7 @@
         self,
         settings: Settings,
         seed: int,
-        channel: Channel | None = None,
+        channel: ChannelFlowControl | None = None,
         *,
         owners_table: OwnersTable,
         index_of: Callable[[str], int | None],
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -201,7 +201,7 @@
         self.controller.round(now, pending, self.tables)
         for marker in self.tables.markers:
             for zone in self.zones:
-                self.controller.channel.applied(zone, marker, 0)
+                self.controller.channel.acknowledged(zone, marker, 0)
         self.tables.markers.clear()
 
     def service_entries(self) -> dict[str, Entry]:
--- a/ravenshelf/process/controller.py
+++ b/ravenshelf/process/controller.py
@@ -89,14 +89,14 @@
         try:
             services = services_file.read(self.file, self.zones)
         except services_file.ServicesFileError as error:
-            log_events.SERVICES_REFUSED(why=str(error))
+            log_events.SERVICES_REJECTED(why=str(error))
             return
         self.services.clear()
         self.services.update(services)
         self.leases.set_services(self.services)
         for service in self.services:
             self.publisher.refresh(service_topic(service))
-        log_events.SERVICES_TAKEN(services=len(self.services))
+        log_events.SERVICES_RELOADED(services=len(self.services))
 
     def stop(self) -> None:
         """Request the end of the process."""
@@ -120,14 +120,14 @@
         loop.add_signal_handler(number, process.stop)
     loop.add_signal_handler(signal.SIGHUP, process.reload)
     address = await process.start()
-    log_events.CONTROLLER_READY(
+    log_events.SERVICE_OWNER_LISTENING(
         name=operator.distribution.name, address=address, services=len(process.services)
     )
     why = await process.ended
     process.close()
     await asyncio.sleep(FAREWELL_TIME)
     if why:
-        log_events.RELAY_FAILED(why=why)
+        log_events.DISTRIBUTION_FAILED(why=why)
         return EXIT_FAILED
     return 0
 
@@ -138,7 +138,7 @@
     try:
         code = uvloop.run(serve(configuration, operator))
     except OSError as error:
-        log_events.RELAY_FAILED(why=str(error))
+        log_events.DISTRIBUTION_FAILED(why=str(error))
         code = EXIT_FAILED
     sink.finish(logs.FLUSH_TIMEOUT)
     return code
--- a/tests/distribution/test_distribution_sockets.py
+++ b/tests/distribution/test_distribution_sockets.py
@@ -367,7 +367,7 @@
         finally:
             process.send_signal(signal.SIGTERM)
             _, said = await asyncio.wait_for(process.communicate(), WAIT)
-        assert process.returncode == 0 and b"relay relay-0 listens at" in said and b"stops" in said
+        assert process.returncode == 0 and b"relay relay-0 listens at" in said and b"relay relay-0 stopped" in said
 
     on_sockets(play)
 
