--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -15,7 +15,7 @@
 from benchmarks.measuring import quantile
 from ravenshelf.distribution.decisions.planner import ENDPOINT, LINE
 from ravenshelf.distribution.messages import NEVER, EndpointEntry, TableLine
-from standins.distribution.world import Size, World
+from standins.distribution.world import DistributionSize, SimulatedDistribution
 from standins.fleet.clock import SECOND
 
 PILOTS, SERVICES, ENDPOINTS = 18_000, 1_200, 36_000
@@ -70,11 +70,11 @@
     resident_mb: float = 0.0
 
 
-def size(pilots: int) -> Size:
+def size(pilots: int) -> DistributionSize:
     """A fleet of so many pilots, with the plan's share of services, each of 30 endpoints."""
-    return Size(
+    return DistributionSize(
         controllers=CONTROLLERS,
-        pilots=pilots,
+        servers=pilots,
         services=max(24, SERVICES * pilots // PILOTS),
         endpoints=ENDPOINTS // SERVICES,
         services_called=SERVICES_CALLED,
@@ -90,7 +90,7 @@
     """Plays the parts of a day on one world, and keeps what each showed."""
 
     def __init__(self, pilots: int, seed: int, parts: Sequence[str]):
-        self.world = World(size(pilots), seed, checked=False)
+        self.world = SimulatedDistribution(size(pilots), seed, checked=False)
         self.random_source = random.Random(f"{seed}/player")
         self.fleet = Fleet(pilots, sum(len(level) for level in self.world.levels), seed, list(parts))
 
@@ -105,7 +105,7 @@
     # --- helpers ---
 
     def pilot_bytes(self) -> int:
-        return sum(pilot.bytes_in for pilot in self.world.pilots)
+        return sum(pilot.bytes_in for pilot in self.world.servers)
 
     def a_second(self, seconds: float, play: Callable[[], None]) -> float:
         """Bytes a second and pilot while `play` runs for so many seconds; the busiest relay and controller are noted."""
@@ -125,20 +125,20 @@
         """Seconds from each service's change until each of its pilots had it; those that lack it are counted."""
         found: list[float] = []
         for service in services:
-            had = self.world.watched[service]
+            had = self.world.change_seen_at[service]
             self.fleet.behind += len(self.world.subscribers(service)) - len(had)
             found += [(at - marked_at[service]) / SECOND for at in had.values()]
         return found
 
     def mark(self, services: list[str]) -> dict[str, int]:
         for service in services:
-            self.world.mark(service)
+            self.world.mark_change(service)
         return dict.fromkeys(services, self.world.events.now)
 
     def unstarted(self) -> int:
         return sum(
             version == NEVER
-            for pilot in self.world.pilots
+            for pilot in self.world.servers
             for version in pilot.client.held_versions.versions().values()
         )
 
@@ -219,7 +219,7 @@
         snapshots = self.world.snapshot_bytes()
         dials = len(self.world.network.dials)
         for relay in self.world.levels[0]:
-            relay.away(5)
+            relay.stop_for(5)
         self.world.run(0.2)
         marked = self.mark(services)
         self.world.run(15)
@@ -234,8 +234,8 @@
         count = max(1, round(RESTARTS_A_MINUTE / 6 * self.fleet.pilots / PILOTS))
 
         def restart() -> None:
-            for pilot in self.random_source.sample(self.world.pilots, count):
-                pilot.away(2, forget=True)
+            for pilot in self.random_source.sample(self.world.servers, count):
+                pilot.stop_for(2, forget=True)
                 self.world.run(10 / count)
             self.world.run(5)
 
@@ -287,10 +287,10 @@
     """Everybody watching all against subscriptions, under the same changes: all services once in ten seconds."""
     found = []
     for called, fan_out in ((services, 4 * pilots), (min(SERVICES_CALLED, services), FAN_OUT)):
-        world = World(
-            Size(
+        world = SimulatedDistribution(
+            DistributionSize(
                 controllers=3,
-                pilots=pilots,
+                servers=pilots,
                 services=services,
                 endpoints=30,
                 services_called=called,
@@ -305,7 +305,7 @@
         )
         world.run(20)
         before = (
-            sum(pilot.bytes_in for pilot in world.pilots),
+            sum(pilot.bytes_in for pilot in world.servers),
             sum(relay.bytes_out for relay in world.levels[-1]),
         )
         for service in world.services:
@@ -313,7 +313,7 @@
             world.run(10 / services)
         world.run(2)
         found += [
-            (sum(pilot.bytes_in for pilot in world.pilots) - before[0]) / pilots / 12,
+            (sum(pilot.bytes_in for pilot in world.servers) - before[0]) / pilots / 12,
             (sum(relay.bytes_out for relay in world.levels[-1]) - before[1]) / 12,
         ]
     return Baseline(pilots, seed, *found)
--- a/standins/distribution/__init__.py
+++ b/standins/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""A distribution on a virtual clock and network: the real decision modules, with nothing but sockets left out."""
+"""A distribution on a virtual clock and network: the real decision modules, without sockets."""
--- a/standins/distribution/leases.py
+++ b/standins/distribution/leases.py
@@ -1,23 +1,23 @@
-"""Who owns which shard: a stand-in for the leases of `leadership`, which has a model and a checker of its own.
+"""Simulated leases of shards, in place of `leadership`, which has a model and a checker of its own.
 
-One register a shard, with an epoch that rises with each grant. A lease is renewed while its owner can be reached from the
-region of the majority; once it has lapsed everywhere, the next controller by rendezvous gets the shard.
+Each shard has one lease, with an epoch that rises with each grant. A lease is renewed while its holder can be
+reached from the region of the quorum; once it has expired, the next controller by rendezvous hashing gets the
+shard.
 """
 
+from collections.abc import Sequence
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from ravenshelf.distribution.decisions.ownership import PublicationLease, replicas, shard_of_service
 from ravenshelf.leadership.dividing import rank
-from standins.fleet.clock import SECOND
+from standins.distribution.network import Network
+from standins.distribution.nodes import OwnerNode
+from standins.fleet.clock import SECOND, EventQueue
 
-if TYPE_CHECKING:
-    from standins.distribution.nodes import OwnerNode
-    from standins.distribution.world import World
-
-LEASE = 2 * SECOND
-RENEW_EVERY = SECOND // 2
-MAJORITY_REGION = 0
+LEASE_DURATION = 2 * SECOND
+RENEW_INTERVAL = SECOND // 2
+QUORUM_REGION = 0
 
 
 @dataclass
@@ -28,33 +28,48 @@
     expires_at: int
 
 
+class LeasedDistribution(Protocol):
+    """What the leases need of the simulated distribution."""
+
+    events: EventQueue
+    network: Network
+    services: list[str]
+
+    @property
+    def owners(self) -> Sequence[OwnerNode]:
+        """All controllers, by number."""
+
+
 class Leases:
-    def __init__(self, world: "World", shards: int):
-        self.world, self.shards = world, shards
+    """Grants and renews the leases of all shards, and notifies the controllers."""
+
+    def __init__(self, world: LeasedDistribution, shards: int):
+        self.world = world
+        self.shards = shards
         self.grants: dict[int, _Grant] = {}
-        self.grants_nothing = False  # as where a majority of the voters is lost
+        self.suspended = False  # no lease is granted, as without a quorum
         self.epochs = dict.fromkeys(range(shards), 0)
         self.shard = {service: shard_of_service(service, shards) for service in world.services}
         self.services: dict[int, list[str]] = {}
         for service, shard in self.shard.items():
             self.services.setdefault(shard, []).append(service)
-        self._turn()
+        self._run_cycle()
 
-    def owner_of(self, service: str) -> "OwnerNode | None":
-        """Who holds the lease of a service now."""
+    def owner_of(self, service: str) -> OwnerNode | None:
+        """Return the holder of the lease of a service."""
         grant = self.grants.get(self.shard[service])
         return self.world.owners[grant.owner] if grant is not None else None
 
     def epoch_of(self, service: str) -> int:
-        """The latest epoch that was granted for a service."""
+        """Return the latest epoch that was granted for a service."""
         return self.epochs[self.shard[service]]
 
     def _reachable(self, place: int) -> bool:
         node, network = self.world.owners[place], self.world.network
-        return node.alive and not node.is_paused() and not network.is_cut(node.region, MAJORITY_REGION)
+        return node.alive and not node.is_paused() and not network.is_cut(node.region, QUORUM_REGION)
 
-    def _turn(self) -> None:
-        """Renews, notices what has lapsed, grants."""
+    def _run_cycle(self) -> None:
+        """Renew leases, and grant those that have expired."""
         now = self.world.events.now
         weights = {place: 1.0 for place in range(len(self.world.owners)) if self._reachable(place)}
         for shard in range(self.shards):
@@ -65,16 +80,16 @@
                 and (self.world.owners[grant.owner].incarnation == grant.incarnation)
                 and now < grant.expires_at
             ):
-                grant.expires_at = now + LEASE
-            elif (grant is None or now >= grant.expires_at) and weights and not self.grants_nothing:
+                grant.expires_at = now + LEASE_DURATION
+            elif (grant is None or now >= grant.expires_at) and weights and not self.suspended:
                 self._grant(shard, rank(shard, weights)[0])
         standby = self._standby(weights)
         for place in weights:
-            self._tell(place, standby.get(place, {}))
-        self.world.network.later(RENEW_EVERY, self._turn)
+            self._notify(place, standby.get(place, {}))
+        self.world.network.later(RENEW_INTERVAL, self._run_cycle)
 
     def _standby(self, weights: dict[int, float]) -> dict[int, dict[int, int]]:
-        """For each controller the shards that it is a replica of, with their owners."""
+        """Return for each controller the shards that it replicates, with their owners."""
         found: dict[int, dict[int, int]] = {}
         for shard, grant in self.grants.items():
             for place in replicas(shard, grant.owner, weights):
@@ -85,11 +100,11 @@
         self.epochs[shard] += 1
         node = self.world.owners[place]
         self.grants[shard] = _Grant(
-            place, node.incarnation, self.epochs[shard], self.world.events.now + LEASE
+            place, node.incarnation, self.epochs[shard], self.world.events.now + LEASE_DURATION
         )
 
-    def _tell(self, place: int, standby: dict[int, int]) -> None:
-        """A controller hears of its leases, of those that it has lost, and for what it is to stand by."""
+    def _notify(self, place: int, standby: dict[int, int]) -> None:
+        """Notify a controller of the leases that it holds, and of the shards that it is to replicate."""
         node = self.world.owners[place]
         owned = {
             shard: grant
@@ -98,7 +113,7 @@
         }
         node.run(lambda: self._apply(node, owned, standby))
 
-    def _apply(self, node: "OwnerNode", owned: dict[int, _Grant], standby: dict[int, int]) -> None:
+    def _apply(self, node: OwnerNode, owned: dict[int, _Grant], standby: dict[int, int]) -> None:
         owner, now = node.owner, node.now
         for service in [service for service in owner.owned_services if self.shard[service] not in owned]:
             owner.release(now, service)
--- a/standins/distribution/network.py
+++ b/standins/distribution/network.py
@@ -1,36 +1,73 @@
-"""The virtual network: regions, delays, losses, cuts, and connections that carry messages in order or, where a script says
-so, lose, repeat and reorder them."""
+"""The simulated network: regions, delays, losses, partitions, and connections.
+
+Connections carry messages in order unless the rules make them drop, repeat or reorder some.
+"""
 
 import random
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from ravenshelf.distribution.decisions.distributor import Outgoing
 from ravenshelf.distribution.messages import Message, encode
 from standins.fleet.clock import SECOND, EventQueue
 
-if TYPE_CHECKING:
-    from standins.distribution.node import Node
-
-MILLISECOND = 1000
-RETRANSMISSION = 250 * MILLISECOND  # how late a message is that was lost once on the way
-KEEPALIVE = 15 * SECOND  # until a parent notices that a child is out of reach
+MILLISECOND = 1000  # microseconds
+RETRANSMISSION = 250 * MILLISECOND  # delay of a message that was lost once in transit
+KEEPALIVE = 15 * SECOND  # until a parent detects that a child is unreachable
 
 
 @dataclass
 class NetworkRules:
-    """Delays are one way, in microseconds; `loss` is the share of messages that come one retransmission late."""
+    """Delays are one way, in microseconds; `loss` is the share of messages that are one retransmission late.
+
+    `dropped`, `repeated` and `reordered` are shares of messages too; a correct transport does none of it.
+    """
 
     within_region: tuple[int, int] = (300, 1500)
     between_regions: tuple[int, int] = (10 * MILLISECOND, 120 * MILLISECOND)
     loss: float = 0.001
     bytes_per_second: float = 12_500_000.0  # of one connection
-    dropped: float = 0.0  # shares of messages that a broken transport loses, repeats or sends late;
-    repeated: float = 0.0  # a transport in order does none of it
+    dropped: float = 0.0
+    repeated: float = 0.0
     reordered: float = 0.0
 
 
+class Process(Protocol):
+    """What the network needs of a process."""
+
+    name: str
+    region: int
+    bytes_per_second: float
+    alive: bool
+    generation: int
+    bytes_in: int
+    bytes_out: int
+    messages_in: int
+    messages_out: int
+
+    def is_paused(self) -> bool:
+        """Return whether the process is suspended."""
+
+    def accept_subscriber(self, connection: "Connection") -> bool:
+        """Accept a connection, or return False."""
+
+    def dialled(self, generation: int, connection: "Connection") -> None:
+        """A dial of that generation was accepted."""
+
+    def dial_refused(self, generation: int, upstream: str) -> None:
+        """A dial of that generation was refused."""
+
+    def upstream_message_arrived(self, connection: "Connection", message: Message) -> None:
+        """A message has arrived from a parent."""
+
+    def subscriber_message_arrived(self, connection: "Connection", message: Message) -> None:
+        """A message has arrived from a subscriber."""
+
+    def connection_lost(self, connection: "Connection") -> None:
+        """The other end has ended a connection."""
+
+
 class Connection:
     """One child's connection to one parent."""
 
@@ -48,20 +85,26 @@
         "upstream",
     )
 
-    def __init__(self, network: "Network", child: "Node", upstream: str, parent: "Node"):
-        self.network, self.child, self.upstream, self.parent = network, child, upstream, parent
-        self.delay, self.open = network.delay(child.region, parent.region), True
+    def __init__(self, network: "Network", child: Process, upstream: str, parent: Process):
+        self.network = network
+        self.child = child
+        self.upstream = upstream
+        self.parent = parent
+        self.delay = network.delay(child.region, parent.region)
+        self.open = True
         self.free_at = self.last_down = self.last_up = 0
         self.pump_at: int | None = None
         self.bytes_per_second = min(network.rules.bytes_per_second, child.bytes_per_second)
 
-    def up(self, message: Message) -> None:
-        """From the child to the parent."""
+    def send_up(self, message: Message) -> None:
+        """Send from the child to the parent."""
         self.parent.bytes_in += len(encode(message))
-        self.last_up = self._carry(self.last_up, 0, lambda: self.parent.subscriber_says(self, message))
+        self.last_up = self._carry(
+            self.last_up, 0, lambda: self.parent.subscriber_message_arrived(self, message)
+        )
 
-    def down(self, outgoing: Outgoing) -> None:
-        """From the parent to the child."""
+    def send_down(self, outgoing: Outgoing) -> None:
+        """Send from the parent to the child."""
         size = len(outgoing.payload)
         network = self.network
         self.free_at = max(self.free_at, network.events.now) + round(size / self.bytes_per_second * SECOND)
@@ -74,10 +117,10 @@
     def _arrived(self, message: Message, size: int) -> None:
         self.child.bytes_in += size
         self.child.messages_in += 1
-        self.child.upstream_says(self, message)
+        self.child.upstream_message_arrived(self, message)
 
     def _carry(self, last: int, wait: int, call: Callable[[], None]) -> int:
-        """Delivers in order; gives when. In a cut nothing comes through."""
+        """Schedule the delivery, in order; return its time. In a partition nothing is delivered."""
         network, random_source, rules = self.network, self.network.random_source, self.network.rules
         at = (
             network.events.now
@@ -96,67 +139,70 @@
             network.at(at + random_source.randint(0, RETRANSMISSION), lambda: self.open and call())
         return at
 
-    def close(self, by: "Node", silently: bool = False) -> None:
-        """Ends it. The other end hears of it a delay later, or by its keepalive where it can't be reached."""
+    def close(self, by: Process, silently: bool = False) -> None:
+        """End the connection. The other end is notified a delay later, or by its keepalive if it is
+        unreachable."""
         if not self.open:
             return
         self.open = False
         other = self.parent if by is self.child else self.child
-        unheard = silently or self.network.is_cut(self.child.region, self.parent.region)
-        if other is self.child and unheard:
-            return  # the client counts the silence itself
-        self.network.later(KEEPALIVE if unheard else self.delay, lambda: other.connection_lost(self))
+        unreachable = silently or self.network.is_cut(self.child.region, self.parent.region)
+        if other is self.child and unreachable:
+            return  # the client has a silence timeout of its own
+        self.network.later(KEEPALIVE if unreachable else self.delay, lambda: other.connection_lost(self))
 
 
 class Network:
+    """Carries messages between the processes of all regions, and records all dials."""
+
     def __init__(self, events: EventQueue, random_source: random.Random, regions: int, rules: NetworkRules):
         self.events, self.random_source, self.rules = events, random_source, rules
         self._delays = {
-            (one, other): random_source.randint(*rules.between_regions)
-            for one in range(regions)
-            for other in range(one)
+            (first, second): random_source.randint(*rules.between_regions)
+            for first in range(regions)
+            for second in range(first)
         }
-        self._cut: set[int] = set()  # regions that reach only themselves
+        self._cut: set[int] = set()  # partitioned regions
         self.dials: list[tuple[int, str, str]] = []  # when, by whom, to whom
 
     def later(self, after: int, call: Callable[[], object]) -> None:
-        """Calls after so many microseconds."""
+        """Schedule a call after so many microseconds."""
         self.events.later(after, call)
 
     def at(self, at: int, call: Callable[[], object]) -> None:
-        """Calls at a time."""
+        """Schedule a call at a time."""
         self.events.later(max(0, at - self.events.now), call)
 
     def delay(self, one: int, other: int) -> int:
-        """One way between two regions."""
+        """Return a one-way delay between two regions."""
         if one == other:
             return self.random_source.randint(*self.rules.within_region)
         return self._delays[max(one, other), min(one, other)]
 
     def cut_off(self, region: int) -> None:
-        """Parts a region from all others."""
+        """Partition a region from all others."""
         self._cut.add(region)
 
     def heal(self, region: int) -> None:
-        """Ends the cut."""
+        """End the partition of a region."""
         self._cut.discard(region)
 
     def is_cut(self, one: int, other: int) -> bool:
-        """Whether nothing comes through between two regions."""
+        """Return whether two regions are partitioned from each other."""
         return one != other and (one in self._cut or other in self._cut)
 
-    def dial(self, child: "Node", upstream: str, parent: "Node | None") -> None:
-        """A child dials; it hears of the outcome after a round trip, and of nothing in a cut."""
+    def dial(self, child: Process, upstream: str, parent: Process | None) -> None:
+        """Dial a parent; the child learns the outcome after a round trip, and nothing in a partition."""
         if parent is None or self.is_cut(child.region, parent.region):
             return
         self.dials.append((self.events.now, child.name, parent.name))
         delay = self.delay(child.region, parent.region)
         self.later(delay, lambda: self._dialled(child, child.generation, upstream, parent, delay))
 
-    def _dialled(self, child: "Node", generation: int, upstream: str, parent: "Node", delay: int) -> None:
+    def _dialled(self, child: Process, generation: int, upstream: str, parent: Process, delay: int) -> None:
         connection = Connection(self, child, upstream, parent)
-        accepted = parent.alive and not parent.is_paused() and parent.accepts(connection)
+        accepted = parent.alive and not parent.is_paused() and parent.accept_subscriber(connection)
         if accepted:
             self.later(delay, lambda: child.dialled(generation, connection))
         elif not parent.is_paused():
-            self.later(delay, lambda: child.refused(generation, upstream))
+            self.later(delay, lambda: child.dial_refused(generation, upstream))
--- a/standins/distribution/node.py
+++ b/standins/distribution/node.py
@@ -1,62 +1,66 @@
-"""A process of a world: its connections, its timer, its pauses and ends. What it decides is added by its kind."""
+"""A simulated process: its connections, timer, suspensions and end. Subclasses add the decisions."""
 
-from collections.abc import Callable, Iterable
-from typing import TYPE_CHECKING
+from collections.abc import Callable, Iterable, Mapping
 
 from ravenshelf.distribution.decisions.client import Action, Dial, HangUp, Send, SubscriptionClient
 from ravenshelf.distribution.decisions.distributor import Distributor
 from ravenshelf.distribution.messages import Message
+from standins.distribution.interfaces import Distribution
 from standins.distribution.network import Connection
 from standins.fleet.clock import SECOND
 
-if TYPE_CHECKING:
-    from standins.distribution.world import World
-
-WRITE_BUFFER_BYTES = 65_536  # bytes that a connection takes before it has to drain
-MAX_TICK_INTERVAL = SECOND  # what is due is looked at so often, at the least
+WRITE_BUFFER_BYTES = 65_536  # bytes pulled for a subscriber at once
+MAX_TICK_INTERVAL = SECOND
 UNLIMITED = float("inf")
 
 
 class Node:
-    """A process with connections to parents, and perhaps to subscribers."""
+    """A process with connections to parents, and perhaps to subscribers. Times are microseconds."""
 
-    def __init__(self, world: "World", name: str, region: int):
-        self.world, self.name, self.region = world, name, region
+    def __init__(self, world: Distribution, name: str, region: int):
+        self.world = world
+        self.name = name
+        self.region = region
         self.bytes_per_second = UNLIMITED  # that it reads
-        self.alive, self.generation, self.paused_until = True, 0, 0
+        self.alive = True
+        self.generation = 0  # incremented when the process ends
+        self.paused_until = 0
+        self.clients: Mapping[str, SubscriptionClient] = {}  # by upstream
+        self.distributor: Distributor | None = None
         self.connections: dict[str, Connection] = {}  # by upstream
         self.served: dict[str, Connection] = {}  # by subscriber
-        self.bytes_in = self.bytes_out = self.messages_in = self.messages_out = 0
+        self.bytes_in = 0
+        self.bytes_out = 0
+        self.messages_in = 0
+        self.messages_out = 0
         self._timer_at: int | None = None
 
     @property
     def now(self) -> int:
+        """The present time."""
         return self.world.events.now
 
-    # --- what kinds of nodes differ in ---
-
-    clients: dict[str, SubscriptionClient] = {}
-    distributor: Distributor | None = None
+    # --- overridden by subclasses ---
 
     def due_at(self) -> int | None:
-        """When `tick` has something to do."""
+        """Return the time at which `tick` has something to do."""
         return min((client.due_at() for client in self.clients.values()), default=None)
 
     def soon_due_at(self) -> int | None:
-        """As `due_at`, of what a message may have made due within MAX_TICK_INTERVAL."""
+        """Return what a message may have made due within MAX_TICK_INTERVAL, as `due_at`."""
         return None
 
     def tick(self) -> None:
-        """Meets what is due."""
+        """Do what is due."""
 
     def on_connected(self, upstream: str) -> None:
-        """A dial has come off."""
+        """A dial has succeeded."""
 
     def on_message(self, upstream: str, message: Message) -> None:
-        """An upstream says something."""
+        """An upstream has sent a message."""
 
     def on_subscriber_message(self, name: str, message: Message) -> None:
-        """A subscriber says something."""
+        """A subscriber has sent a message."""
 
     def on_subscriber_lost(self, name: str) -> None:
         """A subscriber's connection has ended."""
@@ -64,10 +68,11 @@
     # --- running ---
 
     def is_paused(self) -> bool:
+        """Return whether the process is suspended."""
         return self.paused_until > self.now
 
     def run(self, call: Callable[[], None]) -> None:
-        """Calls now, or once a pause is over, unless the process has ended by then."""
+        """Call now, or at the end of a suspension unless the process has ended by then."""
         if not self.alive:
             return
         if self.is_paused():
@@ -78,8 +83,11 @@
         self.arm()
 
     def arm(self) -> None:
-        """Has the timer fire when something is due. What is due is looked at again when it fires, and each MAX_TICK_INTERVAL:
-        messages put most of it off, and a node with many connections gets many."""
+        """Set the timer to the next deadline, at most MAX_TICK_INTERVAL from now.
+
+        Deadlines are computed again only when the timer fires: messages postpone most of them, and a node
+        with many connections receives many messages.
+        """
         if self._timer_at is None or self._timer_at <= self.now:
             due = self.due_at()
             self._set_timer(
@@ -106,7 +114,7 @@
             self.arm()
 
     def stop(self, silently: bool = False) -> None:
-        """The process ends; `silently` where its machine goes, so that nobody is told."""
+        """End the process; `silently`: its machine fails, so nobody is notified."""
         self.alive = False
         self.generation += 1
         if self.distributor is not None:
@@ -120,18 +128,18 @@
     # --- upstream ---
 
     def perform(self, actions: Iterable[tuple[str, Action]]) -> None:
-        """Does what a client wants done."""
+        """Perform clients' actions, each given with its upstream."""
         for upstream, action in actions:
             if isinstance(action, Send):
                 if upstream in self.connections:
-                    self.connections[upstream].up(action.message)
+                    self.connections[upstream].send_up(action.message)
             elif isinstance(action, Dial):
                 self.world.network.dial(self, upstream, self.world.nodes.get(action.parent))
             elif isinstance(action, HangUp) and upstream in self.connections:
                 self.connections.pop(upstream).close(self)
 
     def dialled(self, generation: int, connection: Connection) -> None:
-        """The parent has accepted."""
+        """A parent has accepted a dial."""
         client = self.clients.get(connection.upstream)
         late = generation != self.generation or not self.alive or client is None
         if late or client.parent != connection.parent.name or not connection.open:
@@ -140,24 +148,24 @@
         self.connections[connection.upstream] = connection
         self.run(lambda: self.on_connected(connection.upstream))
 
-    def refused(self, generation: int, upstream: str) -> None:
-        """The parent is not there, or has no room."""
+    def dial_refused(self, generation: int, upstream: str) -> None:
+        """The parent is not running, or has reached its limit."""
         if generation == self.generation:
             self.run(lambda: self._upstream_lost(upstream))
 
     def _upstream_lost(self, upstream: str) -> None:
         self.perform((upstream, action) for action in self.clients[upstream].lost(self.now))
-        self._timer_at = None  # it dials again soon
+        self._timer_at = None  # so that the next dial is scheduled
 
-    def upstream_says(self, connection: Connection, message: Message) -> None:
-        """A message arrives from a parent."""
+    def upstream_message_arrived(self, connection: Connection, message: Message) -> None:
+        """Handle a message of a parent, unless its connection was replaced."""
         if self.connections.get(connection.upstream) is connection:
             self.run(lambda: self.on_message(connection.upstream, message))
 
     # --- subscribers ---
 
-    def accepts(self, connection: Connection) -> bool:
-        """Whether there is room for a subscriber."""
+    def accept_subscriber(self, connection: Connection) -> bool:
+        """Accept a subscriber, or return False if the limit is reached."""
         if self.distributor is None:
             return False
         name = f"{connection.child.name}/{connection.upstream}"
@@ -170,13 +178,13 @@
         self.schedule_pump(name, self.distributor.due_at(self.now, name))
         return True
 
-    def subscriber_says(self, connection: Connection, message: Message) -> None:
-        """A message arrives from a subscriber."""
+    def subscriber_message_arrived(self, connection: Connection, message: Message) -> None:
+        """Handle a message of a subscriber, unless its connection was replaced."""
         name = f"{connection.child.name}/{connection.upstream}"
         if self.served.get(name) is connection:
-            self.run(lambda: self._subscriber_says(name, message))
+            self.run(lambda: self._handle_subscriber_message(name, message))
 
-    def _subscriber_says(self, name: str, message: Message) -> None:
+    def _handle_subscriber_message(self, name: str, message: Message) -> None:
         if name in self.served:
             self.on_subscriber_message(name, message)
             self.pump(name)
@@ -192,7 +200,7 @@
             self.run(lambda: self._upstream_lost(connection.upstream))
 
     def schedule_pump(self, name: str, at: int) -> None:
-        """Pulls for a subscriber at a time, unless that is due sooner already."""
+        """Schedule a pull for a subscriber, unless an earlier one is scheduled."""
         connection = self.served[name]
         if connection.pump_at is not None and connection.pump_at <= at:
             return
@@ -206,7 +214,7 @@
         self.run(lambda: self.pump(name))
 
     def pump(self, name: str) -> None:
-        """Sends a subscriber what it is due, as far as its connection has room."""
+        """Send a subscriber its pending messages, as far as its connection has capacity."""
         connection = self.served.get(name)
         if connection is None or not connection.open:
             return
@@ -214,9 +222,10 @@
             self.schedule_pump(name, connection.free_at)
             return
         for outgoing in self.distributor.pull(self.now, name, WRITE_BUFFER_BYTES):
-            connection.down(outgoing)
+            connection.send_down(outgoing)
         self.schedule_pump(name, max(connection.free_at, self.distributor.due_at(self.now, name)))
 
     def pump_all(self, names: Iterable[str]) -> None:
+        """Send several subscribers their pending messages."""
         for name in dict.fromkeys(names):
             self.pump(name)
--- a/standins/distribution/nodes.py
+++ b/standins/distribution/nodes.py
@@ -1,8 +1,7 @@
-"""Pilots, relays and controllers of a world: the decision modules, driven by the virtual network."""
+"""Simulated servers, relays and service owners: the decision modules, driven by the simulated network."""
 
 import random
 from collections.abc import Iterable
-from typing import TYPE_CHECKING
 
 from ravenshelf.distribution.decisions.client import LivenessChanged, SubscriptionClient, TopicChanged
 from ravenshelf.distribution.decisions.distributor import DistributorLimits
@@ -10,45 +9,46 @@
 from ravenshelf.distribution.decisions.service_owner import ServiceOwner
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.messages import Message, Version
+from standins.distribution.interfaces import Distribution
 from standins.distribution.node import Node
 from standins.fleet.clock import SECOND
 
-if TYPE_CHECKING:
-    from standins.distribution.world import World
+TREE = "tree"  # name of a server's only upstream
 
 
-class PilotNode(Node):
-    """A pilot, as far as it takes part in the distribution."""
+class ServerNode(Node):
+    """A control-plane server, as far as it takes part in the distribution."""
 
     def __init__(
         self,
-        world: "World",
+        world: Distribution,
         name: str,
         region: int,
         parents: list[str],
         wanted: Iterable[str],
         random_source: random.Random,
-        starts: int,
+        started_at: int,
     ):
         super().__init__(world, name, region)
         self.parents, self.random_source = parents, random_source
         self.topics: dict[str, Topic] = {}
         self.live: dict[str, bool] = {}
-        self._start(wanted, starts)
+        self._start(wanted, started_at)
 
     def _start(self, wanted: Iterable[str], at: int) -> None:
         client = SubscriptionClient(self.parents, self.topics, self.random_source, at)
-        self.clients = {"tree": client}
+        self.clients = {TREE: client}
         for topic in wanted:
             client.want(topic)
         self.arm()
 
     @property
     def client(self) -> SubscriptionClient:
-        return self.clients["tree"]
+        """The only client."""
+        return self.clients[TREE]
 
-    def away(self, seconds: float, forget: bool) -> None:
-        """Is down for a while; `forget`: it comes back without what it held."""
+    def stop_for(self, seconds: float, forget: bool) -> None:
+        """Stop for a while; `forget`: restart without the topics that were held."""
         wanted = list(self.client.held_versions.versions())
         self.stop()
         if forget:
@@ -60,45 +60,50 @@
         self._start(wanted, self.now)
 
     def want(self, topic: str) -> None:
-        self.run(lambda: self.perform(("tree", action) for action in self.client.want(topic)))
+        """Subscribe to a topic."""
+        self.run(lambda: self.perform((TREE, action) for action in self.client.want(topic)))
 
     def unwant(self, topic: str) -> None:
+        """Cancel a subscription and drop the topic."""
         self.run(lambda: self._unwant(topic))
 
     def _unwant(self, topic: str) -> None:
-        self.perform(("tree", action) for action in self.client.unwant(topic))
+        self.perform((TREE, action) for action in self.client.unwant(topic))
         self.topics.pop(topic, None)
         self.live.pop(topic, None)
 
     def tick(self) -> None:
-        self.perform(("tree", action) for action in self.client.tick(self.now))
+        """Do what is due."""
+        self.perform((TREE, action) for action in self.client.tick(self.now))
 
     def on_connected(self, upstream: str) -> None:
+        """A dial has succeeded."""
         self.perform((upstream, action) for action in self.client.connected(self.now))
 
     def on_message(self, upstream: str, message: Message) -> None:
+        """An upstream has sent a message."""
         for action in self.client.receive(self.now, message):
             if isinstance(action, TopicChanged):
-                self.world.pilot_has(self, action.topic, self.topics[action.topic])
+                self.world.update_applied(self, action.topic, self.topics[action.topic])
             elif isinstance(action, LivenessChanged):
                 self.live[action.topic] = action.live
             else:
                 self.perform([(upstream, action)])
 
     def version(self, topic: str) -> Version | None:
-        """The version held of a topic; None where it is not wanted."""
+        """Return the version held of a topic; None if it is not subscribed."""
         return self.client.held_versions.get(topic)
 
 
 class ServingNode(Node):
-    """A process that keeps nothing: when it comes back it begins anew."""
+    """A process without stored state: after a restart it begins anew."""
 
     def begin(self) -> None:
-        """Makes what it decides with."""
+        """Create the decision object."""
         raise NotImplementedError
 
-    def away(self, seconds: float, silently: bool = False) -> None:
-        """Its process ends; it begins anew after so many seconds."""
+    def stop_for(self, seconds: float, silently: bool = False) -> None:
+        """Stop, and restart after so many seconds."""
         self.stop(silently)
         self.world.network.later(round(seconds * SECOND), self._back)
 
@@ -112,7 +117,7 @@
 
     def __init__(
         self,
-        world: "World",
+        world: Distribution,
         name: str,
         region: int,
         upstreams: dict[str, list[str]],
@@ -121,20 +126,22 @@
         owners: bool,
     ):
         super().__init__(world, name, region)
-        self.upstreams, self.random_source, self.limits, self.owners = (
-            upstreams,
-            random_source,
-            limits,
-            owners,
-        )
+        self.upstreams = upstreams
+        self.random_source = random_source
+        self.limits = limits
+        self.upstreams_are_owners = owners
         self.begin()
 
     def begin(self) -> None:
-        self.relay = Relay(self.name, self.upstreams, self.random_source, self.now, self.limits, self.owners)
+        """Create the decision object."""
+        self.relay = Relay(
+            self.name, self.upstreams, self.random_source, self.now, self.limits, self.upstreams_are_owners
+        )
         self.clients, self.distributor = self.relay.clients, self.relay.distributor
         self.arm()
 
     def due_at(self) -> int:
+        """Return the time at which `tick` has something to do."""
         return self.relay.due_at()
 
     def _apply(self, effects: Effects) -> None:
@@ -142,43 +149,54 @@
         self.pump_all(effects.to_pull)
 
     def tick(self) -> None:
+        """Do what is due."""
         self._apply(self.relay.tick(self.now))
 
     def on_connected(self, upstream: str) -> None:
+        """A dial has succeeded."""
         self._apply(self.relay.upstream_connected(self.now, upstream))
 
     def on_message(self, upstream: str, message: Message) -> None:
+        """An upstream has sent a message."""
         self._apply(self.relay.upstream_message_received(self.now, upstream, message))
 
     def on_subscriber_message(self, name: str, message: Message) -> None:
+        """A subscriber has changed its subscriptions."""
         self._apply(self.relay.subscriber_message_received(self.now, name, message))
 
     def on_subscriber_lost(self, name: str) -> None:
+        """A subscriber's connection has ended."""
         self._apply(self.relay.subscriber_lost(self.now, name))
 
 
 class OwnerNode(ServingNode):
-    """A controller."""
+    """A controller that owns services."""
 
     def __init__(
         self,
-        world: "World",
+        world: Distribution,
         name: str,
         region: int,
         others: list[str],
         random_source: random.Random,
         limits: DistributorLimits,
+        shards: int,
     ):
         super().__init__(world, name, region)
-        self.others, self.random_source, self.limits, self.incarnation = others, random_source, limits, 0
+        self.others = others
+        self.random_source = random_source
+        self.limits = limits
+        self.shards = shards
+        self.incarnation = 0
         self.begin()
 
     def begin(self) -> None:
+        """Create the decision object."""
         self.incarnation += 1
         self.owner = ServiceOwner(
             self.name,
             self.incarnation,
-            self.world.size.shards,
+            self.shards,
             self.world.content,
             self.others,
             self.random_source,
@@ -189,33 +207,40 @@
         self.arm()
 
     def due_at(self) -> int | None:
-        dues = [due for due in (super().due_at(), self.owner.due_at(self.now)) if due is not None]
-        return min(dues, default=None)
+        """Return the time at which `tick` has something to do."""
+        deadlines = [due for due in (super().due_at(), self.owner.due_at(self.now)) if due is not None]
+        return min(deadlines, default=None)
 
     def soon_due_at(self) -> int | None:
+        """Return the time of the next publication."""
         return self.owner.due_at(self.now)
 
     def tick(self) -> None:
+        """Do what is due."""
         for name, client in self.clients.items():
             self.perform((name, action) for action in client.tick(self.now))
         self.publish()
 
     def publish(self) -> None:
-        """Publishes what is due, and records it for the checks."""
+        """Publish what is due, and record it for the checks."""
         topics, to_pull = self.owner.publish(self.now)
-        self.world.published(self.owner, topics)
+        self.world.record_publications(self.owner, topics)
         self.pump_all(to_pull)
 
     def on_connected(self, upstream: str) -> None:
+        """A dial has succeeded."""
         self.perform((upstream, action) for action in self.clients[upstream].connected(self.now))
 
     def on_message(self, upstream: str, message: Message) -> None:
+        """An upstream has sent a message."""
         effects = self.owner.upstream_message_received(self.now, upstream, message)
         self.perform(effects.actions)
         self.pump_all(effects.to_pull)
 
     def on_subscriber_message(self, name: str, message: Message) -> None:
+        """A subscriber has changed its subscriptions."""
         self.owner.subscriber_message_received(self.now, name, message)
 
     def on_subscriber_lost(self, name: str) -> None:
+        """A subscriber's connection has ended."""
         self.owner.subscriber_lost(name)
--- a/tests/distribution/test_distribution_sockets.py
+++ b/tests/distribution/test_distribution_sockets.py
@@ -43,7 +43,7 @@
 from ravenshelf.process.relay_figures import RelayFigures
 from ravenshelf.state.buffers import BufferPool
 from standins.carbon import Carbon
-from standins.distribution.world import Size, World
+from standins.distribution.world import DistributionSize, SimulatedDistribution
 
 SECOND = 1_000_000
 WAIT = 10.0
@@ -256,21 +256,28 @@
 def test_on_sockets_a_pilot_gets_the_messages_and_bytes_that_a_hollow_one_gets():
     """The same two topics and five changes: the same messages of state in turn, of the same bytes. Heartbeats go by time,
     and whether owners are in reach is told where a pilot comes before its relay knows."""
-    world = World(
-        Size(
-            controllers=1, pilots=1, services=1, endpoints=4, services_called=1, regions=1, zones=1, fan_out=8
+    world = SimulatedDistribution(
+        DistributionSize(
+            controllers=1,
+            servers=1,
+            services=1,
+            endpoints=4,
+            services_called=1,
+            regions=1,
+            zones=1,
+            fan_out=8,
         ),
         1,
     )
     hollow: list[tuple] = []
-    on_message = world.pilots[0].on_message
+    on_message = world.servers[0].on_message
 
     def taken(upstream, message):
         if isinstance(message, Snapshot | Delta):
             hollow.append((type(message).__name__, message.topic, len(encode(message))))
         on_message(upstream, message)
 
-    world.pilots[0].on_message = taken
+    world.servers[0].on_message = taken
     world.run(5)
     for n in range(5):
         world.change("service-0", "change", f"value-{n}")
@@ -280,7 +287,7 @@
 
     async def play() -> None:
         loop = asyncio.get_running_loop()
-        state = World(world.size, 1)  # for what the topics say, and nothing else
+        state = SimulatedDistribution(world.size, 1)  # for what the topics say, and nothing else
         owner = OwnerService(
             Node(loop, clock, "test", "owner-0", {}), 1, world.size.shards, state.content, random.Random(1)
         )
@@ -367,7 +374,11 @@
         finally:
             process.send_signal(signal.SIGTERM)
             _, said = await asyncio.wait_for(process.communicate(), WAIT)
-        assert process.returncode == 0 and b"relay relay-0 listens at" in said and b"relay relay-0 stopped" in said
+        assert (
+            process.returncode == 0
+            and b"relay relay-0 listens at" in said
+            and b"relay relay-0 stopped" in said
+        )
 
     on_sockets(play)
 
--- a/tests/distribution/test_distribution_world.py
+++ b/tests/distribution/test_distribution_world.py
@@ -12,49 +12,49 @@
 from standins.distribution.network import NetworkRules
 from standins.distribution.nodes import OwnerNode
 from standins.distribution.schedules import BREAKS, Schedule, play
-from standins.distribution.world import Size, Violation, World
+from standins.distribution.world import DistributionSize, SimulatedDistribution, Violation
 
 SCHEDULES = 100
 HOUR = 3600.0
 
 
-def settled(size: Size = Size(), seed: int = 1, **rules) -> World:
-    return World(size, seed, NetworkRules(**rules)).run(10)
+def settled(size: DistributionSize = DistributionSize(), seed: int = 1, **rules) -> SimulatedDistribution:
+    return SimulatedDistribution(size, seed, NetworkRules(**rules)).run(10)
 
 
-def owner_of(world: World, service: str) -> OwnerNode:
+def owner_of(world: SimulatedDistribution, service: str) -> OwnerNode:
     return world.leases.owner_of(service)
 
 
-def epochs(world: World, service: str) -> dict[int, set[int]]:
+def epochs(world: SimulatedDistribution, service: str) -> dict[int, set[int]]:
     """By region, the epochs in which pilots hold the service."""
     found: dict[int, set[int]] = {}
-    for pilot in world.pilots:
+    for pilot in world.servers:
         for topic, version in pilot.client.held_versions.versions().items():
             if service_of(topic) == service:
                 found.setdefault(pilot.region, set()).add(version.epoch)
     return found
 
 
-def converged(world: World) -> None:
+def converged(world: SimulatedDistribution) -> None:
     world.check_converged()
     assert not world.violations
 
 
 def test_a_change_reaches_exactly_the_pilots_that_call_the_service():
-    world = settled(Size(pilots=40, fan_out=16))
-    before = {pilot.name: pilot.bytes_in for pilot in world.pilots}
-    world.mark("service-2")
+    world = settled(DistributionSize(servers=40, fan_out=16))
+    before = {pilot.name: pilot.bytes_in for pilot in world.servers}
+    world.mark_change("service-2")
     world.run(0.99)  # within a second most pilots have had at most a heartbeat and the change
     subscribers = {pilot.name for pilot in world.subscribers("service-2")}
-    assert set(world.watched["service-2"]) == subscribers and len(subscribers) < 40
-    others = [pilot.bytes_in - before[pilot.name] for pilot in world.pilots if pilot.name not in subscribers]
+    assert set(world.change_seen_at["service-2"]) == subscribers and len(subscribers) < 40
+    others = [pilot.bytes_in - before[pilot.name] for pilot in world.servers if pilot.name not in subscribers]
     assert max(others) <= 24
     converged(world.run(1))
 
 
 def test_one_change_costs_the_owner_a_message_for_each_relay_next_to_it():
-    world = settled(Size(pilots=400, services=2, services_called=2, regions=1, fan_out=32))
+    world = settled(DistributionSize(servers=400, services=2, services_called=2, regions=1, fan_out=32))
     owner = owner_of(world, "service-0")
     world.run(1)
     before = owner.messages_out
@@ -83,7 +83,7 @@
 
 
 def test_two_owners_seen_by_different_pilots_end_as_one():
-    world = settled(Size(pilots=30, controllers=3, regions=3))
+    world = settled(DistributionSize(servers=30, controllers=3, regions=3))
     owner = next(node for node in world.owners if node.region == 2 and node.owner.owned_services)
     service = next(iter(owner.owner.owned_services))
     world.network.cut_off(2)
@@ -100,7 +100,7 @@
 
 def test_regions_part_for_an_hour_and_heal_without_an_older_table_winning():
     limits = DistributorLimits(64, 20_000.0, 10_000.0)
-    world = settled(Size(pilots=18, services=4, endpoints=40, services_called=2, limits=limits))
+    world = settled(DistributionSize(servers=18, services=4, endpoints=40, services_called=2, limits=limits))
     world.network.cut_off(1)
     for _ in range(60):
         world.run(60)
@@ -108,7 +108,7 @@
             world.change(service)
     held = {
         topic: version
-        for pilot in world.pilots
+        for pilot in world.servers
         if pilot.region == 1
         for topic, version in pilot.client.held_versions.versions().items()
     }
@@ -125,8 +125,8 @@
 
 def test_a_subscriber_away_for_an_hour_costs_its_own_topics_once():
     world = settled()
-    pilot = world.pilots[4]
-    pilot.away(
+    pilot = world.servers[4]
+    pilot.stop_for(
         HOUR / 60, forget=False
     )  # a sixtieth of the hour, and a change each second, are as many versions
     for _ in range(60):
@@ -142,17 +142,17 @@
 
 
 def test_a_slow_relay_holds_back_its_own_children_alone():
-    world = settled(Size(pilots=40, services=3, endpoints=30, services_called=3, fan_out=16))
+    world = settled(DistributionSize(servers=40, services=3, endpoints=30, services_called=3, fan_out=16))
     slow = world.levels[-1][0]
     for connection in slow.connections.values():
         connection.bytes_per_second = 400.0
     for _ in range(20):
         world.change("service-0")
         world.run(0.2)
-    world.mark("service-0")
+    world.mark_change("service-0")
     world.run(1)
-    behind = {pilot.name for pilot in world.subscribers("service-0")} - set(world.watched["service-0"])
-    assert behind <= {pilot.name for pilot in world.pilots if pilot.client.parent == slow.name}
+    behind = {pilot.name for pilot in world.subscribers("service-0")} - set(world.change_seen_at["service-0"])
+    assert behind <= {pilot.name for pilot in world.servers if pilot.client.parent == slow.name}
     world.run(30)
     converged(world)
 
@@ -172,42 +172,42 @@
 
 def test_when_all_controllers_are_gone_pilots_keep_their_tables_and_are_told():
     world = settled()
-    held = {pilot.name: dict(pilot.client.held_versions.versions()) for pilot in world.pilots}
+    held = {pilot.name: dict(pilot.client.held_versions.versions()) for pilot in world.servers}
     for owner in world.owners:
-        owner.away(120, silently=True)
+        owner.stop_for(120, silently=True)
     world.run(60)
-    for pilot in world.pilots:
+    for pilot in world.servers:
         assert (
             pilot.client.held_versions.versions() == held[pilot.name]
             and pilot.client.state.value == "connected"
         )
         assert not any(pilot.live[topic] for topic in held[pilot.name])
     world.run(120)
-    assert all(all(pilot.live.values()) for pilot in world.pilots)
+    assert all(all(pilot.live.values()) for pilot in world.servers)
     converged(world)
 
 
 def test_when_no_lease_can_be_granted_pilots_are_told_though_the_controllers_live():
     world = settled()
-    topics = {pilot.name: list(pilot.client.held_versions.versions()) for pilot in world.pilots}
+    topics = {pilot.name: list(pilot.client.held_versions.versions()) for pilot in world.servers}
     for owner in world.owners:
         for service in list(owner.owner.owned_services):
             owner.run(lambda owner=owner, service=service: owner.owner.release(owner.now, service))
     world.leases.grants.clear()
-    world.leases.grants_nothing = True
+    world.leases.suspended = True
     world.run(10)
-    assert not any(pilot.live.get(topic, True) for pilot in world.pilots for topic in topics[pilot.name])
-    world.leases.grants_nothing = False
+    assert not any(pilot.live.get(topic, True) for pilot in world.servers for topic in topics[pilot.name])
+    world.leases.suspended = False
     world.run(10)
-    assert all(pilot.live[topic] for pilot in world.pilots for topic in topics[pilot.name])
+    assert all(pilot.live[topic] for pilot in world.servers for topic in topics[pilot.name])
     converged(world)
 
 
 def test_a_level_of_relays_killed_in_the_middle_comes_back_without_a_stampede():
-    world = settled(Size(pilots=120, services=4, fan_out=16, services_called=2))
+    world = settled(DistributionSize(servers=120, services=4, fan_out=16, services_called=2))
     middle = world.levels[-2]
     for relay in middle:
-        relay.away(5)
+        relay.stop_for(5)
     dials = len(world.network.dials)
     world.change("service-0")
     world.run(40)
@@ -216,12 +216,12 @@
 
 
 def test_a_topic_that_nobody_wants_any_more_is_forgotten_up_to_its_owner():
-    world = settled(Size(pilots=6, services=2, services_called=1, regions=1))
-    topic = next(iter(world.pilots[0].client.held_versions.versions()))
-    for pilot in world.pilots:
+    world = settled(DistributionSize(servers=6, services=2, services_called=1, regions=1))
+    topic = next(iter(world.servers[0].client.held_versions.versions()))
+    for pilot in world.servers:
         if topic in pilot.client.held_versions:
             pilot.unwant(topic)
-            world.seen.pop((pilot.name, topic))
+            world.seen_versions.pop((pilot.name, topic))
     world.run(60)
     assert not any(topic in relay.relay.topics for level in world.levels for relay in level)
     owner = owner_of(world, service_of(topic))
