--- a/ravenshelf/distribution/decisions/distributed_controller.py
+++ b/ravenshelf/distribution/decisions/distributed_controller.py
@@ -5,13 +5,13 @@
 decided by the owner, while there is one.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 
 from ravenshelf.distribution.decisions.allowance import received_shares
 from ravenshelf.distribution.decisions.fallback import TableSource
 from ravenshelf.distribution.messages import TableLine
+from ravenshelf.policy.controller import Controller
 from ravenshelf.policy.flow_control import ChannelFlowControl
-from ravenshelf.rules import Controller
 from ravenshelf.settings import Settings
 
 TABLE_TOTAL = 1000.0  # sum of a table's weights, as in the server's own tables
@@ -38,11 +38,11 @@
         self.owners_table = owners_table
         self.index_of = index_of
 
-    def wanted(
-        self, zone: int, strengths: list[dict[int, float]], needs: list[float]
+    def planned_tables(
+        self, zone: int, strengths: list[dict[int, float]], needs: Sequence[float]
     ) -> list[dict[int, float]]:
         """Return the lines of a zone's tables: the owner's for all, or the own if that can't be used."""
-        own = super().wanted(zone, strengths, needs)
+        own = super().planned_tables(zone, strengths, needs)
         source, table = self.owners_table(self.now, zone)
         lines = self._lines(table) if source is not TableSource.LOCAL else {}
         return [dict(lines) for _ in own] if lines else own
@@ -54,7 +54,11 @@
         closed: list[str] = []
         for name in table:
             index = self.index_of(name)
-            if index is None or index not in self.endpoints or not self.open(self.endpoints[index]):
+            if (
+                index is None
+                or index not in self.endpoints
+                or not self.directory.is_open(self.endpoints[index])
+            ):
                 closed.append(name)
             else:
                 indices[name] = index
@@ -68,4 +72,4 @@
 
     def owners_table_changed(self) -> None:
         """Solve in the next control cycle: the rollout reaches all proxies in some tenths of a second."""
-        self.next_beat = min(self.next_beat, self.now)
+        self.next_solve_at = min(self.next_solve_at, self.now)
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -1,6 +1,6 @@
 """The tables of one service, decided once for all servers.
 
-The same controller as in each server (`rules.Controller`, KurmaCost) runs with one proxy for each zone, which
+The controller of each server (`policy.Controller`, KurmaCost) runs here with one proxy for each zone, which
 stands for all proxies of that zone; their load reports come up the tree. Its commands are recorded as entries
 of the zone's topic.
 """
@@ -18,7 +18,7 @@
 )
 from ravenshelf.policy import events
 from ravenshelf.policy.commands import ALL_TABLES
-from ravenshelf.rules import Controller
+from ravenshelf.policy.controller import Controller
 from ravenshelf.settings import Settings
 
 # prefixes of a topic's keys
@@ -28,6 +28,7 @@
 SETTING = "c:"
 
 DEFAULT_USUAL_RATE = 1.0  # requests a second of a zone without load reports
+SHARE_DIGITS = 4  # decimal places of published shares
 NO_TABLE = -1
 NO_ENDPOINT = -1
 
@@ -198,7 +199,7 @@
     def run_cycle(self, now: int) -> None:
         """Run a control cycle; called each quarter second while there are subscribers."""
         pending, self._events = self._events, []
-        self.controller.round(now, pending, self.tables)
+        self.controller.run_cycle(now, pending, self.tables)
         for marker in self.tables.markers:
             for zone in self.zones:
                 self.controller.channel.acknowledged(zone, marker, 0)
@@ -224,12 +225,15 @@
     def is_warm(self, name: str) -> bool:
         """Return whether a listed endpoint has reached its full capacity, as far as its start time tells."""
         endpoint = self.controller.endpoints.get(self._indices.get(name, NO_ENDPOINT))
-        return endpoint is not None and self.controller.ramp(endpoint) == 1
+        if endpoint is None:
+            return False
+        return self.controller.slow_start.capacity_share(endpoint, self.controller.now) == 1
 
     def _line(self, index: int, weight: float, share: float) -> TableLine:
-        endpoint = self.controller.endpoints[index]
-        multiple = self.controller.rules.overload_multiple
-        return TableLine(weight, round(largest_share(share, self.controller.ramp(endpoint), multiple), 4))
+        controller = self.controller
+        capacity_share = controller.slow_start.capacity_share(controller.endpoints[index], controller.now)
+        multiple = controller.settings.warm_up.overload_multiple
+        return TableLine(weight, round(largest_share(share, capacity_share, multiple), SHARE_DIGITS))
 
 
 def table_of(entries: Mapping[str, Entry]) -> dict[str, TableLine]:
--- a/ravenshelf/distribution/leased_services.py
+++ b/ravenshelf/distribution/leased_services.py
@@ -8,7 +8,7 @@
 
 from ravenshelf.distribution.decisions.ownership import PublicationLease, replicas, shard_of_service
 from ravenshelf.distribution.owner_service import OwnerService
-from ravenshelf.leadership.decisions import GRANTING, Member
+from ravenshelf.leadership.decisions import Member, Permission
 
 UNCLAIM_AFTER = 5_000_000  # microseconds without a valid lease until the claims of its services are withdrawn
 
@@ -24,7 +24,7 @@
     def may_publish(self, now: int) -> bool:
         """Return whether the lease is valid now, in this term."""
         same_term = self._member.claims[self._shard].term == self.epoch
-        return same_term and self._member.may_order(now, self._shard) == GRANTING
+        return same_term and self._member.permission(now, self._shard) is Permission.FULL
 
 
 @dataclass(frozen=True)
@@ -82,26 +82,26 @@
 
     # --- calls of Leadership ---
 
-    def took(self, shard: int, term: int, _record: bytes | None) -> None:
+    def lease_acquired(self, shard: int, term: int, _record: bytes | None) -> None:
         """A quorum has granted the shard's lease."""
         self.owned[shard] = OwnedShard(term)
         self._invalid_since.pop(shard, None)
         for service in self._services_of(shard):
             self._acquire(service, shard)
 
-    def lost(self, shard: int) -> None:
+    def lease_lost(self, shard: int) -> None:
         """Another controller has the shard's lease, or it was released."""
         self.owned.pop(shard, None)
         self._invalid_since.pop(shard, None)
         for service in self._services_of(shard):
             self.publisher.release(service)
 
-    def released(self) -> None:
+    def send_permitted(self) -> None:
         """Called at each step of the leases: publish what a lease that is valid again permits."""
         if self._attached_publisher is not None:
             self._attached_publisher.publish()
 
-    def proxies(self, _shards: Iterable[int]) -> int:
+    def proxy_count(self, _shards: Iterable[int]) -> int:
         """Return the number of proxies with a stream in these shards: always 0."""
         return 0
 
@@ -112,7 +112,7 @@
         it is."""
         now = self.clock()
         for shard in list(self.owned):
-            if self.member.may_order(now, shard) != GRANTING:
+            if self.member.permission(now, shard) is not Permission.FULL:
                 since = self._invalid_since.setdefault(shard, now)
                 if now - since >= UNCLAIM_AFTER:
                     self._set_claimed(shard, False)
@@ -126,7 +126,7 @@
     def update_followed_shards(self) -> None:
         """Replicate the shards that this controller is a likely successor for, from their present owners."""
         now = self.clock()
-        weights = self.member.there(now)
+        weights = self.member.weights(now)
         for shard in range(self.shards):
             owner = self.member.holder(now, shard)
             if owner is None:
--- a/ravenshelf/distribution/timers.py
+++ b/ravenshelf/distribution/timers.py
@@ -30,7 +30,7 @@
 
     def drop(self, key: Key) -> None:
         """Remove the key's deadline."""
-        self._deadlines.drop(key)
+        self._deadlines.cancel(key)
 
     def stop(self) -> None:
         """Cancel the timer of the loop; no more deadlines are met until the next `set`."""
@@ -40,7 +40,7 @@
         self._armed_for = None
 
     def _arm(self) -> None:
-        at = self._deadlines.next()
+        at = self._deadlines.earliest()
         if at is None or (self._armed_for is not None and self._armed_for <= at):
             return
         self.stop()
@@ -50,6 +50,6 @@
     def _met(self) -> None:
         self._handle = None
         self._armed_for = None
-        for key in self._deadlines.due(self.clock()):
+        for key in self._deadlines.take_expired(self.clock()):
             self.due(cast(Key, key))
         self._arm()
--- a/ravenshelf/process/controller.py
+++ b/ravenshelf/process/controller.py
@@ -15,7 +15,8 @@
 from ravenshelf.distribution.leased_services import LeasedServices
 from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.owner_service import OwnerService
-from ravenshelf.leadership.service import Leadership, clock
+from ravenshelf.leadership.cluster import clock
+from ravenshelf.leadership.service import Leadership
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.process import logs
 from ravenshelf.process.relay import limits
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -8,6 +8,8 @@
 import random
 import resource
 from collections.abc import Callable
+from itertools import starmap
+from typing import TYPE_CHECKING
 
 from ravenshelf import log_events
 from ravenshelf.background.decisions import PRESENT, UPKEEP, JobQueue
@@ -15,6 +17,9 @@
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.policy.events import EndpointsListed, ListKind
 
+if TYPE_CHECKING:
+    from ravenshelf.graphite.points import Sample
+
 SECOND = 1_000_000
 USERS_EVERY = 10 * SECOND  # the file of collectd's users is looked at so often
 PAGE = os.sysconf("SC_PAGE_SIZE")
@@ -74,7 +79,7 @@
     def _subscribe(self) -> None:
         from ravenshelf.distribution.node import Node
         from ravenshelf.distribution.server_distribution import ServerDistribution
-        from ravenshelf.leadership.service import clock
+        from ravenshelf.leadership.cluster import clock
 
         pilot, table = self.pilot, self.operator.distribution
         node = Node(pilot.loop, clock, table.cluster, table.name, table.parents)
@@ -83,15 +88,16 @@
             table.service,
             self.chance,
             name_of=lambda index: pilot.listing.names[index],
-            index_of=pilot.listing.index.get,
+            index_of=pilot.listing.index_by_name.get,
         )
         pilot.rounds.decide_with(self.distribution.make_controller)
 
     # --- other controllers ---
 
     def _lead(self) -> None:
-        from ravenshelf.leadership.adapter import Adapter, fenced
-        from ravenshelf.leadership.service import Leadership, clock
+        from ravenshelf.leadership.adapter import Adapter, with_term
+        from ravenshelf.leadership.cluster import clock
+        from ravenshelf.leadership.service import Leadership
 
         pilot, table = self.pilot, self.operator.leadership
 
@@ -100,7 +106,7 @@
             pilot.stop()
 
         def write(proxy: int, message: bytes, mark: int | None, term: int) -> None:
-            pilot.door.write(proxy, fenced(message, term) if pilot.door.fences(proxy) else message, mark)
+            pilot.door.write(proxy, with_term(message, term) if pilot.door.fences(proxy) else message, mark)
 
         self.leadership = Leadership(
             table, self.operator.store.folder, pilot.loop, self.counters, self.chance, ended
@@ -110,14 +116,14 @@
             clock,
             pilot.rounds.names,
             self.counters,
-            news=pilot.tell,
+            report_event=pilot.tell,
             write=write,
-            put=self.leadership.put,
-            names=lambda n: pilot.listing.names[n],
-            version=lambda: pilot.listing.rev,
-            index=pilot.listing.index.get,
-            ramps=self._ramps,
-            warm=self._warm,
+            write_record=self.leadership.write_record,
+            endpoint_name=lambda n: pilot.listing.names[n],
+            list_version=lambda: pilot.listing.version,
+            endpoint_index=pilot.listing.index_by_name.get,
+            warming_since=self._ramps,
+            restore_warm_up=self._warm,
         )
 
     def _ramps(self) -> dict[str, int]:
@@ -133,7 +139,7 @@
         """Tells the decisions of starts that another controller knew and our list does not."""
         listing, news = self.pilot.listing, []
         for name, start in starts.items():
-            entry = listing.entries.get(listing.index.get(name))
+            entry = listing.entries.get(listing.index_by_name.get(name))
             if entry is not None and entry.started_at < start:
                 news.append(entry._replace(started_at=start))
         if news:
@@ -142,30 +148,35 @@
     # --- Graphite ---
 
     def _start_graphite(self) -> None:
-        from ravenshelf.graphite.gather import MetricsCollector
-        from ravenshelf.graphite.service import Graphite
+        from ravenshelf.graphite.collector import MetricsCollector
+        from ravenshelf.graphite.service import GraphiteService
 
         pilot, table = self.pilot, self.operator.graphite
-        self.gatherer = MetricsCollector(pilot.rounds.settings, self._prefix(table), self.clock())
-        self.gatherer.level_of, self.gatherer.name_of = pilot.sent.level_of, lambda n: pilot.listing.names[n]
-        self.gatherer.heard(EndpointsListed(ListKind.RESTORED, pilot.listing.whole()), self.clock())
+        self.gatherer = MetricsCollector(
+            pilot.rounds.settings,
+            self._prefix(table),
+            self.clock(),
+            pilot.sent.admission_level_of,
+            lambda n: pilot.listing.names[n],
+        )
+        self.gatherer.on_event(EndpointsListed(ListKind.RESTORED, pilot.listing.snapshot()), self.clock())
         for joined in pilot.rounds.joined.values():
-            self.gatherer.heard(joined, self.clock())
-        self.graphite = Graphite(
+            self.gatherer.on_event(joined, self.clock())
+        self.graphite = GraphiteService(
             table,
             self.chance,
             loop=pilot.loop,
             clock=self.clock,
             background=self.background,
-            again=lambda receiver, at: pilot.set_deadline(("graphite", receiver), at),
+            wake_at=lambda receiver, at: pilot.set_deadline(("graphite", receiver), at),
         )
         pilot.tap = pilot.rounds.tap = self.gatherer
         self._next_figures(self.clock())
 
     def _prefix(self, table) -> str:
-        from ravenshelf.graphite.formats import word
+        from ravenshelf.graphite.formats import path_component
 
-        return f"{table.prefix}.{word(str(self.pilot.configuration.get('name', 'pilot')))}"
+        return f"{table.prefix}.{path_component(str(self.pilot.configuration.get('name', 'pilot')))}"
 
     def _next_figures(self, now: int) -> None:
         every = self.operator.graphite.every_s * SECOND
@@ -173,56 +184,57 @@
 
     def figures(self, now: int) -> None:
         """Closes an interval; the points are made in the background and carry the interval's boundary as time."""
-        from ravenshelf.graphite.service import aligned
+        from ravenshelf.graphite.service import interval_boundary
 
         self._next_figures(now)
-        time = aligned(now, self.operator.graphite.every_s)
-        take = lambda importance, points: self.graphite.take(time, importance, points)  # noqa: E731
-        work = self.gatherer.points(now, self.pilot.rounds.controller, self._counts(now), take)
+        time = interval_boundary(now, self.operator.graphite.every_s)
+        take = lambda importance, points: self.graphite.export(time, importance, points)  # noqa: E731
+        work = self.gatherer.points(now, self.pilot.rounds.controller, self._samples(now), take)
         self.background.offer("figures", PRESENT, 2 * SECOND, work)
 
-    def _counts(self, now: int) -> dict[str, float]:
+    def _samples(self, now: int) -> "list[Sample]":
         """What others have counted: sums as rates a second since the last figures, levels as they are."""
-        from ravenshelf.graphite import figures
+        from ravenshelf.graphite import metrics
+        from ravenshelf.graphite.points import Sample
 
         memory, descriptors = vitals()
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        counts = self.graphite.counts() | {
-            figures.MEMORY.path: memory,
-            figures.DESCRIPTORS.path: descriptors,
-            figures.BACKGROUND_WAITING.path: len(self.background.agenda),
-            figures.BACKGROUND_DROPPED.path: self.counters["background_dropped"],
-            figures.MODULE_FAILURES.path: self.counters["module_failures"],
+        counts = {
+            metrics.PROCESS_MEMORY: memory,
+            metrics.PROCESS_DESCRIPTORS: descriptors,
+            metrics.BACKGROUND_QUEUED: len(self.background.agenda),
+            metrics.BACKGROUND_DROPPED: self.counters["background_dropped"],
+            metrics.CONTROL_CYCLES_FAILED: self.counters["module_failures"],
         }
         sums = {
-            figures.ROUNDS.path: self.counters["rounds"],
-            figures.MESSAGES.path: self.counters["messages_sent"],
-            figures.LINES.path: self.counters["lines_sent"],
-            figures.CPU.path: usage.ru_utime + usage.ru_stime,
-            figures.BACKGROUND_PART.path: self.counters["background_us"] / 1e6,
+            metrics.CONTROL_CYCLES: self.counters["rounds"],
+            metrics.MESSAGES_SENT: self.counters["messages_sent"],
+            metrics.LINES_SENT: self.counters["lines_sent"],
+            metrics.PROCESS_CPU: usage.ru_utime + usage.ru_stime,
+            metrics.BACKGROUND_UTILIZATION: self.counters["background_us"] / 1e6,
         }
         if self.leadership is not None:
             lead = self.leadership
             counts |= {
-                figures.SHARDS.path: len(lead.member.owned()),
-                figures.MET.path: 1 + len(lead.links),
-                figures.HELD.path: sum(len(owned.gate) for owned in lead.adapter.owned.values()),
+                metrics.SHARDS_OWNED: len(lead.member.held_shards()),
+                metrics.MEMBERS_CONNECTED: 1 + len(lead.connections.links),
+                metrics.COMMANDS_WAITING: sum(len(owned.gate) for owned in lead.adapter.owned.values()),
             }
             sums |= {
-                figures.COMMITS.path: lead.committer.batches,
-                figures.RECORDS.path: self.counters["records_written"],
+                metrics.STORE_COMMITS: lead.store.committer.batches,
+                metrics.RECORDS_WRITTEN: self.counters["records_written"],
             }
         if self.listener is not None:
             sums |= {
-                figures.PACKETS.path: self.counters["collectd_packets"],
-                figures.REFUSED.path: self.counters["collectd_refused"],
-                figures.VALUES.path: self.counters["collectd_values"],
+                metrics.PACKETS_ACCEPTED: self.counters["collectd_packets"],
+                metrics.PACKETS_REJECTED: self.counters["collectd_refused"],
+                metrics.COLLECTD_VALUES: self.counters["collectd_values"],
             }
         was, self.before = self.before, sums | {"at": now}
         if was:
             seconds = max(1e-3, (now - was["at"]) / SECOND)
-            counts |= {path: (number - was.get(path, 0)) / seconds for path, number in sums.items()}
-        return counts
+            counts |= {metric: (number - was.get(metric, 0)) / seconds for metric, number in sums.items()}
+        return [*self.graphite.samples(), *starmap(Sample, counts.items())]
 
     # --- collectd ---
 
@@ -252,7 +264,7 @@
     def endpoints(self, host: str) -> tuple[int, ...]:
         """The listed endpoints on a collectd host: named in the operator file, or by its name, or by its address."""
         listing = self.pilot.listing
-        if self.places[0] != listing.rev:
+        if self.places[0] != listing.version:
             places: dict[str, list[int]] = {}
             for index in listing.entries:
                 name = listing.names[index]
@@ -260,7 +272,7 @@
                 address = listing.addresses.get(index, "").rpartition(":")[0]
                 for place in by_hand or {name, address} - {""}:
                     places.setdefault(place, []).append(index)
-            self.places = listing.rev, {place: tuple(found) for place, found in places.items()}
+            self.places = listing.version, {place: tuple(found) for place, found in places.items()}
             if self.listener is not None:
                 self.listener.signals.forget_strangers()
         return self.places[1].get(host, ())
@@ -293,7 +305,7 @@
         elif key[0] == "figures":
             self.figures(now)
         elif key[0] == "graphite":
-            self.graphite.turn(key[1])
+            self.graphite.run_due(key[1])
         elif key[0] == "users":
             self._look_at_users(now)
 
@@ -331,10 +343,10 @@
         if not new.receivers:
             self.graphite.close()
             self.graphite = self.gatherer = self.pilot.tap = self.pilot.rounds.tap = None
-            self.pilot.deadlines.drop(("figures",))
+            self.pilot.deadlines.cancel(("figures",))
             return
-        self.graphite.renew(new)
-        self.gatherer.prefix = self._prefix(new)
+        self.graphite.reload(new)
+        self.gatherer.names.prefix = self._prefix(new)
         if new.every_s != old.every_s:
             self._next_figures(self.clock())
 
@@ -344,7 +356,7 @@
         if was is not None:
             was.close()
         if not self.operator.collectd.listen:
-            self.pilot.deadlines.drop(("users",))
+            self.pilot.deadlines.cancel(("users",))
             return
         try:
             await self._start_collectd()
--- a/ravenshelf/process/relay_figures.py
+++ b/ravenshelf/process/relay_figures.py
@@ -8,9 +8,10 @@
 from ravenshelf.distribution.decisions.client import ConnectionState
 from ravenshelf.distribution.relay_service import RelayService
 from ravenshelf.distribution.timers import Timers
-from ravenshelf.graphite import figures
-from ravenshelf.graphite.formats import word
-from ravenshelf.graphite.service import Graphite, aligned
+from ravenshelf.graphite import metrics
+from ravenshelf.graphite.formats import path_component
+from ravenshelf.graphite.metrics import Metric
+from ravenshelf.graphite.service import GraphiteService, interval_boundary
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.process.clock import Clock
 from ravenshelf.state.counters import Counters
@@ -34,13 +35,13 @@
         self.clock = Clock()
         self.timers: Timers[str] = Timers(loop, self.clock, self._due)
         self.background = self._make_background(operator)
-        self.graphite = Graphite(
+        self.graphite = GraphiteService(
             operator.graphite,
             random.Random(),
             loop=loop,
             clock=self.clock,
             background=self.background,
-            again=lambda receiver, at: self.timers.set(receiver, at),
+            wake_at=lambda receiver, at: self.timers.set(receiver, at),
         )
         self._previous_totals = self._totals()
         self._measured_at = self.clock()
@@ -74,42 +75,44 @@
         elif key == BACKGROUND:
             self.background.turn()
         else:
-            self.graphite.turn(key)
+            self.graphite.run_due(key)
 
     # --- metrics ---
 
-    def _totals(self) -> dict[str, float]:
-        """Return the totals since the relay's start, by path of their rates."""
+    def _totals(self) -> dict[Metric, float]:
+        """Return the totals since the relay's start, by the metric of their rates."""
         relay = self.service.relay
         return {
-            figures.RELAY_REFUSED.path: self.service.subscribers.rejected,
-            figures.RELAY_GAPS.path: sum(client.resyncs for client in relay.clients.values()),
-            figures.RELAY_SNAPSHOTS.path: relay.distributor.snapshot_bytes,
-            figures.RELAY_OUT.path: self.service.subscribers.bytes_out,
+            metrics.RELAY_REJECTED: self.service.subscribers.rejected,
+            metrics.RELAY_RESYNCS: sum(client.resyncs for client in relay.clients.values()),
+            metrics.RELAY_SNAPSHOT_BYTES: relay.distributor.snapshot_bytes,
+            metrics.RELAY_BYTES: self.service.subscribers.bytes_out,
         }
 
-    def _levels(self) -> dict[str, float]:
-        """Return the present values, by path."""
+    def _levels(self) -> dict[Metric, float]:
+        """Return the present values, by metric."""
         relay = self.service.relay
         connected = [client for client in relay.clients.values() if client.state is ConnectionState.CONNECTED]
         return {
-            figures.RELAY_SUBSCRIBERS.path: len(relay.distributor.subscribers),
-            figures.RELAY_UPSTREAMS.path: len(connected),
-            figures.RELAY_TOPICS.path: len(relay.topics),
+            metrics.RELAY_SUBSCRIBERS: len(relay.distributor.subscribers),
+            metrics.RELAY_UPSTREAMS: len(connected),
+            metrics.RELAY_TOPICS: len(relay.topics),
         }
 
     def _measure(self) -> None:
         now = self.clock()
         totals = self._totals()
         seconds = max(SHORTEST_INTERVAL, (now - self._measured_at) / SECOND)
-        rates = {path: (total - self._previous_totals[path]) / seconds for path, total in totals.items()}
+        rates = {
+            metric: (total - self._previous_totals[metric]) / seconds for metric, total in totals.items()
+        }
         self._previous_totals = totals
         self._measured_at = now
-        prefix = f"{self.table.prefix}.{word(self.service.name)}"
+        prefix = f"{self.table.prefix}.{path_component(self.service.name)}"
         points_by_importance: dict[int, list[tuple[str, float]]] = {}
-        for path, value in (self._levels() | rates).items():
-            importance = figures.CATALOGUE[path].importance
-            points_by_importance.setdefault(importance, []).append((f"{prefix}.{path}", float(value)))
-        time = aligned(now, self.table.every_s)
+        for metric, value in (self._levels() | rates).items():
+            point = (f"{prefix}.{metric.path}", float(value))
+            points_by_importance.setdefault(metric.importance, []).append(point)
+        time = interval_boundary(now, self.table.every_s)
         for importance, points in points_by_importance.items():
-            self.graphite.take(time, importance, points)
+            self.graphite.export(time, importance, points)
--- a/standins/distribution/leases.py
+++ b/standins/distribution/leases.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from ravenshelf.distribution.decisions.ownership import PublicationLease, replicas, shard_of_service
-from ravenshelf.leadership.dividing import rank
+from ravenshelf.leadership.shard_placement import ranked_members
 from standins.distribution.network import Network
 from standins.distribution.nodes import OwnerNode
 from standins.fleet.clock import SECOND, EventQueue
@@ -82,7 +82,7 @@
             ):
                 grant.expires_at = now + LEASE_DURATION
             elif (grant is None or now >= grant.expires_at) and weights and not self.suspended:
-                self._grant(shard, rank(shard, weights)[0])
+                self._grant(shard, ranked_members(shard, weights)[0])
         standby = self._standby(weights)
         for place in weights:
             self._notify(place, standby.get(place, {}))
--- a/tests/store/test_stored_data_of_earlier_versions.py
+++ b/tests/store/test_stored_data_of_earlier_versions.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from ravenshelf.leadership import link
+from ravenshelf.leadership import link, message_codec
 from ravenshelf.leadership.record import Record
 from ravenshelf.store.journal import Journal
 from ravenshelf.store.segments import HEAD, MAGIC, VERSION, pack, unpack
@@ -88,11 +88,11 @@
 def test_a_leadership_record_is_read_and_packs_to_the_same_bytes():
     data = (STORED / "record.msgpack").read_bytes()
     record = Record.unpack(data)
-    assert record.tries == {"build-order-0-1": 1, "build-order-0-7": 2}
-    assert record.levels == {"look": (40.5, 2), "pay": (100000.0, 1)}
-    assert record.drains == {"s-1": 7}
-    assert record.ramps == {"s-2": 1_700_000_000_000}
-    assert record.rest == {"quotas": {"tenant": 7}}
+    assert record.retries == {"build-order-0-1": 1, "build-order-0-7": 2}
+    assert record.admission_levels == {"look": (40.5, 2), "pay": (100000.0, 1)}
+    assert record.drained_at == {"s-1": 7}
+    assert record.warming_since == {"s-2": 1_700_000_000_000}
+    assert record.unknown_fields == {"quotas": {"tenant": 7}}
     assert record.pack() == RECORD.pack() == data
 
 
@@ -103,5 +103,12 @@
     assert link.frame(MESSAGES[name]) == data
 
 
+@pytest.mark.parametrize("name", sorted(MESSAGES.keys() - {"hello"}))
+def test_a_message_of_a_frame_is_typed_and_encodes_to_the_same_bytes(name):
+    data = (STORED / f"{name}.frame").read_bytes()
+    (message,) = link.Frames().feed(data)
+    assert message_codec.encode(message_codec.decode(message)) == data
+
+
 def test_a_seeded_exchange_of_three_members_makes_the_same_decisions_and_frames():
     assert play_exchange() == (STORED / "exchange.bin").read_bytes()
