--- a/standins/distribution/leases.py
+++ b/standins/distribution/leases.py
@@ -86,7 +86,7 @@
         standby = self._standby(weights)
         for place in weights:
             self._notify(place, standby.get(place, {}))
-        self.world.network.later(RENEW_INTERVAL, self._run_cycle)
+        self.world.network.call_later(RENEW_INTERVAL, self._run_cycle)
 
     def _standby(self, weights: dict[int, float]) -> dict[int, dict[int, int]]:
         """Return for each controller the shards that it replicates, with their owners."""
--- a/standins/distribution/network.py
+++ b/standins/distribution/network.py
@@ -149,7 +149,7 @@
         unreachable = silently or self.network.is_cut(self.child.region, self.parent.region)
         if other is self.child and unreachable:
             return  # the client has a silence timeout of its own
-        self.network.later(KEEPALIVE if unreachable else self.delay, lambda: other.connection_lost(self))
+        self.network.call_later(KEEPALIVE if unreachable else self.delay, lambda: other.connection_lost(self))
 
 
 class Network:
@@ -165,13 +165,13 @@
         self._cut: set[int] = set()  # partitioned regions
         self.dials: list[tuple[int, str, str]] = []  # when, by whom, to whom
 
-    def later(self, after: int, call: Callable[[], object]) -> None:
+    def call_later(self, after: int, call: Callable[[], object]) -> None:
         """Schedule a call after so many microseconds."""
-        self.events.later(after, call)
+        self.events.call_later(after, call)
 
     def at(self, at: int, call: Callable[[], object]) -> None:
         """Schedule a call at a time."""
-        self.events.later(max(0, at - self.events.now), call)
+        self.events.call_later(max(0, at - self.events.now), call)
 
     def delay(self, one: int, other: int) -> int:
         """Return a one-way delay between two regions."""
@@ -197,12 +197,12 @@
             return
         self.dials.append((self.events.now, child.name, parent.name))
         delay = self.delay(child.region, parent.region)
-        self.later(delay, lambda: self._dialled(child, child.generation, upstream, parent, delay))
+        self.call_later(delay, lambda: self._dialled(child, child.generation, upstream, parent, delay))
 
     def _dialled(self, child: Process, generation: int, upstream: str, parent: Process, delay: int) -> None:
         connection = Connection(self, child, upstream, parent)
         accepted = parent.alive and not parent.is_paused() and parent.accept_subscriber(connection)
         if accepted:
-            self.later(delay, lambda: child.dialled(generation, connection))
+            self.call_later(delay, lambda: child.dialled(generation, connection))
         elif not parent.is_paused():
-            self.later(delay, lambda: child.dial_refused(generation, upstream))
+            self.call_later(delay, lambda: child.dial_refused(generation, upstream))
--- a/standins/distribution/nodes.py
+++ b/standins/distribution/nodes.py
@@ -53,7 +53,7 @@
         self.stop()
         if forget:
             self.topics = {}
-        self.world.network.later(round(seconds * SECOND), lambda: self._back(wanted))
+        self.world.network.call_later(round(seconds * SECOND), lambda: self._back(wanted))
 
     def _back(self, wanted: list[str]) -> None:
         self.alive, self._timer_at = True, None
@@ -105,7 +105,7 @@
     def stop_for(self, seconds: float, silently: bool = False) -> None:
         """Stop, and restart after so many seconds."""
         self.stop(silently)
-        self.world.network.later(round(seconds * SECOND), self._back)
+        self.world.network.call_later(round(seconds * SECOND), self._back)
 
     def _back(self) -> None:
         self.alive, self._timer_at = True, None
--- a/standins/distribution/schedules.py
+++ b/standins/distribution/schedules.py
@@ -78,7 +78,7 @@
             self._after(self.random_source.uniform(3, FAULT_SECONDS), self.change)
 
     def _after(self, seconds: float, call: Callable[[], object]) -> None:
-        self.world.network.later(round(seconds * SECOND), call)
+        self.world.network.call_later(round(seconds * SECOND), call)
 
     def _fault_duration(self, most: float) -> float:
         """Draw the seconds of a fault, which ends in time."""
--- a/standins/fleet/__init__.py
+++ b/standins/fleet/__init__.py
@@ -1,12 +1,13 @@
-"""Several pilots side by side in one small simulated fleet, on a clock set by hand.
+"""Several control-plane servers in one small simulated fleet, on a simulated clock.
 
-Pilots are driven through their own rounds, so what proxies hold comes from messages as written. `World` has flows that
-follow the tables at once; `RequestWorld` draws every request and follows its tries. Neither says how well a day would go.
+Servers run their own control cycles, so what proxies hold comes from messages as written. `RateSimulation`
+has request rates that follow the tables at once; `RequestSimulation` draws every request and follows its
+attempts. Neither predicts how well a day would go.
 """
 
-from standins.fleet.discovery import Discovery
-from standins.fleet.flow_world import World
 from standins.fleet.parameters import Parameters
-from standins.fleet.request_world import RequestWorld
+from standins.fleet.rate_simulation import RateSimulation
+from standins.fleet.registry import SimulatedRegistry
+from standins.fleet.request_simulation import RequestSimulation
 
-__all__ = ["Discovery", "Parameters", "RequestWorld", "World"]
+__all__ = ["Parameters", "RateSimulation", "RequestSimulation", "SimulatedRegistry"]
--- a/standins/fleet/budget.py
+++ b/standins/fleet/budget.py
@@ -1,7 +1,8 @@
-"""The budget of work that a cold endpoint may be sent, checked over every window. Pure.
+"""The budget of work that an endpoint in slow start may be sent, checked over every window. No I/O.
 
-An endpoint that has just started may be sent, in any window of the rule's length, at most `multiple` times what it can do
-at the window's end, over the whole length. All work counts: refused, failed and repeated tries too.
+In any window of the rule's length, an endpoint that has just started may be sent at most `multiple` times its
+present capacity at the window's end, over the whole length. All work counts: rejected, failed and retried
+attempts too.
 """
 
 from collections import deque
@@ -10,44 +11,47 @@
 from math import sqrt
 
 SECOND = 1_000_000
-INFORMED_LEAST = 2 / 3  # of the work in a window, for the excess to be the pilots' fault
+MIN_INFORMED_SHARE = 2 / 3  # of the work in a window, for the excess to count against the servers
 
 
 @dataclass(frozen=True)
 class BudgetRule:
-    """The rule's figures; `deviations` standard deviations of a Poisson count are allowed for chance."""
+    """The rule's parameters; `deviations` standard deviations of a Poisson count are allowed for chance."""
 
     multiple: float
     window: int  # microseconds
     deviations: float = 0.0
-    mean_work: float = 0.0  # seconds of work that one try brings, weighted by work
+    mean_work: float = 0.0  # seconds of work of one attempt, weighted by work
 
 
 @dataclass(frozen=True)
 class ColdStart:
-    """One start of an endpoint: its capacity rises evenly from the cold share to the full within `warm_after`."""
+    """A start of an endpoint: its capacity rises linearly from the cold share to the full within
+    `warm_up_time`."""
 
     endpoint: str
     started: int
-    warm_after: int
-    cold_share: float
+    warm_up_time: int
+    cold_capacity_share: float
     capacity: float  # seconds of work a second when warm
 
-    def ramp(self, at: int) -> float:
-        """Share of the capacity reached."""
-        passed = min(1.0, max(0.0, (at - self.started) / self.warm_after))
-        return self.cold_share + (1 - self.cold_share) * passed
+    def capacity_share(self, at: int) -> float:
+        """Return the share of the capacity that it has reached."""
+        passed = min(1.0, max(0.0, (at - self.started) / self.warm_up_time))
+        return self.cold_capacity_share + (1 - self.cold_capacity_share) * passed
 
     def present_capacity(self, at: int) -> float:
-        return self.capacity * self.ramp(at)
+        """Return the seconds of work a second that it can do."""
+        return self.capacity * self.capacity_share(at)
 
     def covers(self, at: int) -> bool:
-        return self.started <= at < self.started + self.warm_after
+        """Return whether it is in slow start."""
+        return self.started <= at < self.started + self.warm_up_time
 
 
 @dataclass(frozen=True)
 class SentWork:
-    """The work of one try. `informed`: its proxy's last message, or its pilot for the grace, had known of the start."""
+    """Work of one attempt. `informed`: the sender knew of the start, by its last message or by its server."""
 
     at: int
     work: float
@@ -68,26 +72,26 @@
 
     @property
     def violates(self) -> bool:
-        """Whether the excess counts against the pilots."""
-        return self.informed_share >= INFORMED_LEAST
+        """Whether the excess counts against the servers."""
+        return self.informed_share >= MIN_INFORMED_SHARE
 
 
 def budget(rule: BudgetRule, capacity: float) -> float:
-    """Work that a window may bring to an endpoint of this present capacity."""
+    """Return the work that a window may bring to an endpoint of this present capacity."""
     base = rule.multiple * capacity * rule.window / SECOND
     return base + rule.deviations * sqrt(base * rule.mean_work)
 
 
 def windows(start: ColdStart, sent: Iterable[SentWork], rule: BudgetRule) -> Iterator[tuple[float, Excess]]:
-    """Each window that ends with a try at the cold endpoint: its work over its budget, and what an excess would say."""
-    held: deque[SentWork] = deque()
+    """Yield each window that ends with an attempt: its work over its budget, and the excess it would be."""
+    held_lines: deque[SentWork] = deque()
     for work in sorted(sent, key=lambda work: work.at):
         if not start.covers(work.at) or work.work <= 0:
             continue
-        held.append(work)
-        while held[0].at <= work.at - rule.window:
-            held.popleft()
-        total = sum(one.work for one in held)
+        held_lines.append(work)
+        while held_lines[0].at <= work.at - rule.window:
+            held_lines.popleft()
+        total = sum(one.work for one in held_lines)
         capacity = start.present_capacity(work.at)
         yield (
             total / budget(rule, capacity),
@@ -96,24 +100,24 @@
                 work.at,
                 work.at - start.started,
                 total / (capacity * rule.window / SECOND),
-                sum(one.work for one in held if one.informed) / total,
-                sum(one.work for one in held if one.repeated) / total,
+                sum(one.work for one in held_lines if one.informed) / total,
+                sum(one.work for one in held_lines if one.repeated) / total,
             ),
         )
 
 
 def excesses(start: ColdStart, sent: Iterable[SentWork], rule: BudgetRule) -> list[Excess]:
-    """Every window over the budget, in order of time."""
+    """Return every window over the budget, in order of time."""
     return [excess for used, excess in windows(start, sent, rule) if used > 1]
 
 
 def violations(start: ColdStart, sent: Iterable[SentWork], rule: BudgetRule) -> list[Excess]:
-    """Windows over the budget that count against the pilots."""
+    """Return the windows over the budget that count against the servers."""
     return [excess for excess in excesses(start, sent, rule) if excess.violates]
 
 
 def nearest(start: ColdStart, sent: Iterable[SentWork], rule: BudgetRule) -> tuple[float, Excess] | None:
-    """The window that used most of its budget, among those that would count against the pilots."""
+    """Return the window that used most of its budget, among those that would count against the servers."""
     return max(
         (window for window in windows(start, sent, rule) if window[1].violates),
         key=lambda window: window[0],
--- a/standins/fleet/channels.py
+++ b/standins/fleet/channels.py
@@ -1,27 +1,37 @@
-"""The way of a pilot's messages to its proxies."""
+"""The control channel from a server to its proxies."""
 
 import random
+from collections.abc import Mapping
 from typing import Protocol
 
-from standins.fleet.clock import SECOND
-from standins.fleet.proxies import Proxy
+from standins.fleet.clock import SECOND, EventQueue
+from standins.fleet.proxies import SimulatedProxy
 
-FIXED_DELAY = SECOND // 5  # from an order to its effect, and as long again until the answer is heard
+FIXED_DELAY = SECOND // 5  # microseconds of delivery, and of the acknowledgement
 
 
 class Receiver(Protocol):
-    """The sending pilot, told of what arrives."""
+    """The sending server, which is notified of each delivery."""
 
-    def arrived(self, proxy: Proxy, message: str, ticket: int | None, took: int, starts) -> None: ...
+    def message_arrived(
+        self, proxy: SimulatedProxy, message: str, marker: int | None, took: int, starts: Mapping[str, int]
+    ) -> None:
+        """A message has arrived; `took`: microseconds since it was sent; `starts`: those that the sender
+        knew."""
 
 
 class Channel(Protocol):
-    def send(self, proxy: Proxy, message: str, ticket: int | None, starts) -> None: ...
+    """Delivers messages to proxies."""
 
+    def send(
+        self, proxy: SimulatedProxy, message: str, marker: int | None, starts: Mapping[str, int]
+    ) -> None:
+        """Send a message; `marker`: of a requested acknowledgement; `starts`: those that the sender knows."""
 
-def line_count(message: str, envelope: int) -> int:
-    """Lines of a message as the channel counts them, with its head."""
-    count = envelope
+
+def line_count(message: str, message_overhead: int) -> int:
+    """Return the lines of a message as flow control counts them, with the overhead."""
+    count = message_overhead
     for line in message.splitlines():
         for word in line.split()[1:]:
             name, _, value = word.partition("=")
@@ -33,39 +43,52 @@
 
 
 class FixedChannel:
-    """Unbounded room; every message takes the same time."""
-
-    def __init__(self, events, receiver: Receiver):
-        self.events, self.receiver = events, receiver
-
-    def send(self, proxy: Proxy, message: str, ticket: int | None, starts) -> None:
-        self.events.later(
-            FIXED_DELAY, lambda: self.receiver.arrived(proxy, message, ticket, FIXED_DELAY, starts)
+    """Unlimited capacity; every message takes the same time."""
+
+    def __init__(self, events: EventQueue, receiver: Receiver):
+        self.events = events
+        self.receiver = receiver
+
+    def send(
+        self, proxy: SimulatedProxy, message: str, marker: int | None, starts: Mapping[str, int]
+    ) -> None:
+        """Send a message."""
+        self.events.call_later(
+            FIXED_DELAY, lambda: self.receiver.message_arrived(proxy, message, marker, FIXED_DELAY, starts)
         )
 
 
 class BoundedChannel:
-    """Messages leave one after another at so many lines a second and arrive a drawn time later, in order at each proxy."""
+    """Sends messages one after another, so many lines a second; each arrives a random time later."""
 
     def __init__(
         self,
-        events,
+        events: EventQueue,
         receiver: Receiver,
-        lines_per_s: float,
-        envelope: int,
+        lines_per_second: float,
+        message_overhead: int,
         delay: tuple[int, int],
-        chance: random.Random,
+        random_source: random.Random,
     ):
-        self.events, self.receiver = events, receiver
-        self.lines_per_s, self.envelope, self.delay, self.chance = lines_per_s, envelope, delay, chance
+        self.events = events
+        self.receiver = receiver
+        self.lines_per_second = lines_per_second
+        self.message_overhead = message_overhead
+        self.delay = delay
+        self.random_source = random_source
         self.free_at = 0
-        self.last: dict[int, int] = {}  # by proxy: when the newest message arrives
+        self.last: dict[int, int] = {}  # by proxy: arrival of the newest message
 
-    def send(self, proxy: Proxy, message: str, ticket: int | None, starts) -> None:
+    def send(
+        self, proxy: SimulatedProxy, message: str, marker: int | None, starts: Mapping[str, int]
+    ) -> None:
+        """Send a message."""
         ordered = self.events.now
-        lines = line_count(message, self.envelope)
-        self.free_at = max(self.free_at, ordered) + round(lines / self.lines_per_s * SECOND)
-        arrives = max(self.free_at + self.chance.randint(*self.delay), self.last.get(proxy.number, 0))
+        lines = line_count(message, self.message_overhead)
+        self.free_at = max(self.free_at, ordered) + round(lines / self.lines_per_second * SECOND)
+        arrives = max(self.free_at + self.random_source.randint(*self.delay), self.last.get(proxy.number, 0))
         self.last[proxy.number] = arrives
         took = arrives - ordered
-        self.events.later(took, lambda: self.receiver.arrived(proxy, message, ticket, took, starts))
+        self.events.call_later(
+            took, lambda: self.receiver.message_arrived(proxy, message, marker, took, starts)
+        )
--- a/standins/fleet/proxies.py
+++ b/standins/fleet/proxies.py
@@ -1,4 +1,4 @@
-"""Proxies: what they hold of tables, withdrawals and levels, and how they pick a line."""
+"""Simulated proxies: their tables, ejections and admission levels, and how they pick a line."""
 
 import random
 from bisect import bisect
@@ -13,57 +13,63 @@
 NOT_KNOWN: Mapping[str, int] = {}
 
 
-class Proxy:
-    """Holds a table and withdrawals as its pilot's messages say."""
+class SimulatedProxy:
+    """Holds a table and ejections as its server's messages set them."""
 
-    def __init__(self, number: int, zone: int, flows: float):
-        self.number, self.zone, self.flows, self.pilot = number, zone, flows, None
+    def __init__(self, number: int, zone: int, request_rate: float):
+        self.number = number
+        self.zone = zone
+        self.request_rate = request_rate
+        self.server = None
         self.table: dict[str, float] = {}
-        self.out: set[str] = set()
-        self.table_from = None  # the pilot whose message the table came in
+        self.ejected: set[str] = set()
+        self.table_source = None  # the server whose message set the table
         self.informed: Mapping[str, int] = (
-            NOT_KNOWN  # starts known to the pilot when it sent the last message
+            NOT_KNOWN  # starts that its server knew when it sent the last message
         )
 
-    def obey(self, message: str) -> None:
+    def apply_message(self, message: str) -> None:
+        """Apply a message of its server."""
         for line in message.splitlines():
             said = dict(word.partition("=")[::2] for word in line.split()[1:])
-            self.table = obeyed(said, self.table, self.out)
-            self.obey_levels(said)
+            self.table = obeyed(said, self.table, self.ejected)
+            self.apply_levels(said)
 
-    def obey_levels(self, said: dict[str, str]) -> None:
-        """Flows that follow the tables know no levels."""
+    def apply_levels(self, said: dict[str, str]) -> None:
+        """Ignored: rates that follow the tables know no admission levels."""
 
     def shares(self) -> dict[str, float]:
-        held = {name: weight for name, weight in self.table.items() if name not in self.out}
-        total = sum(held.values())
-        return {name: weight / total for name, weight in held.items()} if total else {}
+        """Return the share of its requests that each endpoint receives."""
+        held_lines = {name: weight for name, weight in self.table.items() if name not in self.ejected}
+        total = sum(held_lines.values())
+        return {name: weight / total for name, weight in held_lines.items()} if total else {}
 
 
 @dataclass(frozen=True)
 class ProxyRules:
-    """What the settings say of proxies."""
+    """What the settings define for proxies."""
 
     groups: tuple[str, ...]
     level_kind: str  # "fraction", "per_second" or "none"
-    outlier_after: int  # tries in a row that fail at an endpoint until it is shunned; 0: never
-    shun_least: int
-    shun_most: int
-    base_mode: int  # how to try again where no level says it: 0 to 3
+    outlier_after: int  # failures in a row until an endpoint is avoided; 0: never
+    min_avoid_time: int
+    max_avoid_time: int
+    base_mode: int  # retry mode without an admission level: 0 to 3
 
 
-class RequestProxy(Proxy):
-    """Lets requests in by its levels, picks a line at random by weight and shuns endpoints that fail it."""
+class RequestProxy(SimulatedProxy):
+    """Admits requests by its levels, picks a line at random by weight and avoids endpoints that fail."""
 
-    def __init__(self, number: int, zone: int, flows: float, rules: ProxyRules):
-        super().__init__(number, zone, flows)
+    def __init__(self, number: int, zone: int, request_rate: float, rules: ProxyRules):
+        super().__init__(number, zone, request_rate)
         self.rules = rules
-        self.levels: dict[str, tuple[float, int]] = {}  # by group: level, and how to try again
-        self.tokens: dict[str, tuple[int, float]] = {}  # by group: when last counted, and how many
+        self.levels: dict[str, tuple[float, int]] = {}  # by group: level and retry mode
+        self.tokens: dict[str, tuple[int, float]] = {}  # by group: time of the last count, and tokens
         self.failed_in_row: dict[str, int] = {}
-        self.shunned: dict[str, int] = {}  # endpoint: until when
+        self.avoided: dict[str, int] = {}  # by endpoint: until when
 
-    def obey_levels(self, said: dict[str, str]) -> None:
+    def apply_levels(self, said: dict[str, str]) -> None:
+        """Apply the admission levels and retry modes of a message."""
         groups = said["classes"].split("+") if "classes" in said else self.rules.groups
         if "whole" in said:
             for group in groups:
@@ -71,21 +77,25 @@
         if "level" in said:
             self.levels.update(dict.fromkeys(groups, (float(said["level"]), int(said["retry"]))))
 
-    def restart(self, standing: dict[str, float]) -> None:
-        """Its process begins anew and holds its standing table alone."""
-        self.table, self.table_from, self.informed = standing, None, NOT_KNOWN
-        for kept in (self.out, self.levels, self.tokens, self.failed_in_row, self.shunned):
+    def restart(self, standing_table_size: dict[str, float]) -> None:
+        """Restart the process: it holds its standing table only."""
+        self.table = standing_table_size
+        self.table_source = None
+        self.informed = NOT_KNOWN
+        for kept in (self.ejected, self.levels, self.tokens, self.failed_in_row, self.avoided):
             kept.clear()
 
     def level(self, group: str) -> float:
+        """Return the admission level of a traffic group."""
         return self.levels.get(group, (UNLIMITED, 0))[0]
 
-    def lets_in(self, group: str, now: int, chance: random.Random) -> bool:
+    def admits(self, group: str, now: int, random_source: random.Random) -> bool:
+        """Decide whether to admit a request."""
         level = self.level(group)
         if level == UNLIMITED or self.rules.level_kind == "none":
             return True
         if self.rules.level_kind == "fraction":
-            return chance.random() < level
+            return random_source.random() < level
         at, tokens = self.tokens.get(group, (now, 1.0))
         tokens = min(max(1.0, level), tokens + level * (now - at) / SECOND)
         admitted = tokens >= 1.0
@@ -93,31 +103,36 @@
         return admitted
 
     def retry_mode(self, group: str) -> int:
+        """Return the retry mode of a traffic group."""
         return self.levels[group][1] if group in self.levels else self.rules.base_mode
 
-    def usable(self, now: int) -> dict[str, float]:
-        """Lines that are not withdrawn or shunned; all that are not withdrawn where it shuns every one of them."""
-        held = {name: weight for name, weight in self.table.items() if name not in self.out}
-        if not self.shunned:
-            return held
-        self.shunned = {name: until for name, until in self.shunned.items() if until > now}
-        return {name: weight for name, weight in held.items() if name not in self.shunned} or held
-
-    def pick(self, now: int, chance: random.Random, tried: set[str]) -> str | None:
-        lines = self.usable(now)
-        if tried:
-            lines = {name: weight for name, weight in lines.items() if name not in tried}
+    def usable_lines(self, now: int) -> dict[str, float]:
+        """Return the lines that are not ejected or avoided; all that are not ejected if it avoids every one
+        of them."""
+        held_lines = {name: weight for name, weight in self.table.items() if name not in self.ejected}
+        if not self.avoided:
+            return held_lines
+        self.avoided = {name: until for name, until in self.avoided.items() if until > now}
+        return {name: weight for name, weight in held_lines.items() if name not in self.avoided} or held_lines
+
+    def pick(self, now: int, random_source: random.Random, attempted: set[str]) -> str | None:
+        """Pick a line at random by weight; None if none is left."""
+        lines = self.usable_lines(now)
+        if attempted:
+            lines = {name: weight for name, weight in lines.items() if name not in attempted}
         if not lines:
             return None
-        sums = list(accumulate(lines.values()))
-        return list(lines)[min(bisect(sums, chance.random() * sums[-1]), len(sums) - 1)]
+        totals = list(accumulate(lines.values()))
+        return list(lines)[min(bisect(totals, random_source.random() * totals[-1]), len(totals) - 1)]
 
-    def note(self, name: str, failed: bool, now: int, chance: random.Random) -> None:
-        """Counts the outcome of a try towards shunning."""
+    def record_outcome(self, name: str, failed: bool, now: int, random_source: random.Random) -> None:
+        """Count the outcome of an attempt towards avoidance."""
         if not failed:
             self.failed_in_row.pop(name, None)
             return
         self.failed_in_row[name] = self.failed_in_row.get(name, 0) + 1
         if self.rules.outlier_after and self.failed_in_row[name] >= self.rules.outlier_after:
             self.failed_in_row[name] = 0
-            self.shunned[name] = now + chance.randint(self.rules.shun_least, self.rules.shun_most)
+            self.avoided[name] = now + random_source.randint(
+                self.rules.min_avoid_time, self.rules.max_avoid_time
+            )
--- a/standins/fleet/reports.py
+++ b/standins/fleet/reports.py
@@ -1,62 +1,65 @@
-"""What pilots hear of their proxies: late sums by zone and endpoint and usage by proxy, through a bounded intake."""
+"""Load and demand reports of proxies to a server, through a queue of bounded throughput."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass
-class Tally:
-    """Counts that add up until their line is sent."""
+class LoadCounts:
+    """Counts that add up until their report is sent."""
 
     since: int
-    tries: int = 0
+    attempts: int = 0
     failed: int = 0
-    latency_sum: int = 0  # of the tries that succeeded
+    latency_sum: int = 0  # microseconds, of the attempts that succeeded
 
     def add(self, failed: bool, latency: int) -> None:
-        self.tries += 1
+        """Count an attempt; `latency` in microseconds."""
+        self.attempts += 1
         self.failed += failed
         self.latency_sum += 0 if failed else latency
 
     def mean_latency(self) -> float:
-        served = self.tries - self.failed
+        """Return the mean latency of the attempts that succeeded."""
+        served = self.attempts - self.failed
         return self.latency_sum / served if served else 0.0
 
 
 @dataclass(frozen=True)
 class EndpointKey:
-    """Tries of a zone's proxies at an endpoint."""
+    """Attempts of a zone's proxies at an endpoint."""
 
     zone: int
     endpoint: str
 
 
 @dataclass(frozen=True)
-class UsageKey:
-    """Flows that a proxy was asked for, of one traffic group."""
+class DemandKey:
+    """Requests of one traffic group to a proxy."""
 
     proxy: int
     group: int
 
 
-Key = EndpointKey | UsageKey
+Key = EndpointKey | DemandKey
 
 
 @dataclass
-class Intake:
-    """One pilot's lines that wait: the oldest goes first, and what does not fit adds up to the next."""
+class ReportQueue:
+    """Pending reports to one server: the oldest is sent first, and what exceeds the throughput adds up."""
 
-    period_began: int
-    waiting: dict[Key, Tally] = field(default_factory=dict)
+    period_started_at: int
+    pending: dict[Key, LoadCounts] = field(default_factory=dict)
 
     def count(self, key: Key, failed: bool, latency: int = 0) -> None:
-        if key not in self.waiting:
-            self.waiting[key] = Tally(self.period_began)
-        self.waiting[key].add(failed, latency)
-
-    def take(self, now: int, most: int) -> list[tuple[Key, Tally]]:
-        """Ends a period: the oldest lines, as many as fit; they are kept in the order in which they began."""
-        self.period_began = now
-        taken = list(self.waiting.items())[:most]
+        """Count an attempt or a request."""
+        if key not in self.pending:
+            self.pending[key] = LoadCounts(self.period_started_at)
+        self.pending[key].add(failed, latency)
+
+    def take(self, now: int, most: int) -> list[tuple[Key, LoadCounts]]:
+        """End a period; return the oldest reports, at most `most`."""
+        self.period_started_at = now
+        taken = list(self.pending.items())[:most]
         for key, _ in taken:
-            del self.waiting[key]
+            del self.pending[key]
         return taken
--- a/standins/fleet/simulation.py
+++ b/standins/fleet/simulation.py
@@ -1,80 +1,94 @@
-"""What every small fleet has: a clock, pilots, proxies, discovery, and the faults a script may set off."""
+"""What every simulated fleet has: a clock, servers, proxies, a registry, and faults."""
 
 import random
 from collections.abc import Callable
+from functools import partial
 
 from ravenshelf.policy.events import ListKind, ProxyJoined
 from ravenshelf.settings import Settings
 from standins.fleet.channels import Channel, FixedChannel
 from standins.fleet.clock import SECOND, TICK, EventQueue
-from standins.fleet.discovery import Discovery
-from standins.fleet.pilots import Pilot
-from standins.fleet.proxies import Proxy
-from standins.fleet.servers import Server
+from standins.fleet.control_plane import SimulatedServer
+from standins.fleet.endpoints import SimulatedEndpoint
+from standins.fleet.proxies import SimulatedProxy
+from standins.fleet.registry import SimulatedRegistry
 from standins.fleet.snapshots import ListEntry, ListSnapshot
 
 NOTICE_AT_ONCE = (0, 0)
 
 
-class Simulation:
+class FleetSimulation:
+    """A simulated fleet; subclasses add endpoints' loads."""
+
     def __init__(
         self,
         settings: Settings,
-        servers: list[Server],
-        proxies: list[Proxy],
-        pilots: int,
+        endpoints: list[SimulatedEndpoint],
+        proxies: list[SimulatedProxy],
+        servers: int,
         seed: int,
-        calls_a_second: float,
+        polls_per_second: float,
     ):
-        self.chance, self.rev, self.events = random.Random(seed), 0, EventQueue()
-        self.settings, self.servers, self.proxies = settings, {s.name: s for s in servers}, proxies
-        self.lines: dict[int, int] = {}  # by pilot: lines it has written
-        self.discovery = Discovery(self, calls_a_second)
-        self.pilots = [self.start_pilot(number, self.snapshot()) for number in range(pilots)]
+        self.random_source = random.Random(seed)
+        self.revision = 0
+        self.events = EventQueue()
+        self.settings = settings
+        self.endpoints = {s.name: s for s in endpoints}
+        self.proxies = proxies
+        self.lines: dict[int, int] = {}  # by server: lines written
+        self.registry = SimulatedRegistry(self, polls_per_second)
+        self.servers = [self.start_server(number, self.snapshot()) for number in range(servers)]
         for proxy in proxies:
             self.join(proxy)
 
     @property
     def now(self) -> int:
+        """The present time in microseconds."""
         return self.events.now
 
     @now.setter
     def now(self, at: int) -> None:
+        """The present time in microseconds."""
         self.events.now = at
 
-    def later(self, after: int, call: Callable[[], None]) -> None:
-        self.events.later(after, call)
+    def call_later(self, after: int, call: Callable[[], None]) -> None:
+        """Schedule a call after so many microseconds."""
+        self.events.call_later(after, call)
 
-    # --- pilots and proxies ---
+    # --- servers and proxies ---
 
-    def start_pilot(self, number: int, restored: ListSnapshot, starts: int = 0) -> Pilot:
-        return Pilot(number, self.settings, self, self.make_channel, restored, starts)
+    def start_server(self, number: int, restored: ListSnapshot, starts: int = 0) -> SimulatedServer:
+        """Start a control-plane server with a restored endpoint list."""
+        return SimulatedServer(number, self.settings, self, self.make_channel, restored, starts)
 
-    def make_channel(self, pilot: Pilot) -> Channel:
-        return FixedChannel(self.events, pilot)
+    def make_channel(self, server: SimulatedServer) -> Channel:
+        """Create a server's control channel."""
+        return FixedChannel(self.events, server)
 
-    def living(self) -> list[Pilot]:
-        return [pilot for pilot in self.pilots if pilot.alive]
+    def living_servers(self) -> list[SimulatedServer]:
+        """Return the servers whose process runs."""
+        return [server for server in self.servers if server.alive]
 
-    def join(self, proxy: Proxy) -> None:
-        proxy.pilot = self.chance.choice(self.living())
-        proxy.pilot.hear(ProxyJoined(proxy.number, proxy.zone, proxy.flows, not proxy.table))
+    def join(self, proxy: SimulatedProxy) -> None:
+        """Connect a proxy to a random living server."""
+        proxy.server = self.random_source.choice(self.living_servers())
+        proxy.server.receive(ProxyJoined(proxy.number, proxy.zone, proxy.request_rate, not proxy.table))
 
-    def lose(self, pilot: Pilot) -> None:
-        """Killed: all of its proxies come to the others at once."""
-        pilot.alive = False
-        for proxy in [proxy for proxy in self.proxies if proxy.pilot is pilot]:
+    def kill_server(self, server: SimulatedServer) -> None:
+        """Kill a server: all of its proxies connect to others at once."""
+        server.alive = False
+        for proxy in [proxy for proxy in self.proxies if proxy.server is server]:
             self.join(proxy)
 
-    # --- the list ---
+    # --- endpoint list ---
 
     def snapshot(self) -> ListSnapshot:
-        """The list as it stands."""
+        """Return the present endpoint list."""
         return ListSnapshot(
-            self.rev,
+            self.revision,
             tuple(
                 ListEntry(s.name, s.zone, s.state, s.listed_weight, s.started)
-                for s in self.servers.values()
+                for s in self.endpoints.values()
                 if s.state != "gone"
             ),
         )
@@ -86,49 +100,52 @@
         start: bool = False,
         notice: tuple[int, int] = NOTICE_AT_ONCE,
     ) -> None:
-        """Servers change, the list with them; each watch is told after a while of its own."""
+        """Change endpoints and the list; each watch is notified after a random time of `notice`."""
         for name in names:
-            server = self.servers[name]
-            server.state = state or server.state
-            server.started = self.now if start else server.started
+            endpoint = self.endpoints[name]
+            endpoint.state = state or endpoint.state
+            endpoint.started = self.now if start else endpoint.started
         self.announce(notice)
 
     def announce(self, notice: tuple[int, int]) -> None:
-        self.rev += 1
-        for pilot in self.living():
-            self.later(self.chance.randint(*notice), lambda pilot=pilot: self._tell(pilot))
+        """Publish a new revision of the list; each watch is notified after a random time of `notice`."""
+        self.revision += 1
+        for server in self.living_servers():
+            self.call_later(self.random_source.randint(*notice), partial(self._notify, server))
 
     def replace(self, *names: str) -> None:
-        """Others under new names come in their place, cold."""
+        """Drain endpoints, and start others under new names in their place."""
         for name in names:
-            new = self.servers[name].successor(self.now)
-            self.servers[new.name] = new
+            new = self.endpoints[name].successor(self.now)
+            self.endpoints[new.name] = new
         self.change(*names, state="draining")
 
-    def _tell(self, pilot: Pilot) -> None:
-        if pilot.alive and pilot.watching and pilot.rev < self.rev:
-            pilot.hear(pilot.take(ListKind.REPLACE))
+    def _notify(self, server: SimulatedServer) -> None:
+        if server.alive and server.watching and server.revision < self.revision:
+            server.receive(server.take(ListKind.REPLACE))
 
-    # --- time passes ---
+    # --- time ---
 
-    def run(self, seconds: float) -> "Simulation":
+    def run(self, seconds: float) -> "FleetSimulation":
+        """Advance the clock by so many seconds."""
         for _ in range(round(seconds * SECOND / TICK)):
             self.events.advance(self.now + TICK)
-            self.discovery.turn(self.now)
+            self.registry.run_due(self.now)
             self.step()
-            for pilot in self.living():
-                if pilot.due():
-                    pilot.round()
+            for server in self.living_servers():
+                if server.is_due():
+                    server.run_cycle()
         return self
 
     def step(self) -> None:
-        """What a kind of world does at each tick, before the pilots' rounds."""
+        """What a kind of simulation does at each tick, before the servers' control cycles."""
 
     # --- what checks over the fleet read ---
 
-    def bare(self) -> list[int]:
+    def proxies_without_table(self) -> list[int]:
+        """Return the numbers of the proxies without a usable table."""
         return [proxy.number for proxy in self.proxies if not proxy.shares()]
 
-    def holding(self, name: str) -> list[int]:
-        """Proxies that may still send to it."""
+    def proxies_using(self, name: str) -> list[int]:
+        """Return the numbers of the proxies that may send to an endpoint."""
         return [proxy.number for proxy in self.proxies if name in proxy.shares()]
--- a/standins/fleet/snapshots.py
+++ b/standins/fleet/snapshots.py
@@ -1,10 +1,12 @@
-"""The list of endpoints as discovery had it at one time."""
+"""The endpoint list as the registry had it at one time."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class ListEntry:
+    """A listed endpoint."""
+
     name: str
     zone: int
     state: str
@@ -14,5 +16,7 @@
 
 @dataclass(frozen=True)
 class ListSnapshot:
-    rev: int
+    """All listed endpoints at a revision."""
+
+    revision: int
     entries: tuple[ListEntry, ...]
--- a/standins/fleet/streams.py
+++ b/standins/fleet/streams.py
@@ -1,9 +1,11 @@
-"""Seeded draws: one generator for each purpose, so that more draws for one don't move the others."""
+"""Seeded draws: one generator for each purpose, so that more draws for one do not change the others."""
 
 import random
 
 
 class Streams:
+    """The generators, by purpose."""
+
     def __init__(self, seed: int):
         self.seed = seed
         self._made: dict[str, random.Random] = {}
--- a/standins/fleet/traffic.py
+++ b/standins/fleet/traffic.py
@@ -1,41 +1,51 @@
-"""Requests: they arrive at proxies, are let in or refused, sent to an endpoint and tried again elsewhere."""
+"""Requests: they arrive at proxies, are admitted or rejected, sent to an endpoint and retried elsewhere."""
 
 import random
 from dataclasses import dataclass, field
+from functools import partial
 from math import log, sqrt
 from typing import Protocol
 
 from standins.fleet.clock import SECOND, EventQueue
-from standins.fleet.parameters import Parameters, RequestClass
+from standins.fleet.endpoints import Answer, Outcome, QueueingEndpoint
+from standins.fleet.parameters import Parameters, RequestGroup
 from standins.fleet.proxies import RequestProxy
-from standins.fleet.servers import Answer, Outcome, QueueServer
 from standins.fleet.streams import Streams
 
-FURTHER_TRIES = (0, 1, 1, 2)  # by retry mode
-MODE_AFTER_PROOF, MODE_AFTER_ANY = 1, 2
+MAX_RETRIES = (0, 1, 1, 2)  # by retry mode
+MODE_AFTER_PROOF = 1
+MODE_AFTER_ANY = 2
 
 
 @dataclass
 class Request:
+    """A request under way."""
+
     proxy: RequestProxy
     group: int
     work: float  # seconds on one core
     deadline_at: int
-    repeats: int  # how often its client has come again
-    tried: set[str] = field(default_factory=set)
+    repeats: int  # how often its client has repeated it
+    attempted: set[str] = field(default_factory=set)
 
 
 class Observer(Protocol):
-    """Told of every try and of every request's end."""
+    """Is notified of every attempt and of every request's end."""
+
+    def sent(self, request: Request, endpoint: QueueingEndpoint, repeated: bool) -> None:
+        """An attempt was sent."""
 
-    def sent(self, request: Request, server: QueueServer, repeated: bool) -> None: ...
-    def tried(self, request: Request, server: QueueServer, failed: bool, latency: int) -> None: ...
-    def ended(self, request: Request, admitted: bool, served: bool) -> None: ...
+    def attempted(self, request: Request, endpoint: QueueingEndpoint, failed: bool, latency: int) -> None:
+        """An attempt has ended, as its proxy sees it; `latency` in microseconds."""
 
+    def ended(self, request: Request, admitted: bool, served: bool) -> None:
+        """A request has ended."""
 
-def lognormal(chance: random.Random, mean: float, variation: float) -> float:
+
+def lognormal(random_source: random.Random, mean: float, variation: float) -> float:
+    """Draw from a lognormal distribution of this mean and coefficient of variation."""
     sigma = sqrt(log(1 + variation**2))
-    return chance.lognormvariate(log(mean) - sigma**2 / 2, sigma)
+    return random_source.lognormvariate(log(mean) - sigma**2 / 2, sigma)
 
 
 class Traffic:
@@ -45,38 +55,42 @@
         self,
         events: EventQueue,
         parameters: Parameters,
-        servers: dict[str, QueueServer],
+        endpoints: dict[str, QueueingEndpoint],
         streams: Streams,
         observer: Observer,
     ):
-        self.events, self.parameters, self.servers, self.observer = events, parameters, servers, observer
-        self.arrivals, self.work, self.picks = streams["arrivals"], streams["work"], streams["picks"]
-        self.clients, self.admission, self.errors = (
-            streams["clients"],
-            streams["admission"],
-            streams["errors"],
-        )
+        self.events = events
+        self.parameters = parameters
+        self.endpoints = endpoints
+        self.observer = observer
+        self.arrivals = streams["arrivals"]
+        self.work = streams["work"]
+        self.picks = streams["picks"]
+        self.clients = streams["clients"]
+        self.admission = streams["admission"]
+        self.errors = streams["errors"]
         self.factor = 1.0  # of all rates
-        self.down: set[int] = set()  # proxies whose process does not run
+        self.down: set[int] = set()  # numbers of proxies whose process does not run
 
     def begin(self, proxies: list[RequestProxy], rates: list[float]) -> None:
-        for proxy, rate in zip(proxies, rates):
+        """Schedule the first request of each proxy; `rates`: requests a second."""
+        for proxy, rate in zip(proxies, rates, strict=True):
             self._next(proxy, rate)
 
     def _next(self, proxy: RequestProxy, rate: float) -> None:
         wait = self.arrivals.expovariate(rate * self.factor)
-        self.events.later(round(wait * SECOND), lambda: self._arrived(proxy, rate))
+        self.events.call_later(round(wait * SECOND), lambda: self._arrived(proxy, rate))
 
     def _arrived(self, proxy: RequestProxy, rate: float) -> None:
         self._next(proxy, rate)
-        shares = [group.share for group in self.parameters.classes]
+        shares = [group.share for group in self.parameters.traffic_groups]
         group = self.work.choices(range(len(shares)), shares)[0]
-        self._ask(proxy, group, 0)
+        self._submit(proxy, group, 0)
 
-    def _ask(self, proxy: RequestProxy, group: int, repeats: int) -> None:
+    def _submit(self, proxy: RequestProxy, group: int, repeats: int) -> None:
         if proxy.number in self.down:
             return
-        kind = self.parameters.classes[group]
+        kind = self.parameters.traffic_groups[group]
         request = Request(
             proxy,
             group,
@@ -84,49 +98,53 @@
             self.events.now + kind.deadline,
             repeats,
         )
-        if proxy.lets_in(kind.name, self.events.now, self.admission):
+        if proxy.admits(kind.name, self.events.now, self.admission):
             self._send(request)
         else:
             self._end(request, admitted=False, served=False)
 
     def _send(self, request: Request) -> None:
-        now, proxy = self.events.now, request.proxy
-        name = proxy.pick(now, self.picks, request.tried)
+        now = self.events.now
+        proxy = request.proxy
+        name = proxy.pick(now, self.picks, request.attempted)
         if name is None or now >= request.deadline_at:
             self._end(request, admitted=True, served=False)
             return
-        server, repeated = self.servers[name], bool(request.tried)
-        request.tried.add(name)
-        self.observer.sent(request, server, repeated)
-        taken = server.held
-        answer = server.offer(now, request.work, self.errors.random() < server.failing)
-        if server.held > taken:
-            self.events.later(answer.after, lambda process=server.processes: server.release(process))
-        answer = self._awaited(request, answer)
-        self.events.later(answer.after, lambda: self._answered(request, server, answer))
-
-    def _awaited(self, request: Request, answer: Answer) -> Answer:
-        """The answer as the proxy meets it: it gives up at the deadline, or sooner where it may try again."""
+        endpoint = self.endpoints[name]
+        repeated = bool(request.attempted)
+        request.attempted.add(name)
+        self.observer.sent(request, endpoint, repeated)
+        taken = endpoint.queued
+        answer = endpoint.offer(now, request.work, self.errors.random() < endpoint.failure_share)
+        if endpoint.queued > taken:
+            self.events.call_later(answer.after, partial(endpoint.release, endpoint.incarnation))
+        answer = self._limit_patience(request, answer)
+        self.events.call_later(answer.after, lambda: self._answered(request, endpoint, answer))
+
+    def _limit_patience(self, request: Request, answer: Answer) -> Answer:
+        """Return the answer as the proxy sees it: it gives up at the deadline, or earlier if it may retry."""
         patience = request.deadline_at - self.events.now
-        mode = request.proxy.retry_mode(self._kind(request).name)
-        if mode >= MODE_AFTER_ANY and len(request.tried) <= FURTHER_TRIES[mode]:
-            patience = min(patience, round(self.parameters.first_wait * self._kind(request).aim))
+        mode = request.proxy.retry_mode(self._group_of(request).name)
+        if mode >= MODE_AFTER_ANY and len(request.attempted) <= MAX_RETRIES[mode]:
+            patience = min(
+                patience, round(self.parameters.first_wait * self._group_of(request).latency_objective)
+            )
         return answer if answer.after <= patience else Answer(Outcome.TIMED_OUT, patience)
 
-    def _answered(self, request: Request, server: QueueServer, answer: Answer) -> None:
+    def _answered(self, request: Request, endpoint: QueueingEndpoint, answer: Answer) -> None:
         failed = answer.outcome is not Outcome.SERVED
-        request.proxy.note(server.name, failed, self.events.now, self.picks)
-        self.observer.tried(request, server, failed, answer.after)
+        request.proxy.record_outcome(endpoint.name, failed, self.events.now, self.picks)
+        self.observer.attempted(request, endpoint, failed, answer.after)
         if not failed:
             self._end(request, admitted=True, served=True)
-        elif self._may_follow(request, answer.outcome):
+        elif self._may_retry(request, answer.outcome):
             self._send(request)
         else:
             self._end(request, admitted=True, served=False)
 
-    def _may_follow(self, request: Request, outcome: Outcome) -> bool:
-        mode = request.proxy.retry_mode(self._kind(request).name)
-        if len(request.tried) > FURTHER_TRIES[mode]:
+    def _may_retry(self, request: Request, outcome: Outcome) -> bool:
+        mode = request.proxy.retry_mode(self._group_of(request).name)
+        if len(request.attempted) > MAX_RETRIES[mode]:
             return False
         return mode >= MODE_AFTER_ANY or outcome is Outcome.REFUSED
 
@@ -135,7 +153,9 @@
         again = not served and request.repeats < self.parameters.client_repeats
         if again and self.clients.random() < self.parameters.client_comes_again:
             wait = self.clients.randint(*self.parameters.client_backoff)
-            self.events.later(wait, lambda: self._ask(request.proxy, request.group, request.repeats + 1))
+            self.events.call_later(
+                wait, lambda: self._submit(request.proxy, request.group, request.repeats + 1)
+            )
 
-    def _kind(self, request: Request) -> RequestClass:
-        return self.parameters.classes[request.group]
+    def _group_of(self, request: Request) -> RequestGroup:
+        return self.parameters.traffic_groups[request.group]
--- a/tests/test_budget.py
+++ b/tests/standins/test_work_budget.py
@@ -1,4 +1,4 @@
-"""The checker of a cold endpoint's budget, by tables: windows, capacity at their end, who knew, and the slack."""
+"""The budget of an endpoint in slow start: windows, capacity at their end, who knew, and the allowance."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("after, capacity", [(-1, 2.0), (0, 2.0), (5, 6.0), (10, 10.0), (50, 10.0)])
-def test_capacity_rises_evenly_from_the_cold_share_to_the_full(after, capacity):
+def test_capacity_rises_linearly_from_the_cold_share_to_the_full(after, capacity):
     assert START.present_capacity(START.started + after * SECOND) == pytest.approx(capacity)
 
 
@@ -37,7 +37,7 @@
     assert [excess.ratio for excess in found] == ([pytest.approx(ratio)] if ratio else [])
 
 
-def test_an_excess_names_endpoint_time_and_who_sent_it():
+def test_an_excess_names_endpoint_time_and_senders():
     works = [
         *sent((5, 20.0)),
         *sent((5.5, 40.0), informed=False),
@@ -50,12 +50,12 @@
 
 
 @pytest.mark.parametrize("informed, violates", [(60.0, False), (66.0, False), (67.0, True), (100.0, True)])
-def test_an_excess_counts_where_two_thirds_of_the_work_came_from_those_who_knew(informed, violates):
+def test_an_excess_counts_if_two_thirds_of_the_work_came_from_informed_senders(informed, violates):
     works = [*sent((5, 100.0 - informed), informed=False), *sent((5, informed))]
     assert bool(violations(START, works, RULE)) is violates and excesses(START, works, RULE)
 
 
-def test_works_are_taken_in_order_of_time_whatever_their_order():
+def test_work_is_ordered_by_time():
     works = sent((6, 30.0), (5, 30.0))
     assert excesses(START, works, RULE) == excesses(START, works[::-1], RULE) != []
 
@@ -63,11 +63,11 @@
 @pytest.mark.parametrize(
     "deviations, allowed", [(0.0, 15.0), (1.0, 15.0 + 15**0.5), (2.0, 15.0 + 2 * 15**0.5)]
 )
-def test_the_slack_is_so_many_deviations_of_tries_of_one_second(deviations, allowed):
+def test_the_allowance_is_a_number_of_deviations(deviations, allowed):
     assert budget(BudgetRule(2.5, 3 * SECOND, deviations, 1.0), 2.0) == pytest.approx(allowed)
 
 
-def test_the_nearest_window_says_how_much_of_its_budget_it_used():
+def test_the_nearest_window_has_the_share_of_its_budget_that_it_used():
     used, excess = nearest(START, sent((0, 3.0), (1, 1.0)), RULE)
     assert used == pytest.approx(3 / 15) and excess.age == 0 and excess.ratio == pytest.approx(0.5)
     assert nearest(START, [], RULE) is None and nearest(START, sent((0, 30.0), informed=False), RULE) is None
