--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -77,23 +77,21 @@
     # --- tables of the service's owner ---
 
     def _subscribe(self) -> None:
-        from ravenshelf.distribution.pilot_service import PilotDistribution
+        from ravenshelf.distribution.node import Node
+        from ravenshelf.distribution.server_distribution import ServerDistribution
         from ravenshelf.leadership.cluster import clock
 
         pilot, table = self.pilot, self.operator.distribution
-        self.distribution = PilotDistribution(
+        node = Node(pilot.loop, clock, table.cluster, table.name, table.parents)
+        self.distribution = ServerDistribution(
+            node,
             table.service,
-            table.cluster,
-            table.name,
-            table.parents,
-            pilot.loop,
-            clock,
             self.chance,
             name_of=lambda index: pilot.registry.names[index],
             index_of=pilot.registry.index_by_name.get,
         )
         pilot.observers.append(self.distribution)
-        pilot.control_cycle.decide_with(self.distribution.controller)
+        pilot.control_cycle.decide_with(self.distribution.make_controller)
 
     # --- other controllers ---
 
