--- a/ravenshelf/policy/decayed_totals.py
+++ b/ravenshelf/policy/decayed_totals.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Sequence
 from math import exp
+from operator import add
 
 
 class DecayedTotals:
@@ -27,7 +28,9 @@
 
     def add(self, now: int, *values: float) -> None:
         """Add one value to each total."""
-        self._totals = [known + value for known, value in zip(self.read(now), values, strict=True)]
+        # the hottest line of the policy: several times for each load report
+        totals = self.read(now) if now > self._updated_at else self._totals
+        self._totals = list(map(add, totals, values))
 
     def scale(self, now: int, factor: float) -> None:
         """Multiply every total by a factor."""
