--- a/tools/write_distribution_fixtures.py
+++ b/tools/write_distribution_fixtures.py
@@ -1,7 +1,8 @@
 """Writes tests/fixtures/distribution/messages.json: encoded samples of every distribution message.
 
-The samples are built with positional arguments, so that renamed fields do not change them. Run it only when a new message
-type is added; the bytes of existing samples must never change, for other versions of the program read them.
+The samples are built with positional arguments, so that renamed fields do not change them. Run it only when a
+new message type is added; the bytes of existing samples must never change, for other versions of the program
+read them.
 
     python tools/write_distribution_fixtures.py
 """
