--- a/ravenshelf/policy/controller.py
+++ b/ravenshelf/policy/controller.py
@@ -4,13 +4,14 @@
 the controller only passes events on, and runs the parts in order.
 """
 
+from __future__ import annotations
+
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 from math import exp
 from random import Random
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from ravenshelf.policy.admission import AdmissionControl
-from ravenshelf.policy.commands import CommandWriter
 from ravenshelf.policy.demand import DemandEstimator, ZoneDemand
 from ravenshelf.policy.ejections import EjectionControl
 from ravenshelf.policy.endpoint_strengths import EndpointStrengths
@@ -40,6 +41,9 @@
 from ravenshelf.policy.weight_tables import WeightTables
 from ravenshelf.settings import SECOND, Settings
 
+if TYPE_CHECKING:  # it only names types: a simulated server starts without it
+    from ravenshelf.policy.commands import CommandWriter
+
 SOLVE_INTERVAL = 5 * SECOND // 2  # microseconds
 FIRST_SOLVE_DELAY = SECOND // 4  # microseconds after the first report: then zones can be told apart
 ROLLOUT_STEP = SECOND // 4  # microseconds
--- a/ravenshelf/policy/ejections.py
+++ b/ravenshelf/policy/ejections.py
@@ -1,12 +1,17 @@
 """Ejections: endpoints that tables may not hold any more are withdrawn by name, and let back later."""
 
+from __future__ import annotations
+
 from collections.abc import Iterable
+from typing import TYPE_CHECKING
 
-from ravenshelf.policy.commands import CommandWriter
 from ravenshelf.policy.endpoints import Endpoint, EndpointDirectory
 from ravenshelf.policy.urgency import URGENT, WITHDRAWAL
 from ravenshelf.policy.weight_tables import WeightTables
 
+if TYPE_CHECKING:  # it only names types: a simulated server starts without it
+    from ravenshelf.policy.commands import CommandWriter
+
 
 class EjectionControl:
     """Ejects endpoints that have left or drain, and readmits those that are back."""
--- a/ravenshelf/policy/endpoint_watch.py
+++ b/ravenshelf/policy/endpoint_watch.py
@@ -1,10 +1,15 @@
 """Watching the endpoint registry: when to open a watch, again and again, with backoff."""
 
+from __future__ import annotations
+
 from random import Random
+from typing import TYPE_CHECKING
 
-from ravenshelf.policy.commands import CommandWriter
 from ravenshelf.settings import SECOND
 
+if TYPE_CHECKING:  # it only names types: a simulated server starts without it
+    from ravenshelf.policy.commands import CommandWriter
+
 MAXIMUM_BACKOFF_EXPONENT = 3
 BACKOFF_SHARES = (0.25, 0.5)  # of 2 ** failed polls seconds: each server waits for a time of its own
 SILENT_POLL_TIMEOUT = 5 * SECOND  # microseconds until a watch that was not answered is opened again
--- a/ravenshelf/policy/flow_control.py
+++ b/ravenshelf/policy/flow_control.py
@@ -9,13 +9,18 @@
 less those dropped). Times and durations are integer microseconds.
 """
 
+from __future__ import annotations
+
 from collections import defaultdict, deque
 from collections.abc import Collection, Iterable
 from itertools import accumulate, count, takewhile
-from typing import Protocol
+from typing import TYPE_CHECKING
 
 from ravenshelf.settings import SECOND, ServiceSettings
 
+if TYPE_CHECKING:  # it only names types: a simulated server starts without it
+    from ravenshelf.policy.commands import CommandWriter
+
 UNLIMITED_LINES = 1e9  # lines, or lines per second, where the settings set no limit
 UNLIMITED_MESSAGES = 1e9  # messages per proxy and counting window
 DEFAULT_MESSAGE_OVERHEAD = 6.0  # lines per message, where the settings do not say
@@ -34,13 +39,6 @@
 MESSAGE_SHARES = (0.6, 0.7, 0.8, 0.8, 1.0)  # of a proxy's messages per counting window
 
 
-class AcknowledgementWriter(Protocol):
-    """The part of `commands.CommandWriter` that flow control uses."""
-
-    def request_acknowledgement(self, marker: int) -> None:
-        """Have the proxies written to in this cycle acknowledge it under a marker."""
-
-
 class DispatchedBatch:
     """What one control cycle ordered: its lines by proxy, its position, and when it leaves the channel.
 
@@ -211,7 +209,7 @@
         """Count lines that were written without a charge; nobody acknowledges them."""
         self._enqueue(self._new_batch(self.now, {None: lines}))
 
-    def commit_cycle(self, now: int, writer: AcknowledgementWriter) -> None:
+    def commit_cycle(self, now: int, writer: CommandWriter) -> None:
         """Turn the cycle's charges, if any, into a batch, and request its acknowledgement."""
         if not self.cycle_charges:
             return
--- a/ravenshelf/policy/staged_rollout.py
+++ b/ravenshelf/policy/staged_rollout.py
@@ -1,11 +1,16 @@
 """Staged rollout: the proxies of a zone go over to new tables a few at a time."""
 
+from __future__ import annotations
+
 from random import Random
+from typing import TYPE_CHECKING
 
-from ravenshelf.policy.commands import CommandWriter
 from ravenshelf.policy.urgency import ORDINARY
 from ravenshelf.policy.weight_tables import WeightTables
 
+if TYPE_CHECKING:  # it only names types: a simulated server starts without it
+    from ravenshelf.policy.commands import CommandWriter
+
 STAGE_SHARE = 0.2  # of a zone's proxies, per rollout step
 
 
--- a/ravenshelf/policy/weight_tables.py
+++ b/ravenshelf/policy/weight_tables.py
@@ -4,16 +4,21 @@
 the current one, and a staged rollout makes the other one current.
 """
 
+from __future__ import annotations
+
 from collections import defaultdict
 from collections.abc import Collection, Mapping
+from typing import TYPE_CHECKING
 
-from ravenshelf.policy.commands import CommandWriter
 from ravenshelf.policy.endpoints import EndpointDirectory
 from ravenshelf.policy.flow_control import ChannelFlowControl
 from ravenshelf.policy.proxies import Proxy
 from ravenshelf.policy.slow_start import SlowStart
 from ravenshelf.policy.urgency import ORDINARY, URGENT, WITHDRAWAL
 
+if TYPE_CHECKING:  # it only names types: a simulated server starts without it
+    from ravenshelf.policy.commands import CommandWriter
+
 UNLIMITED_LEVEL = 1e6  # an admission level that sheds nothing
 RETRY_MODE = 1  # of the wire: only after proof that the first attempt never ran
 MINIMUM_LEVEL_CHANGE = 0.1  # of the lesser of two admission levels
