--- a/ravenshelf/policy/endpoints.py
+++ b/ravenshelf/policy/endpoints.py
@@ -5,6 +5,9 @@
 from ravenshelf.policy.urgency import NEEDED, ORDINARY, URGENT
 from ravenshelf.settings import SECOND
 
+READY = EndpointState.READY  # a member of an enumeration is slow to look up
+GONE = EndpointState.GONE
+
 HEALTH_SPAN = 6 * SECOND  # microseconds: memory of attempts and failures
 HEALTH_PRIOR_ATTEMPTS = 3.0  # successful attempts that every endpoint starts with
 MINIMUM_HEALTH_SCORE = 0.02  # never 0, so that an endpoint can show that it has recovered
@@ -75,9 +78,9 @@
 
         Where removal is not binding, an endpoint that has gone stays open until it was ejected.
         """
-        if endpoint.state is EndpointState.READY:
+        if endpoint.state is READY:
             return True
-        has_gone = endpoint.state is EndpointState.GONE
+        has_gone = endpoint.state is GONE
         return has_gone and not endpoint.is_ejected and self._removal_is_not_binding
 
     def usable(self) -> list[Endpoint]:
@@ -93,8 +96,8 @@
             return urgency
         listed = {entry.endpoint for entry in event.entries}
         for endpoint in self.by_index.values():
-            if endpoint.index not in listed and endpoint.state is not EndpointState.GONE:
-                endpoint.state = EndpointState.GONE
+            if endpoint.index not in listed and endpoint.state is not GONE:
+                endpoint.state = GONE
                 urgency = NEEDED
         return urgency
 
@@ -114,7 +117,7 @@
         endpoint.weight = max(entry.weight, MINIMUM_WEIGHT)
         if endpoint.state != entry.state:
             endpoint.state = entry.state
-            urgency = max(urgency, URGENT if entry.state is EndpointState.READY else NEEDED)
+            urgency = max(urgency, URGENT if entry.state is READY else NEEDED)
         return urgency
 
     def _free_slot(self, zone: int) -> int:
@@ -122,6 +125,6 @@
         taken = {
             endpoint.slot
             for endpoint in self.by_index.values()
-            if endpoint.zone == zone and endpoint.state is not EndpointState.GONE
+            if endpoint.zone == zone and endpoint.state is not GONE
         }
         return next(slot for slot in range(len(taken) + 1) if slot not in taken)
--- a/ravenshelf/policy/miss_curves.py
+++ b/ravenshelf/policy/miss_curves.py
@@ -6,7 +6,6 @@
 """
 
 from collections.abc import Iterable
-from itertools import pairwise
 from math import exp, log
 
 from ravenshelf.policy.decayed_totals import DecayedTotals
@@ -97,8 +96,11 @@
 
     Beyond the last point it goes on rising, so that more load is never free.
     """
-    for (load_below, share_below), (load_above, share_above) in pairwise([(0.0, 0.0), *points]):
+    load_below = 0.0
+    share_below = 0.0
+    for load_above, share_above in points:
         if load <= load_above:
             return share_below + (share_above - share_below) * (load - load_below) / (load_above - load_below)
-    last_load, last_share = points[-1]
-    return last_share + EXTRAPOLATION_SLOPE * (load / last_load - 1)
+        load_below = load_above
+        share_below = share_above
+    return share_below + EXTRAPOLATION_SLOPE * (load / load_below - 1)
