--- a/tests/store/test_segments.py
+++ b/tests/store/test_segments.py
@@ -1,131 +1,131 @@
-"""Segments: what was acknowledged is there, whatever is cut, damaged, full or killed."""
+"""Segments: what was acknowledged survives torn tails, damage, a full disk and a kill."""
 
-import errno
-import os
 import signal
 import subprocess
 import sys
 
 import pytest
+from failing_disk import FullDisk
 
 from ravenshelf.store.errors import DamagedSegmentError
-from ravenshelf.store.file_system import FileSystem
-from ravenshelf.store.segment_format import SEGMENT_HEADER, unpack
+from ravenshelf.store.segment_format import RECORD_HEADER, SEGMENT_HEADER, unpack
 from ravenshelf.store.segments import Segments
 
+SIZE_LIMIT_BYTES = 10**6
+SEGMENT_BYTES = 10**5
+FIRST_SEGMENT = "000000000001.segment"
 
-def bodies(store):
-    out = []
-    while (found := store.oldest()) is not None:
-        out += found[1]
-        store.drop(found[0])
-    return out
 
+def opened(folder, file_system=None):
+    return Segments(folder, SIZE_LIMIT_BYTES, SEGMENT_BYTES, file_system)
 
-def filled(folder, count=6, **more):
-    store = Segments(folder, 10**6, 10**5, **more)
-    for n in range(count):
-        store.append([b"record %d " % n * 5])
-    return store
 
+def filled(folder, file_system=None, count=6):
+    segments = opened(folder, file_system)
+    for number in range(count):
+        segments.append([b"record %d " % number * 5])
+    return segments
 
-def only(folder):
-    files = sorted(folder.glob("*.segment"))
-    assert len(files) == 1
-    return files[0]
 
+def take_all(segments):
+    """Reads and drops all records."""
+    bodies = []
+    while (oldest := segments.oldest()) is not None:
+        number, found = oldest
+        bodies += found
+        segments.drop(number)
+    return bodies
 
-def test_a_tail_torn_at_every_octet_costs_the_torn_record_alone(tmp_path):
-    filled(tmp_path / "whole").close()
-    data = only(tmp_path / "whole").read_bytes()
+
+def only_segment(folder):
+    (path,) = folder.glob("*.segment")
+    return path
+
+
+def test_a_tail_torn_at_any_byte_costs_the_torn_record_alone(tmp_path):
+    filled(tmp_path / "sound").close()
+    data = only_segment(tmp_path / "sound").read_bytes()
     records, _ = unpack(data, "x", True)
-    for cut in range(len(data)):
-        folder = tmp_path / str(cut)
+    for size in range(len(data)):
+        folder = tmp_path / str(size)
         folder.mkdir()
-        (folder / "000000000001.segment").write_bytes(data[:cut])
-        store = Segments(folder, 10**6, 10**5)
-        whole = [body for at, body in records if at + 16 + len(body) <= cut]
-        assert len(store) == len(whole)
-        store.append([b"after"])  # and it goes on
-        assert bodies(store) == whole + [b"after"]
+        (folder / FIRST_SEGMENT).write_bytes(data[:size])
+        segments = opened(folder)
+        complete = [body for offset, body in records if offset + RECORD_HEADER.size + len(body) <= size]
+        assert len(segments) == len(complete)
+        segments.append([b"after"])
+        assert take_all(segments) == [*complete, b"after"]
 
 
-def test_a_damaged_middle_is_skipped_and_told_with_its_place(tmp_path):
+def test_a_damaged_record_is_skipped_and_reported_with_its_place(tmp_path):
     filled(tmp_path).close()
-    path = only(tmp_path)
+    path = only_segment(tmp_path)
     data = bytearray(path.read_bytes())
-    at = unpack(bytes(data), "x", True)[0][2][0]
-    data[at + 20] ^= 1
+    offset = unpack(bytes(data), "x", True).records[2].offset
+    data[offset + 20] ^= 1
     path.write_bytes(data)
-    store = Segments(tmp_path, 10**6, 10**5)
-    assert [(s.offset, s.is_torn_tail) for s in store.skipped] == [(at, False)]
-    assert len(bodies(store)) == 5
-
-
-def test_what_is_no_segment_or_a_later_version_is_refused_by_name(tmp_path):
-    (tmp_path / "000000000001.segment").write_bytes(b"something else entirely")
-    with pytest.raises(DamagedSegmentError, match="000000000001.segment: expected a segment"):
-        Segments(tmp_path, 10**6, 10**5)
-    (tmp_path / "000000000001.segment").write_bytes(SEGMENT_HEADER.pack(b"rvnsegs\0", 2))
-    with pytest.raises(DamagedSegmentError, match="expected version 1, not 2"):
-        Segments(tmp_path, 10**6, 10**5)
-
-
-class Failing(FileSystem):
-    """Writes at most `short` octets at a time and none beyond `room`."""
-
-    def __init__(self, room=10**9, short=10**9):
-        self.room, self.short = room, short
-
-    def write(self, handle, data):
-        if self.room <= 0:
-            raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        wrote = super().write(handle, data[: min(self.short, self.room)])
-        self.room -= wrote
-        return wrote
-
-
-def test_short_writes_are_written_on(tmp_path):
-    store = Segments(tmp_path, 10**6, 10**5, Failing(short=17))
-    store.append([b"x" * 100, b"y" * 50])
-    assert bodies(store) == [b"x" * 100, b"y" * 50]
-
-
-def test_a_full_disk_fails_the_write_and_leaves_what_was_before(tmp_path):
-    files = Failing()
-    store = filled(tmp_path, file_system=files)
-    for room in range(1, 40, 3):
-        files.room = room
+    segments = opened(tmp_path)
+    assert [(skipped.offset, skipped.is_torn_tail) for skipped in segments.skipped] == [(offset, False)]
+    assert len(take_all(segments)) == 5
+
+
+@pytest.mark.parametrize(
+    "content, reason",
+    [
+        pytest.param(b"something else entirely", f"{FIRST_SEGMENT}: expected a segment", id="another file"),
+        pytest.param(SEGMENT_HEADER.pack(b"rvnsegs\0", 2), "expected version 1, not 2", id="later version"),
+    ],
+)
+def test_a_file_that_is_no_segment_is_an_error_with_its_name(tmp_path, content, reason):
+    (tmp_path / FIRST_SEGMENT).write_bytes(content)
+    with pytest.raises(DamagedSegmentError, match=reason):
+        opened(tmp_path)
+
+
+def test_a_short_write_is_continued(tmp_path):
+    segments = opened(tmp_path, FullDisk(most_at_once=17))
+    segments.append([b"x" * 100, b"y" * 50])
+    assert take_all(segments) == [b"x" * 100, b"y" * 50]
+
+
+def test_a_full_disk_fails_the_write_and_leaves_the_records_before(tmp_path):
+    disk = FullDisk()
+    segments = filled(tmp_path, disk)
+    for capacity in range(1, 40, 3):
+        disk.capacity = capacity
         with pytest.raises(OSError):
-            store.append([b"z" * 100])
-        files.room = 10**9
-    store.append([b"room again"])
-    store.close()
-    again = Segments(tmp_path, 10**6, 10**5)
-    assert not again.skipped and len(again) == 7 and bodies(again)[-1] == b"room again"
-
-
-def test_the_bound_holds_by_the_oldest_segments(tmp_path):
-    store = Segments(tmp_path, 5000, 1000)
-    for n in range(100):
-        store.append([b"%03d" % n * 30])
-        assert sum(p.stat().st_size for p in tmp_path.iterdir()) <= 5000
-    assert store.dropped_records and bodies(store)[-1] == b"099" * 30 and store.dropped_records + 0 < 100
-
-
-def test_killed_at_any_moment_what_was_acknowledged_is_there(tmp_path):
-    program = (
-        "import sys\nfrom pathlib import Path\nfrom ravenshelf.store.segments import Segments\n"
-        "store = Segments(Path(sys.argv[1]), 10**7, 20000)\n"
-        "for n in range(10**6):\n    store.append([b'%d' % n * 9])\n    print(n, flush=True)\n"
-    )
-    for after in (1, 40, 333):
-        folder = tmp_path / str(after)
-        process = subprocess.Popen([sys.executable, "-c", program, str(folder)], stdout=subprocess.PIPE)
-        said = [int(process.stdout.readline()) for _ in range(after)]
-        process.send_signal(signal.SIGKILL)
-        said += [int(line) for line in process.stdout.read().split(b"\n")[:-1] if line]
-        process.wait()
-        found = bodies(Segments(folder, 10**7, 20000))
-        assert found[: len(said)] == [b"%d" % n * 9 for n in said]
-        assert len(found) <= len(said) + 1
+            segments.append([b"z" * 100])
+        disk.capacity = 10**9
+    segments.append([b"capacity again"])
+    segments.close()
+    reopened = opened(tmp_path)
+    assert not reopened.skipped and len(reopened) == 7
+    assert take_all(reopened)[-1] == b"capacity again"
+
+
+def test_the_oldest_segments_are_dropped_beyond_the_size_limit(tmp_path):
+    segments = Segments(tmp_path, 5000, 1000)
+    for number in range(100):
+        segments.append([b"%03d" % number * 30])
+        assert sum(path.stat().st_size for path in tmp_path.iterdir()) <= 5000
+    assert 0 < segments.dropped_records < 100
+    assert take_all(segments)[-1] == b"099" * 30
+
+
+PROGRAM = (
+    "import sys\nfrom pathlib import Path\nfrom ravenshelf.store.segments import Segments\n"
+    "segments = Segments(Path(sys.argv[1]), 10**7, 20000)\n"
+    "for n in range(10**6):\n    segments.append([b'%d' % n * 9])\n    print(n, flush=True)\n"
+)
+
+
+@pytest.mark.parametrize("lines", [1, 40, 333])
+def test_acknowledged_records_survive_a_kill_at_any_moment(tmp_path, lines):
+    process = subprocess.Popen([sys.executable, "-c", PROGRAM, str(tmp_path)], stdout=subprocess.PIPE)
+    acknowledged = [int(process.stdout.readline()) for _ in range(lines)]
+    process.send_signal(signal.SIGKILL)
+    acknowledged += [int(line) for line in process.stdout.read().split(b"\n")[:-1] if line]
+    process.wait()
+    found = take_all(Segments(tmp_path, 10**7, 20000))
+    assert found[: len(acknowledged)] == [b"%d" % number * 9 for number in acknowledged]
+    assert len(found) <= len(acknowledged) + 1
