--- a/tests/operations/test_server_operations.py
+++ b/tests/operations/test_server_operations.py
@@ -44,9 +44,9 @@
         )
         server = ControlPlaneServer(configuration(discovery.address, ["north"], 2), loop, Clock())
         await server.start()
-        server.operations = Operations(operator, server, random.Random(1))
-        await server.operations.start()
-        address = f"127.0.0.1:{server.server.sockets[0].getsockname()[1]}"
+        server.optional_parts = Operations(operator, server, random.Random(1))
+        await server.optional_parts.start()
+        address = f"127.0.0.1:{server.listener.sockets[0].getsockname()[1]}"
         proxies = [Proxy(lambda: address, n, "north") for n in range(2)]
         tasks = [loop.create_task(p.run()) for p in proxies]
         await carbon.wait_until(
@@ -54,14 +54,14 @@
         )
         host, place = (
             sender.Host("machine", busy=0.9),
-            server.operations.listener.transport.get_extra_info("sockname"),
+            server.optional_parts.listener.transport.get_extra_info("sockname"),
         )
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as out:
             now = server.clock() / 1e6
             for n in range(3):
                 out.sendto(sender.signed(host.packet(now - 20 + 10 * n), "u", "pw"), place)
             out.sendto(host.packet(now), place)
-        noticed = server.rounds.controller.endpoints
+        noticed = server.control_cycle.controller.endpoints
         await carbon.wait_until(
             lambda: any(p.endswith("collectd.rejected_per_s") and v for (p, _), v in carbon.points.items())
         )
@@ -83,13 +83,17 @@
         # a new operator file: the metrics go to another receiver, collectd ends
         moved = await CarbonReceiver().start()
         done = []
-        server.operations.renew(
+        server.optional_parts.renew(
             check({"graphite": {"receivers": [moved.address], "every_s": 1, "prefix": "x"}}, "f"), done.append
         )
         assert done == ["[graphite], [collectd]"]
         await moved.wait_until(lambda: any(p.startswith("x.toy.") for p, _ in moved.points))
-        server.operations.renew(check({}, "f"), done.append)
-        assert server.tap is None and server.operations.graphite is None
+        server.optional_parts.renew(check({}, "f"), done.append)
+        assert (
+            server.control_cycle.cycle_observer is None
+            and not server.observers
+            and server.optional_parts.graphite is None
+        )
         for task in tasks:
             task.cancel()
         server.stop()
