--- a/ravenshelf/leadership/decisions/lease_holder.py
+++ b/ravenshelf/leadership/decisions/lease_holder.py
@@ -1,9 +1,7 @@
 """Acquires, renews, releases and loses leases of shards, and writes their records."""
 
 import random
-from collections import deque
 from collections.abc import Iterable, Sequence
-from dataclasses import dataclass
 
 from ravenshelf.leadership.decisions.claims import (
     GRANTED_STATES,
@@ -31,19 +29,9 @@
     ShardTerm,
     SupersededTerm,
 )
+from ravenshelf.leadership.decisions.renewals import RenewalLog, count_renewal
 from ravenshelf.leadership.decisions.voter import Voter
 
-RENEWALS_REMEMBERED = 12  # a reply to an older renewal counts for nothing
-
-
-@dataclass(slots=True)
-class Renewal:
-    """A renewal that was sent: the lease counts from then."""
-
-    number: int
-    sent_at: int
-    terms: dict[int, int]  # shard: term
-
 
 class LeaseHolder:
     """The claims of one member, by shard. `rng` spreads retries."""
@@ -64,8 +52,7 @@
         self.claims = [Claim() for _ in range(configuration.shards)]
         self._voter = voter
         self._rng = rng
-        self._renewal_number = 0
-        self._renewals: deque[Renewal] = deque(maxlen=RENEWALS_REMEMBERED)
+        self._renewals = RenewalLog()
 
     # --- what it holds ---
 
@@ -194,35 +181,24 @@
 
     def renew(self, now: int, load: MemberLoad, effects: LeaseEffects) -> None:
         """Sends a heartbeat: renews all leases, and reports the load."""
-        self._renewal_number += 1
         terms = {
             shard: claim.term for shard, claim in enumerate(self.claims) if claim.state in GRANTED_STATES
         }
-        self._renewals.append(Renewal(self._renewal_number, now, terms))
+        renewal = self._renewals.add(now, terms)
         shard_terms = [ShardTerm(shard, term) for shard, term in terms.items()]
-        self._broadcast(RenewalRequest(self._renewal_number, shard_terms, load), effects)
+        self._broadcast(RenewalRequest(renewal.number, shard_terms, load), effects)
 
     def on_renewal_reply(self, now: int, member: int, reply: RenewalReply, _effects: LeaseEffects) -> None:
         """A lease is valid for longer once a quorum has renewed it."""
-        for renewal in self._renewals:
-            if renewal.number != reply.number:
-                continue
+        renewal = self._renewals.find(reply.number)
+        if renewal is not None:
+            usable_lease_us = self.configuration.usable_lease_us()
             for shard in reply.renewed:
                 claim = self.claims[shard]
                 if renewal.terms.get(shard) == claim.term and claim.state in TERM_STATES:
-                    self._count_renewal(claim, renewal, member)
+                    count_renewal(claim, renewal, member, self.quorum, usable_lease_us)
         self._on_superseded_terms(now, reply.rejected)
 
-    def _count_renewal(self, claim: Claim, renewal: Renewal, member: int) -> None:
-        voters = claim.renewed_by.setdefault(renewal.number, set())
-        voters.add(member)
-        if len(voters) >= self.quorum:
-            valid_until = renewal.sent_at + self.configuration.usable_lease_us()
-            claim.valid_until = max(claim.valid_until, valid_until)
-        outdated = [number for number in claim.renewed_by if number < renewal.number - RENEWALS_REMEMBERED]
-        for number in outdated:
-            del claim.renewed_by[number]
-
     def expire(self, now: int, quorum_last_contact: int, effects: LeaseEffects) -> None:
         """Ends leases that nobody renewed; once a quorum is back they are requested in a later term."""
         for shard, claim in enumerate(self.claims):
--- a/ravenshelf/leadership/service.py
+++ b/ravenshelf/leadership/service.py
@@ -64,17 +64,7 @@
         self.membership = ClusterMembership(
             settings.name, settings.cluster, self.names, self.store.incarnation, agreed
         )
-        is_recovering = len(self.names) > 1 and not self.store.is_voting
-        self.member = Member(
-            self.membership.me,
-            len(self.names),
-            self.configuration,
-            self.store.votes,
-            clock(),
-            rng,
-            is_recovering,
-            settings.capacity,
-        )
+        self.member = self._new_member(rng)
         self.connections = PeerConnections(settings, self.membership, loop, counters, self)
         self._outbox = DurableOutbox(self.store.committer, self._deliver, self._commit_ended)
         self._to_self: deque[Message] = deque()
@@ -86,6 +76,20 @@
         self._is_quorum_lost = False
         self._loop_delay_us = 0.0
 
+    def _new_member(self, rng: random.Random) -> Member:
+        """A member alone has nobody to recover from."""
+        is_recovering = len(self.names) > 1 and not self.store.is_voting
+        return Member(
+            self.membership.me,
+            len(self.names),
+            self.configuration,
+            self.store.votes,
+            clock(),
+            rng,
+            is_recovering,
+            self.settings.capacity,
+        )
+
     @property
     def incarnation(self) -> int:
         """How often this member has started since its disk was empty."""
--- a/standins/controllers/member.py
+++ b/standins/controllers/member.py
@@ -4,6 +4,7 @@
 
 import random
 from collections import deque
+from collections.abc import Callable
 from typing import TYPE_CHECKING, NamedTuple
 
 from ravenshelf.leadership.decisions import LeaseState, Member, Message, PackedRecord
@@ -95,7 +96,7 @@
         """Microseconds by the member's own clock."""
         return self.clock_offset + int(self.clock_rate * self.cluster.scheduler.now)
 
-    def _later(self, delay: int, call) -> None:
+    def _later(self, delay: int, call: Callable[[], None]) -> None:
         self.cluster.scheduler.call_later(delay, call, self)
 
     # --- start and stop ---
