--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -12,8 +12,8 @@
 from typing import TYPE_CHECKING
 
 from ravenshelf import log_events
-from ravenshelf.background.decisions import PRESENT, UPKEEP, JobQueue
-from ravenshelf.background.scheduler import Background
+from ravenshelf.background.decisions import JobQueue, Priority
+from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.policy.events import EndpointsListed, ListKind
 
@@ -38,8 +38,8 @@
     def __init__(self, operator: Operator, pilot, chance: random.Random):
         self.operator, self.pilot, self.chance = operator, pilot, chance
         self.counters, self.clock = pilot.counters, pilot.clock
-        self.background = Background(
-            self._agenda(operator.background),
+        self.background = BackgroundScheduler(
+            self._job_queue(operator.background),
             pilot.clock,
             lambda at: pilot.timers.set(("background",), at),
             pilot.cycle_scheduler.is_due,
@@ -56,7 +56,7 @@
             self._lead()  # before anyone is accepted: what joins is owned or not from the first
 
     @staticmethod
-    def _agenda(table) -> JobQueue:
+    def _job_queue(table) -> JobQueue:
         return JobQueue(
             table.jobs,
             round(table.turn_ms * 1000),
@@ -196,7 +196,7 @@
         time = interval_boundary(now, self.operator.graphite.every_s)
         take = lambda importance, points: self.graphite.export(time, importance, points)  # noqa: E731
         work = self.gatherer.points(now, self.pilot.control_cycle.controller, self._samples(now), take)
-        self.background.offer("figures", PRESENT, 2 * SECOND, work)
+        self.background.offer("figures", Priority.PRESENT, 2 * SECOND, work)
 
     def _samples(self, now: int) -> "list[Sample]":
         """What others have counted: sums as rates a second since the last figures, levels as they are."""
@@ -208,7 +208,7 @@
         counts = {
             metrics.PROCESS_MEMORY: memory,
             metrics.PROCESS_DESCRIPTORS: descriptors,
-            metrics.BACKGROUND_QUEUED: len(self.background.agenda),
+            metrics.BACKGROUND_QUEUED: len(self.background.queue),
             metrics.BACKGROUND_DROPPED: self.counters["background_dropped"],
             metrics.CONTROL_CYCLES_FAILED: self.counters["module_failures"],
         }
@@ -233,7 +233,7 @@
         if self.listener is not None:
             sums |= {
                 metrics.PACKETS_ACCEPTED: self.counters["collectd_packets"],
-                metrics.PACKETS_REJECTED: self.counters["collectd_refused"],
+                metrics.PACKETS_REJECTED: self.counters["collectd_rejected"],
                 metrics.COLLECTD_VALUES: self.counters["collectd_values"],
             }
         was, self.before = self.before, sums | {"at": now}
@@ -248,16 +248,16 @@
         from pathlib import Path
 
         from ravenshelf.collectd import types, users
-        from ravenshelf.collectd.decisions import Signals
-        from ravenshelf.collectd.listener import Listener
+        from ravenshelf.collectd.decisions.host_loads import HostLoads
+        from ravenshelf.collectd.listener import CollectdListener
         from ravenshelf.net.datagrams import address
 
         table = self.operator.collectd
         known = users.Users(users.load(table.users) if table.users else {})
-        text = Path(table.types).read_text(encoding="utf-8") if table.types else types.OWN
-        signals = Signals(self.endpoints, types.read(text, table.types or "types.db"), self.counters)
-        self.listener = Listener(
-            table, known, signals, self.background, self.counters, self.clock, self.pilot.publish
+        text = Path(table.types).read_text(encoding="utf-8") if table.types else types.BUILT_IN_TYPES
+        host_loads = HostLoads(self.endpoints, types.parse(text, table.types or "types.db"), self.counters)
+        self.listener = CollectdListener(
+            table, known, host_loads, self.background, self.counters, self.clock, self.pilot.publish
         )
         transport, _ = await self.pilot.loop.create_datagram_endpoint(
             lambda: self.listener, local_addr=address(table.listen)
@@ -280,7 +280,7 @@
                     places.setdefault(place, []).append(index)
             self.places = listing.version, {place: tuple(found) for place, found in places.items()}
             if self.listener is not None:
-                self.listener.signals.forget_strangers()
+                self.listener.host_loads.forget_unlisted_hosts()
         return self.places[1].get(host, ())
 
     def _look_at_users(self, now: int) -> None:
@@ -296,18 +296,18 @@
                 if changed != self.users_seen:
                     yield
                     known, self.users_seen = users.load(file), changed
-                    self.listener.users.renew(known, self.clock())
+                    self.listener.users.update(known, self.clock())
                     log_events.COLLECTD_USERS_LOADED(users=len(known))
             except (OSError, users.UsersFileError) as why:
                 log_events.COLLECTD_USERS_REJECTED(why=str(why))
 
-        self.background.offer("collectd.users_loaded", UPKEEP, USERS_EVERY, work(), perishable=True)
+        self.background.offer("collectd.users", Priority.UPKEEP, USERS_EVERY, work(), perishable=True)
 
     # --- the pilot's calls ---
 
     def meet(self, key: tuple, now: int) -> None:
         if key[0] == "background":
-            self.background.turn()
+            self.background.run_turn()
         elif key[0] == "figures":
             self.figures(now)
         elif key[0] == "graphite":
@@ -322,8 +322,7 @@
         old, self.operator = self.operator, operator
         names = changed(old, operator)
         if "background" in names:
-            jobs, self.background.agenda = self.background.agenda.jobs, self._agenda(operator.background)
-            self.background.agenda.jobs = jobs
+            self.background.replace_queue(self._job_queue(operator.background))
         if "graphite" in names:
             self._renew_graphite(old.graphite, operator.graphite)
         if "collectd" in names:
@@ -372,7 +371,7 @@
             log_events.OPERATOR_CONFIGURATION_REJECTED(why=f"[collectd] listen: {why}")
             return
         if was is not None and was.table.types == self.operator.collectd.types:
-            self.listener.signals.machines = was.signals.machines
+            self.listener.host_loads.hosts = was.host_loads.hosts
 
     def close(self) -> None:
         if self.distribution is not None:
