--- a/ravenshelf/leadership/decisions/lease_holder.py
+++ b/ravenshelf/leadership/decisions/lease_holder.py
@@ -201,10 +201,14 @@
 
     def expire(self, now: int, quorum_last_contact: int, effects: LeaseEffects) -> None:
         """Ends leases that nobody renewed; once a quorum is back they are requested in a later term."""
+        held = LeaseState.HELD  # bound once: this runs for every shard at every tick
+        expired = LeaseState.EXPIRED
         for shard, claim in enumerate(self.claims):
-            if claim.state is LeaseState.HELD and now >= claim.valid_until:
-                self._set_state(shard, LeaseState.EXPIRED, effects)
-            elif claim.state is LeaseState.EXPIRED and quorum_last_contact > claim.valid_until:
+            state = claim.state
+            if state is held:
+                if now >= claim.valid_until:
+                    self._set_state(shard, expired, effects)
+            elif state is expired and quorum_last_contact > claim.valid_until:
                 self._set_state(shard, LeaseState.IDLE, effects)
 
     def release(
@@ -227,9 +231,16 @@
 
     def tick(self, now: int, effects: LeaseEffects) -> list[int]:
         """Gives up requests without an answer, sends records again; returns when each claim is due next."""
+        idle = LeaseState.IDLE  # bound once: this runs for every shard at every tick
+        held = LeaseState.HELD
         due = []
         for shard, claim in enumerate(self.claims):
-            if claim.state is LeaseState.IDLE:
+            state = claim.state
+            if state is idle:
+                continue
+            is_committed = claim.committed_seq >= claim.seq
+            if state is held and is_committed and not claim.advance_term_at:
+                due.append(claim.valid_until)  # the usual case: there is nothing to do
                 continue
             next_due = self._tick_claim(now, shard, claim, effects)
             if next_due is not None:
--- a/ravenshelf/store/journal.py
+++ b/ravenshelf/store/journal.py
@@ -12,12 +12,13 @@
 from collections.abc import Callable, Iterable, Mapping
 from enum import IntEnum
 from pathlib import Path
-from typing import Any, NamedTuple, TypeAlias
+from typing import Any, TypeAlias
 
 import msgspec
 
 from ravenshelf.store.errors import DamagedSegmentError, JournalFailedError
 from ravenshelf.store.file_system import FileSystem
+from ravenshelf.store.segment_format import StoredRecord
 from ravenshelf.store.segments import Segments
 
 VERSION = 1
@@ -40,18 +41,18 @@
     SNAPSHOT_END = 4
 
 
-class JournalRecord(NamedTuple):
-    """A record as it is stored: an array in this order."""
+# plain numbers, which are encoded and compared faster: there is one for each record
+CHANGE = RecordKind.CHANGE.value
+REMOVAL = RecordKind.REMOVAL.value
+KINDS_WITHOUT_ENTRY = frozenset(
+    (RecordKind.IDENTITY.value, RecordKind.SNAPSHOT_BEGIN.value, RecordKind.SNAPSHOT_END.value)
+)
+JournalRecord: TypeAlias = tuple[int, int, Any, Any]  # kind, version, key, value: an array in this order
 
-    kind: int
-    version: int
-    key: Any
-    value: Any
 
-
-def encode(kind: RecordKind, key: Any = None, value: Any = None, version: int = VERSION) -> bytes:
+def encode(kind: int, key: Any = None, value: Any = None, version: int = VERSION) -> bytes:
     """The body of a record."""
-    return msgspec.msgpack.encode((int(kind), version, key, value))
+    return msgspec.msgpack.encode((kind, version, key, value))
 
 
 class Journal:
@@ -114,33 +115,27 @@
         for number, records in self.segments.all():
             self._replay(self.segments.path(number).name, records)
 
-    def _replay(self, file: str, records: Iterable[tuple[int, bytes]]) -> None:
-        """Applies a segment.
-
-        An unfinished snapshot counts for nothing: what it was made from is still there.
-        """
+    def _replay(self, file: str, records: Iterable[StoredRecord]) -> None:
+        """Applies a segment. An unfinished snapshot is ignored: what it was made from is still there."""
         snapshot: dict[Any, Any] | None = None
         for offset, body in records:
-            record = self._decode(body, file, offset)
-            if record.kind == RecordKind.IDENTITY:
-                self._check_identity(record.value, file)
-            elif record.kind == RecordKind.SNAPSHOT_BEGIN:
+            kind, version, key, value = self._decode(body, file, offset)
+            if kind not in KINDS_WITHOUT_ENTRY:
+                if snapshot is None:
+                    self._apply(self.entries, kind, version, key, value)
+                    self._change_bytes += len(body)
+                else:
+                    self._apply(snapshot, kind, version, key, value)
+                    self._snapshot_bytes += len(body)
+            elif kind == RecordKind.IDENTITY:
+                self._check_identity(value, file)
+            elif kind == RecordKind.SNAPSHOT_BEGIN:
                 snapshot = {}
                 self._snapshot_bytes = 0
                 self._change_bytes = 0
-            elif record.kind == RecordKind.SNAPSHOT_END:
-                if snapshot is None or len(snapshot) != record.value:
-                    found = len(snapshot or ())
-                    reason = f"a snapshot of {record.value} entries, {found} found, at {offset}"
-                    raise DamagedSegmentError(file, reason, offset)
-                self.entries = snapshot
-                snapshot = None
-            elif snapshot is not None:
-                self._apply(snapshot, record)
-                self._snapshot_bytes += len(body)
             else:
-                self._apply(self.entries, record)
-                self._change_bytes += len(body)
+                self.entries = _complete_snapshot(snapshot, value, file, offset)
+                snapshot = None
 
     def _decode(self, body: bytes, file: str, offset: int) -> JournalRecord:
         try:
@@ -150,23 +145,22 @@
         if version > self.version:
             reason = f"a record of version {version} at {offset}, this program knows {self.version}"
             raise DamagedSegmentError(file, reason, offset)
-        return JournalRecord(kind, version, tuple(key) if isinstance(key, list) else key, value)
+        return kind, version, tuple(key) if isinstance(key, list) else key, value
 
     def _check_identity(self, identity: Mapping[str, str], file: str) -> None:
         if identity != self.identity and self.identity:
             raise DamagedSegmentError(file, f"it is {identity}'s, expected {self.identity}'s")
         self.identity = dict(identity)
 
-    def _apply(self, entries: dict[Any, Any], record: JournalRecord) -> None:
-        key = record.key
-        value = record.value
-        for version in range(record.version, self.version):
+    def _apply(self, entries: dict[Any, Any], kind: int, version: int, key: Any, value: Any) -> None:
+        while version < self.version:
             migration = self.migrations.get(version)
             migrated = (key, value) if migration is None else migration(key, value)
             if migrated is None:
                 return
             key, value = migrated
-        if record.kind == RecordKind.REMOVAL:
+            version += 1
+        if kind == REMOVAL:
             entries.pop(key, None)
         else:
             entries[key] = value
@@ -181,8 +175,7 @@
         """
         changes = list(changes)
         bodies = [
-            encode(RecordKind.REMOVAL if value is None else RecordKind.CHANGE, key, value, self.version)
-            for key, value in changes
+            encode(REMOVAL if value is None else CHANGE, key, value, self.version) for key, value in changes
         ]
         self._write(bodies)
         for key, value in changes:
@@ -207,9 +200,9 @@
         """Writes a segment with all entries; only when it is on disk are the older ones removed."""
         outdated = list(self.segments.sizes)
         self.segments.close()
-        begin = [self._encoded_identity(), encode(RecordKind.SNAPSHOT_BEGIN, version=self.version)]
-        entries = [encode(RecordKind.CHANGE, key, value, self.version) for key, value in self.entries.items()]
-        end = encode(RecordKind.SNAPSHOT_END, None, len(entries), self.version)
+        begin = [self._encoded_identity(), encode(RecordKind.SNAPSHOT_BEGIN.value, version=self.version)]
+        entries = [encode(CHANGE, key, value, self.version) for key, value in self.entries.items()]
+        end = encode(RecordKind.SNAPSHOT_END.value, None, len(entries), self.version)
         self._write([*begin, *entries, end])
         for number in outdated:
             self.segments.drop(number)
@@ -217,7 +210,7 @@
         self._change_bytes = 0
 
     def _encoded_identity(self) -> bytes:
-        return encode(RecordKind.IDENTITY, None, self.identity, self.version)
+        return encode(RecordKind.IDENTITY.value, None, self.identity, self.version)
 
     def close(self) -> None:
         """Closes the files and releases the lock."""
@@ -228,3 +221,15 @@
         if self._lock_handle is not None:
             os.close(self._lock_handle)
             self._lock_handle = None
+
+
+def _complete_snapshot(
+    snapshot: dict[Any, Any] | None, expected: int, file: str, offset: int
+) -> dict[Any, Any]:
+    """The entries of a snapshot. Raises DamagedSegmentError where they are not as many as its end says."""
+    if snapshot is None or len(snapshot) != expected:
+        found = len(snapshot or ())
+        raise DamagedSegmentError(
+            file, f"a snapshot of {expected} entries, {found} found, at {offset}", offset
+        )
+    return snapshot
--- a/ravenshelf/store/segment_format.py
+++ b/ravenshelf/store/segment_format.py
@@ -6,7 +6,7 @@
 
 import struct
 from dataclasses import dataclass
-from typing import NamedTuple
+from typing import NamedTuple, TypeAlias
 
 import xxhash
 
@@ -20,11 +20,8 @@
 RECORD_LIMIT_BYTES = 4 * 1024 * 1024
 
 
-class StoredRecord(NamedTuple):
-    """A record that was read, and where its header begins in the file."""
-
-    offset: int
-    body: bytes
+# a record that was read: where its header begins in the file, and its body
+StoredRecord: TypeAlias = tuple[int, bytes]
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,23 +63,23 @@
     Raises DamagedSegmentError for what is no segment.
     """
     if len(data) < SEGMENT_HEADER.size and is_newest:
-        skipped = [SkippedRange(file, 0, len(data), True)] if data else []
-        return SegmentContent([], skipped)
+        return SegmentContent([], [SkippedRange(file, 0, len(data), True)] if data else [])
     _check_header(data, file)
-    content = SegmentContent([], [])
+    records: list[StoredRecord] = []
+    skipped = []
     offset = SEGMENT_HEADER.size
     while offset < len(data):
         body = _body_at(data, offset)
         if body is not None:
-            content.records.append(StoredRecord(offset, body))
+            records.append((offset, body))
             offset += RECORD_HEADER.size + len(body)
             continue
         following = _next_record(data, offset + 1)
         end = len(data) if following is None else following
         is_torn_tail = is_newest and following is None
-        content.skipped.append(SkippedRange(file, offset, end - offset, is_torn_tail))
+        skipped.append(SkippedRange(file, offset, end - offset, is_torn_tail))
         offset = end
-    return content
+    return SegmentContent(records, skipped)
 
 
 def _check_header(data: bytes, file: str) -> None:
--- a/ravenshelf/store/segments.py
+++ b/ravenshelf/store/segments.py
@@ -199,7 +199,7 @@
                 continue
             if number == self._writing:
                 self.close()
-            return number, [record.body for record in self._read(number)]
+            return number, [body for _, body in self._read(number)]
         return None
 
     def all(self) -> list[tuple[int, list[StoredRecord]]]:
--- a/tests/store/test_segments.py
+++ b/tests/store/test_segments.py
@@ -61,7 +61,7 @@
     filled(tmp_path).close()
     path = only_segment(tmp_path)
     data = bytearray(path.read_bytes())
-    offset = unpack(bytes(data), "x", True).records[2].offset
+    offset, _ = unpack(bytes(data), "x", True).records[2]
     data[offset + 20] ^= 1
     path.write_bytes(data)
     segments = opened(tmp_path)
