--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -5,9 +5,9 @@
 from ravenshelf import log_events
 from ravenshelf.net import stream_codec
 from ravenshelf.policy import commands, events
+from ravenshelf.policy.controller import Controller
 from ravenshelf.policy.flow_control import ChannelFlowControl
 from ravenshelf.process.optional_parts import AdmissionGate, CycleObserver
-from ravenshelf.rules import Controller
 from ravenshelf.settings import Settings
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.endpoint_registry import EndpointRegistry
@@ -82,7 +82,7 @@
         batch_number = channel.batch_number
         try:
             self._reconcile(channel)
-            self.controller.round(now, delivered, self.proxy_tables)
+            self.controller.run_cycle(now, delivered, self.proxy_tables)
             changes = self.proxy_tables.changes
             messages = self.proxy_tables.take_messages(self._encode)
         except Exception:
@@ -99,7 +99,7 @@
 
     def _encode(self, proxy: int, parts: list[MessagePart]) -> bytes:
         if self.admission_gate is not None:
-            self.admission_gate.shape(proxy, parts)
+            self.admission_gate.apply_inherited_state(proxy, parts)
         return stream_codec.config(parts, self.registry.names, self.group_names)
 
     def _write(
@@ -119,9 +119,9 @@
             if self.admission_gate is None:
                 write(proxy, payload, marker)
             else:
-                self.admission_gate.offer(proxy, parts, payload, marker)
+                self.admission_gate.submit(proxy, parts, payload, marker)
             if self.cycle_observer is not None:
-                self.cycle_observer.sent(proxy, parts, marker)
+                self.cycle_observer.on_message(proxy, parts, marker)
         return written_lines
 
     def _settle_charges(
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -130,7 +130,7 @@
             self.publish,
             self._schedule_watch,
             settings.discovery == "pushed",
-            self.control_cycle.controller.chance,
+            self.control_cycle.controller.random_source,
         )
         self.health_checks = HealthChecks(
             settings, self.registry, self.counters, self.outgoing_calls, self.publish, self.clock
@@ -152,14 +152,14 @@
 
     def publish(self, event: events.Event) -> None:
         """Deliver an event, unless the admission gate says that it is not for this server's controller."""
-        if self.admission_gate is None or self.admission_gate.heard(event):
+        if self.admission_gate is None or self.admission_gate.passes(event):
             self.deliver(event)
 
     def deliver(self, event: events.Event) -> None:
         """Give an event to the controller, with the next control cycle, and to all observers."""
         self.control_cycle.deliver(event)
         for observer in self.observers:
-            observer.observe(event, self.clock())
+            observer.on_event(event, self.clock())
         self.cycle_scheduler.request()
 
     def _receive_from_peer(self, peer: int | None, payload: bytes) -> None:
--- a/ravenshelf/process/cycle_scheduling.py
+++ b/ravenshelf/process/cycle_scheduling.py
@@ -76,7 +76,7 @@
         self._leave_time_for_accepts(now)
         self.counters.record_maximum("round_most_us", elapsed_us)
         if self.control_cycle.cycle_observer is not None:
-            self.control_cycle.cycle_observer.played(lateness_us, elapsed_us)
+            self.control_cycle.cycle_observer.on_control_cycle(lateness_us, elapsed_us)
         if not self.is_stopping:
             for command in ordered or ():
                 self.execute(command)
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -8,6 +8,8 @@
 import random
 import resource
 from collections.abc import Callable
+from itertools import starmap
+from typing import TYPE_CHECKING
 
 from ravenshelf import log_events
 from ravenshelf.background.decisions import PRESENT, UPKEEP, JobQueue
@@ -15,6 +17,9 @@
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.policy.events import EndpointsListed, ListKind
 
+if TYPE_CHECKING:
+    from ravenshelf.graphite.points import Sample
+
 SECOND = 1_000_000
 USERS_EVERY = 10 * SECOND  # the file of collectd's users is looked at so often
 PAGE = os.sysconf("SC_PAGE_SIZE")
@@ -73,7 +78,7 @@
 
     def _subscribe(self) -> None:
         from ravenshelf.distribution.pilot_service import PilotDistribution
-        from ravenshelf.leadership.service import clock
+        from ravenshelf.leadership.cluster import clock
 
         pilot, table = self.pilot, self.operator.distribution
         self.distribution = PilotDistribution(
@@ -93,8 +98,9 @@
     # --- other controllers ---
 
     def _lead(self) -> None:
-        from ravenshelf.leadership.adapter import Adapter, fenced
-        from ravenshelf.leadership.service import Leadership, clock
+        from ravenshelf.leadership.adapter import Adapter, with_term
+        from ravenshelf.leadership.cluster import clock
+        from ravenshelf.leadership.service import Leadership
 
         pilot, table = self.pilot, self.operator.leadership
 
@@ -103,7 +109,7 @@
             pilot.stop()
 
         def write(proxy: int, message: bytes, mark: int | None, term: int) -> None:
-            message = fenced(message, term) if pilot.acceptor.checks_terms(proxy) else message
+            message = with_term(message, term) if pilot.acceptor.checks_terms(proxy) else message
             pilot.acceptor.write(proxy, message, mark)
 
         self.leadership = Leadership(
@@ -114,14 +120,14 @@
             clock,
             pilot.control_cycle.group_names,
             self.counters,
-            news=pilot.deliver,
+            report_event=pilot.deliver,
             write=write,
-            put=self.leadership.put,
-            names=lambda n: pilot.registry.names[n],
-            version=lambda: pilot.registry.version,
-            index=pilot.registry.index_by_name.get,
-            ramps=self._ramps,
-            warm=self._warm,
+            write_record=self.leadership.write_record,
+            endpoint_name=lambda n: pilot.registry.names[n],
+            list_version=lambda: pilot.registry.version,
+            endpoint_index=pilot.registry.index_by_name.get,
+            warming_since=self._ramps,
+            restore_warm_up=self._warm,
         )
 
     def _ramps(self) -> dict[str, int]:
@@ -146,34 +152,36 @@
     # --- Graphite ---
 
     def _start_graphite(self) -> None:
-        from ravenshelf.graphite.gather import MetricsCollector
-        from ravenshelf.graphite.service import Graphite
+        from ravenshelf.graphite.collector import MetricsCollector
+        from ravenshelf.graphite.service import GraphiteService
 
         pilot, table = self.pilot, self.operator.graphite
-        self.gatherer = MetricsCollector(pilot.control_cycle.settings, self._prefix(table), self.clock())
-        self.gatherer.level_of, self.gatherer.name_of = (
+        self.gatherer = MetricsCollector(
+            pilot.control_cycle.settings,
+            self._prefix(table),
+            self.clock(),
             pilot.proxy_tables.admission_level_of,
             lambda n: pilot.registry.names[n],
         )
-        self.gatherer.observe(EndpointsListed(ListKind.RESTORED, pilot.registry.snapshot()), self.clock())
+        self.gatherer.on_event(EndpointsListed(ListKind.RESTORED, pilot.registry.snapshot()), self.clock())
         for joined in pilot.control_cycle.joined.values():
-            self.gatherer.observe(joined, self.clock())
-        self.graphite = Graphite(
+            self.gatherer.on_event(joined, self.clock())
+        self.graphite = GraphiteService(
             table,
             self.chance,
             loop=pilot.loop,
             clock=self.clock,
             background=self.background,
-            again=lambda receiver, at: pilot.timers.set(("graphite", receiver), at),
+            wake_at=lambda receiver, at: pilot.timers.set(("graphite", receiver), at),
         )
         pilot.observers.insert(0, self.gatherer)
         pilot.control_cycle.cycle_observer = self.gatherer
         self._next_figures(self.clock())
 
     def _prefix(self, table) -> str:
-        from ravenshelf.graphite.formats import word
+        from ravenshelf.graphite.formats import path_component
 
-        return f"{table.prefix}.{word(str(self.pilot.configuration.get('name', 'pilot')))}"
+        return f"{table.prefix}.{path_component(str(self.pilot.configuration.get('name', 'pilot')))}"
 
     def _next_figures(self, now: int) -> None:
         every = self.operator.graphite.every_s * SECOND
@@ -181,56 +189,57 @@
 
     def figures(self, now: int) -> None:
         """Closes an interval; the points are made in the background and carry the interval's boundary as time."""
-        from ravenshelf.graphite.service import aligned
+        from ravenshelf.graphite.service import interval_boundary
 
         self._next_figures(now)
-        time = aligned(now, self.operator.graphite.every_s)
-        take = lambda importance, points: self.graphite.take(time, importance, points)  # noqa: E731
-        work = self.gatherer.points(now, self.pilot.control_cycle.controller, self._counts(now), take)
+        time = interval_boundary(now, self.operator.graphite.every_s)
+        take = lambda importance, points: self.graphite.export(time, importance, points)  # noqa: E731
+        work = self.gatherer.points(now, self.pilot.control_cycle.controller, self._samples(now), take)
         self.background.offer("figures", PRESENT, 2 * SECOND, work)
 
-    def _counts(self, now: int) -> dict[str, float]:
+    def _samples(self, now: int) -> "list[Sample]":
         """What others have counted: sums as rates a second since the last figures, levels as they are."""
-        from ravenshelf.graphite import figures
+        from ravenshelf.graphite import metrics
+        from ravenshelf.graphite.points import Sample
 
         memory, descriptors = vitals()
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        counts = self.graphite.counts() | {
-            figures.MEMORY.path: memory,
-            figures.DESCRIPTORS.path: descriptors,
-            figures.BACKGROUND_WAITING.path: len(self.background.agenda),
-            figures.BACKGROUND_DROPPED.path: self.counters["background_dropped"],
-            figures.MODULE_FAILURES.path: self.counters["module_failures"],
+        counts = {
+            metrics.PROCESS_MEMORY: memory,
+            metrics.PROCESS_DESCRIPTORS: descriptors,
+            metrics.BACKGROUND_QUEUED: len(self.background.agenda),
+            metrics.BACKGROUND_DROPPED: self.counters["background_dropped"],
+            metrics.CONTROL_CYCLES_FAILED: self.counters["module_failures"],
         }
         sums = {
-            figures.ROUNDS.path: self.counters["rounds"],
-            figures.MESSAGES.path: self.counters["messages_sent"],
-            figures.LINES.path: self.counters["lines_sent"],
-            figures.CPU.path: usage.ru_utime + usage.ru_stime,
-            figures.BACKGROUND_PART.path: self.counters["background_us"] / 1e6,
+            metrics.CONTROL_CYCLES: self.counters["rounds"],
+            metrics.MESSAGES_SENT: self.counters["messages_sent"],
+            metrics.LINES_SENT: self.counters["lines_sent"],
+            metrics.PROCESS_CPU: usage.ru_utime + usage.ru_stime,
+            metrics.BACKGROUND_UTILIZATION: self.counters["background_us"] / 1e6,
         }
         if self.leadership is not None:
             lead = self.leadership
             counts |= {
-                figures.SHARDS.path: len(lead.member.owned()),
-                figures.MET.path: 1 + len(lead.links),
-                figures.HELD.path: sum(len(owned.gate) for owned in lead.adapter.owned.values()),
+                metrics.SHARDS_OWNED: len(lead.member.held_shards()),
+                metrics.MEMBERS_CONNECTED: 1 + len(lead.connections.links),
+                metrics.COMMANDS_WAITING: sum(len(owned.gate) for owned in lead.adapter.owned.values()),
             }
             sums |= {
-                figures.COMMITS.path: lead.committer.batches,
-                figures.RECORDS.path: self.counters["records_written"],
+                metrics.STORE_COMMITS: lead.store.committer.batches,
+                metrics.RECORDS_WRITTEN: self.counters["records_written"],
             }
         if self.listener is not None:
             sums |= {
-                figures.PACKETS.path: self.counters["collectd_packets"],
-                figures.REFUSED.path: self.counters["collectd_refused"],
-                figures.VALUES.path: self.counters["collectd_values"],
+                metrics.PACKETS_ACCEPTED: self.counters["collectd_packets"],
+                metrics.PACKETS_REJECTED: self.counters["collectd_refused"],
+                metrics.COLLECTD_VALUES: self.counters["collectd_values"],
             }
         was, self.before = self.before, sums | {"at": now}
         if was:
             seconds = max(1e-3, (now - was["at"]) / SECOND)
-            counts |= {path: (number - was.get(path, 0)) / seconds for path, number in sums.items()}
-        return counts
+            counts |= {metric: (number - was.get(metric, 0)) / seconds for metric, number in sums.items()}
+        return [*self.graphite.samples(), *starmap(Sample, counts.items())]
 
     # --- collectd ---
 
@@ -301,7 +310,7 @@
         elif key[0] == "figures":
             self.figures(now)
         elif key[0] == "graphite":
-            self.graphite.turn(key[1])
+            self.graphite.run_due(key[1])
         elif key[0] == "users":
             self._look_at_users(now)
 
@@ -343,8 +352,8 @@
             self.graphite = self.gatherer = None
             self.pilot.timers.cancel(("figures",))
             return
-        self.graphite.renew(new)
-        self.gatherer.prefix = self._prefix(new)
+        self.graphite.reload(new)
+        self.gatherer.names.prefix = self._prefix(new)
         if new.every_s != old.every_s:
             self._next_figures(self.clock())
 
--- a/ravenshelf/process/optional_parts.py
+++ b/ravenshelf/process/optional_parts.py
@@ -13,30 +13,30 @@
 class EventObserver(Protocol):
     """Is told every event that the controller is told, such as the metrics collector."""
 
-    def observe(self, event: Event, now: int) -> None:
+    def on_event(self, event: Event, now: int) -> None:
         """Take an event, at the server's time in microseconds."""
 
 
 class CycleObserver(Protocol):
     """Is told what control cycles have done."""
 
-    def sent(self, proxy: int, parts: list[MessagePart], mark: int | None) -> None:
+    def on_message(self, proxy: int, parts: list[MessagePart], marker: int | None) -> None:
         """Take the message that was written to a proxy."""
 
-    def played(self, late: int, took: int) -> None:
+    def on_control_cycle(self, lateness_us: int, elapsed_us: int) -> None:
         """Take how late a control cycle began and how long it took, in microseconds."""
 
 
 class AdmissionGate(Protocol):
     """Decides which events come in and which messages leave, where servers share the proxies."""
 
-    def heard(self, event: Event) -> bool:
+    def passes(self, event: Event) -> bool:
         """Return whether the event is for this server's controller."""
 
-    def shape(self, proxy: int, parts: list[MessagePart]) -> None:
+    def apply_inherited_state(self, proxy: int, parts: list[MessagePart]) -> None:
         """Change a message's parts before it is encoded."""
 
-    def offer(self, proxy: int, parts: list[MessagePart], message: bytes, mark: int | None) -> None:
+    def submit(self, proxy: int, parts: list[MessagePart], message: bytes, marker: int | None) -> None:
         """Take a message; it is written when and if it may leave."""
 
 
--- a/ravenshelf/store/journal.py
+++ b/ravenshelf/store/journal.py
@@ -78,7 +78,7 @@
             raise DamagedSegmentError(f"{self.folder}: in use by another process") from None
 
     def _recover(self) -> None:
-        self.cut = sum(lost.octets for lost in self.segments.skipped if lost.torn)
+        self.cut = sum(lost.size_bytes for lost in self.segments.skipped if lost.torn)
         for number, records in self.segments.all():
             name, pending = self.segments.path(number).name, None
             for offset, body in records:
--- a/ravenshelf/store/segments.py
+++ b/ravenshelf/store/segments.py
@@ -63,7 +63,7 @@
 
     file: str
     offset: int
-    octets: int
+    size_bytes: int
     torn: bool  # at the very end of the newest segment: a write that was cut off
 
 
@@ -161,7 +161,7 @@
             for lost in skipped if self.strict else ():
                 if not lost.torn:
                     raise DamagedSegmentError(
-                        f"{lost.file}: {lost.octets} octets from {lost.offset} on are damaged"
+                        f"{lost.file}: {lost.size_bytes} octets from {lost.offset} on are damaged"
                     )
             size = len(data)
             if skipped and skipped[-1].torn and not self.readonly:
--- a/tests/test_distribution_controllers.py
+++ b/tests/test_distribution_controllers.py
@@ -19,7 +19,7 @@
 from ravenshelf.distribution.relay_service import RelayService
 from ravenshelf.distribution.services_file import ServicesFileError, read
 from ravenshelf.distribution.subscription_service import SubscriptionService
-from ravenshelf.leadership.decisions import GRANTING
+from ravenshelf.leadership.decisions import Permission
 from standins.installation import ports
 from standins.world import configuration
 
@@ -209,8 +209,8 @@
         self.good = True
         self.claims = [SimpleNamespace(term=4)] * 8
 
-    def may_order(self, now: int, shard: int) -> str | None:
-        return GRANTING if self.good else None
+    def permission(self, now: int, shard: int) -> Permission | None:
+        return Permission.FULL if self.good else None
 
 
 def test_services_are_claimed_no_more_while_the_lease_is_not_good_and_again_when_it_is():
@@ -220,7 +220,7 @@
         acquire=lambda *words: None, claim=lambda service, claimed: told.append((service, claimed))
     )
     leases.serve(publisher, ["s"])
-    leases.took(shard_of_service("s", 8), 4, None)
+    leases.lease_acquired(shard_of_service("s", 8), 4, None)
     leases.member.good = False
     for seconds in range(10):
         now[0] = seconds * SECOND
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -21,7 +21,7 @@
 from ravenshelf.process.cycle_scheduling import CycleScheduler
 from ravenshelf.process.deadline_keys import CallTimeout, ConnectionTimeout, ServerDeadline
 from ravenshelf.process.registry_client import IDLE_TIMEOUT_US, RegistryClient
-from ravenshelf.rules import SECOND
+from ravenshelf.settings import SECOND
 from standins.world import obeyed
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -223,7 +223,7 @@
         if any(c.end is not None for c in pilot.connections.items.values()):
             self.wrong.append("a slot without an owner")
         due = (
-            pilot.control_cycle.controller.ask_again
+            pilot.control_cycle.controller.watch.retry_at
             or ServerDeadline.WATCH in pilot.timers.deadlines
             or WatchFailed() in pilot.control_cycle.events
         )
