--- a/ravenshelf/commands.py
+++ b/ravenshelf/commands.py
@@ -20,7 +20,7 @@
 
 
 def refuse(why) -> typer.Exit:
-    return typer.Exit(serving.refuse(why))
+    return typer.Exit(serving.report_error(why))
 
 
 def read(config: Path | None) -> dict:
--- a/ravenshelf/process/configuration.py
+++ b/ravenshelf/process/configuration.py
@@ -1,126 +1,174 @@
-"""What a pilot is told at its start: read once and checked, with a complaint that names the field."""
+"""The configuration that a server reads at its start: checked once, with errors that name the field."""
 
 import json
 import os
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from typing import Any
 
 from ravenshelf.errors import RavenshelfError
 from ravenshelf.net.datagrams import address
 from ravenshelf.net.endpoint_codec import EndpointListDecoder, UnreadableListError
 
+FILE_VARIABLE = "RELAY_CONFIG"  # the environment's name for the file's path
+VARIABLE_BY_FIELD = {"name": "RELAY_NAME", "listen": "RELAY_LISTEN", "discovery": "RELAY_DISCOVERY"}
+LEAST_SOCKETS = 64
+DEFAULT_SOCKETS = 1024
+PORT_LIMIT = 65536
+SHOWN_LENGTH = 60
+# a reload takes the first; the list is newer than the second, and a seed begins with a start
+NOT_WAITING_FOR_RESTART = frozenset(["discovery", "known", "seed"])
+
+Configuration = dict[str, Any]
+
 
 class ConfigurationError(RavenshelfError):
-    """The configuration can't be used; the text names the field and what was expected."""
+    """The configuration can't be used: `path` is the field or the file, `problem` what was expected."""
+
+    def __init__(self, path: str, problem: str):
+        super().__init__(f"{path}: {problem}")
+        self.path = path
+        self.problem = problem
+
+
+def _shown(value: object) -> str:
+    return repr(str(value)[:SHOWN_LENGTH])
 
 
-def _address(said: dict, name: str) -> None:
-    value = said.get(name)
+def _check_address(value: Any, path: str) -> None:
     try:
         host, port = address(value)
-        if not host or not 0 <= port < 65536:
+        if not host or not 0 <= port < PORT_LIMIT:
             raise ValueError
-    except (AttributeError, TypeError, ValueError):
-        raise ConfigurationError(f"{name}: expected host:port, not {value!r}") from None
+    except (AttributeError, TypeError, ValueError) as error:
+        raise ConfigurationError(path, f"expected host:port, not {value!r}") from error
 
 
-def _map(said: dict, name: str) -> dict:
-    if not isinstance(said.get(name), dict):
-        raise ConfigurationError(f"{name}: expected an object, not {str(said.get(name))[:60]!r}")
-    return said[name]
+def _object(configuration: Configuration, name: str) -> dict[str, Any]:
+    value = configuration.get(name)
+    if not isinstance(value, dict):
+        raise ConfigurationError(name, f"expected an object, not {_shown(value)}")
+    return value
+
+
+def _check_settings(settings: dict[str, Any]) -> None:
+    for name in ("azs", "classes"):
+        value = settings.get(name)
+        if not isinstance(value, list) or not value:
+            raise ConfigurationError(
+                f"settings.{name}", f"expected a list that is not empty, not {_shown(value)}"
+            )
+    if not all(isinstance(each, dict) and isinstance(each.get("name"), str) for each in settings["classes"]):
+        raise ConfigurationError("settings.classes", "expected objects with a name each")
 
 
-def _names(settings: dict, name: str) -> None:
-    value = settings.get(name)
-    if not isinstance(value, list) or not value:
+def _check_limits(configuration: Configuration) -> None:
+    limits = _object(configuration, "limits") if "limits" in configuration else {}
+    sockets = limits.get("sockets", DEFAULT_SOCKETS)
+    if not isinstance(sockets, int) or sockets < LEAST_SOCKETS:
         raise ConfigurationError(
-            f"settings.{name}: expected a list that is not empty, not {str(value)[:60]!r}"
+            "limits.sockets", f"expected a whole number from {LEAST_SOCKETS}, not {sockets!r}"
         )
 
 
-def check(said: Any) -> dict:
-    if not isinstance(said, dict):
-        raise ConfigurationError("configuration: expected an object")
-    _address(said, "listen")
-    _address(said, "discovery")
-    settings = _map(said, "settings")
-    _names(settings, "azs")
-    _names(settings, "classes")
-    if not all(isinstance(c, dict) and isinstance(c.get("name"), str) for c in settings["classes"]):
-        raise ConfigurationError("settings.classes: expected objects with a name each")
-    limits = _map(said, "limits") if "limits" in said else {}
-    sockets = limits.get("sockets", 1024)
-    if not isinstance(sockets, int) or sockets < 64:
-        raise ConfigurationError(f"limits.sockets: expected a whole number from 64, not {sockets!r}")
+def _check_seed(configuration: Configuration) -> None:
     try:
-        int(str(said.get("seed", "0")), 16)
-    except ValueError:
-        raise ConfigurationError(f"seed: expected hexadecimal text, not {said.get('seed')!r}") from None
-    peers = said.get("peers") or []
+        int(str(configuration.get("seed", "0")), 16)
+    except ValueError as error:
+        seed = configuration.get("seed")
+        raise ConfigurationError("seed", f"expected hexadecimal text, not {seed!r}") from error
+
+
+def _check_peers(configuration: Configuration) -> None:
+    peers = configuration.get("peers") or []
     if not isinstance(peers, list):
-        raise ConfigurationError(f"peers: expected a list of addresses, not {str(peers)[:60]!r}")
-    for n, peer in enumerate(peers):
-        _address({f"peers[{n}]": peer}, f"peers[{n}]")
+        raise ConfigurationError("peers", f"expected a list of addresses, not {_shown(peers)}")
+    for number, peer in enumerate(peers):
+        _check_address(peer, f"peers[{number}]")
     for name in ("peer_listen", "peers_all"):
-        if said.get(name) is not None:
-            _address(said, name)
-    if said.get("known") is not None:
+        if configuration.get(name) is not None:
+            _check_address(configuration[name], name)
+
+
+def check(configuration: object) -> Configuration:
+    """Return the configuration if it is valid; raises ConfigurationError."""
+    if not isinstance(configuration, dict):
+        raise ConfigurationError("configuration", "expected an object")
+    _check_address(configuration.get("listen"), "listen")
+    _check_address(configuration.get("discovery"), "discovery")
+    _check_settings(_object(configuration, "settings"))
+    _check_limits(configuration)
+    _check_seed(configuration)
+    _check_peers(configuration)
+    if configuration.get("known") is not None:
         try:
-            EndpointListDecoder.check(said["known"])
-        except UnreadableListError as why:
-            raise ConfigurationError(f"known: {why}") from None
-    return said
+            EndpointListDecoder.check(configuration["known"])
+        except UnreadableListError as error:
+            raise ConfigurationError("known", str(error)) from error
+    return configuration
+
 
+def read(path: str | None, environment: Mapping[str, str] = os.environ) -> Configuration:
+    """Read the file at `path`, or the one that RELAY_CONFIG names; raises ConfigurationError.
 
-def read(path: str | None, environment: Mapping[str, str] = os.environ) -> dict:
-    """The file at `path`, or the one that RELAY_CONFIG names; other variables fill in what it leaves out."""
-    path = path or environment.get("RELAY_CONFIG")
+    Other variables fill in what the file leaves out.
+    """
+    path = path or environment.get(FILE_VARIABLE)
     if not path:
-        raise ConfigurationError("RELAY_CONFIG: expected the path of the configuration, it is not set")
+        raise ConfigurationError(FILE_VARIABLE, "expected the path of the configuration, it is not set")
     try:
         with open(path, encoding="utf-8") as file:
-            said = json.load(file)
-    except OSError as why:
-        raise ConfigurationError(f"{path}: {why.strerror}") from None
-    except ValueError as why:
-        raise ConfigurationError(f"{path}: expected JSON, {why}") from None
-    if isinstance(said, dict):
-        for name in ("name", "listen", "discovery"):
-            if name not in said and f"RELAY_{name.upper()}" in environment:
-                said[name] = environment[f"RELAY_{name.upper()}"]
-    return check(said)
-
-
-def renewed(old: dict, new: dict) -> tuple[dict, list[str]]:
-    """The configuration that a reload makes of both, and what of the new one waits for a restart.
-
-    A file of another deployment, by mistake, would lead the pilot to another's discovery: it is refused. Otherwise
-    only discovery's address is taken: what is known of the list is newer than `known`, a seed begins with a start."""
-    for name, of in (("azs", str), ("classes", lambda each: str(each["name"]))):
-        ours, theirs = ([of(each) for each in said["settings"][name]] for said in (old, new))
-        if not set(ours) <= set(theirs):
-            raise ConfigurationError(
-                f"settings.{name}: expected those that this pilot serves, {', '.join(ours)}, not {', '.join(theirs)}; "
-                "this is another deployment's configuration, nothing of it is taken"
-            )
+            configuration = json.load(file)
+    except OSError as error:
+        raise ConfigurationError(path, str(error.strerror)) from error
+    except ValueError as error:
+        raise ConfigurationError(path, f"expected JSON, {error}") from error
+    if isinstance(configuration, dict):
+        for field, variable in VARIABLE_BY_FIELD.items():
+            if field not in configuration and variable in environment:
+                configuration[field] = environment[variable]
+    return check(configuration)
+
+
+def apply_reload(old: Configuration, new: Configuration) -> tuple[Configuration, list[str]]:
+    """Return the configuration to go on with after a reload, and the fields that wait for a restart.
+
+    Only the endpoint registry's address is taken. A file of another deployment, by mistake, would lead
+    the server to another's registry: raises ConfigurationError for it.
+    """
+    _check_same_deployment(old, new, "azs", str)
+    _check_same_deployment(old, new, "classes", lambda each: str(each["name"]))
     waiting = []
-    for name in sorted((set(old) | set(new)) - {"discovery", "known", "seed"}):
-        had, has = old.get(name), new.get(name)
+    for name in sorted((set(old) | set(new)) - NOT_WAITING_FOR_RESTART):
+        had = old.get(name)
+        has = new.get(name)
         if isinstance(had, dict) and isinstance(has, dict):
-            waiting += [
-                f"{name}.{part}" for part in sorted(set(had) | set(has)) if had.get(part) != has.get(part)
-            ]
+            parts = sorted(set(had) | set(has))
+            waiting += [f"{name}.{part}" for part in parts if had.get(part) != has.get(part)]
         elif had != has:
             waiting.append(name)
     return old | {"discovery": new["discovery"]}, waiting
 
 
-def summary(said: dict) -> str:
-    settings = said["settings"]
-    known = said.get("known") or {"targets": []}
+def _check_same_deployment(
+    old: Configuration, new: Configuration, name: str, name_of: Callable[[Any], str]
+) -> None:
+    ours = [name_of(each) for each in old["settings"][name]]
+    theirs = [name_of(each) for each in new["settings"][name]]
+    if not set(ours) <= set(theirs):
+        raise ConfigurationError(
+            f"settings.{name}",
+            f"expected those that this pilot serves, {', '.join(ours)}, not {', '.join(theirs)}; "
+            "this is another deployment's configuration, nothing of it is taken",
+        )
+
+
+def summary(configuration: Configuration) -> str:
+    """Return one line for people."""
+    settings = configuration["settings"]
+    known = configuration.get("known") or {"targets": []}
     return (
-        f"{said.get('name', 'a pilot')}: listens at {said['listen']}, discovery at {said['discovery']} "
-        f"({settings.get('discovery', 'on_request')}); zones {len(settings['azs'])}, classes "
-        f"{len(settings['classes'])}, peers {len(said.get('peers') or [])}, known endpoints "
-        f"{len(known['targets'])}"
+        f"{configuration.get('name', 'a pilot')}: listens at {configuration['listen']}, "
+        f"discovery at {configuration['discovery']} ({settings.get('discovery', 'on_request')}); "
+        f"zones {len(settings['azs'])}, classes {len(settings['classes'])}, "
+        f"peers {len(configuration.get('peers') or [])}, known endpoints {len(known['targets'])}"
     )
--- a/ravenshelf/process/logs.py
+++ b/ravenshelf/process/logs.py
@@ -1,4 +1,4 @@
-"""Log lines on standard error: bounded in rate, written by a thread so that a full pipe never blocks the loop."""
+"""Log lines on standard error: bounded in rate, written by a thread so that a full pipe blocks nothing."""
 
 import json
 import queue
@@ -6,67 +6,84 @@
 import threading
 import time
 from collections.abc import Callable
+from contextlib import suppress
 from datetime import UTC
+from typing import Any
 
 from loguru import logger
 
 from ravenshelf.log_events import LEVELS
 
 __all__ = ["LEVELS", "Sink", "start"]
-A_SECOND, BURST, WAITING = 20, 200, 1000
-FLUSH_TIMEOUT = (
-    0.15  # seconds for the last lines; with the 0.25 that streams may take, well within the 0.7 until SIGKILL
-)
+LINES_PER_SECOND = 20
+BURST = 200  # lines at once
+QUEUE_LINES = 1000
+ERROR_NUMBER = 40  # of loguru's levels: from here on lines are written beyond the rate, too
+# seconds for the last lines; with the 0.25 that streams may take, well within the 0.7 until SIGKILL
+FLUSH_TIMEOUT = 0.15
 
 
 class Sink:
-    """`form` is "text" or "json"; it may change while the log is written. It must have no method `write`: loguru
-    would take it for a file and call that, past the bound and the thread."""
+    """Takes loguru's messages and passes lines to `out` in a thread.
+
+    `form` is "text" or "json"; it may change while the log is written. It must have no method `write`: loguru
+    would take it for a file and call that, past the rate and the thread.
+    """
 
     def __init__(self, out: Callable[[str], None], form: str = "text"):
-        self.lines, self.out, self.lost, self.form = queue.Queue(WAITING), out, 0, form
-        self.left, self.at = float(BURST), 0.0
+        self.out = out
+        self.form = form
+        self.lines: queue.Queue[str | None] = queue.Queue(QUEUE_LINES)
+        self.lines_left_out = 0
+        self.tokens = float(BURST)
+        self.refilled_at = 0.0  # seconds of the log's own time
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
-    def __call__(self, message) -> None:
-        at = message.record["time"].timestamp()
-        self.left = min(BURST, self.left + max(0.0, at - self.at) * A_SECOND) if self.at else self.left
-        self.at = at
-        if self.left < 1 and message.record["level"].no < 40:
-            self.lost += 1
+    def __call__(self, message: Any) -> None:
+        """Queue a message of loguru's, or count it as left out."""
+        self._refill(message.record["time"].timestamp())
+        if self.tokens < 1 and message.record["level"].no < ERROR_NUMBER:
+            self.lines_left_out += 1
             return
-        self.left = max(0.0, self.left - 1)
-        if self.form == "json":
-            text = as_json(message.record, self.lost)
-        else:
-            text = f"({self.lost} lines left out) {message}" if self.lost else str(message)
+        self.tokens = max(0.0, self.tokens - 1)
         try:
-            self.lines.put_nowait(text)
-            self.lost = 0
+            self.lines.put_nowait(self._line(message))
+            self.lines_left_out = 0
         except queue.Full:
-            self.lost += 1
+            self.lines_left_out += 1
+
+    def _refill(self, at: float) -> None:
+        if self.refilled_at:
+            elapsed = max(0.0, at - self.refilled_at)
+            self.tokens = min(BURST, self.tokens + elapsed * LINES_PER_SECOND)
+        self.refilled_at = at
+
+    def _line(self, message: Any) -> str:
+        if self.form == "json":
+            return as_json(message.record, self.lines_left_out)
+        if self.lines_left_out:
+            return f"({self.lines_left_out} lines left out) {message}"
+        return str(message)
 
     def _run(self) -> None:
         while (text := self.lines.get()) is not None:
-            try:
+            with suppress(OSError, ValueError):  # nobody reads; the server goes on
                 self.out(text)
-            except (OSError, ValueError):
-                pass  # nobody reads; the pilot goes on
 
     def finish(self, seconds: float) -> None:
-        """Writes what waits, for so long at most."""
-        by = time.monotonic() + seconds
+        """Write what is queued, for so long at most."""
+        until = time.monotonic() + seconds
         try:
             self.lines.put(None, timeout=seconds)
         except queue.Full:
             return
-        self.thread.join(max(0.0, by - time.monotonic()))
+        self.thread.join(max(0.0, until - time.monotonic()))
 
 
-def as_json(record: dict, lost: int = 0) -> str:
-    """One object: when, level, the event's stable name, its fields, its words."""
-    said = {
+def as_json(record: dict[str, Any], lines_left_out: int = 0) -> str:
+    """Return a record as one object: its time, level, the event's stable name, its fields, its words."""
+    fields = {
         "at": record["time"].astimezone(UTC).isoformat(timespec="milliseconds"),
         "level": record["level"].name,
         "event": "",
@@ -76,19 +93,21 @@
     if record["exception"] is not None:
         from traceback import format_exception
 
-        why = record["exception"]
-        said["trace"] = "".join(format_exception(why.type, why.value, why.traceback))
-    if lost:
-        said["left_out"] = lost
-    return json.dumps(said, default=str) + "\n"
+        raised = record["exception"]
+        fields["trace"] = "".join(format_exception(raised.type, raised.value, raised.traceback))
+    if lines_left_out:
+        fields["left_out"] = lines_left_out
+    return json.dumps(fields, default=str) + "\n"
 
 
-def start(level: str, form: str = "text", write: Callable[[str], None] | None = None) -> Sink:
-    def stderr(text: str) -> None:
-        sys.stderr.write(text)
-        sys.stderr.flush()
+def _write_to_stderr(text: str) -> None:
+    sys.stderr.write(text)
+    sys.stderr.flush()
 
-    sink = Sink(write or stderr, form)
+
+def start(level: str, form: str = "text", write: Callable[[str], None] | None = None) -> Sink:
+    """Send the log, from `level` on, to standard error or to `write`."""
+    sink = Sink(write or _write_to_stderr, form)
     logger.remove()
     logger.add(sink, level=level, format="{time:HH:mm:ss.SSS} {level} {message}", catch=True)
     return sink
--- a/ravenshelf/process/reloading.py
+++ b/ravenshelf/process/reloading.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from ravenshelf import log_events
-from ravenshelf.process.configuration import ConfigurationError, renewed
+from ravenshelf.process.configuration import ConfigurationError, apply_reload
 from ravenshelf.process.deadline_keys import ServerDeadline
 from ravenshelf.process.timers import Timers
 from ravenshelf.state.counters import Counters
@@ -61,7 +61,7 @@
     def _reload_configuration(self) -> None:
         self.timers.cancel(ServerDeadline.RELOAD)
         try:
-            new, waiting = renewed(self.configuration(), self.read_configuration())
+            new, waiting = apply_reload(self.configuration(), self.read_configuration())
         except ConfigurationError as error:
             self.counters["reloads_failed"] += 1
             log_events.CONFIGURATION_REJECTED(why=str(error))
--- a/ravenshelf/process/serving.py
+++ b/ravenshelf/process/serving.py
@@ -1,4 +1,4 @@
-"""`ravenshelf serve`: its options, what they name, and the pilot that runs until SIGTERM."""
+"""`ravenshelf serve`: its options, the files that they name, and the server that runs until SIGTERM."""
 
 import argparse
 import sys
@@ -6,8 +6,11 @@
 from ravenshelf.log_events import LEVELS
 from ravenshelf.process import configuration
 
+EXIT_USAGE = 2
+
 
 def options(arguments: list[str]) -> argparse.Namespace:
+    """Parse the arguments; ends the process where they are wrong."""
     parser = argparse.ArgumentParser(
         "ravenshelf serve",
         description="Run one pilot until SIGTERM. Its counters are "
@@ -23,37 +26,51 @@
         metavar="SECONDS",
         help="Between prints of the counters; 0: none.",
     )
-    said = parser.parse_args(arguments)
-    said.log_level = said.log_level.upper()
-    if said.log_level not in LEVELS:
+    parsed = parser.parse_args(arguments)
+    parsed.log_level = parsed.log_level.upper()
+    if parsed.log_level not in LEVELS:
         parser.error(f"--log-level: expected one of {', '.join(LEVELS)}")
-    return said
+    return parsed
 
 
-def refuse(why: Exception) -> int:
-    for line in str(why).splitlines():
+def report_error(error: Exception) -> int:
+    """Print why the server can't start and return the exit code."""
+    for line in str(error).splitlines():
         print(f"ravenshelf: {line}", file=sys.stderr)
-    return 2
+    return EXIT_USAGE
 
 
 def main(arguments: list[str]) -> int:
-    said, tables, again = options(arguments), None, None
-    if said.operator is not None:  # without one nothing of it is loaded
+    """Run `ravenshelf serve` and return the exit code."""
+    parsed = options(arguments)
+    operator = None
+    read_operator = None
+    if parsed.operator is not None:  # without one nothing of it is loaded
         from pathlib import Path
 
         from ravenshelf.operator_config import reading
 
+        file = Path(parsed.operator)
         try:
-            tables = reading.read(Path(said.operator))
-        except reading.OperatorConfigurationError as why:
-            return refuse(why)
-        again = lambda: reading.read(Path(said.operator))  # noqa: E731
+            operator = reading.read(file)
+        except reading.OperatorConfigurationError as error:
+            return report_error(error)
+
+        def read_operator_file() -> reading.Operator:
+            return reading.read(file)
+
+        read_operator = read_operator_file
     try:
-        told = configuration.read(said.config)
-    except configuration.ConfigurationError as why:
-        return refuse(why)
+        checked = configuration.read(parsed.config)
+    except configuration.ConfigurationError as error:
+        return report_error(error)
     from ravenshelf.process import run
 
     return run.run(
-        told, lambda: configuration.read(said.config), said.log_level, said.counters_every, tables, again
+        checked,
+        lambda: configuration.read(parsed.config),
+        parsed.log_level,
+        parsed.counters_every,
+        operator,
+        read_operator,
     )
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -715,8 +715,8 @@
     loop.play(0.1)
     controller, messages = pilot.control_cycle.controller, pilot.counters["messages_sent"]
     texts = [
-        ConfigurationError("expected JSON"),
-        ConfigurationError("expected JSON"),
+        ConfigurationError("config.json", "expected JSON"),
+        ConfigurationError("config.json", "expected JSON"),
         GOOD | {"discovery": "127.0.0.1:99", "limits": {"sockets": 99}, "known": {"rev": 1, "targets": []}},
     ]
 
@@ -778,7 +778,7 @@
         GOOD | {"discovery": "127.0.0.1:99", "settings": SETTINGS | change}
     )
     with pytest.raises(ConfigurationError, match=told):
-        configuration.renewed(before, pilot.reloader.read_configuration())
+        configuration.apply_reload(before, pilot.reloader.read_configuration())
     pilot.reload()
     loop.play(0.01)
     assert pilot.configuration is before
@@ -796,7 +796,7 @@
     def again():
         reads.append(loop.now)
         if len(reads) < 3:
-            raise ConfigurationError("expected JSON")
+            raise ConfigurationError("config.json", "expected JSON")
         return GOOD | {"discovery": "127.0.0.1:99"}
 
     pilot.reloader.read_configuration = again
@@ -815,7 +815,7 @@
 def test_a_reload_with_more_classes_and_zones_is_the_same_deployments(begun):
     pilot, _ = begun
     more = SETTINGS | {"azs": ["c", "b", "a"], "classes": [{"name": "new"}, *SETTINGS["classes"]]}
-    new, waiting = configuration.renewed(
+    new, waiting = configuration.apply_reload(
         pilot.configuration, GOOD | {"discovery": "127.0.0.1:99", "settings": more}
     )
     assert new["discovery"] == "127.0.0.1:99" and waiting == ["settings.azs", "settings.classes"]
