--- a/ravenshelf/graphite/spool.py
+++ b/ravenshelf/graphite/spool.py
@@ -17,7 +17,10 @@
 
 from ravenshelf.graphite.decisions.queue import Batch
 from ravenshelf.graphite.metrics import IMPORTANCES
-from ravenshelf.store.segments import DamagedSegmentError, Files, Segments, Skipped
+from ravenshelf.store.errors import DamagedSegmentError
+from ravenshelf.store.file_system import FileSystem
+from ravenshelf.store.segment_format import SkippedRange
+from ravenshelf.store.segments import Segments
 
 MAX_SEGMENT_BYTES = 1024 * 1024
 MIN_SEGMENT_BYTES = 4096
@@ -34,7 +37,7 @@
 
     number: int
     batches: list[Batch]
-    skipped: list[Skipped]
+    skipped: list[SkippedRange]
 
 
 def pack(batch: Batch) -> bytes:
@@ -69,7 +72,7 @@
         max_bytes: int,
         thread: ThreadPoolExecutor,
         on_loop: Callable[[Callable[[], None]], None],
-        files: Files | None = None,
+        files: FileSystem | None = None,
     ) -> None:
         digest = hashlib.sha256(receiver.encode()).hexdigest()
         self.folder = folder / digest[:FOLDER_NAME_LENGTH]  # receivers are distinguished by their address
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -109,8 +109,9 @@
             pilot.stop()
 
         def write(proxy: int, message: bytes, mark: int | None, term: int) -> None:
-            message = with_term(message, term) if pilot.acceptor.checks_terms(proxy) else message
-            pilot.acceptor.write(proxy, message, mark)
+            pilot.acceptor.write(
+                proxy, with_term(message, term) if pilot.acceptor.checks_terms(proxy) else message, mark
+            )
 
         self.leadership = Leadership(
             table, self.operator.store.folder, pilot.loop, self.counters, self.chance, ended
--- a/ravenshelf/process/optional_parts.py
+++ b/ravenshelf/process/optional_parts.py
@@ -23,7 +23,7 @@
     def on_message(self, proxy: int, parts: list[MessagePart], marker: int | None) -> None:
         """Take the message that was written to a proxy."""
 
-    def on_control_cycle(self, lateness_us: int, elapsed_us: int) -> None:
+    def on_control_cycle(self, delay: int, duration: int) -> None:
         """Take how late a control cycle began and how long it took, in microseconds."""
 
 
--- /dev/null
+++ b/tests/leadership/test_lease_schedules.py
@@ -0,0 +1,116 @@
+"""Whole members under seeded schedules of faults: no rule is broken, and each deliberate defect is found."""
+
+from multiprocessing import Pool
+
+import pytest
+
+from benchmarks.leases import MODEL_DEFECTS, Day, find_counterexample
+from ravenshelf.leadership.decisions import Permission
+from standins.controllers import END_US, Defect, SimulatedCluster
+from standins.histories import (
+    BindProxy,
+    EjectEndpoint,
+    FaultsEnded,
+    GrantRetry,
+    LeaseHeld,
+    MemberStopped,
+    OrderObeyed,
+    OrderSent,
+    ReadmitEndpoint,
+    Rule,
+    check,
+    takeover_times,
+)
+
+SECOND = 1_000_000
+TAKEOVER_LIMIT_S = 6.0
+DEFECT_DAYS = 1200
+DAYS = [
+    Day(seed, members)
+    for members, seeds in ((3, range(380)), (5, range(1000, 1100)), (7, range(2000, 2020)))
+    for seed in seeds
+]
+
+
+def violations_of(day):
+    return day.seed, check(day.cluster().run(), TAKEOVER_LIMIT_S)
+
+
+def test_no_schedule_of_faults_breaks_a_rule():
+    """500 days of 3, 5 and 7 members; on every fourth, clocks run apart as far as they may."""
+    with Pool() as pool:
+        results = pool.imap_unordered(violations_of, DAYS, 8)
+        broken = [(seed, violations[0]) for seed, violations in results if violations]
+    assert not broken
+
+
+def test_a_seed_gives_the_same_history_to_the_last_event():
+    assert SimulatedCluster(11, 5).run() == SimulatedCluster(11, 5).run()
+    assert SimulatedCluster(11, 5).run() != SimulatedCluster(12, 5).run()
+
+
+def test_the_schedules_contain_faults_takeovers_and_orders():
+    """A checker of uneventful days would find nothing."""
+    acquired = 0
+    retries = 0
+    stopped = 0
+    for seed in range(10):
+        events = SimulatedCluster(seed, 3).run()
+        acquired += sum(isinstance(event, LeaseHeld) for event in events)
+        stopped += sum(isinstance(event, MemberStopped) for event in events)
+        sent = [event.order for event in events if isinstance(event, OrderSent)]
+        retries += sum(isinstance(order, GrantRetry) for order in sent)
+    assert acquired > 90 and stopped > 10 and retries > 400
+
+
+def first_violating_seed(defect):
+    """The first day on which the checker sees a deliberate defect, or None."""
+    days = [Day(seed, 3, defect) for seed in range(DEFECT_DAYS)]
+    with Pool() as pool:
+        results = pool.imap(violations_of, days, 8)
+        return next((seed for seed, violations in results if violations), None)
+
+
+@pytest.mark.parametrize("defect", Defect, ids=lambda defect: defect.value)
+def test_the_checker_finds_each_deliberate_defect(defect):
+    assert first_violating_seed(defect) is not None
+
+
+def test_shards_of_a_killed_member_are_taken_over_soon_after_the_lease():
+    times = []
+    for seed in range(12):
+        cluster = SimulatedCluster(seed, 3, has_faults=False)
+        cluster.run(6 * SECOND)
+        cluster.members[seed % 3].stop()
+        times += takeover_times(cluster.run(12 * SECOND))
+    assert len(times) >= 12 and max(times) < 2.5
+
+
+def broken_rules(events, takeover_limit_s):
+    return [violation.rule for violation in check(events, takeover_limit_s)]
+
+
+def test_the_checker_finds_the_smallest_violations():
+    two_holders = [
+        OrderSent(1.0, 0, 0, 70, Permission.FULL, BindProxy()),
+        OrderSent(2.0, 1, 0, 65, Permission.FULL, BindProxy()),
+    ]
+    assert broken_rules(two_holders, 1) == [Rule.SINGLE_LEASE_HOLDER]
+    readmitted_by_the_same_list = [
+        OrderObeyed(1.0, 0, 0, 70, EjectEndpoint("s", 3)),
+        OrderObeyed(2.0, 0, 1, 135, ReadmitEndpoint("s", 3)),
+    ]
+    assert broken_rules(readmitted_by_the_same_list, 1) == [Rule.DRAIN_KEPT]
+    not_taken_over = [
+        LeaseHeld(1.0, 0, 0),
+        MemberStopped(2.0, 0),
+        FaultsEnded(2.5),
+        OrderObeyed(9.0, 0, 1, 1, BindProxy()),
+    ]
+    assert broken_rules(not_taken_over, 3) == [Rule.TAKEOVER_IN_TIME]
+    assert END_US > 0
+
+
+@pytest.mark.parametrize("defect", MODEL_DEFECTS, ids=lambda defect: defect.value if defect else "none")
+def test_the_model_of_the_lease_rules_has_a_counterexample_only_with_a_defect(defect):
+    assert find_counterexample(defect)["found"] == ("unsat" if defect is None else "sat")
