--- a/ravenshelf/distribution/subscribers.py
+++ b/ravenshelf/distribution/subscribers.py
@@ -77,7 +77,7 @@
     def opened(self, connection: MessageConnection) -> None:
         """Somebody dials."""
         if len(self._strangers) >= STRANGERS_MOST:
-            connection.close(ConnectionEnd.CROWDED)
+            connection.close(ConnectionEnd.NO_CAPACITY)
             return
         self._strangers[id(connection)] = connection
         self._timers.set(("stranger", id(connection)), self.clock() + STRANGER_FOR)
--- a/ravenshelf/leadership/peer_connections.py
+++ b/ravenshelf/leadership/peer_connections.py
@@ -121,7 +121,7 @@
         link = Link(self._buffers, self, hello)
         self._unidentified[link] = clock()
         if len(self._unidentified) > UNIDENTIFIED_LIMIT:
-            next(iter(self._unidentified)).close(ConnectionEnd.CROWDED)
+            next(iter(self._unidentified)).close(ConnectionEnd.NO_CAPACITY)
         return link
 
     def close_silent(self, now: int) -> None:
--- a/ravenshelf/net/connection_end.py
+++ b/ravenshelf/net/connection_end.py
@@ -18,24 +18,24 @@
     UNREADABLE = "brought what can't be read"
     TOO_LONG = "brought more than a message may hold"
     UNREAD = "left too much unread"
-    SUPERSEDED = "was followed by a newer one"
-    CROWDED = "made room at the limit of descriptors"
+    SUPERSEDED = "was superseded by a newer one"
+    NO_CAPACITY = "made room at the limit of descriptors"
     FAILED = "met a fault of ours"
-    STOPPING = "the pilot stops"
+    STOPPING = "the server stops"
 
 
 # what a connection is for; the words appear in the log and in the names of counters
 STREAM = "stream"  # of a proxy
 COLLECTOR = "collector"  # of load reports
-UNIDENTIFIED = "stranger"  # accepted, and has not said yet what it is
+UNIDENTIFIED = "unidentified"  # accepted, and has not said yet what it is
 WATCH = "watch"
 FETCH = "fetch"
-HEALTH_CHECK = "probe"
+HEALTH_CHECK = "health check"
 
 # ends of a stream that the server chose, though the proxy may be well
 ENDS_BY_SERVER = (
     ConnectionEnd.UNREAD,
-    ConnectionEnd.CROWDED,
+    ConnectionEnd.NO_CAPACITY,
     ConnectionEnd.SILENT,
     ConnectionEnd.FAILED,
 )
--- a/ravenshelf/net/frames.py
+++ b/ravenshelf/net/frames.py
@@ -9,7 +9,7 @@
 def pack(body: bytes) -> bytes:
     """Return the frame of a body; raises ValueError where it is longer than a frame may be."""
     if len(body) > MOST_FRAME:
-        raise ValueError(f"a frame of {len(body)} octets")
+        raise ValueError(f"a frame of {len(body)} bytes")
     return SIZE.pack(len(body)) + body
 
 
@@ -26,7 +26,7 @@
         while len(self.rest) >= SIZE.size:
             size = SIZE.unpack_from(self.rest)[0]
             if size > MOST_FRAME:
-                raise ValueError(f"a frame of {size} octets")
+                raise ValueError(f"a frame of {size} bytes")
             if len(self.rest) < SIZE.size + size:
                 break
             bodies.append(bytes(self.rest[SIZE.size : SIZE.size + size]))
--- a/ravenshelf/process/acceptor.py
+++ b/ravenshelf/process/acceptor.py
@@ -94,7 +94,7 @@
             self._make_room(connection.connected_at)
         connection.slot = self.slots.acquire(connection)
         if connection.slot is None:
-            connection.close(ConnectionEnd.CROWDED)
+            connection.close(ConnectionEnd.NO_CAPACITY)
             return
         self.unidentified[connection] = None
         self.timers.set(ConnectionTimeout(connection), connection.connected_at + JOIN_TIMEOUT_US)
@@ -112,11 +112,11 @@
         if oldest is None and is_full:
             oldest = self._next_idle_stream()
             if oldest is not None:
-                oldest.close(ConnectionEnd.CROWDED)
+                oldest.close(ConnectionEnd.NO_CAPACITY)
         elif oldest is not None:
             has_stayed = oldest.connected_at <= now - MINIMUM_STAY_US
             if oldest.is_superseded or has_stayed or is_full:
-                oldest.close(ConnectionEnd.CROWDED)
+                oldest.close(ConnectionEnd.NO_CAPACITY)
 
     def _next_idle_stream(self) -> AcceptedConnection | None:
         while self.idle_streams:
@@ -150,7 +150,7 @@
     def _supersede(self, connection: AcceptedConnection) -> None:
         """A newer one is in its place; it stays while it speaks, for the server ends nothing without need."""
         connection.is_superseded = True
-        self.counters[f"{connection.purpose}_followed"] += 1
+        self.counters[f"{connection.purpose}_superseded"] += 1
         self._superseded_spoke(connection)
 
     def _superseded_spoke(self, connection: AcceptedConnection) -> None:
@@ -222,7 +222,7 @@
                 connection.write(stream_codec.PONG)
             else:
                 self.handlers[kind](connection, stream_codec.named(words))
-            self.counters[f"took_{kind.lower()}"] += 1
+            self.counters[f"received_{kind.lower()}"] += 1
         except MalformedMessageError as error:
             logged = repr(line[:LOGGED_LINE_BYTES])
             log_events.MESSAGE_MALFORMED(
@@ -232,7 +232,7 @@
                 self.counters["unreadable"] += 1
                 connection.close(ConnectionEnd.UNREADABLE)
             else:  # a slip in one message says nothing against those around it
-                self.counters[f"spoilt_{kind.lower()}"] += 1
+                self.counters[f"malformed_{kind.lower()}"] += 1
 
     def _subscribe(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
         joined = self.decoder.joined(fields)
@@ -288,7 +288,7 @@
             return
         written_at = connection.pending_markers.get(acknowledged.marker)
         if written_at is None:
-            self.counters["acks_unasked"] += 1
+            self.counters["acks_unexpected"] += 1
             return
         if acknowledged.elapsed > self.clock() - written_at + CLOCK_TOLERANCE_US:
             raise MalformedMessageError("expected took_ms up to the time since the mark was written")
--- a/ravenshelf/process/configuration.py
+++ b/ravenshelf/process/configuration.py
@@ -139,12 +139,12 @@
     _check_same_deployment(old, new, "classes", lambda each: str(each["name"]))
     waiting = []
     for name in sorted((set(old) | set(new)) - NOT_WAITING_FOR_RESTART):
-        had = old.get(name)
-        has = new.get(name)
-        if isinstance(had, dict) and isinstance(has, dict):
-            parts = sorted(set(had) | set(has))
-            waiting += [f"{name}.{part}" for part in parts if had.get(part) != has.get(part)]
-        elif had != has:
+        former = old.get(name)
+        present = new.get(name)
+        if isinstance(former, dict) and isinstance(present, dict):
+            parts = sorted(set(former) | set(present))
+            waiting += [f"{name}.{part}" for part in parts if former.get(part) != present.get(part)]
+        elif former != present:
             waiting.append(name)
     return old | {"discovery": new["discovery"]}, waiting
 
--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -94,7 +94,7 @@
         # not by the queue's length before and after: acknowledgements in this cycle have shortened it
         has_batch = channel.batch_number != batch_number
         self._settle_charges(channel, written_lines, channel.batches[-1].total_lines if has_batch else 0.0)
-        self.counters["rounds"] += 1
+        self.counters["control_cycles"] += 1
         return [*changes.commands, *changes.timers]
 
     def _encode(self, proxy: int, parts: list[MessagePart]) -> bytes:
@@ -153,7 +153,7 @@
         them all.
         """
         self.failures += 1
-        self.counters["module_failures"] += 1
+        self.counters["controller_failures"] += 1
         channel = self.controller.channel  # its queue stays, and its markers are not given again
         channel.discard_charges()
         self.controller = self.make_controller(self.settings, self.controller_seed + self.failures, channel)
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -164,9 +164,9 @@
 
     def _receive_from_peer(self, peer: int | None, payload: bytes) -> None:
         if peer is None:
-            self.counters["datagrams_of_strangers"] += 1
+            self.counters["datagrams_of_unknown_peers"] += 1
         else:
-            self.counters["datagrams_taken"] += 1
+            self.counters["datagrams_received"] += 1
             self.publish(events.PeerMessageReceived(peer, payload))
 
     def _send_to_peer(self, peer: int | None, payload: bytes) -> bool:
--- a/ravenshelf/process/cycle_scheduling.py
+++ b/ravenshelf/process/cycle_scheduling.py
@@ -65,7 +65,7 @@
         """Hand all events to the controller, write its messages and carry out its other commands."""
         now = self.clock()
         lateness_us = now - self.due_at
-        self.counters.record_maximum("loop_lag_most_us", lateness_us)
+        self.counters.record_maximum("loop_lag_max_us", lateness_us)
         self.last_cycle_at = now
         began = time.perf_counter_ns()
         ordered = self.control_cycle.run(now, self.write)
@@ -74,7 +74,7 @@
             self.timers.deadlines.set(ServerDeadline.CONTROL_CYCLE, self.due_at)
         elapsed_us = (time.perf_counter_ns() - began) // 1000
         self._leave_time_for_accepts(now)
-        self.counters.record_maximum("round_most_us", elapsed_us)
+        self.counters.record_maximum("control_cycle_max_us", elapsed_us)
         if self.control_cycle.cycle_observer is not None:
             self.control_cycle.cycle_observer.on_control_cycle(lateness_us, elapsed_us)
         if not self.is_stopping:
--- a/ravenshelf/process/health_checks.py
+++ b/ravenshelf/process/health_checks.py
@@ -41,11 +41,11 @@
         """Check one endpoint; one without an address fails at once."""
         address = self.registry.addresses.get(endpoint)
         if not self.is_allowed or address is None:
-            self.counters["probes_not_sent"] += 1
+            self.counters["health_checks_not_sent"] += 1
             if self.is_allowed:
                 self.publish(HealthCheckCompleted(endpoint, False, 0, ()))
             return
-        self.counters["probes_sent"] += 1
+        self.counters["health_checks_sent"] += 1
         began = self.clock()
         path = "/_load" if self.has_load else "/ping"
         self.calls.open(
--- a/ravenshelf/process/operations.py
+++ b/ravenshelf/process/operations.py
@@ -210,10 +210,10 @@
             metrics.PROCESS_DESCRIPTORS: descriptors,
             metrics.BACKGROUND_QUEUED: len(self.background.agenda),
             metrics.BACKGROUND_DROPPED: self.counters["background_dropped"],
-            metrics.CONTROL_CYCLES_FAILED: self.counters["module_failures"],
+            metrics.CONTROL_CYCLES_FAILED: self.counters["controller_failures"],
         }
         sums = {
-            metrics.CONTROL_CYCLES: self.counters["rounds"],
+            metrics.CONTROL_CYCLES: self.counters["control_cycles"],
             metrics.MESSAGES_SENT: self.counters["messages_sent"],
             metrics.LINES_SENT: self.counters["lines_sent"],
             metrics.PROCESS_CPU: usage.ru_utime + usage.ru_stime,
--- a/ravenshelf/process/outgoing_calls.py
+++ b/ravenshelf/process/outgoing_calls.py
@@ -44,7 +44,7 @@
         """Dial `address` (default: the endpoint registry) and request a path.
 
         `done` is called once, at the end. `on_line` gets the answer's lines as they come; without it the call
-        collects its body. A call that finds no free slot ends as CROWDED.
+        collects its body. A call that finds no free slot ends as NO_CAPACITY.
         """
 
         def ended(call: HttpCall) -> None:
@@ -55,7 +55,7 @@
         call = HttpCall(self.buffers, address or self.registry_address(), path, ended, on_line)
         call.slot = self.slots.acquire(call)
         if call.slot is None:
-            self.loop.call_soon(call.close, ConnectionEnd.CROWDED)
+            self.loop.call_soon(call.close, ConnectionEnd.NO_CAPACITY)
         else:
             self.timers.set(CallTimeout(call), self.clock() + timeout_us)
             call.dial(self.loop)
--- a/ravenshelf/process/registry_client.py
+++ b/ravenshelf/process/registry_client.py
@@ -245,7 +245,7 @@
         """Take a list into the registry; a malformed entry stays as it was: a slip is no removal."""
         entries, addresses, malformed = self.decoder.entries(listed["targets"])
         for index, reason in malformed:
-            self.counters["list_entries_broken"] += 1
+            self.counters["list_entries_malformed"] += 1
             log_events.ENDPOINT_ENTRY_MALFORMED(why=reason)
             if kind is ListKind.REPLACE and index is not None and index in self.registry.entries:
                 entries.append(self.registry.entries[index])
@@ -258,5 +258,5 @@
         except VersionGapError:
             self.counters["lists_taken"] += 1
             raise
-        self.counters["lists_taken" if changed else "lists_old"] += 1
+        self.counters["lists_taken" if changed else "lists_outdated"] += 1
         return changed
--- a/ravenshelf/process/reloading.py
+++ b/ravenshelf/process/reloading.py
@@ -82,7 +82,7 @@
         try:
             operator = self.read_operator()
         except OperatorConfigurationError as error:
-            self.counters["operator_refused"] += 1
+            self.counters["operator_rejected"] += 1
             log_events.OPERATOR_CONFIGURATION_REJECTED(why=str(error))
             return
         self.take_operator(operator)
--- a/tests/process/test_acceptor.py
+++ b/tests/process/test_acceptor.py
@@ -150,8 +150,8 @@
     assert [type(event) for event in e.told[len(before) :]] == [
         DemandReport if s == RATE else LoadReport for s in good
     ] * 2
-    assert c.end is None and sum(n for name, n in e.counters.items() if name.startswith("spoilt_")) == (
-        0 if e.counters["acks_unasked"] or e.counters["stale"] else 1
+    assert c.end is None and sum(n for name, n in e.counters.items() if name.startswith("malformed_")) == (
+        0 if e.counters["acks_unexpected"] or e.counters["stale"] else 1
     )
 
 
@@ -161,7 +161,7 @@
     e.acceptor.write(1, b"", 7)
     e.now += 700_000
     feed(c, b"ACK proxy=1 mark=7 took_ms=700\r\nACK proxy=1 mark=7 took_ms=700\r\n")
-    assert e.told[1:] == [BatchAcknowledged(1, 7, 700_000)] and e.counters["acks_unasked"] == 1
+    assert e.told[1:] == [BatchAcknowledged(1, 7, 700_000)] and e.counters["acks_unexpected"] == 1
 
 
 @pytest.mark.parametrize(
@@ -243,7 +243,7 @@
         new,
         b"ACK proxy=1 mark=8 took_ms=5\r\nACK proxy=1 mark=7 took_ms=5\r\nACK proxy=1 mark=7 took_ms=5\r\n",
     )
-    assert e.told[len(told) :] == [BatchAcknowledged(1, 7, 5000)] and e.counters["acks_unasked"] == 2
+    assert e.told[len(told) :] == [BatchAcknowledged(1, 7, 5000)] and e.counters["acks_unexpected"] == 2
     old.connection_lost(None)
     assert len(e.told) == len(told) + 1 and e.acceptor.streams == {1: new}
 
@@ -288,15 +288,15 @@
     e = entry(slots=6, reserve=5)
     old, new = e.connect(JOIN), e.connect(JOIN)
     first = e.connect()
-    assert old.end is ConnectionEnd.CROWDED and e.acceptor.streams == {1: new}
+    assert old.end is ConnectionEnd.NO_CAPACITY and e.acceptor.streams == {1: new}
     second = e.connect()
     assert first.end is None  # it may be about to join
     e.pass_time(1.1)
     third = e.connect()
-    assert first.end is ConnectionEnd.CROWDED and second.end is None
+    assert first.end is ConnectionEnd.NO_CAPACITY and second.end is None
     more = [e.connect() for _ in range(4)]
     assert (
-        second.end is ConnectionEnd.CROWDED
+        second.end is ConnectionEnd.NO_CAPACITY
         and third.end is None
         and not any(m.end for m in more)
         and new.end is None
--- a/tests/process/test_control_cycle.py
+++ b/tests/process/test_control_cycle.py
@@ -132,7 +132,7 @@
         raise RuntimeError("no such thing")
 
     failed.run_cycle = fail
-    assert p.run(ProxyLeft(1)) is None and not p.out and p.counters["module_failures"] == 1
+    assert p.run(ProxyLeft(1)) is None and not p.out and p.counters["controller_failures"] == 1
     calls = p.run()
     assert p.control_cycle.controller is not failed and [proxy for proxy, _ in p.out] == [0]
     assert "whole=1 lines=s-1:" in p.out[0][1] and WatchEndpoints(True) in calls
--- a/tests/process/test_control_plane.py
+++ b/tests/process/test_control_plane.py
@@ -94,7 +94,7 @@
     pilot.timers.set(ConnectionTimeout(None), loop.now + 10)  # names no connection
     pilot.timers.set(ControllerTimer(0, "mine"), loop.now + 20)
     loop.play(1)
-    assert pilot.counters["deadlines_failed"] == 1 and pilot.counters["rounds"] > 2
+    assert pilot.counters["deadlines_failed"] == 1 and pilot.counters["control_cycles"] > 2
 
 
 def test_a_reload_changes_the_registry_address_and_loses_no_state(begun):
--- a/tests/process/test_endings.py
+++ b/tests/process/test_endings.py
@@ -104,7 +104,7 @@
         async with serving() as (pilot, port):
             proxy = await joined(port)
             pilot.stop()
-            watches, rounds = pilot.counters["discovery_watches"], pilot.counters["rounds"]
+            watches, rounds = pilot.counters["discovery_watches"], pilot.counters["control_cycles"]
             pilot.acceptor.connected(
                 late := type("Late", (), {"close": lambda self, end: setattr(self, "end", end)})()
             )
@@ -115,7 +115,10 @@
             await pilot.stopped
             await proxy.over
             assert late.end.name == "STOPPING" and not pilot.counters["reloads"]
-            assert (pilot.counters["discovery_watches"], pilot.counters["rounds"]) == (watches, rounds)
+            assert (pilot.counters["discovery_watches"], pilot.counters["control_cycles"]) == (
+                watches,
+                rounds,
+            )
             with pytest.raises(OSError):
                 await asyncio.get_running_loop().create_connection(Proxy, "127.0.0.1", port)
 
@@ -168,13 +171,15 @@
     assert filler.end is None
     newcomer = e.connect("SOURCE zone=b")
     assert (
-        newcomer.end is None and streams[3].end is ConnectionEnd.CROWDED and e.told[-1] == ProxyLeft(3, True)
+        newcomer.end is None
+        and streams[3].end is ConnectionEnd.NO_CAPACITY
+        and e.told[-1] == ProxyLeft(3, True)
     )
-    assert e.connect("SOURCE zone=a").end is None and streams[1].end is ConnectionEnd.CROWDED
+    assert e.connect("SOURCE zone=a").end is None and streams[1].end is ConnectionEnd.NO_CAPACITY
     assert streams[0].end is streams[2].end is None
     e.connect()
     assert (
-        filler.end is ConnectionEnd.CROWDED and streams[0].end is streams[2].end is None
+        filler.end is ConnectionEnd.NO_CAPACITY and streams[0].end is streams[2].end is None
     )  # it was followed; who speaks stays
 
 
@@ -220,7 +225,7 @@
                     sent += held.send(line * 5000)
             turn()
             async with asyncio.timeout(20):
-                while pilot.counters["took_rate"] < sent // len(line):
+                while pilot.counters["received_rate"] < sent // len(line):
                     await asyncio.sleep(0.001)
             held.close()
             assert sent > 4 * BUFFER_BYTES and 0 < most <= BUFFER_BYTES + len(line)
--- a/tests/process/test_registry_client.py
+++ b/tests/process/test_registry_client.py
@@ -67,7 +67,7 @@
         ConnectionEnd.SILENT,
         ConnectionEnd.CUT_OFF,
         ConnectionEnd.DECLINED,
-        ConnectionEnd.CROWDED,
+        ConnectionEnd.NO_CAPACITY,
     ],
 )
 def test_each_failed_call_is_reported_once_and_the_list_stays(service, purpose, end):
@@ -232,7 +232,7 @@
 def test_malformed_entries_remove_no_endpoint(service):
     service.discovery.fetch()
     service.calls[-1].answers(6, target("s-1", state="ASLEEP"), target("s-2"))
-    assert sorted(service.registry.entries) == [0, 1] and service.counters["list_entries_broken"] == 1
+    assert sorted(service.registry.entries) == [0, 1] and service.counters["list_entries_malformed"] == 1
     service.discovery.fetch()
     service.calls[-1].answers(7, target("s-2"), 5)
     assert sorted(service.registry.entries) == [0, 1]
@@ -256,7 +256,7 @@
     assert (
         sorted(service.registry.entries) == [0]
         and service.registry.version == 5
-        and service.counters["lists_old"] == 1
+        and service.counters["lists_outdated"] == 1
     )
     assert service.told == [(ListKind.UPDATE, [])]
 
@@ -291,7 +291,7 @@
     )  # gone; starts in the future
     assert [e.state for e in service.registry.entries.values()] == [
         EndpointState.READY
-    ] * 2 and not service.counters["list_entries_broken"]
+    ] * 2 and not service.counters["list_entries_malformed"]
 
 
 def test_a_pushed_list_is_watched_without_a_request():
--- a/tests/process/test_serving.py
+++ b/tests/process/test_serving.py
@@ -65,7 +65,7 @@
     running.send_signal(signal.SIGUSR1)
     while "counters:" not in (line := running.stderr.readline()):
         pass
-    assert "took_ack=1" in line and "unreadable=1" in line and "proxies=1" in line
+    assert "received_ack=1" in line and "unreadable=1" in line and "proxies=1" in line
     running.send_signal(signal.SIGTERM)
     assert proxy.hear() == "" and running.wait(20) == 0
     assert "counters:" in running.stderr.read()
