--- a/ravenshelf/net/accepted.py
+++ b/ravenshelf/net/accepted.py
@@ -6,7 +6,7 @@
 
 from ravenshelf.net.buffered_connection import BufferedConnection
 from ravenshelf.net.connection_end import STREAM, UNIDENTIFIED, ConnectionEnd
-from ravenshelf.net.stream_codec import MOST_LINE, may_begin
+from ravenshelf.net.stream_codec import LINE_LIMIT_BYTES, may_begin
 from ravenshelf.state.buffers import BUFFER_BYTES, BufferPool
 
 UNSENT_LIMIT_BYTES = 256 * 1024  # beyond the socket before one more message; who lags by more is not reading
@@ -95,7 +95,7 @@
 
     def _end_if_too_long(self, size: int) -> bool:
         """Return whether the connection has ended."""
-        if size > (UNIDENTIFIED_LINE_LIMIT_BYTES if self.purpose == UNIDENTIFIED else MOST_LINE):
+        if size > (UNIDENTIFIED_LINE_LIMIT_BYTES if self.purpose == UNIDENTIFIED else LINE_LIMIT_BYTES):
             self.close(ConnectionEnd.TOO_LONG)
         return self.end is not None
 
--- a/ravenshelf/net/stream_codec.py
+++ b/ravenshelf/net/stream_codec.py
@@ -20,11 +20,11 @@
     "eps": "err_rps",
 }
 
-MOST_LINE = 1024 * 1024  # a message holds no more
-MOST_PARTS = 64
-MOST_FIGURE = 2.0**32  # beyond any count or time that is meant
-MOST_SPAN = 600_000.0  # ms: beyond any window that a report is counted over
-NOISE = 4  # a reported mean may lie so far over what is true
+LINE_LIMIT_BYTES = 1024 * 1024  # a message holds no more
+PARTS_LIMIT = 64
+NUMBER_LIMIT = 2.0**32  # beyond any count or time that is meant
+SPAN_LIMIT_MS = 600_000.0  # ms: beyond any window that a report is counted over
+MEAN_TOLERANCE = 4  # a reported mean may lie so far over what is true
 BEGINNING_BYTES = 12  # of a line: more than any kind of message has
 PING = "PING"
 PONG = b"PONG\r\n"
@@ -44,7 +44,7 @@
     """No message at all, or one that is not valid on its connection, which is of no further use."""
 
 
-def words(line: bytes) -> tuple[str, list[str]]:
+def split_line(line: bytes) -> tuple[str, list[str]]:
     """Return the kind of a message and its words; raises UnreadableConnectionError."""
     try:
         kind, *rest = line.decode("utf-8").split()
@@ -55,15 +55,15 @@
     return kind, rest
 
 
-def named(words: list[str]) -> dict[str, str]:
+def parse_fields(words: list[str]) -> dict[str, str]:
     """Return the fields of a message by name; raises MalformedMessageError where a name comes twice."""
-    said = {}
+    fields = {}
     for word in words:
         name, equals, value = word.partition("=")
-        if not equals or not name or name in said:
+        if not equals or not name or name in fields:
             raise MalformedMessageError(f"expected name=value, each name once, not {word[:40]!r}")
-        said[name] = value
-    return said
+        fields[name] = value
+    return fields
 
 
 def may_begin(rest: bytes | bytearray) -> bool:
@@ -73,22 +73,22 @@
     return word in KINDS if space else any(kind.startswith(word) for kind in KINDS)
 
 
-def number(said: dict[str, str], name: str, most: float = MOST_FIGURE) -> float:
+def number(fields: dict[str, str], name: str, most: float = NUMBER_LIMIT) -> float:
     """Return a field that is a number from 0 to `most`; raises MalformedMessageError."""
     try:
-        value = float(said[name])
+        value = float(fields[name])
     except KeyError as why:
         raise MalformedMessageError(f"expected {name}=") from why
     except ValueError as why:
-        raise MalformedMessageError(f"expected a number as {name}, not {said[name][:40]!r}") from why
+        raise MalformedMessageError(f"expected a number as {name}, not {fields[name][:40]!r}") from why
     if not 0 <= value <= most:
-        raise MalformedMessageError(f"expected {name} from 0 to {most:g}, not {said[name][:40]!r}")
+        raise MalformedMessageError(f"expected {name} from 0 to {most:g}, not {fields[name][:40]!r}")
     return value
 
 
-def whole(said: dict[str, str], name: str, beyond: int | None = None) -> int:
+def whole_number(fields: dict[str, str], name: str, beyond: int | None = None) -> int:
     """Return a field that is a whole number, below `beyond` where that is given."""
-    value = number(said, name)
+    value = number(fields, name)
     if value != int(value) or (beyond is not None and value >= beyond):
         raise MalformedMessageError(
             f"expected a whole number{f' below {beyond}' if beyond else ''} as {name}, not {value:g}"
@@ -96,47 +96,54 @@
     return int(value)
 
 
-def micros(said: dict[str, str], name: str, most: float = MOST_SPAN) -> int:
+def microseconds(fields: dict[str, str], name: str, most: float = SPAN_LIMIT_MS) -> int:
     """Return a field that is in milliseconds, as microseconds."""
-    return round(number(said, name, most) * 1000)
+    return round(number(fields, name, most) * 1000)
 
 
-def counted(said: dict[str, str]) -> tuple[int, int, int]:
+def attempt_counts(fields: dict[str, str]) -> tuple[int, int, int]:
     """Return attempts, how many of them failed, and the window that they were counted over (us)."""
-    tries, failed, span = whole(said, "tries"), whole(said, "failed"), micros(said, "span_ms")
-    if not span:
+    attempts = whole_number(fields, "tries")
+    failed = whole_number(fields, "failed")
+    window_us = microseconds(fields, "span_ms")
+    if not window_us:
         raise MalformedMessageError("expected span_ms above 0")
-    return tries, failed, span
+    return attempts, failed, window_us
 
 
-def flag(said: dict[str, str], name: str) -> bool:
+def flag(fields: dict[str, str], name: str) -> bool:
     """Return a field that is 0 or 1."""
-    if said.get(name) not in ("0", "1"):
+    if fields.get(name) not in ("0", "1"):
         raise MalformedMessageError(f"expected 0 or 1 as {name}")
-    return said[name] == "1"
+    return fields[name] == "1"
 
 
-def load_report(pairs: Iterable[tuple[str, str]], columns: Sequence[str]) -> tuple[float, ...]:
+def load_report(values: Iterable[tuple[str, str]], columns: Sequence[str]) -> tuple[float, ...]:
     """Return the load columns in the settings' order; () where one is missing or malformed."""
-    had = {}
-    for name, text in pairs:
+    reported = {}
+    for name, text in values:
         try:
             value = float(text)
         except ValueError:
             return ()
-        if not 0 <= value <= MOST_FIGURE:
+        if not 0 <= value <= NUMBER_LIMIT:
             return ()
-        had[LOAD_WORDS.get(name, name)] = value
-    wanted = [had.get(LOAD_WORDS.get(c, c)) for c in columns]
-    return tuple(value for value in wanted if value is not None) if None not in wanted else ()
+        reported[LOAD_WORDS.get(name, name)] = value
+    load = []
+    for column in columns:
+        wanted = reported.get(LOAD_WORDS.get(column, column))
+        if wanted is None:
+            return ()
+        load.append(wanted)
+    return tuple(load)
 
 
-def checks_terms(said: dict[str, str]) -> bool:
+def checks_terms(fields: dict[str, str]) -> bool:
     """Return whether a proxy that joins rejects orders of an older term."""
-    return said.get("term") == "1"
+    return fields.get("term") == "1"
 
 
-def pairs(text: str, between: str) -> list[tuple[str, str]]:
+def named_values(text: str, between: str) -> list[tuple[str, str]]:
     """Return the names and values of a list with commas, such as "a=1,b=2"."""
     if not text:
         return []
@@ -158,75 +165,85 @@
         self.groups = {group.name: n for n, group in enumerate(settings.traffic_groups)}
         self.proxies = settings.service.proxy_count or 65536
         longest = max([group.deadline_us for group in settings.traffic_groups], default=0)
-        self.longest = NOISE * longest / 1000 or MOST_SPAN  # no attempt outlasts the longest deadline
+        self.longest = (
+            MEAN_TOLERANCE * longest / 1000 or SPAN_LIMIT_MS
+        )  # no attempt outlasts the longest deadline
         self.columns = settings.telemetry.columns
         self.endpoint = endpoint
 
-    def zone(self, said: dict[str, str]) -> int:
+    def zone(self, fields: dict[str, str]) -> int:
         """Return the index of the zone that a message names."""
-        return self._named(said, "zone", self.zones)
+        return self._named(fields, "zone", self.zones)
 
     @staticmethod
-    def _named(said: dict[str, str], name: str, known: dict[str, int]) -> int:
-        if said.get(name) not in known:
-            raise MalformedMessageError(f"expected a {name} of the settings, not {said.get(name, '')[:40]!r}")
-        return known[said[name]]
-
-    def proxy(self, said: dict[str, str]) -> int:
+    def _named(fields: dict[str, str], name: str, known: dict[str, int]) -> int:
+        if fields.get(name) not in known:
+            raise MalformedMessageError(
+                f"expected a {name} of the settings, not {fields.get(name, '')[:40]!r}"
+            )
+        return known[fields[name]]
+
+    def proxy(self, fields: dict[str, str]) -> int:
         """Return the number of the proxy that a message names."""
-        return whole(said, "proxy", self.proxies)
+        return whole_number(fields, "proxy", self.proxies)
 
-    def joined(self, said: dict[str, str]) -> ProxyJoined:
+    def joined(self, fields: dict[str, str]) -> ProxyJoined:
         """Decode a SUBSCRIBE; a proxy whose usual rate is not known may leave it out."""
         return ProxyJoined(
-            self.proxy(said),
-            self.zone(said),
-            number({"weight": "0"} | said, "weight"),
-            flag(said, "fresh"),
+            self.proxy(fields),
+            self.zone(fields),
+            number({"weight": "0"} | fields, "weight"),
+            flag(fields, "fresh"),
         )
 
-    def acknowledged(self, said: dict[str, str]) -> BatchAcknowledged:
+    def acknowledged(self, fields: dict[str, str]) -> BatchAcknowledged:
         """Decode an ACK."""
-        return BatchAcknowledged(self.proxy(said), whole(said, "mark", 65536), micros(said, "took_ms"))
+        return BatchAcknowledged(
+            self.proxy(fields), whole_number(fields, "mark", 65536), microseconds(fields, "took_ms")
+        )
 
-    def demand_report(self, said: dict[str, str]) -> DemandReport:
+    def demand_report(self, fields: dict[str, str]) -> DemandReport:
         """Decode a RATE."""
-        return DemandReport(self.proxy(said), self._named(said, "class", self.groups), *counted(said))
+        return DemandReport(
+            self.proxy(fields), self._named(fields, "class", self.groups), *attempt_counts(fields)
+        )
 
-    def load_report(self, said: dict[str, str]) -> LoadReport | None:
+    def load_report(self, fields: dict[str, str]) -> LoadReport | None:
         """Decode a LOAD; None where the endpoint was never listed, which says nothing against the line."""
-        zone = self.zone(said)
-        tries, failed, span = counted(said)
-        if failed > tries:  # of RATE it may be so: what failed may have come in the window before
-            raise MalformedMessageError(f"expected failed up to tries={tries}, not {failed}")
-        mean = micros({"mean_ms": "0"} | said if failed == tries else said, "mean_ms", self.longest)
-        if failed < tries and not mean:
+        zone = self.zone(fields)
+        attempts, failed, window_us = attempt_counts(fields)
+        if failed > attempts:  # of RATE it may be so: what failed may have come in the window before
+            raise MalformedMessageError(f"expected failed up to tries={attempts}, not {failed}")
+        mean_us = microseconds(
+            {"mean_ms": "0"} | fields if failed == attempts else fields, "mean_ms", self.longest
+        )
+        if failed < attempts and not mean_us:
             raise MalformedMessageError("expected mean_ms above 0")
-        if not said.get("server"):
+        if not fields.get("server"):
             raise MalformedMessageError("expected server=")
-        index = self.endpoint(said["server"])
-        report = load_report(pairs(said.get("load", ""), ":"), self.columns)
-        return None if index is None else LoadReport(zone, index, tries, failed, mean, span, report)
+        index = self.endpoint(fields["server"])
+        load = load_report(named_values(fields.get("load", ""), ":"), self.columns)
+        return None if index is None else LoadReport(zone, index, attempts, failed, mean_us, window_us, load)
 
 
-def figure(value: float) -> str:
+def decimal_text(value: float) -> str:
     """Return a number in plain decimals, above 0 where it is above 0."""
     text = f"{value:.6f}".rstrip("0").rstrip(".")
     return text if float(text) or not value else f"{max(value, 1e-12):.12f}".rstrip("0")
 
 
-def config(parts: list[MessagePart], names: list[str], groups: list[str]) -> bytes:
+def encode_message(parts: list[MessagePart], names: list[str], groups: list[str]) -> bytes:
     """Encode one message: its parts as lines, all but the last saying that more follow.
 
     `names` are those of the endpoints and `groups` those of the traffic groups, each by index. Raises
     ValueError where the message has too many parts or bytes.
     """
-    if len(parts) > MOST_PARTS:
+    if len(parts) > PARTS_LIMIT:
         raise ValueError(f"a message of {len(parts)} parts")
     last = len(parts) - 1
     lines = [_part_line(part, number < last, names, groups) for number, part in enumerate(parts)]
     message = ("\r\n".join(lines) + "\r\n").encode()
-    if len(message) > MOST_LINE:
+    if len(message) > LINE_LIMIT_BYTES:
         raise ValueError(f"a message of {len(message)} bytes")
     return message
 
@@ -238,10 +255,10 @@
     if part.is_complete:
         words.append("whole=1")
     if part.weights:
-        words.append("lines=" + ",".join(f"{names[e]}:{figure(weight)}" for e, weight in part.weights))
+        words.append("lines=" + ",".join(f"{names[e]}:{decimal_text(weight)}" for e, weight in part.weights))
     if part.admission_level is not None:
         level = part.admission_level
-        words.append(f"level={figure(level.level)} retry={level.retry_mode}")
+        words.append(f"level={decimal_text(level.level)} retry={level.retry_mode}")
     if part.ejected:
         words.append("out=" + ",".join(names[endpoint] for endpoint in part.ejected))
     if part.readmitted:
--- a/ravenshelf/process/acceptor.py
+++ b/ravenshelf/process/acceptor.py
@@ -216,12 +216,12 @@
             self._superseded_spoke(connection)
         kind = "unreadable"
         try:
-            kind, words = stream_codec.words(line)
+            kind, words = stream_codec.split_line(line)
             if kind == stream_codec.PING:
                 self.counters["pongs_sent"] += 1
                 connection.write(stream_codec.PONG)
             else:
-                self.handlers[kind](connection, stream_codec.named(words))
+                self.handlers[kind](connection, stream_codec.parse_fields(words))
             self.counters[f"received_{kind.lower()}"] += 1
         except MalformedMessageError as error:
             logged = repr(line[:LOGGED_LINE_BYTES])
--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -100,7 +100,7 @@
     def _encode(self, proxy: int, parts: list[MessagePart]) -> bytes:
         if self.admission_gate is not None:
             self.admission_gate.apply_inherited_state(proxy, parts)
-        return stream_codec.config(parts, self.registry.names, self.group_names)
+        return stream_codec.encode_message(parts, self.registry.names, self.group_names)
 
     def _write(
         self,
--- a/ravenshelf/process/health_checks.py
+++ b/ravenshelf/process/health_checks.py
@@ -4,7 +4,7 @@
 
 from ravenshelf.net.connection_end import HEALTH_CHECK, ConnectionEnd, outcome
 from ravenshelf.net.http import HttpCall
-from ravenshelf.net.stream_codec import load_report, pairs
+from ravenshelf.net.stream_codec import load_report, named_values
 from ravenshelf.policy.events import Event, HealthCheckCompleted
 from ravenshelf.process.registry_client import CallOpener
 from ravenshelf.settings import Settings
@@ -62,5 +62,5 @@
             return
         has_succeeded = call.end is ConnectionEnd.ANSWERED
         text = call.body.decode("utf-8", "replace").strip() if has_succeeded and self.has_load else ""
-        load = load_report(pairs(text, "="), self.columns)
+        load = load_report(named_values(text, "="), self.columns)
         self.publish(HealthCheckCompleted(endpoint, has_succeeded, self.clock() - began, load))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -242,8 +242,8 @@
     } | more
 
 
-class Wire:
-    """A transport that keeps what is written and how it was ended."""
+class RecordingTransport:
+    """A transport that records what is written and how it was ended."""
 
     def __init__(self, unsent=0):
         self.written, self.ended, self.unsent, self.paused = b"", None, unsent, False
@@ -284,7 +284,7 @@
         connection.buffer_updated(len(piece))
 
 
-class Entry:
+class AcceptorDriver:
     """A connection acceptor, with a clock set by hand; `told` holds the events that it published."""
 
     def __init__(self, slots=64, reserve=4):
@@ -305,7 +305,7 @@
 
     def connect(self, *said, unsent=0):
         connection = AcceptedConnection(self.buffers, self.acceptor)
-        connection.connection_made(Wire(unsent))
+        connection.connection_made(RecordingTransport(unsent))
         for line in said:
             feed(connection, line.encode() + b"\r\n")
         return connection
@@ -317,5 +317,5 @@
 
 
 @pytest.fixture
-def entry():
-    return Entry
+def drive_acceptor():
+    return AcceptorDriver
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from conftest import Wire, feed
+from conftest import RecordingTransport, feed
 
 from ravenshelf.net.connection_end import (
     ConnectionEnd,
@@ -13,7 +13,7 @@
 
 
 def call(piece=None):
-    ended, made = [], Wire()
+    ended, made = [], RecordingTransport()
     c = HttpCall(BufferPool(), "127.0.0.1:1", "/x", ended.append, piece)
     c.connection_made(made)
     return c, ended
--- a/tests/net/test_stream_codec.py
+++ b/tests/net/test_stream_codec.py
@@ -22,7 +22,7 @@
     ],
 )
 def test_encoded_numbers_decode_to_the_same_value(value, text):
-    assert stream_codec.figure(value) == text and (float(text) > 0) == (value > 0)
+    assert stream_codec.decimal_text(value) == text and (float(text) > 0) == (value > 0)
 
 
 def test_a_message_of_several_parts_is_encoded_as_lines():
@@ -30,13 +30,13 @@
         MessagePart((0, 1), True, [(0, 1.5), (1, 0)], None, [1], [0]),
         MessagePart((1,), admission_level=AdmissionLevel(0.5, 1), marker=9),
     ]
-    assert stream_codec.config(parts, ["s-1", "s-2"], ["look", "pay"]) == (
+    assert stream_codec.encode_message(parts, ["s-1", "s-2"], ["look", "pay"]) == (
         b"CONFIG classes=look+pay whole=1 lines=s-1:1.5,s-2:0 out=s-2 back=s-1 more=1\r\n"
         b"CONFIG classes=pay level=0.5 retry=1 ticket=9\r\n"
     )
     assert [p.line_count() for p in parts] == [5, 2]
     with pytest.raises(ValueError):
-        stream_codec.config([MessagePart()] * 65, [], [])
+        stream_codec.encode_message([MessagePart()] * 65, [], [])
 
 
 @pytest.mark.parametrize(
@@ -56,4 +56,4 @@
     ],
 )
 def test_load_columns_are_decoded_by_name(text, columns, report):
-    assert stream_codec.load_report(stream_codec.pairs(text, "="), columns) == report
+    assert stream_codec.load_report(stream_codec.named_values(text, "="), columns) == report
--- a/tests/process/test_acceptor.py
+++ b/tests/process/test_acceptor.py
@@ -48,8 +48,8 @@
         (JOIN, RATE.replace("19", "0").replace("failed=0", "failed=1"), DemandReport(1, 1, 0, 1, 1_000_000)),
     ],
 )
-def test_messages_become_events(entry, first, line, call):
-    e = entry()
+def test_messages_become_events(drive_acceptor, first, line, call):
+    e = drive_acceptor()
     e.connect(*([first] if first else []), line)
     assert e.told[-1] == call and not e.counters["unreadable"]
 
@@ -91,8 +91,8 @@
         ("SOURCE zone=a", "CONFIG out=s-1"),
     ],
 )
-def test_an_unreadable_line_ends_only_its_connection(entry, first, line):
-    e = entry()
+def test_an_unreadable_line_ends_only_its_connection(drive_acceptor, first, line):
+    e = drive_acceptor()
     other = e.connect(JOIN.replace("proxy=1", "proxy=3"))
     bad = e.connect(*([first] if first else []))
     before = list(e.told)
@@ -140,8 +140,8 @@
         (JOIN, "RATE proxy=1 class=pay trACK proxy=1 mark=7"),
     ],
 )
-def test_a_malformed_message_is_skipped_and_its_neighbours_count(entry, first, line):
-    e = entry()
+def test_a_malformed_message_is_skipped_and_its_neighbours_count(drive_acceptor, first, line):
+    e = drive_acceptor()
     c = e.connect(first)
     e.acceptor.write(1, b"", 7)
     before = list(e.told)
@@ -155,8 +155,8 @@
     )
 
 
-def test_a_marker_is_acknowledged_once_and_in_time(entry):
-    e = entry()
+def test_a_marker_is_acknowledged_once_and_in_time(drive_acceptor):
+    e = drive_acceptor()
     c = e.connect(JOIN)
     e.acceptor.write(1, b"", 7)
     e.now += 700_000
@@ -177,21 +177,21 @@
         (JOIN, b"RATEproxy=1 ", ConnectionEnd.UNREADABLE),
     ],
 )
-def test_a_line_that_cannot_become_a_message_ends_the_connection(entry, first, piece, end):
-    c = entry().connect(*([first] if first else []))
+def test_a_line_that_cannot_become_a_message_ends_the_connection(drive_acceptor, first, piece, end):
+    c = drive_acceptor().connect(*([first] if first else []))
     feed(c, piece)
     assert c.end is end
 
 
-def test_a_load_report_of_an_unknown_endpoint_is_skipped(entry):
-    e = entry()
+def test_a_load_report_of_an_unknown_endpoint_is_skipped(drive_acceptor):
+    e = drive_acceptor()
     collector = e.connect("SOURCE zone=a", LOAD.replace("s-1", "s-9"))
     assert not e.told and collector.end is None and e.counters["reports_of_unknown"] == 1
 
 
 @pytest.mark.parametrize("size", [1, 3, 7, 4096])
-def test_lines_arrive_in_pieces_or_many_at_once(entry, size):
-    e, text = entry(), f"PING\r\n{JOIN}\r\n{RATE}\r\nPING\r\n".encode()
+def test_lines_arrive_in_pieces_or_many_at_once(drive_acceptor, size):
+    e, text = drive_acceptor(), f"PING\r\n{JOIN}\r\n{RATE}\r\nPING\r\n".encode()
     stream = e.connect()
     for start in range(0, len(text), size):
         feed(stream, text[start : start + size])
@@ -213,8 +213,8 @@
         ((JOIN,), 1_060_000, ConnectionEnd.TOO_LONG),
     ],
 )
-def test_a_message_without_end_is_bounded(entry, first, size, end):
-    e = entry()
+def test_a_message_without_end_is_bounded(drive_acceptor, first, size, end):
+    e = drive_acceptor()
     stream = e.connect(*first)
     feed(stream, b"RATE " + b"x" * (size - 5))
     assert stream.end is end and (e.told[-1:] == [ProxyLeft(1)]) == (end is not None and bool(first))
@@ -223,16 +223,16 @@
 @pytest.mark.parametrize(
     "lost, end", [(None, ConnectionEnd.CLOSED), (ConnectionResetError(), ConnectionEnd.RESET)]
 )
-def test_the_end_of_a_stream_is_published_once(entry, lost, end):
-    e = entry()
+def test_the_end_of_a_stream_is_published_once(drive_acceptor, lost, end):
+    e = drive_acceptor()
     stream = e.connect(JOIN)
     stream.connection_lost(lost)
     stream.connection_lost(lost)
     assert stream.end is end and e.told == [ProxyJoined(1, 0, 21.5, True), ProxyLeft(1)]
 
 
-def test_a_proxy_belongs_to_its_newest_stream(entry):
-    e = entry()
+def test_a_proxy_belongs_to_its_newest_stream(drive_acceptor):
+    e = drive_acceptor()
     old, new = e.connect(JOIN), e.connect(JOIN.replace("fresh=1", "fresh=0"))
     e.acceptor.write(1, b"x", 7)
     told = list(e.told)
@@ -248,8 +248,8 @@
     assert len(e.told) == len(told) + 1 and e.acceptor.streams == {1: new}
 
 
-def test_a_stream_that_joins_again_is_bound_again(entry):
-    e = entry()
+def test_a_stream_that_joins_again_is_bound_again(drive_acceptor):
+    e = drive_acceptor()
     stream = e.connect(JOIN, JOIN)
     # the stream has not broken: what waits for it goes on counting
     assert [type(e.told[n]) for n in (0, 2)] == [ProxyJoined, ProxyJoined] and e.told[1:-1] == [
@@ -258,8 +258,8 @@
     assert e.acceptor.streams == {1: stream}
 
 
-def test_unread_messages_are_bounded(entry):
-    e = entry()
+def test_unread_messages_are_bounded(drive_acceptor):
+    e = drive_acceptor()
     stream = e.connect(JOIN, unsent=300_000)
     e.acceptor.write(1, b"x", None)
     assert stream.end is ConnectionEnd.UNREAD and e.told[-1] == ProxyLeft(
@@ -268,8 +268,8 @@
 
 
 @pytest.mark.parametrize("said", [b"", b"PING\r\n", b"SUBSCRIBE proxy=1 zo"])
-def test_an_unidentified_connection_is_closed_in_time(entry, said):
-    e = entry()
+def test_an_unidentified_connection_is_closed_in_time(drive_acceptor, said):
+    e = drive_acceptor()
     stream, collector, stranger = e.connect(JOIN), e.connect("SOURCE zone=a"), e.connect()
     for _ in range(2):
         feed(stranger, said)
@@ -284,8 +284,8 @@
     )
 
 
-def test_superseded_connections_are_closed_first_then_old_unidentified_ones(entry):
-    e = entry(slots=6, reserve=5)
+def test_superseded_connections_are_closed_first_then_old_unidentified_ones(drive_acceptor):
+    e = drive_acceptor(slots=6, reserve=5)
     old, new = e.connect(JOIN), e.connect(JOIN)
     first = e.connect()
     assert old.end is ConnectionEnd.NO_CAPACITY and e.acceptor.streams == {1: new}
@@ -303,8 +303,8 @@
     )
 
 
-def test_a_superseded_collector_is_closed_when_it_is_silent(entry):
-    e = entry()
+def test_a_superseded_collector_is_closed_when_it_is_silent(drive_acceptor):
+    e = drive_acceptor()
     old, new = e.connect("SOURCE zone=a"), e.connect("SOURCE zone=a")
     e.pass_time(20)
     feed(old, LOAD.encode() + b"\r\n")
--- a/tests/process/test_endings.py
+++ b/tests/process/test_endings.py
@@ -143,16 +143,16 @@
 # --- streams and floods ---
 
 
-def test_a_marker_in_flight_is_acknowledged_though_the_proxy_joins_again(entry):
-    e = entry()
+def test_a_marker_in_flight_is_acknowledged_though_the_proxy_joins_again(drive_acceptor):
+    e = drive_acceptor()
     stream = e.connect("SUBSCRIBE proxy=1 zone=a weight=1 fresh=1")
     e.acceptor.write(1, b"CONFIG ticket=7\r\n", 7)
     feed(stream, b"SUBSCRIBE proxy=1 zone=a weight=1 fresh=1\r\nACK proxy=1 mark=7 took_ms=1\r\n")
     assert e.told[-1] == BatchAcknowledged(1, 7, 1000) and e.told[1] == ProxyLeft(1, True)
 
 
-def test_streams_of_vanished_machines_keep_no_live_proxy_out(entry):
-    e = entry(slots=5, reserve=2)
+def test_streams_of_vanished_machines_keep_no_live_proxy_out(drive_acceptor):
+    e = drive_acceptor(slots=5, reserve=2)
 
     def join(n):
         return e.connect(f"SUBSCRIBE proxy={n} zone=a weight=1 fresh=1")
--- a/tests/process/test_schedules.py
+++ b/tests/process/test_schedules.py
@@ -12,7 +12,7 @@
 from types import SimpleNamespace
 
 import pytest
-from conftest import Wire, feed, target
+from conftest import RecordingTransport, feed, target
 from hypothesis import given, settings, strategies
 from server_doubles import CONFIGURATION, ManualLoop
 
@@ -119,7 +119,7 @@
         for call in [c for c in self.opened if c.end is None and c not in self.watches]:
             registry = self.registries[call.address]
             if registry.up:
-                self.watches[call] = Wire()
+                self.watches[call] = RecordingTransport()
                 call.connection_made(self.watches[call])
                 self.say(call, registry.answer(int(re.search(r"after=(\d+)", call.path)[1])))
             else:
@@ -130,7 +130,7 @@
         if number in self.proxies and self.chance.random() < 0.5:
             self.leave(number)  # else the new stream comes before the old one is seen to end
         stream = AcceptedConnection(self.pilot.buffers, self.pilot.acceptor)
-        stream.connection_made(Wire())
+        stream.connection_made(RecordingTransport())
         table, out = self.tables.get(number, ({}, set()))
         self.proxies[number], self.tables[number] = (stream, 0), (table, out)
         feed(
