--- a/tests/process/test_control_cycle.py
+++ b/tests/process/test_control_cycle.py
@@ -20,7 +20,7 @@
 from ravenshelf.state.proxy_tables import ProxyTables
 
 
-class Play:
+class CycleDriver:
     def __init__(self, states=("SERVING", "SERVING"), **service):
         settings = decode_settings(SETTINGS)
         settings = settings._replace(service=settings.service._replace(**service))
@@ -58,124 +58,138 @@
 
 
 @pytest.fixture
-def play():
-    return Play
+def drive_cycle():
+    return CycleDriver
 
 
-def test_joined_proxies_are_bound_in_one_message_each(play):
-    p = play()
-    p.run(join(0), join(1))
-    assert [proxy for proxy, _ in p.out] == [0, 1]
-    assert p.out[0][1].startswith("CONFIG whole=1 lines=s-1:") and p.out[0][1].endswith("ticket=1\r\n")
-    assert p.counters["lines_written"] == p.counters["lines_charged"] == 2 * (1 + 2 + 1 + 3)
+def test_joined_proxies_are_bound_in_one_message_each(drive_cycle):
+    driver = drive_cycle()
+    driver.run(join(0), join(1))
+    assert [proxy for proxy, _ in driver.out] == [0, 1]
+    assert driver.out[0][1].startswith("CONFIG whole=1 lines=s-1:") and driver.out[0][1].endswith(
+        "ticket=1\r\n"
+    )
+    assert driver.counters["lines_written"] == driver.counters["lines_charged"] == 2 * (1 + 2 + 1 + 3)
 
 
-def test_a_proxy_that_joins_again_is_bound_again(play):
-    p = play()
-    p.run(join(0))
-    p.run(join(0, False))
-    assert [proxy for proxy, _ in p.out] == [0] and "whole=1" in p.out[0][1]
-    p.run(ProxyLeft(0))
-    assert not p.out and not p.control_cycle.joined
+def test_a_proxy_that_joins_again_is_bound_again(drive_cycle):
+    driver = drive_cycle()
+    driver.run(join(0))
+    driver.run(join(0, False))
+    assert [proxy for proxy, _ in driver.out] == [0] and "whole=1" in driver.out[0][1]
+    driver.run(ProxyLeft(0))
+    assert not driver.out and not driver.control_cycle.joined
 
 
-def test_lines_beyond_the_charge_are_added_to_the_queue(play):
-    p = play()
-    p.run(join(0))
-    p.now += 20 * SECOND
+def test_lines_beyond_the_charge_are_added_to_the_queue(drive_cycle):
+    driver = drive_cycle()
+    driver.run(join(0))
+    driver.now += 20 * SECOND
     listed = EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),))
-    p.control_cycle.controller.tables.write = lambda *_: (
+    driver.control_cycle.controller.tables.write = lambda *_: (
         None
     )  # the table keeps the line, so it must be let back later
-    p.run(listed)
-    assert "out=s-1" in p.out[0][1]
-    p.run(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, 0),)))
-    p.control_cycle.controller.channel.queued_lines = 0.0
-    p.control_cycle.controller.channel.batches.clear()
-    p.control_cycle.controller.run_cycle = lambda now, news, orders: orders.request_acknowledgement(
+    driver.run(listed)
+    assert "out=s-1" in driver.out[0][1]
+    driver.run(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, 0),)))
+    driver.control_cycle.controller.channel.queued_lines = 0.0
+    driver.control_cycle.controller.channel.batches.clear()
+    driver.control_cycle.controller.run_cycle = lambda now, news, orders: orders.request_acknowledgement(
         5, True
     )  # charges nothing
-    p.run()
-    assert p.counters["lines_beyond_charge"] == 1 + 3 == p.control_cycle.controller.channel.queued_lines
+    driver.run()
+    assert (
+        driver.counters["lines_beyond_charge"]
+        == 1 + 3
+        == driver.control_cycle.controller.channel.queued_lines
+    )
 
 
-def test_an_acknowledgement_does_not_reduce_the_cycles_charge(play):
-    p = play()
-    p.run(join(0))
-    p.run(BatchAcknowledged(0, 1, 1000), join(1))
+def test_an_acknowledgement_does_not_reduce_the_cycles_charge(drive_cycle):
+    driver = drive_cycle()
+    driver.run(join(0))
+    driver.run(BatchAcknowledged(0, 1, 1000), join(1))
     assert (
-        p.out
-        and p.counters["lines_written"] == p.counters["lines_charged"]
-        and not p.counters["lines_beyond_charge"]
+        driver.out
+        and driver.counters["lines_written"] == driver.counters["lines_charged"]
+        and not driver.counters["lines_beyond_charge"]
     )
 
 
-def test_possible_ejections_are_reconciled_as_the_channel_has_capacity(play):
-    p = play()
-    p.run(join(0, False))
-    assert "back=" not in p.out[0][1]
-    p.control_cycle.controller.channel.record_uncharged_lines(1e6)
-    p.run()
-    assert not p.out
-    p.now += 2000 * SECOND
-    p.run()
-    assert "back=s-1,s-2" in p.out[0][1] and p.counters["lines_written"] == p.counters["lines_charged"]
+def test_possible_ejections_are_reconciled_as_the_channel_has_capacity(drive_cycle):
+    driver = drive_cycle()
+    driver.run(join(0, False))
+    assert "back=" not in driver.out[0][1]
+    driver.control_cycle.controller.channel.record_uncharged_lines(1e6)
+    driver.run()
+    assert not driver.out
+    driver.now += 2000 * SECOND
+    driver.run()
+    assert (
+        "back=s-1,s-2" in driver.out[0][1]
+        and driver.counters["lines_written"] == driver.counters["lines_charged"]
+    )
 
 
-def test_a_failed_controller_is_replaced_and_nothing_of_its_cycle_is_written(play):
-    p = play()
-    p.run(join(0), join(1))
-    failed = p.control_cycle.controller
+def test_a_failed_controller_is_replaced_and_nothing_of_its_cycle_is_written(drive_cycle):
+    driver = drive_cycle()
+    driver.run(join(0), join(1))
+    failed = driver.control_cycle.controller
 
     def fail(now, news, orders):
         orders.set_weight(0, 0, 0)
         raise RuntimeError("no such thing")
 
     failed.run_cycle = fail
-    assert p.run(ProxyLeft(1)) is None and not p.out and p.counters["controller_failures"] == 1
-    calls = p.run()
-    assert p.control_cycle.controller is not failed and [proxy for proxy, _ in p.out] == [0]
-    assert "whole=1 lines=s-1:" in p.out[0][1] and WatchEndpoints(True) in calls
+    assert driver.run(ProxyLeft(1)) is None and not driver.out and driver.counters["controller_failures"] == 1
+    calls = driver.run()
+    assert driver.control_cycle.controller is not failed and [proxy for proxy, _ in driver.out] == [0]
+    assert "whole=1 lines=s-1:" in driver.out[0][1] and WatchEndpoints(True) in calls
 
 
-def test_an_ejection_of_a_failed_cycle_is_written_later(play):
+def test_an_ejection_of_a_failed_cycle_is_written_later(drive_cycle):
     """The cycle failed as its messages were encoded: none was written, so none counts as sent."""
-    p = play()
-    p.run(join(0), join(1))
-    p.now += 5 * SECOND
-    p.control_cycle.controller.tables.write = lambda *_: (
+    driver = drive_cycle()
+    driver.run(join(0), join(1))
+    driver.now += 5 * SECOND
+    driver.control_cycle.controller.tables.write = lambda *_: (
         None
     )  # the tables keep the line, so the withdrawal has to go out
-    names, p.registry.names = p.registry.names, []  # no message can be made
+    names, driver.registry.names = driver.registry.names, []  # no message can be made
     assert (
-        p.run(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),)))
+        driver.run(
+            EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),))
+        )
         is None
-        and not p.out
+        and not driver.out
     )
-    p.registry.names = names
-    p.proxy_tables.set_ejected(0, True)  # the new module has heard the list, and bound nobody yet
-    assert [(message.proxy, message.parts[0].ejected) for message in p.proxy_tables.take_messages()] == [
+    driver.registry.names = names
+    driver.proxy_tables.set_ejected(0, True)  # the new module has heard the list, and bound nobody yet
+    assert [(message.proxy, message.parts[0].ejected) for message in driver.proxy_tables.take_messages()] == [
         (0, [0]),
         (1, [0]),
     ]
 
 
-def test_a_new_controller_keeps_the_queue_and_reuses_no_marker(play):
-    p = play()
-    p.run(join(0), join(1))
-    channel, waited = p.control_cycle.controller.channel, p.control_cycle.controller.channel.unproved_lines()
+def test_a_new_controller_keeps_the_queue_and_reuses_no_marker(drive_cycle):
+    driver = drive_cycle()
+    driver.run(join(0), join(1))
+    channel, waited = (
+        driver.control_cycle.controller.channel,
+        driver.control_cycle.controller.channel.unproved_lines(),
+    )
     assert waited
-    p.control_cycle.controller.ejections.update = lambda pending, writer: (
+    driver.control_cycle.controller.ejections.update = lambda pending, writer: (
         channel.charge([0], 50) or 1 / 0
     )  # half a round is charged
-    assert p.run(EndpointsListed(ListKind.UPDATE, ())) is None
+    assert driver.run(EndpointsListed(ListKind.UPDATE, ())) is None
     assert (
-        p.control_cycle.controller.channel is channel
+        driver.control_cycle.controller.channel is channel
         and channel.unproved_lines() == waited
         and not channel.cycle_charges
     )
-    p.run()
-    tickets = [int(text.split("ticket=")[1].split()[0]) for _, text in p.out]
+    driver.run()
+    tickets = [int(text.split("ticket=")[1].split()[0]) for _, text in driver.out]
     assert set(tickets) == {2} and channel.unproved_lines() > waited
-    p.run(BatchAcknowledged(0, 2, 1000), BatchAcknowledged(1, 2, 1000))
+    driver.run(BatchAcknowledged(0, 2, 1000), BatchAcknowledged(1, 2, 1000))
     assert not channel.unproved_lines()
--- a/tests/process/test_control_plane.py
+++ b/tests/process/test_control_plane.py
@@ -24,88 +24,88 @@
 
 
 @pytest.fixture
-def begun():
+def started_server():
     loop = ManualLoop()
-    pilot = ControlPlaneServer(CONFIGURATION, loop, lambda: loop.now)
-    pilot.cycle_scheduler.start()
-    pilot.timers.arm()
-    return pilot, loop
+    server = ControlPlaneServer(CONFIGURATION, loop, lambda: loop.now)
+    server.cycle_scheduler.start()
+    server.timers.arm()
+    return server, loop
 
 
-def test_events_wait_for_the_tick_and_are_delivered_in_one_cycle(begun):
-    pilot, loop = begun
+def test_events_wait_for_the_tick_and_are_delivered_in_one_cycle(started_server):
+    server, loop = started_server
     loop.play(1)
-    played, seen = [], pilot.control_cycle.controller.run_cycle
-    pilot.control_cycle.controller.run_cycle = lambda now, news, orders: (
+    played, seen = [], server.control_cycle.controller.run_cycle
+    server.control_cycle.controller.run_cycle = lambda now, news, orders: (
         played.append((now, sum(isinstance(event, DemandReport) for event in news))),
         seen(now, news, orders),
     )
     for _ in range(4):
-        pilot.publish(DemandReport(1, 0, 5, 0, SECOND))
+        server.publish(DemandReport(1, 0, 5, 0, SECOND))
     loop.play(0.0)
     for _ in range(3):
-        pilot.publish(DemandReport(1, 0, 5, 0, SECOND))
+        server.publish(DemandReport(1, 0, 5, 0, SECOND))
     loop.play(0.1)
     assert [n for _, n in played[:2]] == [4, 3] and 4000 <= played[1][0] - played[0][0] < 4100
 
 
 @pytest.mark.parametrize("come, apart", [(True, 60_000), (False, 30_000)])
-def test_a_long_cycle_leaves_as_much_time_to_accept_connections(begun, come, apart):
+def test_a_long_cycle_leaves_as_much_time_to_accept_connections(started_server, come, apart):
     """Hundreds dial at once when servers are lost, and the loop accepts one a turn: those came a cycle apart.
 
     Where no connection comes, events need not wait for any.
     """
-    pilot, loop = begun
+    server, loop = started_server
     loop.play(1)
-    began, seen = [], pilot.control_cycle.controller.run_cycle
+    began, seen = [], server.control_cycle.controller.run_cycle
 
     def long(now, news, orders):
         began.append(now)
         seen(now, news, orders)
         loop.now += 30_000
 
-    pilot.control_cycle.controller.run_cycle = long
+    server.control_cycle.controller.run_cycle = long
     for _ in range(40):
-        pilot.counters["accepted"] += come
-        pilot.publish(DemandReport(1, 0, 5, 0, SECOND))
+        server.counters["accepted"] += come
+        server.publish(DemandReport(1, 0, 5, 0, SECOND))
         loop.play(0.005)
     assert len(began) > 2 and all(apart <= b - a < apart + 8000 for a, b in pairwise(began))
 
 
-def test_a_controller_timer_expires_in_time_and_never_in_its_own_cycle(begun):
-    pilot, loop = begun
+def test_a_controller_timer_expires_in_time_and_never_in_its_own_cycle(started_server):
+    server, loop = started_server
     loop.play(1)
     woken = []
-    pilot.control_cycle.controller.run_cycle = lambda now, news, orders: (
+    server.control_cycle.controller.run_cycle = lambda now, news, orders: (
         woken.extend((now, event.key) for event in news if isinstance(event, TimerExpired)),
         [orders.start_timer(now - 5, "past"), orders.start_timer(now + 50_000, "soon")]
         if not woken
         else None,
     )
     start = loop.now
-    pilot.publish(DemandReport(1, 0, 5, 0, SECOND))
+    server.publish(DemandReport(1, 0, 5, 0, SECOND))
     loop.play(0.2)
     assert [key for _, key in woken if key != "step"] == ["past", "soon"]
     assert woken[0][0] >= start + 4000 and dict((k, t) for t, k in woken)["soon"] >= start + 50_000
 
 
-def test_a_deadline_handler_that_raises_stops_no_other(begun):
-    pilot, loop = begun
-    pilot.timers.set(ConnectionTimeout(None), loop.now + 10)  # names no connection
-    pilot.timers.set(ControllerTimer(0, "mine"), loop.now + 20)
+def test_a_deadline_handler_that_raises_stops_no_other(started_server):
+    server, loop = started_server
+    server.timers.set(ConnectionTimeout(None), loop.now + 10)  # names no connection
+    server.timers.set(ControllerTimer(0, "mine"), loop.now + 20)
     loop.play(1)
-    assert pilot.counters["deadlines_failed"] == 1 and pilot.counters["control_cycles"] > 2
+    assert server.counters["deadlines_failed"] == 1 and server.counters["control_cycles"] > 2
 
 
-def test_a_reload_changes_the_registry_address_and_loses_no_state(begun):
-    pilot, loop = begun
-    pilot.publish(ProxyJoined(1, 0, 10.0, True))
-    pilot.publish(
+def test_a_reload_changes_the_registry_address_and_loses_no_state(started_server):
+    server, loop = started_server
+    server.publish(ProxyJoined(1, 0, 10.0, True))
+    server.publish(
         EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, 0),))
     )
-    pilot.registry.index_of("s-1")
+    server.registry.index_of("s-1")
     loop.play(0.1)
-    controller, messages = pilot.control_cycle.controller, pilot.counters["messages_sent"]
+    controller, messages = server.control_cycle.controller, server.counters["messages_sent"]
     texts = [
         ConfigurationError("config.json", "expected JSON"),
         ConfigurationError("config.json", "expected JSON"),
@@ -119,38 +119,42 @@
             raise said
         return said
 
-    pilot.reloader.read_configuration = again
-    pilot.reload()
+    server.reloader.read_configuration = again
+    server.reload()
     assert (
-        pilot.registry_client.watch.address == CONFIGURATION["discovery"]
-        and pilot.counters["reloads_failed"] == 1
+        server.registry_client.watch.address == CONFIGURATION["discovery"]
+        and server.counters["reloads_failed"] == 1
     )
     loop.play(2)  # half written at first, whole in the end
     assert (
-        pilot.registry_client.watch.address == "127.0.0.1:99" and pilot.counters["reloads"] == 1 and not texts
+        server.registry_client.watch.address == "127.0.0.1:99"
+        and server.counters["reloads"] == 1
+        and not texts
     )
     assert (
-        pilot.control_cycle.controller is controller and list(pilot.proxy_tables.proxies) == [1] and messages
+        server.control_cycle.controller is controller
+        and list(server.proxy_tables.proxies) == [1]
+        and messages
     )
     assert (
-        pilot.counters["messages_sent"] == messages
-        and pilot.configuration["limits"] == CONFIGURATION["limits"]
+        server.counters["messages_sent"] == messages
+        and server.configuration["limits"] == CONFIGURATION["limits"]
     )
 
 
-def test_an_old_deadline_does_not_end_a_new_call_in_the_same_slot(begun):
+def test_an_old_deadline_does_not_end_a_new_call_in_the_same_slot(started_server):
     """The cycle opens a new call in the turn in which the old one was due, and it gets the old one's slot."""
-    pilot, loop = begun
+    server, loop = started_server
     loop.play(1)
-    pilot.registry_client.watch_endpoints(True)
-    old, asked = pilot.registry_client.watch, []
-    pilot.control_cycle.controller.run_cycle = lambda now, news, orders: (
+    server.registry_client.watch_endpoints(True)
+    old, asked = server.registry_client.watch, []
+    server.control_cycle.controller.run_cycle = lambda now, news, orders: (
         asked or asked.append(orders.watch_endpoints(True))
     )
-    pilot.outgoing_calls.extend(old, 10_000)
-    pilot.timers.set(ServerDeadline.CONTROL_CYCLE, loop.now + 9_000)
+    server.outgoing_calls.extend(old, 10_000)
+    server.timers.set(ServerDeadline.CONTROL_CYCLE, loop.now + 9_000)
     loop.play(0.1, late=0.05)
-    new = pilot.registry_client.watch
+    new = server.registry_client.watch
     assert new is not old and old.end is ConnectionEnd.SUPERSEDED and (new.slot, new.end) == (old.slot, None)
     loop.play(10)
     assert new.end is ConnectionEnd.SILENT  # its own deadline holds
@@ -170,26 +174,26 @@
         ({"azs": ["a"]}, "settings.azs"),
     ],
 )
-def test_a_reload_of_another_deployments_configuration_changes_nothing(begun, change, told):
-    pilot, loop = begun
-    before = pilot.configuration
-    pilot.reloader.read_configuration = lambda: (
+def test_a_reload_of_another_deployments_configuration_changes_nothing(started_server, change, told):
+    server, loop = started_server
+    before = server.configuration
+    server.reloader.read_configuration = lambda: (
         CONFIGURATION | {"discovery": "127.0.0.1:99", "settings": SETTINGS | change}
     )
     with pytest.raises(ConfigurationError, match=told):
-        configuration.apply_reload(before, pilot.reloader.read_configuration())
-    pilot.reload()
+        configuration.apply_reload(before, server.reloader.read_configuration())
+    server.reload()
     loop.play(0.01)
-    assert pilot.configuration is before
+    assert server.configuration is before
     assert (
-        pilot.counters["reloads_failed"] == 1
-        and not pilot.counters["reloads"]
-        and not pilot.registry_client.address_changes
+        server.counters["reloads_failed"] == 1
+        and not server.counters["reloads"]
+        and not server.registry_client.address_changes
     )
 
 
-def test_a_second_reload_replaces_one_that_waits_for_its_next_read(begun):
-    pilot, loop = begun
+def test_a_second_reload_replaces_one_that_waits_for_its_next_read(started_server):
+    server, loop = started_server
     reads = []
 
     def again():
@@ -198,24 +202,24 @@
             raise ConfigurationError("config.json", "expected JSON")
         return CONFIGURATION | {"discovery": "127.0.0.1:99"}
 
-    pilot.reloader.read_configuration = again
-    pilot.reload()
+    server.reloader.read_configuration = again
+    server.reload()
     loop.play(0.3)
-    pilot.reload()  # a second SIGHUP, and a third that brings the whole file
-    pilot.reload()
+    server.reload()  # a second SIGHUP, and a third that brings the whole file
+    server.reload()
     loop.play(3)
     assert (
         len(reads) == 3
-        and pilot.counters["reloads"] == 1
-        and ServerDeadline.RELOAD not in pilot.timers.deadlines
+        and server.counters["reloads"] == 1
+        and ServerDeadline.RELOAD not in server.timers.deadlines
     )
 
 
-def test_a_reload_with_more_groups_and_zones_is_accepted(begun):
-    pilot, _ = begun
+def test_a_reload_with_more_groups_and_zones_is_accepted(started_server):
+    server, _ = started_server
     more = SETTINGS | {"azs": ["c", "b", "a"], "classes": [{"name": "new"}, *SETTINGS["classes"]]}
     new, waiting = configuration.apply_reload(
-        pilot.configuration, CONFIGURATION | {"discovery": "127.0.0.1:99", "settings": more}
+        server.configuration, CONFIGURATION | {"discovery": "127.0.0.1:99", "settings": more}
     )
     assert new["discovery"] == "127.0.0.1:99" and waiting == ["settings.azs", "settings.classes"]
 
@@ -224,15 +228,15 @@
     "late, spoke, end",
     [(6.0, True, None), (6.0, False, ConnectionEnd.SILENT), (0.0, False, ConnectionEnd.SILENT)],
 )
-def test_a_stalled_server_reads_before_it_takes_others_for_silent(begun, late, spoke, end):
-    pilot, loop = begun
-    pilot.registry_client.watch_endpoints(True)
-    call = pilot.registry_client.watch
+def test_a_stalled_server_reads_before_it_takes_others_for_silent(started_server, late, spoke, end):
+    server, loop = started_server
+    server.registry_client.watch_endpoints(True)
+    call = server.registry_client.watch
     loop.waiting.clear()
-    pilot.timers.loop_timer = None
-    pilot.timers.deadlines.heap, pilot.timers.deadlines.deadlines = [], {}
-    pilot.timers.set(CallTimeout(call), loop.now + SECOND)
+    server.timers.loop_timer = None
+    server.timers.deadlines.heap, server.timers.deadlines.deadlines = [], {}
+    server.timers.set(CallTimeout(call), loop.now + SECOND)
     if spoke:  # its line lay in the socket while the process stood still
-        loop.waiting.append((loop.now + SECOND + 1, lambda: pilot.outgoing_calls.extend(call, 5 * SECOND)))
+        loop.waiting.append((loop.now + SECOND + 1, lambda: server.outgoing_calls.extend(call, 5 * SECOND)))
     loop.play(2 + late, late=late)
     assert call.end is end
--- a/tests/process/test_endings.py
+++ b/tests/process/test_endings.py
@@ -30,7 +30,7 @@
 }
 
 
-# --- a pilot in this process, on a real loop and real sockets ---
+# --- a server in this process, on a real loop and real sockets ---
 
 
 class Proxy(asyncio.Protocol):
@@ -54,16 +54,16 @@
 
 @contextlib.asynccontextmanager
 async def serving(**changes):
-    pilot = ControlPlaneServer(
+    server = ControlPlaneServer(
         CONFIGURATION | {"discovery": "127.0.0.1:1"} | changes, asyncio.get_running_loop(), Clock()
     )
-    await pilot.start()
+    await server.start()
     try:
-        yield pilot, pilot.listener.sockets[0].getsockname()[1]
+        yield server, server.listener.sockets[0].getsockname()[1]
     finally:
-        pilot.stop()
+        server.stop()
         async with asyncio.timeout(20):
-            await pilot.stopped
+            await server.stopped
 
 
 async def joined(port, number=1):
@@ -76,46 +76,46 @@
 def test_a_received_drain_is_written_in_a_last_cycle_at_the_stop():
     async def play():
         async with serving(known={"rev": 4, "all": True, "targets": [target("s-1"), target("s-2")]}) as (
-            pilot,
+            server,
             port,
         ):
             proxy = await joined(port)
             calls = []
-            pilot.cycle_scheduler.execute = calls.append
-            entry = pilot.registry.entries[pilot.registry.index_by_name["s-1"]]
-            pilot.cycle_scheduler.last_cycle_at = pilot.clock() + 10_000_000  # the next round is far away
-            pilot.publish(EndpointsListed(ListKind.UPDATE, (entry._replace(state=EndpointState.DRAINING),)))
+            server.cycle_scheduler.execute = calls.append
+            entry = server.registry.entries[server.registry.index_by_name["s-1"]]
+            server.cycle_scheduler.last_cycle_at = server.clock() + 10_000_000  # the next round is far away
+            server.publish(EndpointsListed(ListKind.UPDATE, (entry._replace(state=EndpointState.DRAINING),)))
             assert b"s-1:0" not in proxy.read
-            pilot.stop()
-            heard = pilot.control_cycle.events
+            server.stop()
+            heard = server.control_cycle.events
             await proxy.over
         assert (
             not heard
             and (b"out=s-1" in proxy.read or b"s-1:0" in proxy.read)
             and proxy.read.endswith(b"\r\n")
         )
-        assert not calls and not pilot.outgoing_calls.slots.items and pilot.timers.loop_timer.cancelled()
+        assert not calls and not server.outgoing_calls.slots.items and server.timers.loop_timer.cancelled()
 
     uvloop.run(play())
 
 
 def test_after_the_stop_begins_nothing_is_accepted_dialed_or_due():
     async def play():
-        async with serving() as (pilot, port):
+        async with serving() as (server, port):
             proxy = await joined(port)
-            pilot.stop()
-            watches, rounds = pilot.counters["discovery_watches"], pilot.counters["control_cycles"]
-            pilot.acceptor.connected(
+            server.stop()
+            watches, rounds = server.counters["discovery_watches"], server.counters["control_cycles"]
+            server.acceptor.connected(
                 late := type("Late", (), {"close": lambda self, end: setattr(self, "end", end)})()
             )
-            pilot.reload()
-            pilot.publish(EndpointsListed(ListKind.UPDATE, ()))
-            pilot.timers.set(ServerDeadline.WATCH, 0)
-            pilot.stop()
-            await pilot.stopped
+            server.reload()
+            server.publish(EndpointsListed(ListKind.UPDATE, ()))
+            server.timers.set(ServerDeadline.WATCH, 0)
+            server.stop()
+            await server.stopped
             await proxy.over
-            assert late.end.name == "STOPPING" and not pilot.counters["reloads"]
-            assert (pilot.counters["discovery_watches"], pilot.counters["control_cycles"]) == (
+            assert late.end.name == "STOPPING" and not server.counters["reloads"]
+            assert (server.counters["discovery_watches"], server.counters["control_cycles"]) == (
                 watches,
                 rounds,
             )
@@ -128,14 +128,14 @@
 def test_a_last_cycle_that_fails_does_not_hold_up_the_stop():
     async def play():
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
-        async with serving() as (pilot, port):
+        async with serving() as (server, port):
             proxy = await joined(port)
-            pilot.publish(EndpointsListed(ListKind.UPDATE, ()))
-            pilot.control_cycle.run = lambda now, write: 1 / 0
-            asyncio.get_running_loop().call_soon(pilot.stop)
+            server.publish(EndpointsListed(ListKind.UPDATE, ()))
+            server.control_cycle.run = lambda now, write: 1 / 0
+            asyncio.get_running_loop().call_soon(server.stop)
             async with asyncio.timeout(20):
                 await proxy.over
-                await pilot.stopped
+                await server.stopped
 
     uvloop.run(play())
 
@@ -186,11 +186,11 @@
 def test_a_stream_ended_by_our_fault_is_marked_as_ended_by_the_server():
     async def play():
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
-        async with serving() as (pilot, port):
+        async with serving() as (server, port):
             proxy = await joined(port)
             told = []
-            pilot.deliver = told.append
-            pilot.acceptor.handlers["RATE"] = lambda connection, said: 1 / 0
+            server.deliver = told.append
+            server.acceptor.handlers["RATE"] = lambda connection, said: 1 / 0
             proxy.transport.write(b"RATE proxy=1 class=look tries=1 failed=0 span_ms=1000\r\n")
             await proxy.over
             assert told == [ProxyLeft(1, True)]
@@ -203,9 +203,9 @@
     line = b"RATE proxy=1 class=look tries=1 failed=0 span_ms=1000\r\n"
 
     async def play():
-        async with serving() as (pilot, port):
+        async with serving() as (server, port):
             proxy = await joined(port)
-            loop, taken, most, seen = asyncio.get_running_loop(), 0, 0, pilot.acceptor.received
+            loop, taken, most, seen = asyncio.get_running_loop(), 0, 0, server.acceptor.received
 
             def said(connection, text):
                 nonlocal taken
@@ -217,7 +217,7 @@
                 most, taken = max(most, taken), 0
                 loop.call_soon(turn)
 
-            pilot.acceptor.received = said
+            server.acceptor.received = said
             held = socket.socket(fileno=os.dup(proxy.transport.get_extra_info("socket").fileno()))
             sent = 0
             with contextlib.suppress(BlockingIOError):
@@ -225,7 +225,7 @@
                     sent += held.send(line * 5000)
             turn()
             async with asyncio.timeout(20):
-                while pilot.counters["received_rate"] < sent // len(line):
+                while server.counters["received_rate"] < sent // len(line):
                     await asyncio.sleep(0.001)
             held.close()
             assert sent > 4 * BUFFER_BYTES and 0 < most <= BUFFER_BYTES + len(line)
@@ -319,7 +319,7 @@
 
 
 def test_a_stop_in_the_middle_of_a_reload(tmp_path):
-    """The new file is a pipe that the test holds: the pilot reads it while the signal comes."""
+    """The new file is a pipe that the test holds: the server reads it while the signal comes."""
     running, port = begin_with(tmp_path)
     file = tmp_path / "config.json"
     try:
--- a/tests/process/test_registry_client.py
+++ b/tests/process/test_registry_client.py
@@ -88,8 +88,8 @@
 
 
 def test_the_former_watch_is_closed_only_when_the_new_address_answers(service):
-    d, old = service.discovery, service.watched()
-    d.address_changed()
+    client, old = service.discovery, service.watched()
+    client.address_changed()
     new = service.calls[-1]
     old.says(7, target("s-3"))  # changes go on at the old one meanwhile
     assert (
@@ -105,12 +105,12 @@
 
 @pytest.mark.parametrize("whole", [True, False])
 def test_lower_versions_at_a_new_address_are_taken(service, whole):
-    d = service.discovery
+    client = service.discovery
     service.watched().close(ConnectionEnd.RESET)
-    d.address_changed()
+    client.address_changed()
     service.calls[-1].says(2, target("s-2"), all=whole)
     if not whole:  # changes since which version of ours can't be told: the next call asks for all
-        d.watch_endpoints(True)
+        client.watch_endpoints(True)
         assert service.calls[-1].path.endswith("after=0")
         service.calls[-1].says(2, target("s-2"), all=True)
     assert service.registry.version == 2 and service.told[-1] == (
@@ -120,28 +120,28 @@
 
 
 def test_a_new_address_that_fails_is_dialed_again(service):
-    d = service.discovery
-    d.watch_endpoints(True)
+    client = service.discovery
+    client.watch_endpoints(True)
     old = service.calls[-1]
-    d.address_changed()
+    client.address_changed()
     service.calls[-1].close(ConnectionEnd.REFUSED)
     assert service.told[-1] == WatchFailed()
     old.close(ConnectionEnd.RESET)
-    d.watch_endpoints(True)
+    client.watch_endpoints(True)
     assert service.told.count(WatchFailed()) == 1 and len(service.calls) == 3
 
 
 def test_the_former_watch_is_read_until_the_new_address_answers_whatever_is_requested(service):
-    d, old = service.discovery, service.watched()
-    d.address_changed()
+    client, old = service.discovery, service.watched()
+    client.address_changed()
     service.calls[-1].close(ConnectionEnd.REFUSED)
-    d.watch_endpoints(True)  # the module asks again
+    client.watch_endpoints(True)  # the module asks again
     old.says(7, target("s-3"))
     assert old.end is None and service.told[-1] == (ListKind.UPDATE, [(2, EndpointState.READY)])
     new = service.calls[-1]
     new.on_line(new, b"<html>")  # no answer
     assert old.end is None and new.end is ConnectionEnd.UNREADABLE
-    d.watch_endpoints(True)
+    client.watch_endpoints(True)
     service.calls[-1].on_line(service.calls[-1], b"")
     assert old.end is None  # its list is still to come
     service.calls[-1].says(3, target("s-3"), all=True)
@@ -149,10 +149,10 @@
 
 
 def test_a_second_address_change_keeps_the_watch_that_answered(service):
-    d, first = service.discovery, service.watched()
-    d.address_changed()
+    client, first = service.discovery, service.watched()
+    client.address_changed()
     between = service.calls[-1]
-    d.address_changed()
+    client.address_changed()
     assert (first.end, between.end, service.calls[-1].end) == (None, ConnectionEnd.SUPERSEDED, None)
     first.says(7, target("s-3"))
     assert service.told[-1] == (ListKind.UPDATE, [(2, EndpointState.READY)])
@@ -160,31 +160,31 @@
 
 def test_lists_from_elsewhere_never_leave_the_server_without_a_watch(service):
     """Any list is an answer to the module, which asks no more: so the watch that failed begins by itself."""
-    d, old = service.discovery, service.watched()
-    d.address_changed()
+    client, old = service.discovery, service.watched()
+    client.address_changed()
     service.calls[-1].close(ConnectionEnd.REFUSED)
     old.says(7, target("s-3"))
     old.close(ConnectionEnd.CLOSED)
     assert len(service.calls) == 2 and [
         RETRY_DELAY_US / 2 <= wait <= RETRY_DELAY_US for wait in service.again
     ] == [True]
-    d.open_watch_if_due()
+    client.open_watch_if_due()
     assert service.calls[-1].path == "/catalog/members?watch=1&after=0"
     service.calls[-1].close(ConnectionEnd.REFUSED)
-    d.fetch()
+    client.fetch()
     service.calls[-1].answers(8, target("s-1"))
     assert len(service.again) == 2
-    d.watch_endpoints(False)
-    d.open_watch_if_due()
-    assert d.watch is None
+    client.watch_endpoints(False)
+    client.open_watch_if_due()
+    assert client.watch is None
 
 
 def test_the_answer_of_a_former_address_is_not_taken(service):
-    d = service.discovery
-    d.watch_endpoints(True)
-    d.fetch()
+    client = service.discovery
+    client.watch_endpoints(True)
+    client.fetch()
     fetch = service.calls[-1]
-    d.address_changed()
+    client.address_changed()
     service.calls[-1].says(2, target("s-1"), all=True)
     fetch.answers(50, target("s-2"))
     assert (
@@ -197,10 +197,10 @@
 @pytest.mark.parametrize("rev", [5, 9])
 def test_versions_of_a_new_address_that_equal_ours_hide_no_change(service, rev):
     """Ours is 5 and says that s-1 is ready; at the new address it drained long before its own version 5."""
-    d = service.discovery
-    d.watch_endpoints(True)
+    client = service.discovery
+    client.watch_endpoints(True)
     service.calls[-1].on_line(service.calls[-1], b"")
-    d.address_changed()
+    client.address_changed()
     assert service.calls[-1].path.endswith("after=0")
     service.calls[-1].says(rev, target("s-1", state="DRAINING"), target("s-2"))
     assert (
@@ -263,8 +263,8 @@
 
 @pytest.mark.parametrize("whole", [True, False])
 def test_a_restored_registry_is_taken_once_its_list_cannot_be_late(service, whole):
-    d = service.discovery
-    d.watch_endpoints(True)
+    client = service.discovery
+    client.watch_endpoints(True)
     service.calls[-1].says(9, target("s-2"))
     service.now += 6 * SECOND
     service.calls[-1].says(3, target("s-1"), all=True)  # as late as lists may be
@@ -273,7 +273,7 @@
     service.calls[-1].says(4, target("s-1", state="DRAINING"), all=whole)
     if not whole:  # changes to a list that we do not have: it asks for all
         assert service.calls[-1].end is ConnectionEnd.UNREADABLE and service.told[-1] == WatchFailed()
-        d.watch_endpoints(True)
+        client.watch_endpoints(True)
         assert service.calls[-1].path.endswith("after=0")
         service.calls[-1].says(4, target("s-1", state="DRAINING"), all=True)
     assert service.registry.version == 4 and service.told[-1] == (
--- a/tests/process/test_schedules.py
+++ b/tests/process/test_schedules.py
@@ -29,7 +29,7 @@
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-class Held(ManualLoop):
+class ManualLoopWithFuture(ManualLoop):
     """A loop whose future can be kept."""
 
     def create_future(self):
@@ -67,26 +67,26 @@
         return HEAD + (self.line(lacks) if lacks else b"1\r\n\n\r\n")
 
 
-class Play:
+class Schedule:
     """One schedule; `wrong` gathers what did not hold."""
 
     def __init__(self, seed):
         self.chance, self.wrong, self.number = random.Random(seed), [], 2
-        self.loop = Held()
+        self.loop = ManualLoopWithFuture()
         self.registry = Registry({"s-1": "SERVING", "s-2": "SERVING"}, 4)
         self.registries = {CONFIGURATION["discovery"]: self.registry}
-        self.pilot = ControlPlaneServer(CONFIGURATION, self.loop, lambda: self.loop.now)
-        self.opened, calls = {}, self.pilot.outgoing_calls
-        self.pilot.registry_client.calls = SimpleNamespace(
+        self.server = ControlPlaneServer(CONFIGURATION, self.loop, lambda: self.loop.now)
+        self.opened, calls = {}, self.server.outgoing_calls
+        self.server.registry_client.calls = SimpleNamespace(
             open=lambda *said: self.open(calls.open(*said)), extend=calls.extend
         )
         self.watches, self.spoke, self.silent = {}, {}, set()  # by call: its transport; when it last spoke
         self.proxies, self.tables = {}, {}
-        self.pilot.reloader.read_configuration = lambda: self.pilot.configuration
-        played = self.pilot.control_cycle.run
-        self.pilot.control_cycle.run = lambda now, write: (played(now, write), self.take_time())[0]
-        self.pilot.cycle_scheduler.start()
-        self.pilot.timers.arm()
+        self.server.reloader.read_configuration = lambda: self.server.configuration
+        played = self.server.control_cycle.run
+        self.server.control_cycle.run = lambda now, write: (played(now, write), self.take_time())[0]
+        self.server.cycle_scheduler.start()
+        self.server.timers.arm()
 
     def open(self, call):
         self.opened[call] = self.spoke[call] = self.loop.now
@@ -94,7 +94,7 @@
 
         def ended(call):
             if call.end is ConnectionEnd.SILENT and self.loop.now - self.spoke[call] < IDLE_TIMEOUT_US - 1000:
-                self.wrong.append("a call that had just begun or spoken was ended as silent")
+                self.wrong.append("a call that had just started_server or spoken was ended as silent")
             done(call)
 
         call.done = ended
@@ -129,7 +129,7 @@
         number = self.chance.randrange(4)
         if number in self.proxies and self.chance.random() < 0.5:
             self.leave(number)  # else the new stream comes before the old one is seen to end
-        stream = AcceptedConnection(self.pilot.buffers, self.pilot.acceptor)
+        stream = AcceptedConnection(self.server.buffers, self.server.acceptor)
         stream.connection_made(RecordingTransport())
         table, out = self.tables.get(number, ({}, set()))
         self.proxies[number], self.tables[number] = (stream, 0), (table, out)
@@ -176,8 +176,8 @@
         self.registry = self.registries[host] = Registry(self.registry.states, rev)
         self.registry.changed = dict.fromkeys(self.registry.states, 1)
         self.registry.up = self.chance.random() < 0.7
-        self.pilot.reloader.read_configuration = lambda: CONFIGURATION | {"discovery": host}
-        self.pilot.reload()
+        self.server.reloader.read_configuration = lambda: CONFIGURATION | {"discovery": host}
+        self.server.reload()
 
     def toggle(self):
         self.registry.up = not self.registry.up
@@ -213,34 +213,34 @@
     # --- what must hold ---
 
     def owned(self):
-        pilot = self.pilot
-        for key in pilot.timers.deadlines.deadlines:
+        server = self.server
+        for key in server.timers.deadlines.deadlines:
             if isinstance(key, (CallTimeout, ConnectionTimeout)) and key[0].end is not None:
                 self.wrong.append(f"a deadline without an owner: {type(key).__name__}")
         calls = {
-            c for c in (pilot.registry_client.watch, pilot.registry_client.former_watch) if c is not None
+            c for c in (server.registry_client.watch, server.registry_client.former_watch) if c is not None
         }
-        if set(pilot.outgoing_calls.slots.items.values()) != calls:
+        if set(server.outgoing_calls.slots.items.values()) != calls:
             self.wrong.append("a call without an owner")
-        if any(c.end is not None for c in pilot.connections.items.values()):
+        if any(c.end is not None for c in server.connections.items.values()):
             self.wrong.append("a slot without an owner")
         due = (
-            pilot.control_cycle.controller.watch.retry_at
-            or ServerDeadline.WATCH in pilot.timers.deadlines
-            or WatchFailed() in pilot.control_cycle.events
+            server.control_cycle.controller.watch.retry_at
+            or ServerDeadline.WATCH in server.timers.deadlines
+            or WatchFailed() in server.control_cycle.events
         )
-        if pilot.registry_client.watch is None and not due:
+        if server.registry_client.watch is None and not due:
             self.wrong.append("no watch is open and none is due")
 
     def step(self, what):
         before = [
             c
             for c in self.alive()
-            if self.spoke[c] > self.opened[c] or c is self.pilot.registry_client.former_watch
+            if self.spoke[c] > self.opened[c] or c is self.server.registry_client.former_watch
         ]
         what()
         ours = [c for c in before if c.end is ConnectionEnd.SUPERSEDED]
-        if ours and not self.pilot.registry_client.has_watch_answered:
+        if ours and not self.server.registry_client.has_watch_answered:
             self.wrong.append("the only watch that speaks was given up")
         self.obey()
         self.owned()
@@ -266,7 +266,7 @@
             self.close_old,
             self.accept,
             self.accept,
-            self.pilot.reload,
+            self.server.reload,
         ]
         for _ in range(self.chance.randrange(5, 25)):
             self.step(self.chance.choice(acts))
@@ -296,11 +296,11 @@
         """A drain is heard, and the stop comes before its round."""
         serving = [uid for uid, state in self.registry.states.items() if state == "SERVING"]
         opened = len(self.opened)
-        self.pilot.cycle_scheduler.last_cycle_at = self.loop.now + SECOND
+        self.server.cycle_scheduler.last_cycle_at = self.loop.now + SECOND
         for call in self.alive():
             self.say(call, self.registry.change(serving[0], "DRAINING"))
         heard = bool(self.alive())
-        self.pilot.stop()
+        self.server.stop()
         for number, (stream, at) in self.proxies.items():
             said = stream.transport.written[at:].decode()
             holds = self.tables[number][0].get(serving[0]) and serving[0] not in self.tables[number][1]
@@ -316,9 +316,9 @@
                 self.wrong.append("a message ends half-way")
         self.loop.play(1)
         if (
-            not self.pilot.stopped.done()
+            not self.server.stopped.done()
             or len(self.opened) != opened
-            or self.pilot.outgoing_calls.slots.items
+            or self.server.outgoing_calls.slots.items
         ):
             self.wrong.append("the stop did not end, or something began after it")
 
@@ -326,14 +326,14 @@
 @settings(max_examples=60, deadline=None)
 @given(strategies.integers(0, 2**32))
 def test_whatever_ends_when_all_invariants_hold(seed):
-    assert Play(seed).run() == []
+    assert Schedule(seed).run() == []
 
 
-def meet_by_number(pilot, key, now, seen=ControlPlaneServer.handle_deadline):
+def meet_by_number(server, key, now, seen=ControlPlaneServer.handle_deadline):
     if isinstance(key, CallTimeout):
-        call = pilot.outgoing_calls.slots.get(key.call.number)
+        call = server.outgoing_calls.slots.get(key.call.number)
         return call.close(ConnectionEnd.SILENT) if call is not None else None
-    return seen(pilot, key, now)
+    return seen(server, key, now)
 
 
 class Numbered:
@@ -394,4 +394,4 @@
             "run_cycle",
             lambda self, seen=CycleScheduler.run_cycle: None if self.is_stopping else seen(self),
         )
-    assert any(Play(seed).run() for seed in range(400))
+    assert any(Schedule(seed).run() for seed in range(400))
