--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -132,7 +132,7 @@
         self.timer = self.timer_at = None
         beside = []
         for key in self.deadlines.take_expired(now):
-            if self.operations is not None and key[0] in self.operations.KEYS:
+            if self.operations is not None and key[0] in self.operations.TIMERS:
                 beside.append(key)  # what is beside table lines comes after them
             else:
                 self._try_to_meet(key, now)
@@ -164,7 +164,7 @@
             self.deadlines.set(key, now + self.counters_every)
             self.count()
         elif self.operations is not None:
-            self.operations.meet(key, now)
+            self.operations.run_due(key, now)
 
     def round_due(self) -> bool:
         """Whether table lines wait for their round."""
@@ -337,7 +337,7 @@
             return
         if self.log is not None:
             self.log.form = operator.log.format
-        self.operations.renew(
+        self.operations.reload(
             operator, lambda changed: log_events.OPERATOR_CONFIGURATION_RELOADED(changed=changed)
         )
 
@@ -408,7 +408,7 @@
     loop.add_signal_handler(signal.SIGUSR1, pilot.count)
     loop.add_signal_handler(signal.SIGHUP, pilot.reload)
     if operator is not None:
-        from ravenshelf.process.operations import Operations
+        from ravenshelf.process.operations.composer import Operations
 
         pilot.operations, pilot.operator_again, pilot.log = (
             Operations(operator, pilot, random.Random()),
--- /dev/null
+++ b/ravenshelf/process/operations/collectd_signals.py
@@ -0,0 +1,182 @@
+"""Gives the controller host loads of collectd's values."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from collections.abc import Iterator
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from ravenshelf import log_events
+from ravenshelf.background.decisions import Priority
+from ravenshelf.background.scheduler import BackgroundScheduler
+from ravenshelf.net.datagrams import address
+from ravenshelf.operator_config.tables import Operator
+from ravenshelf.process.operations.part import SECOND, Measurements, OperatedServer
+
+if TYPE_CHECKING:
+    from ravenshelf.collectd.listener import CollectdListener
+
+USERS_TIMER = "users"
+USERS_CHECK_INTERVAL = 10 * SECOND
+NO_VERSION = -1  # of the endpoint list
+
+
+class CollectdSignals:
+    """Off without an address to listen at."""
+
+    def __init__(self, operator: Operator, server: OperatedServer, background: BackgroundScheduler) -> None:
+        self.table = operator.collectd
+        self.server = server
+        self.background = background
+        self.listener: CollectdListener | None = None
+        self.users_modified_at: float = 0.0
+        self.endpoints_by_host: dict[str, tuple[int, ...]] = {}
+        self.endpoints_version = NO_VERSION
+        self.reloads: set[asyncio.Task[None]] = set()
+
+    async def start(self) -> None:
+        """Listen if there is an address."""
+        if self.table.listen:
+            await self._listen()
+
+    async def _listen(self) -> None:
+        from ravenshelf.collectd import types, users
+        from ravenshelf.collectd.decisions.host_loads import HostLoads
+        from ravenshelf.collectd.listener import CollectdListener
+
+        table = self.table
+        server = self.server
+        known_users = users.Users(users.load(table.users) if table.users else {})
+        types_text = types.BUILT_IN_TYPES
+        if table.types:
+            types_text = Path(table.types).read_text(encoding="utf-8")
+        parsed_types = types.parse(types_text, table.types or "types.db")
+        listener = CollectdListener(
+            table,
+            known_users,
+            HostLoads(self.endpoints_of, parsed_types, server.counters),
+            self.background,
+            server.counters,
+            server.clock,
+            server.news,
+        )
+        self.listener = listener
+        transport, _ = await server.loop.create_datagram_endpoint(
+            lambda: listener, local_addr=address(table.listen)
+        )
+        host, port = transport.get_extra_info("sockname")[:2]
+        log_events.COLLECTD_LISTENING(address=f"{host}:{port}", security=table.security)
+        if table.users:
+            self._schedule_users_check(server.clock())
+
+    # --- endpoints of a host ---
+
+    def endpoints_of(self, host: str) -> tuple[int, ...]:
+        """Return the listed endpoints on a host of collectd.
+
+        The operator file names the host of an endpoint; otherwise it is the endpoint's name or its address.
+        """
+        if self.endpoints_version != self.server.listing.version:
+            self._update_endpoints()
+            if self.listener is not None:
+                self.listener.host_loads.forget_unlisted_hosts()
+        return self.endpoints_by_host.get(host, ())
+
+    def _update_endpoints(self) -> None:
+        listing = self.server.listing
+        by_host: dict[str, list[int]] = {}
+        for index in listing.entries:
+            name = listing.names[index]
+            configured = [host for host, names in self.table.hosts.items() if name in names]
+            endpoint_address = listing.addresses.get(index, "").rpartition(":")[0]
+            for host in configured or {name, endpoint_address} - {""}:
+                by_host.setdefault(host, []).append(index)
+        self.endpoints_by_host = {host: tuple(indices) for host, indices in by_host.items()}
+        self.endpoints_version = listing.version
+
+    # --- users ---
+
+    def _schedule_users_check(self, now: int) -> None:
+        self.server.set_deadline((USERS_TIMER,), now + USERS_CHECK_INTERVAL)
+
+    def check_users(self, now: int) -> None:
+        """Read the password file in the background if it has changed: collectd needs no signal either."""
+        self._schedule_users_check(now)
+        self.background.offer(
+            "collectd.users", Priority.UPKEEP, USERS_CHECK_INTERVAL, self._read_users(), perishable=True
+        )
+
+    def _read_users(self) -> Iterator[None]:
+        from ravenshelf.collectd import users
+
+        file = self.table.users
+        try:
+            modified_at = os.stat(file).st_mtime_ns
+            if modified_at == self.users_modified_at:
+                return
+            yield
+            known_users = users.load(file)
+            self.users_modified_at = modified_at
+            if self.listener is not None:
+                self.listener.users.update(known_users, self.server.clock())
+                log_events.COLLECTD_USERS_LOADED(users=len(known_users))
+        except (OSError, users.UsersFileError) as error:
+            log_events.COLLECTD_USERS_REJECTED(why=str(error))
+
+    # --- reload ---
+
+    def reload(self, previous: Operator, current: Operator) -> None:
+        """Listen anew if the table changed, otherwise read a changed password file."""
+        self.table = current.collectd
+        if previous.collectd != current.collectd:
+            self.endpoints_version = NO_VERSION
+            self.endpoints_by_host = {}
+            task = self.server.loop.create_task(self._listen_anew())
+            self.reloads.add(task)
+            task.add_done_callback(self.reloads.discard)
+        elif self.table.users and self.listener is not None:
+            self.check_users(self.server.clock())
+
+    async def _listen_anew(self) -> None:
+        """Replace the listener; what it learnt of the hosts stays if the types are the same."""
+        former = self.listener
+        self.listener = None
+        if former is not None:
+            former.close()
+        if not self.table.listen:
+            self.server.deadlines.cancel((USERS_TIMER,))
+            return
+        try:
+            await self._listen()
+        except OSError as error:
+            log_events.OPERATOR_CONFIGURATION_REJECTED(why=f"[collectd] listen: {error}")
+            return
+        if former is not None and former.table.types == self.table.types:
+            self._keep_hosts(former)
+
+    def _keep_hosts(self, former: CollectdListener) -> None:
+        if self.listener is not None:
+            self.listener.host_loads.hosts = former.host_loads.hosts
+
+    def measurements(self) -> Measurements:
+        """Return the packets and values since the start."""
+        if self.listener is None:
+            return Measurements({}, {})
+        from ravenshelf.graphite import metrics
+
+        counters = self.server.counters
+        totals: dict[metrics.Metric, float] = {
+            metrics.PACKETS_ACCEPTED: counters["collectd_packets"],
+            metrics.PACKETS_REJECTED: counters["collectd_rejected"],
+            metrics.COLLECTD_VALUES: counters["collectd_values"],
+        }
+        return Measurements({}, totals)
+
+    def close(self) -> None:
+        """Stop listening."""
+        for task in self.reloads:
+            task.cancel()
+        if self.listener is not None:
+            self.listener.close()
--- /dev/null
+++ b/ravenshelf/process/operations/leases.py
@@ -0,0 +1,115 @@
+"""Leases: several servers share the proxies, and each decides for the shards whose leases it holds."""
+
+import random
+from collections.abc import Mapping
+
+from ravenshelf import log_events
+from ravenshelf.leadership.adapter import Adapter, with_term
+from ravenshelf.leadership.cluster import clock
+from ravenshelf.leadership.service import Leadership
+from ravenshelf.operator_config.tables import Operator
+from ravenshelf.policy.events import EndpointsListed, ListKind
+from ravenshelf.process.operations.part import SECOND, Measurements, OperatedServer
+
+WARM_UP_MEMORY = 60 * SECOND  # endpoints that started before are not warming up any more
+
+
+class Leases:
+    """Has to be made before proxies connect: they are owned or not from the first."""
+
+    def __init__(self, operator: Operator, server: OperatedServer, random_source: random.Random) -> None:
+        self.server = server
+        self.leadership = Leadership(
+            operator.leadership,
+            operator.store.folder,
+            server.loop,
+            server.counters,
+            random_source,
+            self._on_failed,
+        )
+        self.adapter = Adapter(
+            self.leadership.member,
+            clock,
+            server.rounds.names,
+            server.counters,
+            report_event=server.tell,
+            write=self._write,
+            write_record=self.leadership.write_record,
+            endpoint_name=self._endpoint_name,
+            list_version=self._list_version,
+            endpoint_index=server.listing.index_by_name.get,
+            warming_since=self._recent_starts,
+            restore_warm_up=self._restore_warm_up,
+        )
+        self.leadership.adapter = self.adapter
+        server.gate = self.adapter
+        server.rounds.gate = self.adapter
+
+    def _on_failed(self, reason: str) -> None:
+        self.server.ended_by = reason
+        self.server.stop()
+
+    def _write(self, proxy: int, message: bytes, marker: int | None, term: int) -> None:
+        door = self.server.door
+        door.write(proxy, with_term(message, term) if door.fences(proxy) else message, marker)
+
+    def _endpoint_name(self, endpoint: int) -> str:
+        name: str = self.server.listing.names[endpoint]
+        return name
+
+    def _list_version(self) -> int:
+        version: int = self.server.listing.version
+        return version
+
+    def _recent_starts(self) -> dict[str, int]:
+        """Return the endpoints that started recently, with the time of their start."""
+        since = self.server.clock() - WARM_UP_MEMORY
+        listing = self.server.listing
+        return {
+            listing.names[index]: entry.started_at
+            for index, entry in listing.entries.items()
+            if entry.started_at > since
+        }
+
+    def _restore_warm_up(self, starts: Mapping[str, int]) -> None:
+        """Tell the controller of starts that an earlier lease holder knew and our endpoint list does not."""
+        listing = self.server.listing
+        restarted = []
+        for name, started_at in starts.items():
+            entry = listing.entries.get(listing.index_by_name.get(name))
+            if entry is not None and entry.started_at < started_at:
+                restarted.append(entry._replace(started_at=started_at))
+        if restarted:
+            self.server.tell(EndpointsListed(ListKind.UPDATE, tuple(restarted)))
+
+    async def start(self) -> None:
+        """Listen, and connect to the other members."""
+        await self.leadership.start()
+
+    def reload(self, previous: Operator, current: Operator) -> None:
+        """Read the certificates, which may have been renewed under the same names."""
+        del previous, current
+        try:
+            self.leadership.read_certificates()
+        except OSError as error:
+            log_events.CERTIFICATES_REJECTED(why=str(error))
+
+    def measurements(self) -> Measurements:
+        """Return the state of the leases, and the records and commits that were written."""
+        from ravenshelf.graphite import metrics
+
+        waiting_commands = sum(len(owned.gate) for owned in self.adapter.owned.values())
+        levels: dict[metrics.Metric, float] = {
+            metrics.SHARDS_OWNED: len(self.leadership.member.held_shards()),
+            metrics.MEMBERS_CONNECTED: 1 + len(self.leadership.connections.links),
+            metrics.COMMANDS_WAITING: waiting_commands,
+        }
+        totals: dict[metrics.Metric, float] = {
+            metrics.STORE_COMMITS: self.leadership.store.committer.batches,
+            metrics.RECORDS_WRITTEN: self.server.counters["records_written"],
+        }
+        return Measurements(levels, totals)
+
+    def close(self) -> None:
+        """Give up the leases and close the connections."""
+        self.leadership.close()
--- /dev/null
+++ b/ravenshelf/process/operations/metrics_export.py
@@ -0,0 +1,179 @@
+"""Exports the server's metrics to Graphite at each interval."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Iterable
+from itertools import starmap
+from typing import TYPE_CHECKING
+
+from ravenshelf.background.decisions import Priority
+from ravenshelf.background.scheduler import BackgroundScheduler
+from ravenshelf.operator_config.tables import Operator
+from ravenshelf.policy.events import EndpointsListed, ListKind
+from ravenshelf.process.operations.part import SECOND, Measurements, OperatedServer, TimerKey
+
+if TYPE_CHECKING:
+    from ravenshelf.graphite.collector import MetricsCollector
+    from ravenshelf.graphite.metrics import Metric
+    from ravenshelf.graphite.points import Point, Sample
+    from ravenshelf.graphite.service import GraphiteService
+
+INTERVAL_TIMER = "metrics"
+RECEIVER_TIMER = "graphite"  # of each receiver
+MEASURE_WITHIN = 2 * SECOND
+SHORTEST_INTERVAL_S = 1e-3
+
+
+class MetricsExport:
+    """Off without receivers; `sources` are asked for their measurements at each interval."""
+
+    def __init__(
+        self,
+        operator: Operator,
+        server: OperatedServer,
+        random_source: random.Random,
+        background: BackgroundScheduler,
+        sources: Iterable[Callable[[], Measurements]],
+    ) -> None:
+        self.table = operator.graphite
+        self.server = server
+        self.random_source = random_source
+        self.background = background
+        self.sources = list(sources)
+        self.collector: MetricsCollector | None = None
+        self.service: GraphiteService | None = None
+        self.previous_totals: dict[Metric, float] | None = None
+        self.previous_at = 0
+
+    async def start(self) -> None:
+        """Start the export if there are receivers."""
+        if self.table.receivers:
+            self._start()
+
+    def _start(self) -> None:
+        from ravenshelf.graphite.collector import MetricsCollector
+        from ravenshelf.graphite.service import GraphiteService
+
+        server = self.server
+        now = server.clock()
+        self.collector = MetricsCollector(
+            server.rounds.settings,
+            self._prefix(),
+            now,
+            server.sent.admission_level_of,
+            self._endpoint_name,
+        )
+        self.collector.on_event(EndpointsListed(ListKind.RESTORED, server.listing.snapshot()), now)
+        for joined in server.rounds.joined.values():
+            self.collector.on_event(joined, now)
+        self.service = GraphiteService(
+            self.table,
+            self.random_source,
+            loop=server.loop,
+            clock=server.clock,
+            background=self.background,
+            wake_at=self._wake_receiver_at,
+        )
+        server.tap = self.collector
+        server.rounds.tap = self.collector
+        self._schedule(server.clock())
+
+    def _endpoint_name(self, endpoint: int) -> str:
+        name: str = self.server.listing.names[endpoint]
+        return name
+
+    def _prefix(self) -> str:
+        from ravenshelf.graphite.formats import path_component
+
+        server_name = str(self.server.configuration.get("name", "pilot"))
+        return f"{self.table.prefix}.{path_component(server_name)}"
+
+    def _wake_receiver_at(self, receiver: str, time: int) -> None:
+        self.server.set_deadline((RECEIVER_TIMER, receiver), time)
+
+    def _schedule(self, now: int) -> None:
+        interval = self.table.every_s * SECOND
+        next_boundary = (now // interval + 1) * interval
+        self.server.set_deadline((INTERVAL_TIMER,), next_boundary)
+
+    def run_due(self, key: TimerKey, now: int) -> None:
+        """Handle a timer: close an interval, or do what is due at a receiver."""
+        if self.service is None:
+            return
+        if key[0] == INTERVAL_TIMER:
+            self._measure(now)
+        else:
+            self.service.run_due(key[1])
+
+    def _measure(self, now: int) -> None:
+        """Close an interval; its points are made in the background and have its boundary as time."""
+        from ravenshelf.graphite.service import interval_boundary
+
+        if self.collector is None:
+            return
+        self._schedule(now)
+        time = interval_boundary(now, self.table.every_s)
+
+        def export(importance: int, points: list[Point]) -> None:
+            if self.service is not None:
+                self.service.export(time, importance, points)
+
+        steps = self.collector.points(now, self.server.rounds.controller, self._samples(now), export)
+        self.background.offer("metrics", Priority.PRESENT, MEASURE_WITHIN, steps)
+
+    def _samples(self, now: int) -> list[Sample]:
+        """Return what others measured: levels as they are, totals as rates since the last interval."""
+        from ravenshelf.graphite.points import Sample
+
+        levels: dict[Metric, float] = {}
+        totals: dict[Metric, float] = {}
+        for source in self.sources:
+            measured = source()
+            levels |= measured.levels
+            totals |= measured.totals
+        rates = self._rates(totals, now)
+        receiver_samples = self.service.samples() if self.service is not None else []
+        return [*receiver_samples, *starmap(Sample, levels.items()), *starmap(Sample, rates.items())]
+
+    def _rates(self, totals: dict[Metric, float], now: int) -> dict[Metric, float]:
+        previous = self.previous_totals
+        seconds = max(SHORTEST_INTERVAL_S, (now - self.previous_at) / SECOND)
+        self.previous_totals = totals
+        self.previous_at = now
+        if previous is None:
+            return {}
+        return {metric: (total - previous.get(metric, 0)) / seconds for metric, total in totals.items()}
+
+    def reload(self, previous: Operator, current: Operator) -> None:
+        """Start, stop or change the export."""
+        self.table = current.graphite
+        if previous.graphite == current.graphite:
+            return
+        if self.service is None or self.collector is None:
+            if self.table.receivers:
+                self._start()
+        elif not self.table.receivers:
+            self._stop(self.service)
+        else:
+            self.service.reload(self.table)
+            self.collector.names.prefix = self._prefix()
+            if self.table.every_s != previous.graphite.every_s:
+                self._schedule(self.server.clock())
+
+    def _stop(self, service: GraphiteService) -> None:
+        service.close()
+        self.service = None
+        self.collector = None
+        self.server.tap = None
+        self.server.rounds.tap = None
+        self.server.deadlines.cancel((INTERVAL_TIMER,))
+
+    def measurements(self) -> Measurements:
+        """Return nothing: the receivers' queues are measured with their service."""
+        return Measurements({}, {})
+
+    def close(self) -> None:
+        """Close the connections; points that are queued in memory are lost."""
+        if self.service is not None:
+            self.service.close()
--- a/tests/operations/test_server_operations.py
+++ b/tests/operations/test_server_operations.py
@@ -13,7 +13,7 @@
 from ravenshelf.operator_config.reading import check
 from ravenshelf.process.clock import Clock
 from ravenshelf.process.control_plane import ControlPlaneServer
-from ravenshelf.process.operations import Operations
+from ravenshelf.process.operations.composer import Operations
 from standins import collectd as sender
 from standins.carbon import CarbonReceiver, StopReading
 from standins.world import Discovery, Proxy, configuration, entry
@@ -54,7 +54,7 @@
         )
         host, place = (
             sender.SimulatedHost("machine", busy=0.9),
-            server.operations.listener.transport.get_extra_info("sockname"),
+            server.operations.collectd.listener.transport.get_extra_info("sockname"),
         )
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as out:
             now = server.clock() / 1e6
@@ -83,13 +83,13 @@
         # a new operator file: the metrics go to another receiver, collectd ends
         moved = await CarbonReceiver().start()
         done = []
-        server.operations.renew(
+        server.operations.reload(
             check({"graphite": {"receivers": [moved.address], "every_s": 1, "prefix": "x"}}, "f"), done.append
         )
         assert done == ["[graphite], [collectd]"]
         await moved.wait_until(lambda: any(p.startswith("x.toy.") for p, _ in moved.points))
-        server.operations.renew(check({}, "f"), done.append)
-        assert server.tap is None and server.operations.graphite is None
+        server.operations.reload(check({}, "f"), done.append)
+        assert server.tap is None and server.operations.metrics.service is None
         for task in tasks:
             task.cancel()
         server.stop()
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -203,7 +203,7 @@
 def loaded(*operator):
     program = (
         "import sys\nfrom ravenshelf import __main__\nfrom ravenshelf.process import logs, run, control_plane, serving\n"
-        + ("from ravenshelf.process import operations\n" if operator else "")
+        + ("from ravenshelf.process.operations import composer\n" if operator else "")
         + "print('\\n'.join(sorted(sys.modules)))"
     )
     out = subprocess.run(
