--- a/ravenshelf/process/operations/collectd_signals.py
+++ b/ravenshelf/process/operations/collectd_signals.py
@@ -13,10 +13,11 @@
 from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.net.datagrams import address
 from ravenshelf.operator_config.tables import Operator
-from ravenshelf.process.operations.part import SECOND, Measurements, OperatedServer
+from ravenshelf.process.operations.part import SECOND, Measurements
 
 if TYPE_CHECKING:
     from ravenshelf.collectd.listener import CollectdListener
+    from ravenshelf.process.control_plane import ControlPlaneServer
 
 USERS_TIMER = "users"
 USERS_CHECK_INTERVAL = 10 * SECOND
@@ -26,7 +27,9 @@
 class CollectdSignals:
     """Off without an address to listen at."""
 
-    def __init__(self, operator: Operator, server: OperatedServer, background: BackgroundScheduler) -> None:
+    def __init__(
+        self, operator: Operator, server: ControlPlaneServer, background: BackgroundScheduler
+    ) -> None:
         self.table = operator.collectd
         self.server = server
         self.background = background
@@ -60,7 +63,7 @@
             self.background,
             server.counters,
             server.clock,
-            server.news,
+            server.publish,
         )
         self.listener = listener
         transport, _ = await server.loop.create_datagram_endpoint(
@@ -78,28 +81,28 @@
 
         The operator file names the host of an endpoint; otherwise it is the endpoint's name or its address.
         """
-        if self.endpoints_version != self.server.listing.version:
+        if self.endpoints_version != self.server.registry.version:
             self._update_endpoints()
             if self.listener is not None:
                 self.listener.host_loads.forget_unlisted_hosts()
         return self.endpoints_by_host.get(host, ())
 
     def _update_endpoints(self) -> None:
-        listing = self.server.listing
+        registry = self.server.registry
         by_host: dict[str, list[int]] = {}
-        for index in listing.entries:
-            name = listing.names[index]
+        for index in registry.entries:
+            name = registry.names[index]
             configured = [host for host, names in self.table.hosts.items() if name in names]
-            endpoint_address = listing.addresses.get(index, "").rpartition(":")[0]
+            endpoint_address = registry.addresses.get(index, "").rpartition(":")[0]
             for host in configured or {name, endpoint_address} - {""}:
                 by_host.setdefault(host, []).append(index)
         self.endpoints_by_host = {host: tuple(indices) for host, indices in by_host.items()}
-        self.endpoints_version = listing.version
+        self.endpoints_version = registry.version
 
     # --- users ---
 
     def _schedule_users_check(self, now: int) -> None:
-        self.server.set_deadline((USERS_TIMER,), now + USERS_CHECK_INTERVAL)
+        self.server.timers.set((USERS_TIMER,), now + USERS_CHECK_INTERVAL)
 
     def check_users(self, now: int) -> None:
         """Read the password file in the background if it has changed: collectd needs no signal either."""
@@ -146,7 +149,7 @@
         if former is not None:
             former.close()
         if not self.table.listen:
-            self.server.deadlines.cancel((USERS_TIMER,))
+            self.server.timers.cancel((USERS_TIMER,))
             return
         try:
             await self._listen()
--- a/ravenshelf/process/operations/composer.py
+++ b/ravenshelf/process/operations/composer.py
@@ -12,10 +12,11 @@
 from ravenshelf.operator_config.tables import Background, Operator
 from ravenshelf.process.operations.collectd_signals import USERS_TIMER, CollectdSignals
 from ravenshelf.process.operations.metrics_export import INTERVAL_TIMER, RECEIVER_TIMER, MetricsExport
-from ravenshelf.process.operations.part import SECOND, Measurements, OperatedServer, OperationsPart, TimerKey
+from ravenshelf.process.operations.part import SECOND, Measurements, OperationsPart, TimerKey
 from ravenshelf.process.operations.process_metrics import process_measurements
 
 if TYPE_CHECKING:
+    from ravenshelf.process.control_plane import ControlPlaneServer
     from ravenshelf.process.operations.leases import Leases
     from ravenshelf.process.operations.subscription import Subscription
 
@@ -39,14 +40,14 @@
 
     TIMERS = frozenset([BACKGROUND_TIMER, INTERVAL_TIMER, RECEIVER_TIMER, USERS_TIMER])
 
-    def __init__(self, operator: Operator, server: OperatedServer, random_source: random.Random) -> None:
+    def __init__(self, operator: Operator, server: ControlPlaneServer, random_source: random.Random) -> None:
         self.operator = operator
         self.server = server
         self.background = BackgroundScheduler(
             job_queue(operator.background),
             server.clock,
             self._wake_background_at,
-            server.round_due,
+            server.cycle_scheduler.is_due,
             server.counters,
         )
         self.subscription = self._make_subscription(random_source)
@@ -76,7 +77,7 @@
         return process_measurements(self.server, self.background)
 
     def _wake_background_at(self, time: int) -> None:
-        self.server.set_deadline((BACKGROUND_TIMER,), time)
+        self.server.timers.set((BACKGROUND_TIMER,), time)
 
     async def start(self) -> None:
         """Start the parts, leases first."""
--- a/ravenshelf/process/operations/leases.py
+++ b/ravenshelf/process/operations/leases.py
@@ -1,7 +1,10 @@
 """Leases: several servers share the proxies, and each decides for the shards whose leases it holds."""
 
+from __future__ import annotations
+
 import random
 from collections.abc import Mapping
+from typing import TYPE_CHECKING
 
 from ravenshelf import log_events
 from ravenshelf.leadership.adapter import Adapter, with_term
@@ -9,7 +12,10 @@
 from ravenshelf.leadership.service import Leadership
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.policy.events import EndpointsListed, ListKind
-from ravenshelf.process.operations.part import SECOND, Measurements, OperatedServer
+from ravenshelf.process.operations.part import SECOND, Measurements
+
+if TYPE_CHECKING:
+    from ravenshelf.process.control_plane import ControlPlaneServer
 
 WARM_UP_MEMORY = 60 * SECOND  # endpoints that started before are not warming up any more
 
@@ -17,7 +23,7 @@
 class Leases:
     """Has to be made before proxies connect: they are owned or not from the first."""
 
-    def __init__(self, operator: Operator, server: OperatedServer, random_source: random.Random) -> None:
+    def __init__(self, operator: Operator, server: ControlPlaneServer, random_source: random.Random) -> None:
         self.server = server
         self.leadership = Leadership(
             operator.leadership,
@@ -30,57 +36,59 @@
         self.adapter = Adapter(
             self.leadership.member,
             clock,
-            server.rounds.names,
+            server.control_cycle.group_names,
             server.counters,
-            report_event=server.tell,
+            report_event=server.deliver,
             write=self._write,
             write_record=self.leadership.write_record,
             endpoint_name=self._endpoint_name,
             list_version=self._list_version,
-            endpoint_index=server.listing.index_by_name.get,
+            endpoint_index=server.registry.index_by_name.get,
             warming_since=self._recent_starts,
             restore_warm_up=self._restore_warm_up,
         )
         self.leadership.adapter = self.adapter
-        server.gate = self.adapter
-        server.rounds.gate = self.adapter
+        server.admission_gate = self.adapter
+        server.control_cycle.admission_gate = self.adapter
 
     def _on_failed(self, reason: str) -> None:
-        self.server.ended_by = reason
+        self.server.failure = reason
         self.server.stop()
 
     def _write(self, proxy: int, message: bytes, marker: int | None, term: int) -> None:
-        door = self.server.door
-        door.write(proxy, with_term(message, term) if door.fences(proxy) else message, marker)
+        acceptor = self.server.acceptor
+        if acceptor.checks_terms(proxy):
+            acceptor.write(proxy, with_term(message, term), marker)
+        else:
+            acceptor.write(proxy, message, marker)
 
     def _endpoint_name(self, endpoint: int) -> str:
-        name: str = self.server.listing.names[endpoint]
-        return name
+        return self.server.registry.names[endpoint]
 
     def _list_version(self) -> int:
-        version: int = self.server.listing.version
-        return version
+        return self.server.registry.version
 
     def _recent_starts(self) -> dict[str, int]:
         """Return the endpoints that started recently, with the time of their start."""
         since = self.server.clock() - WARM_UP_MEMORY
-        listing = self.server.listing
+        registry = self.server.registry
         return {
-            listing.names[index]: entry.started_at
-            for index, entry in listing.entries.items()
+            registry.names[index]: entry.started_at
+            for index, entry in registry.entries.items()
             if entry.started_at > since
         }
 
     def _restore_warm_up(self, starts: Mapping[str, int]) -> None:
         """Tell the controller of starts that an earlier lease holder knew and our endpoint list does not."""
-        listing = self.server.listing
+        registry = self.server.registry
         restarted = []
         for name, started_at in starts.items():
-            entry = listing.entries.get(listing.index_by_name.get(name))
+            index = registry.index_by_name.get(name)
+            entry = None if index is None else registry.entries.get(index)
             if entry is not None and entry.started_at < started_at:
                 restarted.append(entry._replace(started_at=started_at))
         if restarted:
-            self.server.tell(EndpointsListed(ListKind.UPDATE, tuple(restarted)))
+            self.server.deliver(EndpointsListed(ListKind.UPDATE, tuple(restarted)))
 
     async def start(self) -> None:
         """Listen, and connect to the other members."""
--- a/ravenshelf/process/operations/metrics_export.py
+++ b/ravenshelf/process/operations/metrics_export.py
@@ -11,13 +11,14 @@
 from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.policy.events import EndpointsListed, ListKind
-from ravenshelf.process.operations.part import SECOND, Measurements, OperatedServer, TimerKey
+from ravenshelf.process.operations.part import SECOND, Measurements, TimerKey
 
 if TYPE_CHECKING:
     from ravenshelf.graphite.collector import MetricsCollector
     from ravenshelf.graphite.metrics import Metric
     from ravenshelf.graphite.points import Point, Sample
     from ravenshelf.graphite.service import GraphiteService
+    from ravenshelf.process.control_plane import ControlPlaneServer
 
 INTERVAL_TIMER = "metrics"
 RECEIVER_TIMER = "graphite"  # of each receiver
@@ -31,7 +32,7 @@
     def __init__(
         self,
         operator: Operator,
-        server: OperatedServer,
+        server: ControlPlaneServer,
         random_source: random.Random,
         background: BackgroundScheduler,
         sources: Iterable[Callable[[], Measurements]],
@@ -58,14 +59,14 @@
         server = self.server
         now = server.clock()
         self.collector = MetricsCollector(
-            server.rounds.settings,
+            server.control_cycle.settings,
             self._prefix(),
             now,
-            server.sent.admission_level_of,
+            server.proxy_tables.admission_level_of,
             self._endpoint_name,
         )
-        self.collector.on_event(EndpointsListed(ListKind.RESTORED, server.listing.snapshot()), now)
-        for joined in server.rounds.joined.values():
+        self.collector.on_event(EndpointsListed(ListKind.RESTORED, server.registry.snapshot()), now)
+        for joined in server.control_cycle.joined.values():
             self.collector.on_event(joined, now)
         self.service = GraphiteService(
             self.table,
@@ -75,13 +76,12 @@
             background=self.background,
             wake_at=self._wake_receiver_at,
         )
-        server.tap = self.collector
-        server.rounds.tap = self.collector
+        server.observers.insert(0, self.collector)
+        server.control_cycle.cycle_observer = self.collector
         self._schedule(server.clock())
 
     def _endpoint_name(self, endpoint: int) -> str:
-        name: str = self.server.listing.names[endpoint]
-        return name
+        return self.server.registry.names[endpoint]
 
     def _prefix(self) -> str:
         from ravenshelf.graphite.formats import path_component
@@ -90,12 +90,12 @@
         return f"{self.table.prefix}.{path_component(server_name)}"
 
     def _wake_receiver_at(self, receiver: str, time: int) -> None:
-        self.server.set_deadline((RECEIVER_TIMER, receiver), time)
+        self.server.timers.set((RECEIVER_TIMER, receiver), time)
 
     def _schedule(self, now: int) -> None:
         interval = self.table.every_s * SECOND
         next_boundary = (now // interval + 1) * interval
-        self.server.set_deadline((INTERVAL_TIMER,), next_boundary)
+        self.server.timers.set((INTERVAL_TIMER,), next_boundary)
 
     def run_due(self, key: TimerKey, now: int) -> None:
         """Handle a timer: close an interval, or do what is due at a receiver."""
@@ -119,7 +119,7 @@
             if self.service is not None:
                 self.service.export(time, importance, points)
 
-        steps = self.collector.points(now, self.server.rounds.controller, self._samples(now), export)
+        steps = self.collector.points(now, self.server.control_cycle.controller, self._samples(now), export)
         self.background.offer("metrics", Priority.PRESENT, MEASURE_WITHIN, steps)
 
     def _samples(self, now: int) -> list[Sample]:
@@ -154,20 +154,20 @@
             if self.table.receivers:
                 self._start()
         elif not self.table.receivers:
-            self._stop(self.service)
+            self._stop(self.service, self.collector)
         else:
             self.service.reload(self.table)
             self.collector.names.prefix = self._prefix()
             if self.table.every_s != previous.graphite.every_s:
                 self._schedule(self.server.clock())
 
-    def _stop(self, service: GraphiteService) -> None:
+    def _stop(self, service: GraphiteService, collector: MetricsCollector) -> None:
         service.close()
         self.service = None
         self.collector = None
-        self.server.tap = None
-        self.server.rounds.tap = None
-        self.server.deadlines.cancel((INTERVAL_TIMER,))
+        self.server.observers.remove(collector)
+        self.server.control_cycle.cycle_observer = None
+        self.server.timers.cancel((INTERVAL_TIMER,))
 
     def measurements(self) -> Measurements:
         """Return nothing: the receivers' queues are measured with their service."""
--- a/ravenshelf/process/operations/process_metrics.py
+++ b/ravenshelf/process/operations/process_metrics.py
@@ -1,10 +1,16 @@
 """Measurements of the process, the control cycles and the background jobs."""
 
+from __future__ import annotations
+
 import os
 import resource
+from typing import TYPE_CHECKING
 
 from ravenshelf.background.scheduler import BackgroundScheduler
-from ravenshelf.process.operations.part import Measurements, OperatedServer
+from ravenshelf.process.operations.part import Measurements
+
+if TYPE_CHECKING:
+    from ravenshelf.process.control_plane import ControlPlaneServer
 
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 BYTES_PER_MB = 1e6
@@ -23,7 +29,7 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-def process_measurements(server: OperatedServer, background: BackgroundScheduler) -> Measurements:
+def process_measurements(server: ControlPlaneServer, background: BackgroundScheduler) -> Measurements:
     """Return what the system and the server's counters measure."""
     from ravenshelf.graphite import metrics
 
--- a/ravenshelf/process/operations/subscription.py
+++ b/ravenshelf/process/operations/subscription.py
@@ -1,18 +1,24 @@
 """The subscription to the tables of a service that an owner decides."""
 
+from __future__ import annotations
+
 import random
+from typing import TYPE_CHECKING
 
 from ravenshelf.distribution.pilot_service import PilotDistribution
 from ravenshelf.leadership.cluster import clock
 from ravenshelf.operator_config.tables import Operator
-from ravenshelf.process.operations.part import Measurements, OperatedServer
+from ravenshelf.process.operations.part import Measurements
+
+if TYPE_CHECKING:
+    from ravenshelf.process.control_plane import ControlPlaneServer
 
 
 class Subscription:
     """Replaces the server's controller by one that uses the owner's tables; has to be made before the first
     cycle."""
 
-    def __init__(self, operator: Operator, server: OperatedServer, random_source: random.Random) -> None:
+    def __init__(self, operator: Operator, server: ControlPlaneServer, random_source: random.Random) -> None:
         table = operator.distribution
         self.server = server
         self.service = PilotDistribution(
@@ -24,14 +30,13 @@
             clock,
             random_source,
             name_of=self._endpoint_name,
-            index_of=server.listing.index_by_name.get,
+            index_of=server.registry.index_by_name.get,
         )
-        server.sums = self.service
-        server.rounds.decide_with(self.service.controller)
+        server.observers.append(self.service)
+        server.control_cycle.decide_with(self.service.controller)
 
     def _endpoint_name(self, endpoint: int) -> str:
-        name: str = self.server.listing.names[endpoint]
-        return name
+        return self.server.registry.names[endpoint]
 
     async def start(self) -> None:
         """Connect to the parents."""
--- a/tests/graphite/test_spool.py
+++ b/tests/graphite/test_spool.py
@@ -6,11 +6,11 @@
 from exporting import ExportRig, has_all, run
 
 from ravenshelf.graphite.decisions.connection import SECOND
-from ravenshelf.store.segments import Files
+from ravenshelf.store.file_system import FileSystem
 from standins.carbon import CarbonReceiver
 
 
-class FullDisk(Files):
+class FullDisk(FileSystem):
     full = True
 
     def write(self, handle, data):
