--- a/docs/pages.py
+++ b/docs/pages.py
@@ -9,12 +9,12 @@
 
 from ravenshelf import log_events, output  # noqa: E402
 from ravenshelf.graphite import metrics  # noqa: E402
-from ravenshelf.operator_config import reading  # noqa: E402
+from ravenshelf.operator_config import keys  # noqa: E402
 
 CATALOGUES = {
     "events": log_events.markdown(),
     "figures": output.markdown(("path", "unit", "importance", "source", "meaning", "formed"), metrics.rows()),
-    "keys": output.markdown(("table", "key", "default", "expected"), reading.rows()),
+    "keys": output.markdown(("table", "key", "default", "expected"), keys.rows()),
 }
 
 for page in sorted((ROOT / "docs" / "operations").glob("*.md")):
--- a/ravenshelf/collectd/listener.py
+++ b/ravenshelf/collectd/listener.py
@@ -2,7 +2,7 @@
 
 import asyncio
 from collections import deque
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterator, Sequence
 from typing import Any, NamedTuple, Protocol, cast
 
 import xxhash
@@ -33,7 +33,7 @@
         """The lowest level that is accepted, one of security.SECURITY_LEVELS."""
 
     @property
-    def plugins(self) -> list[str]:
+    def plugins(self) -> Sequence[str]:
         """The plugins whose values are used."""
 
     @property
--- a/ravenshelf/commands.py
+++ b/ravenshelf/commands.py
@@ -102,7 +102,7 @@
 @app.command()
 def settings(form: Form = "table"):
     """Every key of the operator file."""
-    from ravenshelf.operator_config.reading import rows
+    from ravenshelf.operator_config.keys import rows
 
     show(("table", "key", "default", "expected"), rows(), form, "The operator file")
 
--- /dev/null
+++ b/ravenshelf/operator_config/named_files.py
@@ -0,0 +1,56 @@
+"""Reads the files that an operator file names, and looks for the extras that it needs, as a start would."""
+
+import importlib.util
+from collections.abc import Iterator
+from pathlib import Path
+
+from ravenshelf.operator_config.errors import Problem
+from ravenshelf.operator_config.tables import Operator
+
+
+def named_file_problems(operator: Operator, file: str) -> list[Problem]:
+    """Return the problems of what the operator file `file` refers to."""
+    return [
+        *_missing_extras(operator, file),
+        *_users_problems(operator, file),
+        *_types_problems(operator, file),
+    ]
+
+
+def _missing_extras(operator: Operator, file: str) -> Iterator[Problem]:
+    needed_modules = (
+        ("graphite", operator.graphite.receivers, ("hdrh", "xxhash")),
+        ("collectd", operator.collectd.listen, ("cryptography", "xxhash")),
+        ("leadership", operator.leadership.name, ("xxhash",)),
+        ("distribution", operator.distribution.name, ("xxhash",)),
+    )
+    for extra, is_on, modules in needed_modules:
+        missing = [module for module in modules if is_on and importlib.util.find_spec(module) is None]
+        if missing:
+            expected = f"the extra {extra} to be installed"
+            yield Problem(file, f"[{extra}]", f"no {', '.join(missing)}", expected)
+
+
+def _users_problems(operator: Operator, file: str) -> Iterator[Problem]:
+    if not operator.collectd.users:
+        return
+    from ravenshelf.collectd import users
+
+    try:
+        users.load(operator.collectd.users)
+    except users.UsersFileError as error:
+        yield Problem(file, "[collectd] users", detail=str(error))
+
+
+def _types_problems(operator: Operator, file: str) -> Iterator[Problem]:
+    types_file = operator.collectd.types
+    if not types_file:
+        return
+    from ravenshelf.collectd import types
+
+    try:
+        types.parse(Path(types_file).read_text(encoding="utf-8"), types_file)
+    except OSError as error:
+        yield Problem(file, "[collectd] types", detail=f"{types_file}: {error.strerror}")
+    except (types.TypesFileError, UnicodeDecodeError) as error:
+        yield Problem(file, "[collectd] types", detail=str(error))
--- a/ravenshelf/process/operations/composer.py
+++ b/ravenshelf/process/operations/composer.py
@@ -105,21 +105,21 @@
 
         A new listener opens in a task of the event loop.
         """
-        from ravenshelf.operator_config.reading import changed
+        from ravenshelf.operator_config.keys import changed_tables
 
         previous = self.operator
         self.operator = operator
-        changed_tables = changed(previous, operator)
-        if "background" in changed_tables:
+        changed = changed_tables(previous, operator)
+        if "background" in changed:
             self.background.replace_queue(job_queue(operator.background))
         parts: tuple[OperationsPart | None, ...] = (self.metrics, self.collectd, self.leases)
         for part in parts:
             if part is not None:
                 part.reload(previous, operator)
         for table in RESTART_TABLES:
-            if table in changed_tables and (table == "distribution" or self.leases is not None):
+            if table in changed and (table == "distribution" or self.leases is not None):
                 log_events.RESTART_REQUIRED(table=table)
-        done(", ".join(f"[{table}]" for table in changed_tables) or "nothing changed")
+        done(", ".join(f"[{table}]" for table in changed) or "nothing changed")
 
     def close(self) -> None:
         """Close the connections of all parts."""
--- a/ravenshelf/process/reloading.py
+++ b/ravenshelf/process/reloading.py
@@ -76,7 +76,7 @@
         self.take_configuration(new)
 
     def _reload_operator(self) -> None:
-        from ravenshelf.operator_config.reading import OperatorConfigurationError
+        from ravenshelf.operator_config.errors import OperatorConfigurationError
 
         assert self.read_operator is not None and self.take_operator is not None
         try:
--- a/tests/leadership/test_peer_connections.py
+++ b/tests/leadership/test_peer_connections.py
@@ -12,7 +12,8 @@
 from ravenshelf.leadership import message_codec
 from ravenshelf.leadership.adapter import with_term
 from ravenshelf.leadership.service import Leadership
-from ravenshelf.operator_config import reading
+from ravenshelf.operator_config.decoding import decode
+from ravenshelf.operator_config.errors import OperatorConfigurationError
 from ravenshelf.operator_config.tables import Leadership as LeadershipTable
 from ravenshelf.state.counters import Counters
 
@@ -174,7 +175,7 @@
     ],
 )
 def test_an_unusable_leadership_table_is_rejected_with_the_reason(tables, reason):
-    with pytest.raises(reading.OperatorConfigurationError) as raised:
-        reading.check(tables, "f")
+    with pytest.raises(OperatorConfigurationError) as raised:
+        decode(tables, "f")
     assert reason in str(raised.value)
     assert "f: " in str(raised.value)  # the file
--- a/tests/operations/test_server_operations.py
+++ b/tests/operations/test_server_operations.py
@@ -10,7 +10,7 @@
 import sys
 from pathlib import Path
 
-from ravenshelf.operator_config.reading import check
+from ravenshelf.operator_config.decoding import decode
 from ravenshelf.process.clock import Clock
 from ravenshelf.process.control_plane import ControlPlaneServer
 from ravenshelf.process.operations.composer import Operations
@@ -30,7 +30,7 @@
             await CarbonReceiver([StopReading()], buffer_bytes=2048).start(),
         )
         (tmp_path / "users").write_text("u: pw\n")
-        operator = check(
+        operator = decode(
             {
                 "graphite": {"receivers": [carbon.address, hangs.address], "every_s": 1},
                 "collectd": {
@@ -84,11 +84,12 @@
         moved = await CarbonReceiver().start()
         done = []
         server.optional_parts.reload(
-            check({"graphite": {"receivers": [moved.address], "every_s": 1, "prefix": "x"}}, "f"), done.append
+            decode({"graphite": {"receivers": [moved.address], "every_s": 1, "prefix": "x"}}, "f"),
+            done.append,
         )
         assert done == ["[graphite], [collectd]"]
         await moved.wait_until(lambda: any(p.startswith("x.toy.") for p, _ in moved.points))
-        server.optional_parts.reload(check({}, "f"), done.append)
+        server.optional_parts.reload(decode({}, "f"), done.append)
         assert (
             server.control_cycle.cycle_observer is None
             and not server.observers
--- /dev/null
+++ b/tests/operator_config/test_operator_file.py
@@ -0,0 +1,122 @@
+"""The operator file: every problem is named with its place, and files that it names are read."""
+
+from pathlib import Path
+
+import pytest
+
+from ravenshelf.operator_config import reading
+from ravenshelf.operator_config.decoding import decode
+from ravenshelf.operator_config.errors import OperatorConfigurationError
+
+ROOT = Path(__file__).resolve().parent.parent.parent
+
+
+@pytest.mark.parametrize(
+    "document, complaint",
+    [
+        (
+            {"graphite": {"recievers": []}},
+            "f: [graphite] recievers: found a key that is not known; did you mean receivers?",
+        ),
+        ({"grafite": {}}, "f: grafite: found a table that is not known; did you mean graphite?"),
+        ({"graphite": 3}, "f: [graphite]: found 3, expected a table"),
+        (
+            {"graphite": {"every_s": "10"}},
+            "f: [graphite] every_s: found '10', expected a whole number from 1 to 3600",
+        ),
+        (
+            {"graphite": {"every_s": 0}},
+            "f: [graphite] every_s: found 0, expected a whole number from 1 to 3600",
+        ),
+        (
+            {"graphite": {"every_s": True}},
+            "f: [graphite] every_s: found True, expected a whole number from 1 to 3600",
+        ),
+        ({"graphite": {"prefix": "a b"}}, "f: [graphite] prefix: found 'a b', expected words parted by dots"),
+        (
+            {"graphite": {"receivers": ["a:1", 2]}},
+            "f: [graphite] receivers[1]: found ['a:1', 2], expected a list",
+        ),
+        ({"graphite": {"receivers": ["a"]}}, "f: [graphite] receivers[0]: found 'a', expected host:port"),
+        (
+            {"graphite": {"receivers": ["a:1", "a:1"]}},
+            "f: [graphite] receivers[1]: found 'a:1' again, expected each once",
+        ),
+        (
+            {"graphite": {"spool_mb": 3}},
+            "f: [graphite] spool_dir: found nothing, expected a folder, since spool_mb is given",
+        ),
+        ({"log": {"format": "xml"}}, 'f: [log] format: found \'xml\', expected "text" or "json"'),
+        ({"collectd": {"security": "sign"}}, "f: [collectd] users: found nothing, expected a file"),
+        ({"collectd": {"plugins": ["disk"]}}, "f: [collectd] plugins[0]: found ['disk'], expected a list of"),
+        (
+            {"background": {"turn_ms": 15, "a_second_ms": 5}},
+            "f: [background] turn_ms: found 15, expected at most a_second_ms (5)",
+        ),
+    ],
+    ids=[
+        "unknown key",
+        "unknown table",
+        "a table that is none",
+        "a number as text",
+        "below the least",
+        "a truth value for a number",
+        "a prefix with a space",
+        "a receiver that is no text",
+        "a receiver without a port",
+        "a receiver twice",
+        "a spool without a folder",
+        "an unknown log format",
+        "signatures without users",
+        "an unknown plugin",
+        "a turn beyond the second",
+    ],
+)
+def test_each_problem_names_file_table_key_what_was_found_and_expected(document, complaint):
+    with pytest.raises(OperatorConfigurationError) as rejected:
+        decode(document, "f")
+    assert str(rejected.value).startswith(complaint)
+
+
+@pytest.mark.parametrize("members, is_accepted", [(1024, True), (1025, True), (4096, True), (4097, False)])
+def test_as_many_members_as_terms_can_tell_apart(members, is_accepted):
+    document = {
+        "leadership": {
+            "name": "m0",
+            "cluster": "c",
+            "members": {f"m{n}": f"10.0.{n // 250}.{n % 250}:7000" for n in range(members)},
+        },
+        "store": {"folder": "/tmp"},
+    }
+    if is_accepted:
+        assert len(decode(document, "f").leadership.members) == members
+    else:
+        with pytest.raises(OperatorConfigurationError, match="expected up to 4096"):
+            decode(document, "f")
+
+
+def test_all_problems_are_raised_at_once():
+    with pytest.raises(OperatorConfigurationError) as rejected:
+        decode({"graphite": {"every_s": 0, "route": "some"}, "lag": {}}, "f")
+    assert len(str(rejected.value).splitlines()) == 3
+
+
+def test_an_empty_file_turns_nothing_on_and_the_deployed_one_is_empty():
+    operator = decode({}, "f")
+    assert not operator.graphite.receivers and not operator.collectd.listen and operator.log.format == "text"
+    assert reading.read(ROOT / "deploy" / "operator.toml") == operator
+
+
+def test_files_that_it_names_are_read_as_well(tmp_path):
+    file = tmp_path / "operator.toml"
+    for text, complaint in (
+        ("[collectd]\nusers = 'none'", "No such file"),
+        ("[log\n", "expected TOML"),
+        (f"[collectd]\ntypes = '{tmp_path / 't'}'", "expected name:KIND"),
+    ):
+        (tmp_path / "t").write_text("x y")
+        file.write_text(text)
+        with pytest.raises(OperatorConfigurationError, match=complaint):
+            reading.read(file)
+    with pytest.raises(OperatorConfigurationError, match=r"gone\.toml: No such file"):
+        reading.read(tmp_path / "gone.toml")
