--- a/ravenshelf/graphite/exporter.py
+++ b/ravenshelf/graphite/exporter.py
@@ -124,13 +124,11 @@
         now = self.clock()
         self.queue.connection_lost()
         self.policy.failed(now)
-        if connection.end is not ConnectionEnd.STOPPING:
-            log_events.RECEIVER_DISCONNECTED(
-                receiver=self.receiver,
-                end=connection.end.value,
-                rest=(self.policy.state_until - now) / SECOND,
-            )
-            self._schedule()
+        if connection.end is None or connection.end is ConnectionEnd.STOPPING:
+            return
+        backoff_s = (self.policy.state_until - now) / SECOND
+        log_events.RECEIVER_DISCONNECTED(receiver=self.receiver, end=connection.end.value, rest=backoff_s)
+        self._schedule()
 
     # --- points ---
 
--- a/ravenshelf/process/optional_parts.py
+++ b/ravenshelf/process/optional_parts.py
@@ -44,16 +44,16 @@
     """All that an operator configuration turns on, as one owner."""
 
     @property
-    def KEYS(self) -> tuple[str, ...]:  # noqa: N802 a constant of the class
-        """First items of the deadline keys that `meet` handles."""
+    def TIMERS(self) -> frozenset[str]:  # noqa: N802 a constant of the class
+        """First items of the deadline keys that `run_due` handles."""
 
     async def start(self) -> None:
         """Begin to listen, dial and measure."""
 
-    def renew(self, operator: "Operator", done: Callable[[str], None]) -> None:
+    def reload(self, operator: "Operator", done: Callable[[str], None]) -> None:
         """Take a new operator configuration; `done` is told what changed."""
 
-    def meet(self, key: tuple[Any, ...], now: int) -> None:
+    def run_due(self, key: tuple[Any, ...], now: int) -> None:
         """Handle a deadline."""
 
     def close(self) -> None:
--- a/tests/operations/test_server_operations.py
+++ b/tests/operations/test_server_operations.py
@@ -10,10 +10,10 @@
 import sys
 from pathlib import Path
 
-from ravenshelf.operator_config.reading import check
+from ravenshelf.operator_config.decoding import decode
 from ravenshelf.process.clock import Clock
 from ravenshelf.process.control_plane import ControlPlaneServer
-from ravenshelf.process.operations import Operations
+from ravenshelf.process.operations.composer import Operations
 from standins import collectd as sender
 from standins.carbon import CarbonReceiver, StopReading
 from standins.world import Discovery, Proxy, configuration, entry
@@ -30,7 +30,7 @@
             await CarbonReceiver([StopReading()], buffer_bytes=2048).start(),
         )
         (tmp_path / "users").write_text("u: pw\n")
-        operator = check(
+        operator = decode(
             {
                 "graphite": {"receivers": [carbon.address, hangs.address], "every_s": 1},
                 "collectd": {
@@ -54,7 +54,7 @@
         )
         host, place = (
             sender.SimulatedHost("machine", busy=0.9),
-            server.optional_parts.listener.transport.get_extra_info("sockname"),
+            server.optional_parts.collectd.listener.transport.get_extra_info("sockname"),
         )
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as out:
             now = server.clock() / 1e6
@@ -83,16 +83,17 @@
         # a new operator file: the metrics go to another receiver, collectd ends
         moved = await CarbonReceiver().start()
         done = []
-        server.optional_parts.renew(
-            check({"graphite": {"receivers": [moved.address], "every_s": 1, "prefix": "x"}}, "f"), done.append
+        server.optional_parts.reload(
+            decode({"graphite": {"receivers": [moved.address], "every_s": 1, "prefix": "x"}}, "f"),
+            done.append,
         )
         assert done == ["[graphite], [collectd]"]
         await moved.wait_until(lambda: any(p.startswith("x.toy.") for p, _ in moved.points))
-        server.optional_parts.renew(check({}, "f"), done.append)
+        server.optional_parts.reload(decode({}, "f"), done.append)
         assert (
             server.control_cycle.cycle_observer is None
             and not server.observers
-            and server.optional_parts.graphite is None
+            and server.optional_parts.metrics.service is None
         )
         for task in tasks:
             task.cancel()
