--- a/ravenshelf/distribution/server_distribution.py
+++ b/ravenshelf/distribution/server_distribution.py
@@ -97,7 +97,7 @@
 
     # --- load reports ---
 
-    def record_event(self, event: Event, _now: int) -> None:
+    def on_event(self, event: Event, _now: int) -> None:
         """Record the proxies and the load in an event of the server's controller."""
         match event:
             case ProxyJoined(proxy, zone):
--- a/standins/fleet/control_plane.py
+++ b/standins/fleet/control_plane.py
@@ -88,11 +88,11 @@
 
     def receive(self, event: Event) -> None:
         """Pass an event to the controller."""
-        self.cycle.hear(event)
+        self.cycle.deliver(event)
 
     def is_due(self) -> bool:
         """Return whether a control cycle is due."""
-        return bool(self.cycle.news) or any(at <= self.world.now for at in self.wake_times)
+        return bool(self.cycle.events) or any(at <= self.world.now for at in self.wake_times)
 
     def run_cycle(self) -> None:
         """Run a control cycle and perform its commands."""
