--- a/ravenshelf/process/operations/subscription.py
+++ b/ravenshelf/process/operations/subscription.py
@@ -5,7 +5,8 @@
 import random
 from typing import TYPE_CHECKING
 
-from ravenshelf.distribution.pilot_service import PilotDistribution
+from ravenshelf.distribution.node import Node
+from ravenshelf.distribution.server_distribution import ServerDistribution
 from ravenshelf.leadership.cluster import clock
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.process.operations.part import Measurements
@@ -21,19 +22,16 @@
     def __init__(self, operator: Operator, server: ControlPlaneServer, random_source: random.Random) -> None:
         table = operator.distribution
         self.server = server
-        self.service = PilotDistribution(
+        node = Node(server.loop, clock, table.cluster, table.name, table.parents)
+        self.service = ServerDistribution(
+            node,
             table.service,
-            table.cluster,
-            table.name,
-            table.parents,
-            server.loop,
-            clock,
             random_source,
             name_of=self._endpoint_name,
             index_of=server.registry.index_by_name.get,
         )
         server.observers.append(self.service)
-        server.control_cycle.decide_with(self.service.controller)
+        server.control_cycle.decide_with(self.service.make_controller)
 
     def _endpoint_name(self, endpoint: int) -> str:
         return self.server.registry.names[endpoint]
--- a/ravenshelf/process/serving.py
+++ b/ravenshelf/process/serving.py
@@ -30,7 +30,7 @@
     return said
 
 
-def refuse(why: Exception) -> int:
+def refuse(why: Exception | str) -> int:
     for line in str(why).splitlines():
         print(f"ravenshelf: {line}", file=sys.stderr)
     return 2
--- a/tests/architecture/test_imports.py
+++ b/tests/architecture/test_imports.py
@@ -53,7 +53,7 @@
     modules = loaded_modules()
     assert "ravenshelf.policy.controller" in modules
     assert not [m for m in modules if m.split(".")[0] in (*EXTRAS, "msgspec") or m.startswith(OWN)]
-    assert not [m for m in modules if m.split(".")[0] in COMMAND_LINE or m == "ravenshelf.commands"]
+    assert not [m for m in modules if m.split(".")[0] in COMMAND_LINE or m.startswith("ravenshelf.commands")]
     assert not [
         m
         for m in loaded_modules("operator")
