--- a/ravenshelf/commands/shared.py
+++ b/ravenshelf/commands/shared.py
@@ -25,7 +25,7 @@
 
 def reject(reason: Exception | str) -> typer.Exit:
     """Print why a command cannot run and return the exit to raise."""
-    return typer.Exit(serving.refuse(reason))
+    return typer.Exit(serving.report_error(reason))
 
 
 def read_configuration(file: Path | None) -> dict[str, Any]:
--- a/ravenshelf/distribution/subscribers.py
+++ b/ravenshelf/distribution/subscribers.py
@@ -88,7 +88,7 @@
     def connection_opened(self, connection: MessageConnection) -> None:
         """Accept a connection, unless too many are unidentified."""
         if len(self._unidentified) >= MAX_UNIDENTIFIED:
-            connection.close(ConnectionEnd.CROWDED)
+            connection.close(ConnectionEnd.NO_CAPACITY)
             return
         self._unidentified[id(connection)] = connection
         self._timers.set((IDENTIFICATION, id(connection)), self.node.clock() + IDENTIFICATION_TIMEOUT)
--- a/ravenshelf/process/operations/process_metrics.py
+++ b/ravenshelf/process/operations/process_metrics.py
@@ -40,10 +40,10 @@
         metrics.PROCESS_DESCRIPTORS: open_descriptors(),
         metrics.BACKGROUND_QUEUED: len(background.queue),
         metrics.BACKGROUND_DROPPED: counters["background_dropped"],
-        metrics.CONTROL_CYCLES_FAILED: counters["module_failures"],
+        metrics.CONTROL_CYCLES_FAILED: counters["controller_failures"],
     }
     totals: dict[metrics.Metric, float] = {
-        metrics.CONTROL_CYCLES: counters["rounds"],
+        metrics.CONTROL_CYCLES: counters["control_cycles"],
         metrics.MESSAGES_SENT: counters["messages_sent"],
         metrics.LINES_SENT: counters["lines_sent"],
         metrics.PROCESS_CPU: usage.ru_utime + usage.ru_stime,
--- a/ravenshelf/process/registry_client.py
+++ b/ravenshelf/process/registry_client.py
@@ -54,7 +54,7 @@
         publish: Callable[[Event], None],
         schedule_watch: Callable[[int], None],
         is_pushed: bool,
-        chance: random.Random,
+        random_source: random.Random,
     ):
         self.registry = registry
         self.decoder = decoder
@@ -63,7 +63,7 @@
         self.publish = publish
         self.schedule_watch = schedule_watch
         self.is_pushed = is_pushed
-        self.chance = chance
+        self.random_source = random_source
         self.is_watch_wanted = is_pushed
         self.watch: HttpCall | None = None
         self.former_watch: HttpCall | None = None  # at the former address, read until the new one answers
@@ -140,7 +140,7 @@
         speaks again: any list is an answer to the controller, which then requests no more.
         """
         if self.watch is None and self.is_watch_wanted:
-            self.schedule_watch(round(RETRY_DELAY_US * self.chance.uniform(0.5, 1)))
+            self.schedule_watch(round(RETRY_DELAY_US * self.random_source.uniform(0.5, 1)))
 
     def _watch_line(self, call: HttpCall, line: bytes) -> None:
         if call is not self.watch and call is not self.former_watch:
@@ -183,7 +183,7 @@
         if call is not self.watch or not (self.is_new_address or is_restored):
             return False
         self.is_new_address = is_update and is_lower
-        self.registry.version = 0  # the versions of the new one are as high as ours by chance only
+        self.registry.version = 0  # the versions of the new one are as high as ours by random_source only
         self.watch_version = 0
         return self.is_new_address
 
@@ -245,7 +245,7 @@
         """Take a list into the registry; a malformed entry stays as it was: a slip is no removal."""
         entries, addresses, malformed = self.decoder.entries(listed["targets"])
         for index, reason in malformed:
-            self.counters["list_entries_broken"] += 1
+            self.counters["list_entries_malformed"] += 1
             log_events.ENDPOINT_ENTRY_MALFORMED(why=reason)
             if kind is ListKind.REPLACE and index is not None and index in self.registry.entries:
                 entries.append(self.registry.entries[index])
@@ -258,5 +258,5 @@
         except VersionGapError:
             self.counters["lists_taken"] += 1
             raise
-        self.counters["lists_taken" if changed else "lists_old"] += 1
+        self.counters["lists_taken" if changed else "lists_outdated"] += 1
         return changed
--- a/tests/test_schedules.py
+++ b/tests/process/test_schedules.py
@@ -1,18 +1,20 @@
-"""Seeded schedules of joins, breaks, list changes, watches that end, moves, reloads and a stop, on a clock set by hand.
+"""Seeded schedules of joins, breaks, list changes, watches that end, moves, reloads and a stop.
 
-The pilot is whole; sockets are in memory, and what it dials is answered here by a registry with versions of its own at
-each address. What must hold at every step, and once things have settled, is checked; put-back faults must be found.
+The clock is set by hand and the server is complete; sockets are in memory, and what it dials is answered by a
+registry with versions of its own at each address. Invariants are checked at every step and once things have
+settled; faults that are put back must be found.
 """
 
 import json
 import random
 import re
+from functools import partial
 from types import SimpleNamespace
 
 import pytest
-from conftest import Wire, feed, target
+from conftest import RecordingTransport, feed, target
 from hypothesis import given, settings, strategies
-from test_process import GOOD, Loop
+from server_doubles import CONFIGURATION, ManualLoop
 
 from ravenshelf.net.accepted import AcceptedConnection
 from ravenshelf.net.connection_end import ConnectionEnd
@@ -27,7 +29,7 @@
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-class Held(Loop):
+class ManualLoopWithFuture(ManualLoop):
     """A loop whose future can be kept."""
 
     def create_future(self):
@@ -39,7 +41,7 @@
 
 
 class Registry:
-    """The list at one address, with versions of its own; changes are kept, so that a watch gets those it lacks."""
+    """The list at one address, with versions of its own; a watch gets the changes that it lacks."""
 
     def __init__(self, states, rev):
         self.rev, self.states, self.changed, self.up = rev, dict(states), {}, True
@@ -65,26 +67,26 @@
         return HEAD + (self.line(lacks) if lacks else b"1\r\n\n\r\n")
 
 
-class Play:
+class Schedule:
     """One schedule; `wrong` gathers what did not hold."""
 
     def __init__(self, seed):
         self.chance, self.wrong, self.number = random.Random(seed), [], 2
-        self.loop = Held()
+        self.loop = ManualLoopWithFuture()
         self.registry = Registry({"s-1": "SERVING", "s-2": "SERVING"}, 4)
-        self.registries = {GOOD["discovery"]: self.registry}
-        self.pilot = ControlPlaneServer(GOOD, self.loop, lambda: self.loop.now)
-        self.opened, calls = {}, self.pilot.outgoing_calls
-        self.pilot.registry_client.calls = SimpleNamespace(
+        self.registries = {CONFIGURATION["discovery"]: self.registry}
+        self.server = ControlPlaneServer(CONFIGURATION, self.loop, lambda: self.loop.now)
+        self.opened, calls = {}, self.server.outgoing_calls
+        self.server.registry_client.calls = SimpleNamespace(
             open=lambda *said: self.open(calls.open(*said)), extend=calls.extend
         )
         self.watches, self.spoke, self.silent = {}, {}, set()  # by call: its transport; when it last spoke
         self.proxies, self.tables = {}, {}
-        self.pilot.reloader.read_configuration = lambda: self.pilot.configuration
-        played = self.pilot.control_cycle.run
-        self.pilot.control_cycle.run = lambda now, write: (played(now, write), self.take_time())[0]
-        self.pilot.cycle_scheduler.start()
-        self.pilot.timers.arm()
+        self.server.reloader.read_configuration = lambda: self.server.configuration
+        played = self.server.control_cycle.run
+        self.server.control_cycle.run = lambda now, write: (played(now, write), self.take_time())[0]
+        self.server.cycle_scheduler.start()
+        self.server.timers.arm()
 
     def open(self, call):
         self.opened[call] = self.spoke[call] = self.loop.now
@@ -92,7 +94,7 @@
 
         def ended(call):
             if call.end is ConnectionEnd.SILENT and self.loop.now - self.spoke[call] < IDLE_TIMEOUT_US - 1000:
-                self.wrong.append("a call that had just begun or spoken was ended as silent")
+                self.wrong.append("a call that had just started_server or spoken was ended as silent")
             done(call)
 
         call.done = ended
@@ -117,7 +119,7 @@
         for call in [c for c in self.opened if c.end is None and c not in self.watches]:
             registry = self.registries[call.address]
             if registry.up:
-                self.watches[call] = Wire()
+                self.watches[call] = RecordingTransport()
                 call.connection_made(self.watches[call])
                 self.say(call, registry.answer(int(re.search(r"after=(\d+)", call.path)[1])))
             else:
@@ -127,8 +129,8 @@
         number = self.chance.randrange(4)
         if number in self.proxies and self.chance.random() < 0.5:
             self.leave(number)  # else the new stream comes before the old one is seen to end
-        stream = AcceptedConnection(self.pilot.buffers, self.pilot.acceptor)
-        stream.connection_made(Wire())
+        stream = AcceptedConnection(self.server.buffers, self.server.acceptor)
+        stream.connection_made(RecordingTransport())
         table, out = self.tables.get(number, ({}, set()))
         self.proxies[number], self.tables[number] = (stream, 0), (table, out)
         feed(
@@ -159,23 +161,23 @@
         for call in self.chance.sample(self.alive(), min(1, len(self.alive()))):
             self.chance.choice(
                 [
-                    lambda: call.connection_lost(None),
-                    lambda: call.connection_lost(ConnectionResetError()),
-                    lambda: self.silent.add(call),
-                    lambda: self.say(call, b"5\r\n<html\r\n1\r\n\n\r\n"),
-                    lambda: self.say(call, b"0\r\n\r\n"),
+                    partial(call.connection_lost, None),
+                    partial(call.connection_lost, ConnectionResetError()),
+                    partial(self.silent.add, call),
+                    partial(self.say, call, b"5\r\n<html\r\n1\r\n\n\r\n"),
+                    partial(self.say, call, b"0\r\n\r\n"),
                 ]
             )()
 
     def move(self):
-        """Another address, with the same list under versions lower, equal or higher; the old one goes on for a while."""
+        """Another address with the same list, under versions lower, equal or higher; the old one goes on."""
         host = f"127.0.0.1:{len(self.registries) + 1}"
         rev = max(1, self.registry.rev + self.chance.choice([-3, 0, 7]))
         self.registry = self.registries[host] = Registry(self.registry.states, rev)
         self.registry.changed = dict.fromkeys(self.registry.states, 1)
         self.registry.up = self.chance.random() < 0.7
-        self.pilot.reloader.read_configuration = lambda: GOOD | {"discovery": host}
-        self.pilot.reload()
+        self.server.reloader.read_configuration = lambda: CONFIGURATION | {"discovery": host}
+        self.server.reload()
 
     def toggle(self):
         self.registry.up = not self.registry.up
@@ -211,34 +213,34 @@
     # --- what must hold ---
 
     def owned(self):
-        pilot = self.pilot
-        for key in pilot.timers.deadlines.deadlines:
+        server = self.server
+        for key in server.timers.deadlines.deadlines:
             if isinstance(key, (CallTimeout, ConnectionTimeout)) and key[0].end is not None:
                 self.wrong.append(f"a deadline without an owner: {type(key).__name__}")
         calls = {
-            c for c in (pilot.registry_client.watch, pilot.registry_client.former_watch) if c is not None
+            c for c in (server.registry_client.watch, server.registry_client.former_watch) if c is not None
         }
-        if set(pilot.outgoing_calls.slots.items.values()) != calls:
+        if set(server.outgoing_calls.slots.items.values()) != calls:
             self.wrong.append("a call without an owner")
-        if any(c.end is not None for c in pilot.connections.items.values()):
+        if any(c.end is not None for c in server.connections.items.values()):
             self.wrong.append("a slot without an owner")
         due = (
-            pilot.control_cycle.controller.watch.retry_at
-            or ServerDeadline.WATCH in pilot.timers.deadlines
-            or WatchFailed() in pilot.control_cycle.events
+            server.control_cycle.controller.watch.retry_at
+            or ServerDeadline.WATCH in server.timers.deadlines
+            or WatchFailed() in server.control_cycle.events
         )
-        if pilot.registry_client.watch is None and not due:
+        if server.registry_client.watch is None and not due:
             self.wrong.append("no watch is open and none is due")
 
     def step(self, what):
         before = [
             c
             for c in self.alive()
-            if self.spoke[c] > self.opened[c] or c is self.pilot.registry_client.former_watch
+            if self.spoke[c] > self.opened[c] or c is self.server.registry_client.former_watch
         ]
         what()
         ours = [c for c in before if c.end is ConnectionEnd.SUPERSEDED]
-        if ours and not self.pilot.registry_client.has_watch_answered:
+        if ours and not self.server.registry_client.has_watch_answered:
             self.wrong.append("the only watch that speaks was given up")
         self.obey()
         self.owned()
@@ -249,7 +251,7 @@
             self.step(lambda: self.loop.play(0.1, late=self.chance.choice([0.0, 0.0, 0.02, 0.3])))
             if round(self.loop.now / SECOND * 10) % 15 == 0:
                 for call in self.alive():
-                    self.step(lambda: self.say(call, b"1\r\n\n\r\n"))
+                    self.step(partial(self.say, call, b"1\r\n\n\r\n"))
 
     def run(self):
         acts = [
@@ -264,7 +266,7 @@
             self.close_old,
             self.accept,
             self.accept,
-            self.pilot.reload,
+            self.server.reload,
         ]
         for _ in range(self.chance.randrange(5, 25)):
             self.step(self.chance.choice(acts))
@@ -275,7 +277,7 @@
         return self.wrong
 
     def settle(self):
-        """All is well for long enough that what is silent is given up, and everything is asked and answered."""
+        """All is well for so long that what is silent is given up and everything is answered."""
         self.registry.up = True
         self.step(self.close_old)
         for _ in range(16):
@@ -294,11 +296,11 @@
         """A drain is heard, and the stop comes before its round."""
         serving = [uid for uid, state in self.registry.states.items() if state == "SERVING"]
         opened = len(self.opened)
-        self.pilot.cycle_scheduler.last_cycle_at = self.loop.now + SECOND
+        self.server.cycle_scheduler.last_cycle_at = self.loop.now + SECOND
         for call in self.alive():
             self.say(call, self.registry.change(serving[0], "DRAINING"))
         heard = bool(self.alive())
-        self.pilot.stop()
+        self.server.stop()
         for number, (stream, at) in self.proxies.items():
             said = stream.transport.written[at:].decode()
             holds = self.tables[number][0].get(serving[0]) and serving[0] not in self.tables[number][1]
@@ -314,24 +316,24 @@
                 self.wrong.append("a message ends half-way")
         self.loop.play(1)
         if (
-            not self.pilot.stopped.done()
+            not self.server.stopped.done()
             or len(self.opened) != opened
-            or self.pilot.outgoing_calls.slots.items
+            or self.server.outgoing_calls.slots.items
         ):
             self.wrong.append("the stop did not end, or something began after it")
 
 
 @settings(max_examples=60, deadline=None)
 @given(strategies.integers(0, 2**32))
-def test_whatever_ends_when_nothing_is_owed_to_anyone(seed):
-    assert Play(seed).run() == []
+def test_whatever_ends_when_all_invariants_hold(seed):
+    assert Schedule(seed).run() == []
 
 
-def meet_by_number(pilot, key, now, seen=ControlPlaneServer.handle_deadline):
+def meet_by_number(server, key, now, seen=ControlPlaneServer.handle_deadline):
     if isinstance(key, CallTimeout):
-        call = pilot.outgoing_calls.slots.get(key.call.number)
+        call = server.outgoing_calls.slots.get(key.call.number)
         return call.close(ConnectionEnd.SILENT) if call is not None else None
-    return seen(pilot, key, now)
+    return seen(server, key, now)
 
 
 class Numbered:
@@ -370,7 +372,7 @@
         "no last round",
     ],
 )
-def test_faults_that_were_there_are_found(monkeypatch, fault):
+def test_faults_put_back_are_found(monkeypatch, fault):
     if fault == "deadlines by number":
         from ravenshelf.state.deadlines import DeadlineQueue
 
@@ -392,4 +394,4 @@
             "run_cycle",
             lambda self, seen=CycleScheduler.run_cycle: None if self.is_stopping else seen(self),
         )
-    assert any(Play(seed).run() for seed in range(400))
+    assert any(Schedule(seed).run() for seed in range(400))
