--- a/docs/pages.py
+++ b/docs/pages.py
@@ -1,6 +1,5 @@
-"""Writes the catalogues that the operators' pages hold between `<!-- NAME -->` and `<!-- /NAME -->`."""
+"""Writes the catalogues that the operators' pages have between `<!-- NAME -->` and `<!-- /NAME -->`."""
 
-import re
 import sys
 from pathlib import Path
 
@@ -11,17 +10,26 @@
 from ravenshelf.graphite import metrics  # noqa: E402
 from ravenshelf.operator_config import keys  # noqa: E402
 
+METRIC_COLUMNS = ("path", "unit", "importance", "source", "meaning", "formed")
+KEY_COLUMNS = ("table", "key", "default", "expected")
 CATALOGUES = {
     "events": log_events.markdown(),
-    "figures": output.markdown(("path", "unit", "importance", "source", "meaning", "formed"), metrics.rows()),
-    "keys": output.markdown(("table", "key", "default", "expected"), keys.rows()),
+    "figures": output.markdown(METRIC_COLUMNS, metrics.rows()),
+    "keys": output.markdown(KEY_COLUMNS, keys.rows()),
 }
 
-for page in sorted((ROOT / "docs" / "operations").glob("*.md")):
-    text = page.read_text()
+
+def with_catalogues(text: str) -> str:
+    """Return a page with the present catalogues."""
     for name, rows in CATALOGUES.items():
-        block = "\n".join(rows)
-        text = re.sub(
-            f"(<!-- {name} -->\n).*?(<!-- /{name} -->)", lambda m: f"{m[1]}{block}\n{m[2]}", text, flags=re.S
-        )
-    page.write_text(text)
+        start, end = f"<!-- {name} -->\n", f"<!-- /{name} -->"
+        before, found_start, rest = text.partition(start)
+        _, found_end, after = rest.partition(end)
+        if found_start and found_end:
+            text = before + start + "\n".join(rows) + "\n" + end + after
+    return text
+
+
+if __name__ == "__main__":
+    for page in sorted((ROOT / "docs" / "operations").glob("*.md")):
+        page.write_text(with_catalogues(page.read_text()))
