--- a/ravenshelf/__main__.py
+++ b/ravenshelf/__main__.py
@@ -1,4 +1,4 @@
-"""ravenshelf: `serve` starts at once, without the libraries of the command line; all else is in `commands`."""
+"""ravenshelf: `serve` starts at once, without the libraries of the command line; `commands` has all else."""
 
 import os
 import signal
@@ -16,9 +16,10 @@
 
 
 def main() -> None:
+    """Run the command line."""
     if sys.argv[1:2] == ["serve"]:
         sys.exit(serve(sys.argv[2:]))
-    from ravenshelf.commands import app
+    from ravenshelf.commands.application import app
 
     app()
 
--- a/ravenshelf/process/serving.py
+++ b/ravenshelf/process/serving.py
@@ -33,7 +33,7 @@
     return parsed
 
 
-def report_error(error: Exception) -> int:
+def report_error(error: Exception | str) -> int:
     """Print why the server can't start and return the exit code."""
     for line in str(error).splitlines():
         print(f"ravenshelf: {line}", file=sys.stderr)
