--- a/benchmarks/graphite.py
+++ b/benchmarks/graphite.py
@@ -15,10 +15,10 @@
 from pathlib import Path
 
 from benchmarks.measuring import close, memory_mb, quantile, quantiles
-from examples.toy import pilot
+from examples.toy import server_process
 from standins import collectd as sender
 from standins.carbon import CarbonReceiver, StopReading
-from standins.world import Discovery, Proxy, configuration, entry
+from standins.loopback import LoopbackProxy, LoopbackRegistry, listed_endpoint, server_configuration
 
 PROXIES, ENDPOINTS, BETWEEN = 20, 40, 0.014
 AIM_RATIO, AIM_LATE_MS, AIM_GROWTH_MB = 1.05, 20.0, 2.0
@@ -29,20 +29,26 @@
 
     def __init__(self):
         self.took, self.changed, self.address = [], {}, ""
-        self.proxies = [Proxy(lambda: self.address, n, "north", heard=self.heard) for n in range(PROXIES)]
+        self.proxies = [
+            LoopbackProxy(lambda: self.address, n, "north", line_received=self.heard) for n in range(PROXIES)
+        ]
         self.awaited: dict[tuple[int, str], float] = {}
 
     async def start(self, stack: contextlib.AsyncExitStack, operator: str) -> None:
-        self.discovery = await Discovery([entry(f"s-{n}", "north") for n in range(ENDPOINTS)]).start()
-        said = configuration("", ["north"], PROXIES, **{"lines-per-s": 100_000, "most-waiting": 100_000})
+        self.discovery = await LoopbackRegistry(
+            [listed_endpoint(f"s-{n}", "north") for n in range(ENDPOINTS)]
+        ).start()
+        said = server_configuration(
+            "", ["north"], PROXIES, **{"lines-per-s": 100_000, "most-waiting": 100_000}
+        )
         self.address = await stack.enter_async_context(
-            pilot(self.discovery.address, ["--operator", operator], said, True)
+            server_process(self.discovery.address, ["--operator", operator], said, True)
         )
         self.running = [asyncio.create_task(p.run()) for p in self.proxies]
         while not all(p.lines() for p in self.proxies):
             await asyncio.sleep(0.05)
 
-    def heard(self, proxy: Proxy, line: str) -> None:
+    def heard(self, proxy: LoopbackProxy, line: str) -> None:
         """A drained endpoint is out by a withdrawal, by a line of weight 0, or by a whole table without it."""
         now = time.monotonic()
         said = dict(word.partition("=")[::2] for word in line.split()[1:])
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from benchmarks.measuring import close
-from benchmarks.scale import distribution, fleet, pilots, sockets
+from benchmarks.scale import distribution, fleet, servers, sockets
 from benchmarks.scale.agreement import Agreement, compare
 from benchmarks.scale.fits import RUNS, Measurement
 from standins.distribution.schedules import BREAKS, Schedule, play
@@ -120,7 +120,7 @@
 
 def held(results: Results) -> bool:
     """Whether the aims are met: at the largest fleet a change is everywhere in time and a pilot's bytes are in budget;
-    nobody is behind; the checker saw no violation, and each deliberate break; hollow and real pilots agree."""
+    nobody is behind; the checker saw no violation, and each deliberate break; simulated and real servers agree."""
     fleets_hold = all(
         one.change_p99 < CHANGE_AIM
         and one.all_p99 < CHANGE_AIM
@@ -161,7 +161,7 @@
 
 def main(short: bool, role: str) -> None:
     began = time.perf_counter()
-    kinds = [sockets.measurements] if role == SOCKETS else [pilots.measurements, distribution.measurements]
+    kinds = [sockets.measurements] if role == SOCKETS else [servers.measurements, distribution.measurements]
     results = Results(commit(), short, role, measured(kinds, short, role), [], [], None, None)
     keep(results)
     if role in ("", FLEET):
@@ -172,7 +172,7 @@
     keep(results)
     aim = (
         f"change everywhere in {CHANGE_AIM:g} s for 99 in 100 subscriptions, {BYTES_AIM:g} bytes a second and pilot, "
-        "no invariant broken, each deliberate break found, hollow and real pilots agree"
+        "no invariant broken, each deliberate break found, simulated and real servers agree"
     )
     close("scale", msgspec.to_builtins(results), aim, held(results))
 
@@ -183,7 +183,7 @@
     options.add_argument(
         "--role",
         default="",
-        help="only this role; fleet: hollow fleets and the checker; sockets: a relay as a process",
+        help="only this role; fleet: simulated fleets and the checker; sockets: a relay as a process",
     )
     given = options.parse_args()
     main(given.short, given.role)
--- a/benchmarks/scale/agreement.py
+++ b/benchmarks/scale/agreement.py
@@ -1,36 +1,46 @@
-"""Whether a hollow pilot does what a real process does: the same messages, byte by byte, for the same news at small size."""
+"""Whether a simulated server does what a real process does: the same messages, byte by byte, for the same
+events."""
 
 import asyncio
 import json
-import sys
 import tempfile
+from collections.abc import Callable
 from pathlib import Path
 
 import msgspec
 
-from benchmarks.scale.pilots import HollowPilot
-from ravenshelf.policy.events import ListKind, ProxyJoined
+from benchmarks.scale.servers import SimulatedServer
+from ravenshelf.policy.events import EndpointState, ListedEndpoint, ListKind, ProxyJoined
 from ravenshelf.settings import decode_settings
 from ravenshelf.state.endpoint_registry import EndpointRegistry
 from standins.installation import ports
-from standins.world import Discovery, Proxy, configuration, entry
+from standins.loopback import LoopbackProxy, LoopbackRegistry, listed_endpoint, server_configuration
+from standins.server_process import running_server
 
-ROOT = Path(__file__).resolve().parent.parent.parent
-ZONE, USUAL = "north", 40.0
-WAIT = 10.0  # seconds for a real process to say what is expected
-QUIET = 0.6  # without a message for so long it has said all
+ZONE = "north"
+USUAL = 40.0
+WAIT = 10.0  # seconds
+QUIET = 0.6  # seconds without a message after which none is expected
+
+STATES = {
+    "SERVING": EndpointState.READY,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.GONE,
+}
 
 
 class Case(msgspec.Struct):
-    """One size: what the proxy was sent, by the real pilot and by the hollow one."""
+    """One size: what the proxy was sent, by the real process and by the simulated server."""
 
     endpoints: int
-    messages: list[int]  # real, hollow
+    messages: list[int]  # real, simulated
     bytes: list[int]
     same: bool  # byte by byte
 
 
 class Agreement(msgspec.Struct):
+    """The comparison at all sizes."""
+
     cases: list[Case]
     agrees: bool
 
@@ -39,103 +49,94 @@
     """A list of so many endpoints, of which one drains and then another goes."""
 
     def __init__(self, endpoints: int):
-        self.entries = [entry(f"s-{n}", ZONE) for n in range(endpoints)]
+        self.entries = [listed_endpoint(f"s-{n}", ZONE) for n in range(endpoints)]
         self.changes = [("s-1", "DRAINING"), ("s-2", "DELETED")]
 
-    def configuration(self, discovery: str, listen: str) -> dict:
-        said = configuration(discovery, [ZONE], 1, listen)
-        said["settings"]["limits"]["probing"] = False
-        return said
+    def configuration(self, registry: str, listen: str) -> dict:
+        """Return the configuration of the server."""
+        document = server_configuration(registry, [ZONE], 1, listen)
+        document["settings"]["limits"]["probing"] = False
+        return document
 
 
 async def _real(script: Script) -> list[bytes]:
-    """What one proxy is sent by a real process on loopback."""
-    discovery = await Discovery(script.entries).start()
-    said: list[bytes] = []
+    """Return what one proxy is sent by a real process on loopback."""
+    registry = await LoopbackRegistry(script.entries).start()
+    messages: list[bytes] = []
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "pilot.json"
         address = f"127.0.0.1:{ports(1)[0]}"
-        file.write_text(json.dumps(script.configuration(discovery.address, address)))
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "ravenshelf",
-            "serve",
-            "--config",
-            str(file),
-            cwd=ROOT,
-            stdout=asyncio.subprocess.DEVNULL,
-            stderr=asyncio.subprocess.DEVNULL,
-        )
-        try:
-            await _until(lambda: discovery.watches > 0)
-            await asyncio.sleep(QUIET)  # the list is known before the proxy joins, as in the hollow pilot
-            proxy = Proxy(
-                lambda: address, 0, ZONE, USUAL, lambda _, line: said.append(line.rstrip("\r\n").encode())
+        file.write_text(json.dumps(script.configuration(registry.address, address)))
+        async with running_server(file):
+            await _until(lambda: registry.watches > 0)
+            await asyncio.sleep(QUIET)  # the list is known before the proxy joins, as in the simulated server
+            proxy = LoopbackProxy(
+                lambda: address, 0, ZONE, USUAL, lambda _, line: messages.append(line.rstrip("\r\n").encode())
             )
             running = asyncio.create_task(proxy.run())
-            await _quiet(said, 1)
+            await _quiet(messages, 1)
             for uid, state in script.changes:
-                before = len(said)
-                await discovery.change(uid, state)
-                await _quiet(said, before + 1)
+                before = len(messages)
+                await registry.change(uid, state)
+                await _quiet(messages, before + 1)
             running.cancel()
-        finally:
-            process.terminate()
-            await process.wait()
-    return said
+    return messages
 
 
-async def _until(true) -> None:
+async def _until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(WAIT):
-        while not true():
+        while not condition():
             await asyncio.sleep(0.02)
 
 
-async def _quiet(said: list[bytes], least: int) -> None:
-    """Waits for so many messages, and until no more come."""
-    await _until(lambda: len(said) >= least)
+async def _quiet(messages: list[bytes], least: int) -> None:
+    """Wait for so many messages, and until no more arrive."""
+    await _until(lambda: len(messages) >= least)
     count = -1
-    while count != len(said):
-        count = len(said)
+    while count != len(messages):
+        count = len(messages)
         await asyncio.sleep(QUIET)
 
 
-def _hollow(script: Script) -> list[bytes]:
-    """What the same news make a hollow pilot send."""
-    pilot = HollowPilot(
+def _simulated(script: Script) -> list[bytes]:
+    """Return what a simulated server sends for the same events."""
+    server = SimulatedServer(
         0, 0, 1, decode_settings(script.configuration("127.0.0.1:1", "127.0.0.1:0")["settings"])
     )
-    states = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
-    listing: EndpointRegistry = pilot.listing
-    first = [(listing.index_of(one["uid"]), 0, 0, 0, states[one["state"]], 1.0, 0) for one in script.entries]
-    pilot.rounds.deliver(listing.update(ListKind.REPLACE, 2, first, {}))
-    pilot.round()
-    pilot.rounds.deliver(ProxyJoined(0, 0, USUAL, True))
-    _settle(pilot)
+    registry: EndpointRegistry = server.registry
+    first = [_listed(registry, entry["uid"], entry["state"]) for entry in script.entries]
+    server.cycle.deliver(registry.update(ListKind.REPLACE, 2, first, {}))
+    server.run_cycle()
+    server.cycle.deliver(ProxyJoined(0, 0, USUAL, True))
+    _settle(server)
     for revision, (uid, state) in enumerate(script.changes, 3):
-        change = (listing.index_of(uid), 0, 0, 0, states[state], 1.0, 0)
-        pilot.rounds.deliver(listing.update(ListKind.UPDATE, revision, [change], {}))
-        _settle(pilot)
-    return [message.rstrip(b"\r\n") for _, message in pilot.written]
+        change = _listed(registry, uid, state)
+        server.cycle.deliver(registry.update(ListKind.UPDATE, revision, [change], {}))
+        _settle(server)
+    return [message.rstrip(b"\r\n") for _, message in server.written]
+
+
+def _listed(registry: EndpointRegistry, uid: str, state: str) -> ListedEndpoint:
+    return ListedEndpoint(registry.index_of(uid), 0, 0, 0, STATES[state], 1.0, 0)
 
 
-def _settle(pilot: HollowPilot) -> None:
+def _settle(server: SimulatedServer) -> None:
     for _ in range(4):
-        pilot.round()
+        server.run_cycle()
 
 
 def compare(sizes: tuple[int, ...]) -> Agreement:
-    """Plays the script on both, at a few sizes."""
+    """Play the script on both, at each size."""
     cases = []
     for endpoints in sizes:
-        real, hollow = asyncio.run(_real(Script(endpoints))), _hollow(Script(endpoints))
+        real = asyncio.run(_real(Script(endpoints)))
+        simulated = _simulated(Script(endpoints))
         cases.append(
             Case(
                 endpoints,
-                [len(real), len(hollow)],
-                [sum(map(len, real)), sum(map(len, hollow))],
-                real == hollow,
+                [len(real), len(simulated)],
+                [sum(map(len, real)), sum(map(len, simulated))],
+                real == simulated,
             )
         )
     return Agreement(cases, all(case.same for case in cases))
--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -8,7 +8,7 @@
 
 from benchmarks.scale.fits import Measurement, measure
 from benchmarks.scale.isolated import resident_bytes
-from benchmarks.scale.pilots import settings
+from benchmarks.scale.servers import settings
 from ravenshelf.distribution.decisions.aggregation import Aggregator
 from ravenshelf.distribution.decisions.client import SubscriptionClient
 from ravenshelf.distribution.decisions.distributor import Distributor, DistributorLimits
--- a/benchmarks/scale/fits.py
+++ b/benchmarks/scale/fits.py
@@ -1,4 +1,4 @@
-"""Slopes and exponents from measured points, with their range over runs."""
+"""Slopes and exponents of measured points, with their range over runs."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -10,17 +10,18 @@
 
 
 class Point(msgspec.Struct):
-    """What was measured at one size, once a run."""
+    """The values measured at one size, one for each run."""
 
     size: float
     values: list[float]
 
 
 class Measurement(msgspec.Struct):
-    """How one figure grows with one count.
+    """How one value grows with one count.
 
-    The slope is that of a line through the points by least squares; `slope_low` and `slope_high` are the least and most of
-    the runs' own slopes. `exponent`: that of a power law through the same points; 1 is proportional growth.
+    The slope is that of a line through the points by least squares; `slope_low` and `slope_high` are the
+    minimum and the maximum of the runs' own slopes. `exponent`: of a power law through the same points; 1 is
+    proportional growth.
     """
 
     name: str
@@ -33,18 +34,21 @@
     slope_high: float
     intercept: float
     exponent: float
-    fixed: str = ""  # what was held while the count grew
+    fixed: str = ""  # what stayed the same while the count grew
 
 
 @dataclass(frozen=True)
 class Line:
+    """A straight line."""
+
     slope: float
     intercept: float
 
 
 def fit_line(sizes: Sequence[float], values: Sequence[float]) -> Line:
-    """The line through the points by least squares."""
-    mean_size, mean_value = sum(sizes) / len(sizes), sum(values) / len(values)
+    """Return the line through the points by least squares."""
+    mean_size = sum(sizes) / len(sizes)
+    mean_value = sum(values) / len(values)
     spread = sum((size - mean_size) ** 2 for size in sizes)
     slope = (
         sum((size - mean_size) * (value - mean_value) for size, value in zip(sizes, values, strict=True))
@@ -54,13 +58,13 @@
 
 
 def fit_exponent(sizes: Sequence[float], values: Sequence[float]) -> float:
-    """The exponent of a power law through the points; sizes and values are positive."""
+    """Return the exponent of a power law through the points; sizes and values are positive."""
     tiny = 1e-12
     return fit_line([log(size) for size in sizes], [log(max(value, tiny)) for value in values]).slope
 
 
 def power_law(sizes: Sequence[float], values: Sequence[float], size: float) -> float:
-    """The value of that power law at a size."""
+    """Return the value of that power law at a size."""
     line = fit_line([log(one) for one in sizes], [log(max(value, 1e-12)) for value in values])
     return exp(line.intercept + line.slope * log(size))
 
@@ -75,7 +79,8 @@
     fixed: str = "",
     runs: int = RUNS,
 ) -> Measurement:
-    """Runs `run` at each size, all sizes in each of the runs in turn, so that a slow minute falls on all of them."""
+    """Call `run` at each size, all sizes in each of the runs in turn, so that a slow minute affects all of
+    them."""
     points = [Point(size, []) for size in sizes]
     for _ in range(runs):
         for point in points:
@@ -86,7 +91,7 @@
 def summarize(
     name: str, role: str, unit: str, count: str, points: list[Point], fixed: str = ""
 ) -> Measurement:
-    """The fits of points that were measured already."""
+    """Return the fits of measured points."""
     sizes = [point.size for point in points]
     means = [sum(point.values) / len(point.values) for point in points]
     by_run = [
--- a/benchmarks/scale/isolated.py
+++ b/benchmarks/scale/isolated.py
@@ -1,12 +1,14 @@
-"""Memory of what a call builds: in a process of its own, so that nothing of another measurement is counted."""
+"""Memory of what a call builds, measured in a process of its own."""
 
 import gc
 import multiprocessing
 import resource
 from collections.abc import Callable
 from pathlib import Path
+from typing import Any
 
 PAGE = resource.getpagesize()
+TIMEOUT = 300  # seconds
 _context = multiprocessing.get_context("spawn")
 
 
@@ -14,21 +16,21 @@
     return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE
 
 
-def _grown(build: Callable[[int], object], size: int, answers) -> None:
-    build(1)  # imports and caches are not counted
+def _grown(build: Callable[[int], object], size: int, results: Any) -> None:
+    build(1)  # so that imports and caches are not counted
     gc.collect()
     before = _resident()
-    kept = build(size)
+    built = build(size)
     gc.collect()
-    answers.put(_resident() - before)
-    del kept
+    results.put(_resident() - before)
+    del built
 
 
 def resident_bytes(build: Callable[[int], object], size: int) -> float:
-    """Bytes of resident memory that `build(size)` needs for what it returns."""
-    answers = _context.Queue()
-    process = _context.Process(target=_grown, args=(build, size, answers))
+    """Return the bytes of resident memory that `build(size)` needs for what it returns."""
+    results = _context.Queue()
+    process = _context.Process(target=_grown, args=(build, size, results))
     process.start()
-    grown = answers.get(timeout=300)
+    grown = results.get(timeout=TIMEOUT)
     process.join()
     return float(grown)
--- a/benchmarks/scale/pilots.py
+++ b/benchmarks/scale/servers.py
@@ -1,4 +1,4 @@
-"""The pilot as it is without distribution: it lists all endpoints, hears of all, solves for all zones."""
+"""A server without distribution: it lists all endpoints, receives all reports, solves for all zones."""
 
 import json
 import random
@@ -25,15 +25,15 @@
 from ravenshelf.state.proxy_tables import ProxyTables
 
 START = 1000 * SECOND
-ROUNDS_A_SECOND = 4
-REPORTED_SHARE = 0.5  # of the endpoints, in the sums of a second
+CYCLES_PER_SECOND = 4
+REPORTED_SHARE = 0.5  # of the endpoints, each second
 
 
-def settings(zones: int, proxies: int, pilots: int = 1) -> dict:
-    """A deployment's settings as a pilot is given them."""
+def settings(zones: int, proxies: int, servers: int = 1) -> dict:
+    """Return a deployment's settings as a server is given them."""
     return {
         "azs": [f"z{n}" for n in range(zones)],
-        "balancers": pilots,
+        "balancers": servers,
         "me": 0,
         "kinds": ["m1"],
         "discovery": "pushed",
@@ -58,20 +58,23 @@
     }
 
 
-class HollowPilot:
-    """The decision, listing and sending modules of one pilot behind its own rounds, on a virtual clock."""
+class SimulatedServer:
+    """The decisions, registry and tables of one server with its own control cycle, on a simulated clock."""
 
     def __init__(self, endpoints: int, proxies: int, zones: int, deployment: Settings | None = None):
         """`deployment`: other settings than those of such a size."""
-        self.now, self.zones, self.proxies = START, zones, proxies
+        self.now = START
+        self.zones = zones
+        self.proxies = proxies
         self.settings = deployment or decode_settings(settings(zones, proxies))
-        self.counters, self.sent = Counters(), ProxyTables(1, True)
-        self.listing = EndpointRegistry(lambda: self.now, self.sent.has_endpoint)
-        self.rounds = ControlCycle(self.settings, 7, self.listing, self.sent, self.counters)
-        self.chance = random.Random(5)
+        self.counters = Counters()
+        self.tables = ProxyTables(1, True)
+        self.registry = EndpointRegistry(lambda: self.now, self.tables.has_endpoint)
+        self.cycle = ControlCycle(self.settings, 7, self.registry, self.tables, self.counters)
+        self.random_source = random.Random(5)
         entries = [
             ListedEndpoint(
-                self.listing.index_of(f"endpoint-{n:06d}.zone-{n % zones}"),
+                self.registry.index_of(f"endpoint-{n:06d}.zone-{n % zones}"),
                 n % zones,
                 0,
                 0,
@@ -85,78 +88,84 @@
         addresses = {
             index: f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}:8080" for index in self.endpoints
         }
-        self.listing.update(ListKind.REPLACE, 1, entries, addresses)
-        self.rounds.begin()
+        self.registry.update(ListKind.REPLACE, 1, entries, addresses)
+        self.cycle.begin()
         for number in range(proxies):
-            self.rounds.deliver(ProxyJoined(number, number % zones, 40.0, True))
+            self.cycle.deliver(ProxyJoined(number, number % zones, 40.0, True))
         self.written: list[tuple[int, bytes]] = []
 
-    def round(self) -> None:
-        """A quarter of a second passes."""
-        self.now += SECOND // ROUNDS_A_SECOND
+    def run_cycle(self) -> None:
+        """Advance the clock by a control cycle, and run it."""
+        self.now += SECOND // CYCLES_PER_SECOND
         answered: list[tuple[int, int]] = []
-        self.rounds.run(self.now, lambda proxy, message, mark: self._write(proxy, message, mark, answered))
-        for proxy, mark in answered:
-            self.rounds.deliver(BatchAcknowledged(proxy, mark, 1000))
+        self.cycle.run(self.now, lambda proxy, message, marker: self._write(proxy, message, marker, answered))
+        for proxy, marker in answered:
+            self.cycle.deliver(BatchAcknowledged(proxy, marker, 1000))
 
-    def _write(self, proxy: int, message: bytes, mark: int | None, answered: list[tuple[int, int]]) -> None:
+    def _write(self, proxy: int, message: bytes, marker: int | None, answered: list[tuple[int, int]]) -> None:
         self.written.append((proxy, message))
-        if mark is not None:
-            answered.append((proxy, mark))
+        if marker is not None:
+            answered.append((proxy, marker))
 
-    def hear_sums(self) -> None:
-        """A second's late sums: of a part of the endpoints, and of every proxy."""
-        for index in self.chance.sample(self.endpoints, round(REPORTED_SHARE * len(self.endpoints))):
-            self.rounds.deliver(
+    def receive_reports(self) -> None:
+        """Receive a second's reports: of a share of the endpoints, and of every proxy."""
+        for index in self.random_source.sample(self.endpoints, round(REPORTED_SHARE * len(self.endpoints))):
+            self.cycle.deliver(
                 LoadReport(
                     index % self.zones,
                     index,
                     40,
                     0,
-                    self.chance.randint(150_000, 250_000),
+                    self.random_source.randint(150_000, 250_000),
                     SECOND,
-                    (self.chance.randint(1, 5),),
+                    (self.random_source.randint(1, 5),),
                 )
             )
         for number in range(self.proxies):
-            self.rounds.deliver(DemandReport(number, 0, self.chance.randint(30, 50), 0, SECOND))
+            self.cycle.deliver(DemandReport(number, 0, self.random_source.randint(30, 50), 0, SECOND))
 
-    def run(self, seconds: int) -> "HollowPilot":
+    def run(self, seconds: int) -> "SimulatedServer":
+        """Run for so many seconds, with their reports."""
         for _ in range(seconds):
-            self.hear_sums()
-            for _ in range(ROUNDS_A_SECOND):
-                self.round()
+            self.receive_reports()
+            for _ in range(CYCLES_PER_SECOND):
+                self.run_cycle()
             self.written.clear()
         return self
 
     def change_list(self, count: int) -> None:
-        """So many endpoints start again, as an update of the list tells it."""
+        """Restart so many endpoints, by an update of the list."""
         entries = [
             ListedEndpoint(index, index % self.zones, 0, 0, EndpointState.READY, 4.0, self.now)
-            for index in self.chance.sample(self.endpoints, count)
+            for index in self.random_source.sample(self.endpoints, count)
         ]
-        self.rounds.deliver(self.listing.update(ListKind.UPDATE, self.listing.version + 1, entries, {}))
+        self.cycle.deliver(self.registry.update(ListKind.UPDATE, self.registry.version + 1, entries, {}))
 
 
 def cpu_a_second(endpoints: int, proxies: int, zones: int, seconds: int = 10) -> float:
-    """Seconds of a core a second, once the pilot has settled."""
-    pilot = HollowPilot(endpoints, proxies, zones).run(4)
-    began = time.process_time()
-    pilot.run(seconds)
-    return (time.process_time() - began) / seconds
+    """Return the seconds of a core a second, once the server has settled."""
+    server = SimulatedServer(endpoints, proxies, zones).run(4)
+    started_at = time.process_time()
+    server.run(seconds)
+    return (time.process_time() - started_at) / seconds
 
 
 def cpu_of_changes(changes: int) -> float:
-    """Seconds of a core a second while so many endpoints a second start again."""
-    pilot = HollowPilot(400, 100, 4).run(4)
-    began, seconds = time.process_time(), 5
+    """Return the seconds of a core a second while so many endpoints a second restart."""
+    server = SimulatedServer(400, 100, 4).run(4)
+    started_at = time.process_time()
+    seconds = 5
     for _ in range(seconds):
-        pilot.change_list(changes)
-        pilot.run(1)
-    return (time.process_time() - began) / seconds
+        server.change_list(changes)
+        server.run(1)
+    return (time.process_time() - started_at) / seconds
 
 
-def _catalogue(endpoints: int) -> list[dict]:
+def _holds_nothing(_index: int) -> bool:
+    return False
+
+
+def _listed_endpoints(endpoints: int) -> list[dict]:
     return [
         {
             "uid": f"endpoint-{n:06d}.zone-{n % 64}",
@@ -173,47 +182,48 @@
 
 
 def list_bytes(endpoints: int) -> float:
-    """Bytes of a whole list at discovery."""
-    return float(len(json.dumps({"rev": 1, "all": True, "targets": _catalogue(endpoints)})))
+    """Return the bytes of a complete list of the registry."""
+    return float(len(json.dumps({"rev": 1, "all": True, "targets": _listed_endpoints(endpoints)})))
 
 
 def list_cpu(endpoints: int) -> float:
-    """Seconds to read a whole list and to take it into the listing, as the pilot does it."""
-    body = json.dumps({"rev": 1, "all": True, "targets": _catalogue(endpoints)}).encode()
-    listing = EndpointRegistry(lambda: START, lambda index: False)
-    catalog = EndpointListDecoder(
-        decode_settings(settings(64, 1)), listing.index_of, listing.index_by_name.get
+    """Return the seconds to decode a complete list and to update the registry with it, as a server does."""
+    body = json.dumps({"rev": 1, "all": True, "targets": _listed_endpoints(endpoints)}).encode()
+    registry = EndpointRegistry(lambda: START, _holds_nothing)
+    decoder = EndpointListDecoder(
+        decode_settings(settings(64, 1)), registry.index_of, registry.index_by_name.get
     )
-    began = time.process_time()
-    said = catalog.read(body)
-    entries, addresses, _ = catalog.entries(said["targets"])
-    listing.update(ListKind.REPLACE, said["rev"], entries, addresses)
-    return time.process_time() - began
+    started_at = time.process_time()
+    document = decoder.read(body)
+    entries, addresses, _ = decoder.entries(document["targets"])
+    registry.update(ListKind.REPLACE, document["rev"], entries, addresses)
+    return time.process_time() - started_at
 
 
 def spill_cpu(zones: int, feasible: bool) -> float:
-    """Seconds of one search of spill. Half of the zones lack capacity; where it is not feasible, all of them do."""
-    chance = random.Random(zones)
-    demand = [chance.uniform(80, 120) * (1.0 if feasible and n % 2 else 1.4) for n in range(zones)]
+    """Return the seconds of one search of spill. Half of the zones lack capacity; if not feasible, all of
+    them do."""
+    random_source = random.Random(zones)
+    demand = [random_source.uniform(80, 120) * (1.0 if feasible and n % 2 else 1.4) for n in range(zones)]
     capacity = [100.0] * zones
     curve = [(0.6, 0.0), (0.9, 0.01), (1.1, 0.08), (1.5, 0.5)]
     stretch = [[1.0 if i == j else 1.1 for j in range(zones)] for i in range(zones)]
     scale = 0.7 if feasible else 1.3
-    began = time.process_time()
+    started_at = time.process_time()
     solve_spill([d * scale for d in demand], capacity, [curve] * zones, stretch)
-    return time.process_time() - began
+    return time.process_time() - started_at
 
 
-def _state(endpoints: int) -> HollowPilot:
-    return HollowPilot(endpoints, 64, 64).run(1)
+def _state(endpoints: int) -> SimulatedServer:
+    return SimulatedServer(endpoints, 64, 64).run(1)
 
 
-def _few_proxies(proxies: int) -> HollowPilot:
-    return HollowPilot(200, proxies, 4).run(3)
+def _few_proxies(proxies: int) -> SimulatedServer:
+    return SimulatedServer(200, proxies, 4).run(3)
 
 
 def measurements(short: bool) -> Iterator[Measurement]:
-    """All of this role; short ones take the smaller sizes, in one run."""
+    """Yield all measurements of this role; short ones take the smaller sizes, in one run."""
     runs = 1 if short else 3
     sizes = (250, 500, 1000, 2000) if short else (1000, 2000, 4000, 8000)
     yield measure(
--- a/benchmarks/scale/sockets.py
+++ b/benchmarks/scale/sockets.py
@@ -1,6 +1,6 @@
-"""A relay as a real process on loopback: its processor time, memory and delay by subscribers.
+"""A relay as a real process on loopback: processor time, memory and delay by its number of subscribers.
 
-The owner and the subscribers run in this process, so that what is read of the relay's process is the relay's alone.
+The owner and the subscribers run in this process, so that the relay's process is measured alone.
 """
 
 import asyncio
@@ -19,6 +19,7 @@
 from ravenshelf.distribution.decisions.distributor import DistributorLimits
 from ravenshelf.distribution.decisions.ownership import PublicationLease
 from ravenshelf.distribution.decisions.planner import ENDPOINT, LINE, service_topic, zone_topic
+from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.messages import EndpointEntry, Entry, TableLine
 from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.owner_service import OwnerService
@@ -26,36 +27,38 @@
 from standins.installation import ports
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-TICKS_A_SECOND = os.sysconf("SC_CLK_TCK")
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 SECOND = 1_000_000
 SERVICES = 12
 CHANGES = 200
-CHANGE_EVERY = 0.03  # seconds: faster than any fleet's, so that the process's clock ticks tell
+CHANGE_INTERVAL = 0.03  # seconds: faster than any fleet's, so that the process's clock ticks tell
 IDLE = 5.0  # seconds of heartbeats alone
 WAIT = 30.0
-SIZES, SHORT_SIZES = (8, 16, 32, 64, 128), (4, 8, 16, 32)
+SIZES = (8, 16, 32, 64, 128)
+SHORT_SIZES = (4, 8, 16, 32)
 
 
 def clock() -> int:
-    """Microseconds of a clock that never goes back."""
+    """Return microseconds of a monotonic clock."""
     return time.monotonic_ns() // 1000
 
 
 def processor_seconds(pid: int) -> float:
-    """Of a process, as the system counts it."""
+    """Return the processor time of a process, as the system counts it."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS_A_SECOND
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 class Stage:
     """An owner of a dozen services, one relay process, and its subscribers."""
 
     def __init__(self, subscribers: int, folder: Path):
-        self.count, self.folder = subscribers, folder
+        self.count = subscribers
+        self.folder = folder
         self.loop = asyncio.get_running_loop()
         self.services = [f"service-{n}" for n in range(SERVICES)]
         self.tables = {zone_topic(service, 0): self._table(service, 100.0) for service in self.services}
-        self.told: dict[str, int] = {}  # by topic: when it was changed
+        self.changed_at: dict[str, int] = {}  # by topic: time of its last change
         self.delays: list[float] = []  # milliseconds from a change to a subscriber
         limits = DistributorLimits(64)
         self.owner = OwnerService(
@@ -68,11 +71,13 @@
         return {f"{LINE}{service}-{n:03d}": TableLine(weight + n) for n in range(TABLE_LINES)}
 
     def content(self, topic: str) -> dict[str, Entry]:
+        """Return the state of a topic."""
         if topic in self.tables:
             return self.tables[topic]
         return {f"{ENDPOINT}{topic}-{n:03d}": EndpointEntry(0, True, 4.0) for n in range(SERVICE_ENDPOINTS)}
 
     async def start(self) -> None:
+        """Start the owner, the relay and the subscribers, and wait for all topics."""
         owner_at = await self.owner.start("127.0.0.1:0")
         for service in self.services:
             self.owner.acquire(service, PublicationLease(1, clock() + 3600 * SECOND))
@@ -82,9 +87,9 @@
             f'[distribution]\nname = "relay-0"\ncluster = "bench"\nlisten = "{relay_at}"\nowners = true\n'
             f'subscribers = {2 * self.count}\n[distribution.parents]\nowner-0 = "{owner_at}"\n'
         )
-        words = ("-m", "ravenshelf", "distribution", "relay", "--operator", str(file))
+        arguments = ("-m", "ravenshelf", "distribution", "relay", "--operator", str(file))
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, *words, cwd=ROOT, stderr=asyncio.subprocess.DEVNULL
+            sys.executable, *arguments, cwd=ROOT, stderr=asyncio.subprocess.DEVNULL
         )
         for number in range(self.count):
             self.subscribers.append(self._subscriber(number, relay_at))
@@ -98,9 +103,9 @@
                 await asyncio.sleep(0.05)
 
     def _subscriber(self, number: int, relay_at: str) -> SubscriptionService:
-        def changed(topic) -> None:
-            if topic.name in self.told:
-                self.delays.append((clock() - self.told[topic.name]) / 1000)
+        def changed(topic: Topic) -> None:
+            if topic.name in self.changed_at:
+                self.delays.append((clock() - self.changed_at[topic.name]) / 1000)
 
         return SubscriptionService(
             Node(self.loop, clock, "bench", f"pilot-{number}", {"relay-0": relay_at}),
@@ -109,24 +114,27 @@
         )
 
     async def play(self) -> tuple[float, float, float, float]:
-        """Seconds a delivered delta, part of a core while idle, MB, and the 99th delay in milliseconds."""
+        """Return seconds for each delivered delta, share of a core while idle, MB, and the 99th delay in
+        milliseconds."""
         before = processor_seconds(self.process.pid)
         await asyncio.sleep(IDLE)
         idle = (processor_seconds(self.process.pid) - before) / IDLE
-        before, began = processor_seconds(self.process.pid), time.monotonic()
+        before = processor_seconds(self.process.pid)
+        began = time.monotonic()
         for number in range(CHANGES):
             service = self.services[number % SERVICES]
             topic = zone_topic(service, 0)
             self.tables[topic] = self._table(service, 101.0 + number)
-            self.told[topic] = clock()
+            self.changed_at[topic] = clock()
             self.owner.refresh(topic)
-            await asyncio.sleep(CHANGE_EVERY)
+            await asyncio.sleep(CHANGE_INTERVAL)
         await asyncio.sleep(0.5)
         spent = processor_seconds(self.process.pid) - before - idle * (time.monotonic() - began)
         memory = memory_mb(self.process.pid)
         return max(0.0, spent) / max(1, len(self.delays)), idle, memory, quantile(self.delays, 0.99)
 
     async def stop(self) -> None:
+        """End all parts."""
         for part in (*self.subscribers, self.owner):
             part.stop()
         self.process.terminate()
@@ -144,12 +152,11 @@
 
 
 def measurements(short: bool) -> list[Measurement]:
-    """Four figures of the same plays, by subscribers."""
+    """Return four measurements of the same runs, by subscribers."""
     sizes, runs = (SHORT_SIZES, 1) if short else (SIZES, 3)
     played = [[uvloop.run(_stage(size)) for size in sizes] for _ in range(runs)]
-    fixed = (
-        f"{SERVICES} services each, tables of {TABLE_LINES} lines, a change each {CHANGE_EVERY * 1000:.0f} ms"
-    )
+    interval_ms = CHANGE_INTERVAL * 1000
+    fixed = f"{SERVICES} services each, tables of {TABLE_LINES} lines, a change each {interval_ms:.0f} ms"
     named = (
         ("relay on sockets, CPU of a delivered delta", "seconds"),
         ("relay on sockets, CPU of heartbeats", "core"),
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -30,10 +30,10 @@
         installation.signal(name, signal.SIGSTOP)
     proxies = [installation.proxies[n] for n in had]
     await installation.until(
-        lambda: all(p.term > had[p.number] and p.whole_at > began for p in proxies), BOUND + 5
+        lambda: all(p.term > had[p.number] and p.complete_table_at > began for p in proxies), BOUND + 5
     )
-    took = [p.whole_at - began for p in proxies]
-    refused = sum(p.refused for p in installation.proxies)
+    took = [p.complete_table_at - began for p in proxies]
+    refused = sum(p.rejected for p in installation.proxies)
     if how == "kill":
         await installation.run(name)
     else:
@@ -63,7 +63,7 @@
                 "first_s": round(first, 2),
                 **{how: quantiles(values) for how, values in took.items()},
                 "losses": losses,
-                "refused_of_older_terms": sum(p.refused for p in installation.proxies),
+                "refused_of_older_terms": sum(p.rejected for p in installation.proxies),
             }
         finally:
             await installation.stop()
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,10 +1,12 @@
-"""A toy world for one pilot, all on loopback: discovery, four endpoints, one proxy and its zone's collector.
+"""A toy installation for one server on loopback: registry, four endpoints, one proxy and a collector.
 
-    python -m examples.toy --with-pilot      # starts a pilot too, at ports that the system gives (`make try`)
+    python -m examples.toy --with-pilot      # starts a server too, at ports of the system (`make try`)
     python -m examples.toy                   # alone; then in another terminal:
     python -m ravenshelf serve --config examples/config.json
 
-Every 20 s one endpoint is drained, removed, and comes back; one endpoint is slow. Ctrl-C ends it, and the pilot."""
+Every 20 s one endpoint is drained, removed, and comes back; one endpoint is slow. Ctrl-C ends it,
+and the server.
+"""
 
 import argparse
 import asyncio
@@ -15,118 +17,158 @@
 import sys
 import tempfile
 import time
+from collections.abc import AsyncIterator
+from dataclasses import dataclass
+from functools import partial
 from pathlib import Path
+from typing import Any
 
-from standins.world import Collector, Discovery, Proxy, endpoint, entry
+from standins.loopback import LoadReporter, LoopbackProxy, LoopbackRegistry, listed_endpoint, start_endpoint
+from standins.server_process import start_server
 
 NAMES = [f"s-{n}" for n in range(4)]
-TIMES = {"s-0": 0.02, "s-1": 0.08, "s-2": 0.02, "s-3": 0.02}  # seconds that an endpoint takes to answer
+ANSWER_TIMES = {"s-0": 0.02, "s-1": 0.08, "s-2": 0.02, "s-3": 0.02}  # mean seconds
+REQUESTS_PER_SECOND = 40
+SERVER_ADDRESS = "127.0.0.1:8080"  # of examples/config.json
+REGISTRY_PORT = 8500
+FIRST_ENDPOINT_PORT = 9001
+PRINTED_MESSAGE = 150  # characters
+PRINTED_LOG_LINE = 200  # characters
 ROOT = Path(__file__).resolve().parent.parent
 
 
-class World:
-    def __init__(self, pilot: str, first_port: int, troubles_every: float):
-        self.pilot, self.first_port, self.troubles_every = pilot, first_port, troubles_every
-        self.met: dict[str, list] = {}
-        self.flows = 0
-        self.proxy = Proxy(
-            lambda: self.pilot, 0, "north", heard=lambda proxy, line: print("<-", line.strip()[:150])
-        )
-        self.collector = Collector(lambda: self.pilot, "north", self.sums)
+@dataclass
+class EndpointLoad:
+    """Attempts at an endpoint since the last report; `latency_ms` is the sum over those that succeeded."""
+
+    attempts: int = 0
+    failed: int = 0
+    latency_ms: float = 0.0
+
+
+def _print_message(_proxy: LoopbackProxy, line: str) -> None:
+    print("<-", line.strip()[:PRINTED_MESSAGE])
+
+
+def _answer_time(uid: str) -> float:
+    return random.expovariate(1 / ANSWER_TIMES[uid])
 
-    async def start(self, discovery_port: int) -> None:
-        servers = [
-            await endpoint(
-                lambda uid=uid: random.expovariate(1 / TIMES[uid]), self.first_port and self.first_port + n
-            )
-            for n, uid in enumerate(NAMES)
-        ]
-        ports = [server.sockets[0].getsockname()[1] for server in servers]
-        self.discovery = await Discovery(
-            [
-                entry(uid, "north" if n < 2 else "south", port)
-                for n, (uid, port) in enumerate(zip(NAMES, ports))
-            ]
-        ).start(discovery_port)
+
+class ToyInstallation:
+    """All that the server talks to."""
+
+    def __init__(self, server: str, first_port: int, faults_every: float):
+        """`server`: host:port; `first_port`: of the endpoints, 0: chosen by the system; `faults_every`:
+        seconds."""
+        self.server = server
+        self.first_port = first_port
+        self.faults_every = faults_every
+        self.loads: dict[str, EndpointLoad] = {}
+        self.requests = 0
+        self.proxy = LoopbackProxy(lambda: self.server, 0, "north", line_received=_print_message)
+        self.collector = LoadReporter(lambda: self.server, "north", self.take_loads)
+
+    async def start(self, registry_port: int) -> None:
+        """Start the endpoints and the registry."""
+        entries = []
+        for number, uid in enumerate(NAMES):
+            port = self.first_port + number if self.first_port else 0
+            endpoint = await start_endpoint(partial(_answer_time, uid), port)
+            zone = "north" if number < 2 else "south"
+            entries.append(listed_endpoint(uid, zone, endpoint.sockets[0].getsockname()[1]))
+        self.registry = await LoopbackRegistry(entries).start(registry_port)
 
     async def run(self) -> None:
-        await asyncio.gather(self.troubles(), self.proxy.run(), self.send_flows(), self.collector.run())
+        """Run the proxy, the collector, the requests and the faults until cancelled."""
+        await asyncio.gather(
+            self.cause_faults(), self.proxy.run(), self.send_requests(), self.collector.run()
+        )
 
-    async def troubles(self) -> None:
+    async def cause_faults(self) -> None:
+        """Drain, remove and restart a random endpoint every `faults_every` seconds."""
         while True:
-            await asyncio.sleep(self.troubles_every)
+            await asyncio.sleep(self.faults_every)
             uid = random.choice(NAMES)
             for state, boot_ms in (("DRAINING", 0), ("DELETED", 0), ("SERVING", time.time() * 1000)):
-                await self.discovery.change(uid, state, boot_ms)
+                await self.registry.change(uid, state, boot_ms)
                 print(f"-- {uid} is now {state}")
-                await asyncio.sleep(self.troubles_every / 5)
+                await asyncio.sleep(self.faults_every / 5)
 
-    async def flow(self, uid: str) -> None:
-        began, met = time.monotonic(), self.met.setdefault(uid, [0, 0, 0.0])
-        met[0] += 1
+    async def send_request(self, uid: str) -> None:
+        """Send a request to an endpoint and count its outcome."""
+        started_at = time.monotonic()
+        load = self.loads.setdefault(uid, EndpointLoad())
+        load.attempts += 1
         try:
-            host, _, port = self.discovery.entries[uid]["endpoint"].rpartition(":")
+            host, _, port = self.registry.entries[uid]["endpoint"].rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"GET / HTTP/1.1\r\nHost: toy\r\n\r\n")
             if not await reader.readline():
                 raise ConnectionError
-            met[2] += (time.monotonic() - began) * 1000
+            load.latency_ms += (time.monotonic() - started_at) * 1000
             writer.close()
         except ConnectionError:
-            met[1] += 1
+            load.failed += 1
 
-    async def send_flows(self) -> None:
-        going = set()
+    async def send_requests(self) -> None:
+        """Send requests as the proxy's table distributes them."""
+        tasks = set()
         while True:
             if lines := self.proxy.lines():
-                self.flows += 1
-                task = asyncio.create_task(self.flow(random.choices(list(lines), lines.values())[0]))
-                going.add(task)
-                task.add_done_callback(going.discard)
-            await asyncio.sleep(1 / 40)
-
-    def sums(self) -> dict[str, tuple]:
-        met, self.met = self.met, {}
-        flows, self.flows = self.flows, 0
-        print("flows a second:", {uid: m[0] for uid, m in sorted(met.items())})
-        self.proxy.usage("read", flows)
-        return {uid: (n, failed, took / max(1, n - failed) or 1.0) for uid, (n, failed, took) in met.items()}
+                self.requests += 1
+                uid = random.choices(list(lines), list(lines.values()))[0]
+                task = asyncio.create_task(self.send_request(uid))
+                tasks.add(task)
+                task.add_done_callback(tasks.discard)
+            await asyncio.sleep(1 / REQUESTS_PER_SECOND)
+
+    def take_loads(self) -> dict[str, tuple[int, int, float]]:
+        """Return the load of each endpoint since the last call, and report the proxy's demand."""
+        loads = self.loads
+        requests = self.requests
+        self.loads = {}
+        self.requests = 0
+        print("requests a second:", {uid: load.attempts for uid, load in sorted(loads.items())})
+        self.proxy.report_demand("read", requests)
+        return {uid: (load.attempts, load.failed, _mean_latency(load)) for uid, load in loads.items()}
+
+
+def _mean_latency(load: EndpointLoad) -> float:
+    return load.latency_ms / max(1, load.attempts - load.failed) or 1.0
+
+
+async def _print_log(process: asyncio.subprocess.Process, address: asyncio.Future[str], quiet: bool) -> None:
+    """Print a server's log, and resolve `address` once the server listens."""
+    assert process.stderr is not None, "the process was started with a pipe"
+    while line := (await process.stderr.readline()).decode():
+        print("server:", line.rstrip()[:PRINTED_LOG_LINE], file=sys.stderr if quiet else sys.stdout)
+        if " serves at " in line and not address.done():
+            address.set_result(line.split()[-1])
+    if not address.done():
+        address.set_exception(RuntimeError("the server ended before it served"))
 
 
 @contextlib.asynccontextmanager
-async def pilot(discovery: str, extra: list[str], said: dict | None = None, quiet: bool = False):
-    """A pilot in a process of its own, at a port that the system gives; gives its address, and ends it. `said` is its
-    configuration, else that of the example."""
-    said = said or json.loads((ROOT / "examples" / "config.json").read_text())
-    said = said | {"listen": "127.0.0.1:0", "discovery": discovery}
+async def server_process(
+    registry: str, extra: list[str], configuration: dict[str, Any] | None = None, quiet: bool = False
+) -> AsyncIterator[str]:
+    """Run a server at a port that the system chooses; gives its address, and ends it at the end of the block.
+
+    `configuration`: instead of the example's; `quiet`: its log goes to the standard error.
+    """
+    document = configuration or json.loads((ROOT / "examples" / "config.json").read_text())
+    document = document | {"listen": "127.0.0.1:0", "discovery": registry}
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-        json.dump(said, file)
+        json.dump(document, file)
         file.flush()
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "ravenshelf",
-            "serve",
-            "--config",
-            file.name,
-            *extra,
-            cwd=ROOT,
-            stderr=asyncio.subprocess.PIPE,
-            start_new_session=True,
-        )  # Ctrl-C is for us; we end it in good order
-        where: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-
-        async def log() -> None:
-            while line := (await process.stderr.readline()).decode():
-                print("pilot:", line.rstrip()[:200], file=sys.stderr if quiet else sys.stdout)
-                if " serves at " in line and not where.done():
-                    where.set_result(line.split()[-1])
-            if not where.done():
-                where.set_exception(RuntimeError("the pilot ended before it served"))
-
-        reading = asyncio.create_task(log())
+        # a session of its own, so that Ctrl-C reaches this process alone, which ends the server in good order
+        process = await start_server(
+            Path(file.name), *extra, output=None, errors=asyncio.subprocess.PIPE, new_session=True
+        )
+        address: asyncio.Future[str] = asyncio.get_running_loop().create_future()
+        reading = asyncio.create_task(_print_log(process, address, quiet))
         try:
-            yield await where
+            yield await address
         finally:
             if process.returncode is None:
                 process.send_signal(signal.SIGTERM)
@@ -134,30 +176,33 @@
             await reading
 
 
-async def main(with_pilot: bool, seconds: float, troubles_every: float, extra: list[str]) -> None:
-    world = World("127.0.0.1:8080", 0 if with_pilot else 9001, troubles_every)
-    await world.start(0 if with_pilot else 8500)
-    over = asyncio.Event()
+async def main(with_server: bool, seconds: float, faults_every: float, extra: list[str]) -> None:
+    """Run the toy installation for so many seconds (0: until a signal)."""
+    installation = ToyInstallation(SERVER_ADDRESS, 0 if with_server else FIRST_ENDPOINT_PORT, faults_every)
+    await installation.start(0 if with_server else REGISTRY_PORT)
+    stopped = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
-        asyncio.get_running_loop().add_signal_handler(number, over.set)
+        asyncio.get_running_loop().add_signal_handler(number, stopped.set)
     async with contextlib.AsyncExitStack() as stack:
-        if with_pilot:
-            world.pilot = await stack.enter_async_context(pilot(world.discovery.address, extra))
-        running = asyncio.create_task(world.run())
+        if with_server:
+            installation.server = await stack.enter_async_context(
+                server_process(installation.registry.address, extra)
+            )
+        running = asyncio.create_task(installation.run())
         with contextlib.suppress(asyncio.TimeoutError):
-            await asyncio.wait_for(over.wait(), seconds or None)
+            await asyncio.wait_for(stopped.wait(), seconds or None)
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
-    print("over: the proxy's table was", world.proxy.lines())
+    print("over: the proxy's table was", installation.proxy.lines())
 
 
 if __name__ == "__main__":
-    said = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    said.add_argument("--with-pilot", action="store_true", help="start a pilot too")
-    said.add_argument("--seconds", type=float, default=0, help="end after so long; 0: on Ctrl-C")
-    said.add_argument("--troubles-every", type=float, default=20, help="seconds between drains")
-    said.add_argument("--operator", help="the pilot's operator file")
-    options = said.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--with-pilot", action="store_true", help="start a server too")
+    parser.add_argument("--seconds", type=float, default=0, help="end after so long; 0: on Ctrl-C")
+    parser.add_argument("--troubles-every", type=float, default=20, help="seconds between drains")
+    parser.add_argument("--operator", help="the server's operator file")
+    options = parser.parse_args()
     asyncio.run(
         main(
             options.with_pilot,
--- a/standins/collectd.py
+++ b/standins/collectd.py
@@ -1,4 +1,5 @@
-"""A collectd sender: hosts with processors as they count, packets signed or sealed, and seeded faults on the way.
+"""A collectd sender: hosts with processors as they count, packets signed or sealed, and seeded faults on the
+way.
 
 Written after the published description of the binary protocol, apart from the decoder, so that the two check
 each other.
--- /dev/null
+++ b/standins/fenced_proxies.py
@@ -0,0 +1,130 @@
+"""Proxies with a stream to each of several controllers: they obey the highest term that they have seen.
+
+Each command, with its time and term, is passed to a callback, so that a checker can read it.
+"""
+
+import asyncio
+import contextlib
+import time
+from collections.abc import Callable
+
+from standins.loopback import parse_words, updated_table
+
+RECONNECT_DELAY = 0.1  # seconds
+
+CommandApplied = Callable[["FencedProxy", int, int, dict[str, str]], None]
+
+
+class ProxyStream(asyncio.Protocol):
+    """A proxy's stream to one controller."""
+
+    def __init__(self, proxy: "FencedProxy", controller: int, ended: asyncio.Future[None]):
+        """`ended`: resolved when the stream has ended."""
+        self.proxy = proxy
+        self.controller = controller
+        self.ended = ended
+        self.incomplete_line = b""
+        self.transport: asyncio.Transport | None = None
+
+    def connection_made(self, transport: asyncio.Transport) -> None:
+        """Called by the event loop."""
+        self.transport = transport
+        proxy = self.proxy
+        transport.write(
+            f"SUBSCRIBE proxy={proxy.number} zone={proxy.zone} weight={proxy.usual_rate} "
+            f"fresh={int(not proxy.table)} term={int(proxy.fences)}\r\n".encode()
+        )
+
+    def data_received(self, data: bytes) -> None:
+        """Called by the event loop."""
+        *lines, self.incomplete_line = (self.incomplete_line + data).split(b"\r\n")
+        for line in lines:
+            self.proxy.apply_line(self, line.decode())
+
+    def connection_lost(self, _error: Exception | None) -> None:
+        """Called by the event loop."""
+        if not self.ended.done():
+            self.ended.set_result(None)
+
+    def write(self, line: str) -> None:
+        """Write a line, if connected."""
+        if self.transport is not None:
+            self.transport.write(line.encode())
+
+
+def _ignore_command(_proxy: "FencedProxy", _controller: int, _term: int, _words: dict[str, str]) -> None:
+    pass
+
+
+class FencedProxy:
+    """A proxy that rejects commands of earlier terms, and counts them in `rejected`."""
+
+    def __init__(
+        self,
+        number: int,
+        zone: str,
+        controllers: list[str],
+        usual_rate: float = 5.0,
+        fences: bool = True,
+        command_applied: CommandApplied = _ignore_command,
+    ):
+        """`controllers`: host:port; `command_applied`: called with (proxy, controller, term, words) of each
+        command."""
+        self.number = number
+        self.zone = zone
+        self.usual_rate = usual_rate
+        self.fences = fences
+        self.command_applied = command_applied
+        self.controllers = controllers
+        self.term = 0
+        self.rejected = 0
+        self.owner: int | None = None  # the controller whose command was applied last
+        self.table: dict[str, float] = {}
+        self.ejected: set[str] = set()
+        self.levels: dict[str, tuple[float, int]] = {}  # by traffic group: level and retry mode
+        self.complete_table_at = 0.0  # time of the last complete table, by the monotonic clock
+        self.streams: dict[int, ProxyStream] = {}  # by controller
+
+    async def run(self) -> None:
+        """Keep all streams open until cancelled."""
+        await asyncio.gather(*(self._keep_open(number) for number in range(len(self.controllers))))
+
+    async def _keep_open(self, controller: int) -> None:
+        loop = asyncio.get_running_loop()
+        while True:
+            stream = ProxyStream(self, controller, loop.create_future())
+            host, _, port = self.controllers[controller].rpartition(":")
+            with contextlib.suppress(OSError):
+                await loop.create_connection(lambda stream=stream: stream, host, int(port))
+                self.streams[controller] = stream
+                await stream.ended
+            self.streams.pop(controller, None)
+            await asyncio.sleep(RECONNECT_DELAY)
+
+    def apply_line(self, stream: ProxyStream, line: str) -> None:
+        """Apply a line of a stream, unless its term is an earlier one; acknowledge it if requested."""
+        words = parse_words(line)
+        term = int(words.get("term", 0))
+        if self.fences and term < self.term:
+            self.rejected += 1
+            return
+        self.term = max(self.term, term)
+        self.owner = stream.controller
+        if "whole" in words:
+            self.levels = {}
+            self.complete_table_at = time.monotonic()
+        self.table = updated_table(words, self.table, self.ejected)
+        if "level" in words:
+            for group in words.get("classes", "*").split("+"):
+                self.levels[group] = (float(words["level"]), int(words["retry"]))
+        if "ticket" in words:
+            stream.write(f"ACK proxy={self.number} mark={words['ticket']} took_ms=1\r\n")
+        self.command_applied(self, stream.controller, term, words)
+
+    def report_demand(self, group: str, requests: int, unanswered: int = 0) -> None:
+        """Report the requests of a traffic group in the last second to all controllers."""
+        for stream in self.streams.values():
+            stream.write(
+                f"RATE proxy={self.number} class={group} tries={requests} failed={unanswered} "
+                f"span_ms=1000\r\n"
+            )
--- a/standins/fleet/proxies.py
+++ b/standins/fleet/proxies.py
@@ -7,7 +7,7 @@
 from itertools import accumulate
 
 from standins.fleet.clock import SECOND
-from standins.world import obeyed
+from standins.loopback import parse_words, updated_table
 
 UNLIMITED = float("inf")
 NOT_KNOWN: Mapping[str, int] = {}
@@ -31,9 +31,9 @@
     def apply_message(self, message: str) -> None:
         """Apply a message of its server."""
         for line in message.splitlines():
-            said = dict(word.partition("=")[::2] for word in line.split()[1:])
-            self.table = obeyed(said, self.table, self.ejected)
-            self.apply_levels(said)
+            words = parse_words(line)
+            self.table = updated_table(words, self.table, self.ejected)
+            self.apply_levels(words)
 
     def apply_levels(self, said: dict[str, str]) -> None:
         """Ignored: rates that follow the tables know no admission levels."""
--- a/standins/installation.py
+++ b/standins/installation.py
@@ -1,4 +1,4 @@
-"""Several controllers of this program as processes on loopback, with a discovery and proxies that obey terms."""
+"""Several control-plane servers as processes on loopback, with a registry and proxies that obey terms."""
 
 import asyncio
 import contextlib
@@ -6,26 +6,29 @@
 import os
 import signal
 import socket
-import sys
+from collections.abc import Callable
 from pathlib import Path
+from typing import Any
 
-from standins.proxies import FencedProxy
-from standins.world import Discovery, configuration, entry
+from standins.fenced_proxies import FencedProxy
+from standins.loopback import LoopbackRegistry, listed_endpoint, server_configuration
+from standins.server_process import start_server
 
-ROOT = Path(__file__).resolve().parent.parent
+POLL_INTERVAL = 0.005  # seconds
+STOP_TIMEOUT = 5  # seconds until a process is killed
 
 
 def ports(count: int) -> list[int]:
-    """Free ones that the system gives; held all at once, so that no two are the same."""
+    """Return free ports of the system; all are reserved at once, so that no two are the same."""
     with contextlib.ExitStack() as stack:
-        held = [stack.enter_context(socket.socket()) for _ in range(count)]
-        for one in held:
-            one.bind(("127.0.0.1", 0))
-        return [one.getsockname()[1] for one in held]
+        sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
+        for reserved in sockets:
+            reserved.bind(("127.0.0.1", 0))
+        return [reserved.getsockname()[1] for reserved in sockets]
 
 
 class Installation:
-    """`extra` is appended to each member's `[leadership]` table."""
+    """Servers that share the proxies' shards by leases."""
 
     def __init__(
         self,
@@ -38,94 +41,93 @@
         extra: str = "",
         serve: tuple[str, ...] = (),
     ):
-        self.folder, self.serve = folder, serve
-        self.names = [f"c{n}" for n in range(controllers)]
-        given = ports(2 * controllers)
-        self.listen = [f"127.0.0.1:{p}" for p in given[:controllers]]
-        self.members = dict(zip(self.names, (f"127.0.0.1:{p}" for p in given[controllers:])))
-        self.proxies = [FencedProxy(n, "north", self.listen) for n in range(proxies)]
-        self.entries = [entry(f"s-{n}", "north") for n in range(endpoints)]
-        self.lease_ms, self.shards, self.extra = lease_ms, shards, extra
+        """`extra`: appended to each member's `[leadership]` table; `serve`: further arguments of the
+        processes."""
+        self.folder = folder
+        self.serve = serve
+        self.names = [f"c{number}" for number in range(controllers)]
+        free_ports = ports(2 * controllers)
+        self.listen = [f"127.0.0.1:{port}" for port in free_ports[:controllers]]
+        member_addresses = [f"127.0.0.1:{port}" for port in free_ports[controllers:]]
+        self.members = dict(zip(self.names, member_addresses, strict=True))
+        self.proxies = [FencedProxy(number, "north", self.listen) for number in range(proxies)]
+        self.entries = [listed_endpoint(f"s-{number}", "north") for number in range(endpoints)]
+        self.lease_ms = lease_ms
+        self.shards = shards
+        self.extra = extra
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.running: list[asyncio.Task] = []
 
     async def start(self) -> "Installation":
-        self.discovery = await Discovery(self.entries).start()
-        for name, listen in zip(self.names, self.listen):
-            self._files(name, listen)
+        """Start the registry, all servers and all proxies."""
+        self.registry = await LoopbackRegistry(self.entries).start()
+        for name, listen in zip(self.names, self.listen, strict=True):
+            self._write_files(name, listen)
             await self.run(name)
-        self.running = [asyncio.create_task(p.run()) for p in self.proxies]
+        self.running = [asyncio.create_task(proxy.run()) for proxy in self.proxies]
         return self
 
-    def _files(self, name: str, listen: str) -> None:
-        said = configuration(
-            self.discovery.address,
-            ["north"],
-            len(self.proxies),
-            listen,
-            **{"lines-per-s": 200_000, "most-waiting": 400_000},
+    def _write_files(self, name: str, listen: str) -> None:
+        flow_control = {"lines-per-s": 200_000, "most-waiting": 400_000}
+        document = server_configuration(
+            self.registry.address, ["north"], len(self.proxies), listen, **flow_control
         )
-        said["name"] = name
-        said["limits"] = {"cores": 1, "memory_mb": 256, "sockets": 8192}
-        (self.folder / f"{name}.json").write_text(json.dumps(said))
-        members = "\n".join(f'{n} = "{a}"' for n, a in self.members.items())
+        document["name"] = name
+        document["limits"] = {"cores": 1, "memory_mb": 256, "sockets": 8192}
+        (self.folder / f"{name}.json").write_text(json.dumps(document))
+        members = "\n".join(f'{member} = "{address}"' for member, address in self.members.items())
         (self.folder / f"{name}.toml").write_text(
             f'[store]\nfolder = "{self.folder / name}"\n[leadership]\nname = "{name}"\ncluster = "loopback"\n'
-            f'shards = {self.shards}\nlease_ms = {self.lease_ms}\nadmin = "{self.folder / name}.sock"\n{self.extra}\n'
-            f"[leadership.members]\n{members}\n"
+            f'shards = {self.shards}\nlease_ms = {self.lease_ms}\nadmin = "{self.folder / name}.sock"\n'
+            f"{self.extra}\n[leadership.members]\n{members}\n"
         )
 
     async def run(self, name: str) -> None:
-        """Its log goes to a file beside its disk."""
-        log = open(self.folder / f"{name}.log", "ab")
-        self.processes[name] = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "ravenshelf",
-            "serve",
-            "--config",
-            str(self.folder / f"{name}.json"),
-            "--operator",
-            str(self.folder / f"{name}.toml"),
-            *self.serve,
-            cwd=ROOT,
-            stderr=log,
-            stdout=log,
-        )
-        log.close()
+        """Start a server's process; its log goes to a file beside its store."""
+        operator_file = str(self.folder / f"{name}.toml")
+        configuration = self.folder / f"{name}.json"
+        with (self.folder / f"{name}.log").open("ab") as log:
+            self.processes[name] = await start_server(
+                configuration, "--operator", operator_file, *self.serve, output=log, errors=log
+            )
 
     def signal(self, name: str, number: int) -> None:
+        """Send a signal to a server."""
         self.processes[name].send_signal(number)
 
     async def kill(self, name: str) -> None:
+        """Kill a server, and wait for its end."""
         self.signal(name, signal.SIGKILL)
         await self.processes[name].wait()
 
     def shards_of(self, name: str) -> set[int]:
-        """Proxies that last obeyed this controller."""
+        """Return the proxies that last obeyed this server."""
         number = self.names.index(name)
-        return {p.number for p in self.proxies if p.owner == number}
+        return {proxy.number for proxy in self.proxies if proxy.owner == number}
 
-    async def until(self, true, seconds: float) -> float:
-        """Seconds until `true()` holds; TimeoutError where it does not."""
+    async def until(self, condition: Callable[[], Any], seconds: float) -> float:
+        """Wait for a condition; return the seconds that it took, or raise TimeoutError."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         async with asyncio.timeout(seconds):
-            while not true():
-                await asyncio.sleep(0.005)
-        return loop.time() - began
+            while not condition():
+                await asyncio.sleep(POLL_INTERVAL)
+        return loop.time() - started_at
 
     def settled(self, least: int = 1) -> bool:
-        """Whether every proxy has a table and every controller that lives has so many."""
-        alive = [n for n, p in self.processes.items() if p.returncode is None]
-        return all(p.table for p in self.proxies) and all(len(self.shards_of(n)) >= least for n in alive)
+        """Return whether every proxy has a table and every living server has `least` proxies."""
+        alive = [name for name, process in self.processes.items() if process.returncode is None]
+        has_tables = all(proxy.table for proxy in self.proxies)
+        return has_tables and all(len(self.shards_of(name)) >= least for name in alive)
 
-    def admin(self, name: str, question: dict) -> dict:
+    def admin(self, name: str, question: dict[str, Any]) -> dict[str, Any]:
+        """Ask a server on its admin socket."""
         from ravenshelf.leadership.admin import ask
 
         return ask(f"{self.folder / name}.sock", question)
 
     async def stop(self) -> None:
+        """End all proxies and processes, suspended ones too."""
         for task in self.running:
             task.cancel()
         for process in self.processes.values():
@@ -135,7 +137,7 @@
                     process.terminate()
         for process in self.processes.values():
             try:
-                await asyncio.wait_for(process.wait(), 5)
+                await asyncio.wait_for(process.wait(), STOP_TIMEOUT)
             except TimeoutError:
                 process.kill()
                 await process.wait()
--- a/tests/distribution/test_controller_processes.py
+++ b/tests/distribution/test_controller_processes.py
@@ -22,7 +22,7 @@
 from ravenshelf.distribution.subscription_service import SubscriptionService
 from ravenshelf.leadership.decisions import Permission
 from standins.installation import ports
-from standins.world import configuration
+from standins.loopback import server_configuration
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 SERVICES = [f"service-{n}" for n in range(6)]
@@ -52,7 +52,7 @@
 
     async def start(self) -> None:
         (self.folder / "services.toml").write_text(services_text("1"))
-        said = configuration("127.0.0.1:1", ["north"], 1)
+        said = server_configuration("127.0.0.1:1", ["north"], 1)
         (self.folder / "fleet.json").write_text(json.dumps(said))
         for name in NAMES:
             self._write_operator_file(name)
@@ -257,7 +257,7 @@
     ],
 )
 def test_a_bad_controllers_table_is_refused(tmp_path, table, complaint):
-    said = configuration("127.0.0.1:1", ["north"], 1)
+    said = server_configuration("127.0.0.1:1", ["north"], 1)
     (tmp_path / "fleet.json").write_text(json.dumps(said))
     (tmp_path / "operator.toml").write_text(f'[distribution]\nname = "a"\ncluster = "c"\n{table}')
     code, _, words = asyncio.run(
--- a/tests/distribution/test_distributed_controller.py
+++ b/tests/distribution/test_distributed_controller.py
@@ -3,7 +3,6 @@
 import asyncio
 import json
 import random
-import sys
 from pathlib import Path
 
 import pytest
@@ -21,7 +20,8 @@
 from ravenshelf.policy.events import ListKind, ProxyJoined
 from ravenshelf.settings import Idempotency, ServiceSettings, Settings, TrafficGroup, WarmUpSettings
 from standins.installation import ports
-from standins.world import Discovery, Proxy, configuration, entry
+from standins.loopback import LoopbackProxy, LoopbackRegistry, listed_endpoint, server_configuration
+from standins.server_process import start_server
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 INDICES = {f"s-{n}": n for n in range(4)}
@@ -171,36 +171,24 @@
             upstreams_are_owners=True,
         )
         relay_at = await relay.start("127.0.0.1:0")
-        discovery = await Discovery([entry(f"s-{n}", "north") for n in range(3)]).start()
+        discovery = await LoopbackRegistry([listed_endpoint(f"s-{n}", "north") for n in range(3)]).start()
         listen = f"127.0.0.1:{ports(1)[0]}"
-        said = configuration(discovery.address, ["north"], 1, listen)
+        said = server_configuration(discovery.address, ["north"], 1, listen)
         said["settings"]["limits"]["probing"] = False
         (tmp_path / "pilot.json").write_text(json.dumps(said))
         (tmp_path / "operator.toml").write_text(
             '[distribution]\nname = "pilot-0"\ncluster = "test"\nservice = "s"\n'
             f'[distribution.parents]\nrelay-0 = "{relay_at}"\n'
         )
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "ravenshelf",
-            "serve",
-            "--config",
-            str(tmp_path / "pilot.json"),
-            "--operator",
-            str(tmp_path / "operator.toml"),
-            cwd=ROOT,
-            stdout=asyncio.subprocess.DEVNULL,
-            stderr=asyncio.subprocess.DEVNULL,
-        )
-        proxy = Proxy(lambda: listen, 0, "north")
+        process = await start_server(tmp_path / "pilot.json", "--operator", str(tmp_path / "operator.toml"))
+        proxy = LoopbackProxy(lambda: listen, 0, "north")
         running = asyncio.create_task(proxy.run())
         try:
             await until(
                 lambda: proxy.lines() and proxy.lines().get("s-0", 0) > 7 * proxy.lines().get("s-1", 1000)
             )
             for _ in range(30):
-                proxy.usage("read", 40)
+                proxy.report_demand("read", 40)
                 await asyncio.sleep(0.1)
                 if any(report.groups for report in reports):
                     break
--- a/tests/leadership/test_cluster_processes.py
+++ b/tests/leadership/test_cluster_processes.py
@@ -34,7 +34,7 @@
 
 
 def is_ejected_everywhere(installation, endpoint):
-    return all(endpoint in proxy.out or endpoint not in proxy.table for proxy in installation.proxies)
+    return all(endpoint in proxy.ejected or endpoint not in proxy.table for proxy in installation.proxies)
 
 
 async def take_over_a_killed_member(installation):
@@ -42,14 +42,14 @@
     shards = installation.shards_of("c0")
     drained = {"s-0", "s-4", "s-8", "s-11"}
     for endpoint in sorted(drained):
-        await installation.discovery.change(endpoint, "DRAINING")
+        await installation.registry.change(endpoint, "DRAINING")
     await installation.kill("c0")
     assert await installation.until(lambda: not installation.shards_of("c0") & shards, 15) < 5
     await installation.until(
-        lambda: not any(drained & (proxy.table.keys() - proxy.out) for proxy in installation.proxies), 5
+        lambda: not any(drained & (proxy.table.keys() - proxy.ejected) for proxy in installation.proxies), 5
     )
     for endpoint in sorted(drained):
-        await installation.discovery.change(endpoint, "SERVING", time.time() * 1000)
+        await installation.registry.change(endpoint, "SERVING", time.time() * 1000)
     await installation.run("c0")
     await installation.until(lambda: installation.settled(12), SETTLED_LIMIT_S)
 
@@ -58,7 +58,7 @@
     """When it wakes it has connections that it can write to."""
     installation.signal("c1", signal.SIGSTOP)
     await installation.until(lambda: not installation.shards_of("c1"), 15)
-    await installation.discovery.change("s-3", "DRAINING")
+    await installation.registry.change("s-3", "DRAINING")
     await installation.until(lambda: is_ejected_everywhere(installation, "s-3"), 10)
     installation.signal("c1", signal.SIGCONT)
     await installation.until(lambda: installation.settled(12), SETTLED_LIMIT_S)
@@ -70,7 +70,9 @@
         obeyed = []
         installation = await Installation(tmp_path, 3, 120, lease_ms=600, shards=24).start()
         for proxy in installation.proxies:
-            proxy.took = lambda proxy, member, term, _fields: obeyed.append((proxy.number, member, term))
+            proxy.command_applied = lambda proxy, member, term, _fields: obeyed.append(
+                (proxy.number, member, term)
+            )
         try:
             await installation.until(lambda: installation.settled(12), SETTLED_LIMIT_S)
             await take_over_a_killed_member(installation)
@@ -86,14 +88,14 @@
 @pytest.fixture
 def json_logs(tmp_path, monkeypatch):
     """Members log JSON."""
-    write_files = Installation._files
+    write_files = Installation._write_files
 
     def write_files_with_logs(self, name, listen):
         write_files(self, name, listen)
         file = tmp_path / f"{name}.toml"
         file.write_text('[log]\nformat = "json"\n' + file.read_text())
 
-    monkeypatch.setattr(Installation, "_files", write_files_with_logs)
+    monkeypatch.setattr(Installation, "_write_files", write_files_with_logs)
 
 
 @pytest.mark.usefixtures("json_logs")
@@ -129,7 +131,7 @@
 def certificates(tmp_path, monkeypatch):
     """Every member has a certificate of the test's authority."""
     issue_certificates(tmp_path, "c0", "c1", "c2")
-    write_files = Installation._files
+    write_files = Installation._write_files
 
     def write_files_with_certificates(self, name, listen):
         self.extra = (
@@ -138,7 +140,7 @@
         )
         write_files(self, name, listen)
 
-    monkeypatch.setattr(Installation, "_files", write_files_with_certificates)
+    monkeypatch.setattr(Installation, "_write_files", write_files_with_certificates)
 
 
 async def controllers_command(socket, *words):
--- a/tests/operations/test_server_operations.py
+++ b/tests/operations/test_server_operations.py
@@ -16,7 +16,7 @@
 from ravenshelf.process.operations import Operations
 from standins import collectd as sender
 from standins.carbon import CarbonReceiver, StopReading
-from standins.world import Discovery, Proxy, configuration, entry
+from standins.loopback import LoopbackProxy, LoopbackRegistry, listed_endpoint, server_configuration
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 
@@ -24,7 +24,7 @@
 def test_a_server_exports_metrics_and_reads_collectd_while_a_receiver_hangs(tmp_path):
     async def test():
         loop = asyncio.get_running_loop()
-        discovery = await Discovery([entry(f"s-{n}", "north") for n in range(4)]).start()
+        discovery = await LoopbackRegistry([listed_endpoint(f"s-{n}", "north") for n in range(4)]).start()
         carbon, hangs = (
             await CarbonReceiver().start(),
             await CarbonReceiver([StopReading()], buffer_bytes=2048).start(),
@@ -42,12 +42,12 @@
             },
             "f",
         )
-        server = ControlPlaneServer(configuration(discovery.address, ["north"], 2), loop, Clock())
+        server = ControlPlaneServer(server_configuration(discovery.address, ["north"], 2), loop, Clock())
         await server.start()
         server.optional_parts = Operations(operator, server, random.Random(1))
         await server.optional_parts.start()
         address = f"127.0.0.1:{server.listener.sockets[0].getsockname()[1]}"
-        proxies = [Proxy(lambda: address, n, "north") for n in range(2)]
+        proxies = [LoopbackProxy(lambda: address, n, "north") for n in range(2)]
         tasks = [loop.create_task(p.run()) for p in proxies]
         await carbon.wait_until(
             lambda: any(p.endswith("proxies.bound") and v == 2 for (p, _), v in carbon.points.items())
@@ -105,8 +105,11 @@
 
 def test_sighup_reloads_a_valid_operator_file_and_rejects_an_invalid_one(tmp_path):
     async def test():
-        discovery, carbon = await Discovery([entry("s-0", "north")]).start(), await CarbonReceiver().start()
-        (tmp_path / "c.json").write_text(json.dumps(configuration(discovery.address, ["north"], 1)))
+        discovery, carbon = (
+            await LoopbackRegistry([listed_endpoint("s-0", "north")]).start(),
+            await CarbonReceiver().start(),
+        )
+        (tmp_path / "c.json").write_text(json.dumps(server_configuration(discovery.address, ["north"], 1)))
         file = tmp_path / "operator.toml"
         file.write_text("[log]\nformat = 'json'\n")
         process = await asyncio.create_subprocess_exec(
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -22,7 +22,7 @@
 from ravenshelf.process.deadline_keys import CallTimeout, ConnectionTimeout, ServerDeadline
 from ravenshelf.process.registry_client import IDLE_TIMEOUT_US, RegistryClient
 from ravenshelf.settings import SECOND
-from standins.world import obeyed
+from standins.loopback import updated_table
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -204,7 +204,7 @@
             for line in said:
                 words = dict(word.partition("=")[::2] for word in line.decode().split()[1:])
                 table, out = self.tables[number]
-                self.tables[number] = obeyed(words, table, out), out
+                self.tables[number] = updated_table(words, table, out), out
                 if "ticket" in words:
                     feed(stream, f"ACK proxy={number} mark={words['ticket']} took_ms=0\r\n".encode())
 
