--- a/ravenshelf/commands.py
+++ b/ravenshelf/commands.py
@@ -20,7 +20,7 @@
 
 
 def refuse(why) -> typer.Exit:
-    return typer.Exit(serving.refuse(why))
+    return typer.Exit(serving.report_error(why))
 
 
 def read(config: Path | None) -> dict:
@@ -102,7 +102,7 @@
 @app.command()
 def settings(form: Form = "table"):
     """Every key of the operator file."""
-    from ravenshelf.operator_config.reading import rows
+    from ravenshelf.operator_config.keys import rows
 
     show(("table", "key", "default", "expected"), rows(), form, "The operator file")
 
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -164,9 +164,9 @@
 
     def _receive_from_peer(self, peer: int | None, payload: bytes) -> None:
         if peer is None:
-            self.counters["datagrams_of_strangers"] += 1
+            self.counters["datagrams_of_unknown_peers"] += 1
         else:
-            self.counters["datagrams_taken"] += 1
+            self.counters["datagrams_received"] += 1
             self.publish(events.PeerMessageReceived(peer, payload))
 
     def _send_to_peer(self, peer: int | None, payload: bytes) -> bool:
@@ -177,7 +177,9 @@
     def _is_optional(self, key: Hashable) -> bool:
         """Return whether an optional part handles the deadline; those come after the server's own."""
         return (
-            self.optional_parts is not None and isinstance(key, tuple) and key[0] in self.optional_parts.KEYS
+            self.optional_parts is not None
+            and isinstance(key, tuple)
+            and key[0] in self.optional_parts.TIMERS
         )
 
     def handle_deadline(self, key: Hashable, now: int) -> None:
@@ -199,7 +201,7 @@
                 self.timers.deadlines.set(ServerDeadline.COUNTERS, now + self.counters_every_us)
                 self.report_counters()
             case tuple() if self.optional_parts is not None:
-                self.optional_parts.meet(key, now)
+                self.optional_parts.run_due(key, now)
 
     def _schedule_watch(self, wait_us: int) -> None:
         if ServerDeadline.WATCH not in self.timers.deadlines:  # never put off by what comes meanwhile
@@ -348,7 +350,7 @@
     read_operator: "Callable[[], Operator] | None",
     log: "Sink | None",
 ) -> None:
-    from ravenshelf.process.operations import Operations
+    from ravenshelf.process.operations.composer import Operations
 
     parts = Operations(operator, server, random.Random())
     server.optional_parts = parts
@@ -356,7 +358,7 @@
     def take_operator(new: "Operator") -> None:
         if log is not None:
             log.form = new.log.format
-        parts.renew(new, lambda changed: log_events.OPERATOR_CONFIGURATION_RELOADED(changed=changed))
+        parts.reload(new, lambda changed: log_events.OPERATOR_CONFIGURATION_RELOADED(changed=changed))
 
     server.reloader.read_operator = read_operator
     server.reloader.take_operator = take_operator
--- /dev/null
+++ b/ravenshelf/process/operations/subscription.py
@@ -0,0 +1,52 @@
+"""The subscription to the tables of a service that an owner decides."""
+
+from __future__ import annotations
+
+import random
+from typing import TYPE_CHECKING
+
+from ravenshelf.distribution.node import Node
+from ravenshelf.distribution.server_distribution import ServerDistribution
+from ravenshelf.leadership.cluster import clock
+from ravenshelf.operator_config.tables import Operator
+from ravenshelf.process.operations.part import Measurements
+
+if TYPE_CHECKING:
+    from ravenshelf.process.control_plane import ControlPlaneServer
+
+
+class Subscription:
+    """Replaces the server's controller by one that uses the owner's tables; has to be made before the first
+    cycle."""
+
+    def __init__(self, operator: Operator, server: ControlPlaneServer, random_source: random.Random) -> None:
+        table = operator.distribution
+        self.server = server
+        node = Node(server.loop, clock, table.cluster, table.name, table.parents)
+        self.service = ServerDistribution(
+            node,
+            table.service,
+            random_source,
+            name_of=self._endpoint_name,
+            index_of=server.registry.index_by_name.get,
+        )
+        server.observers.append(self.service)
+        server.control_cycle.decide_with(self.service.make_controller)
+
+    def _endpoint_name(self, endpoint: int) -> str:
+        return self.server.registry.names[endpoint]
+
+    async def start(self) -> None:
+        """Connect to the parents."""
+        self.service.start()
+
+    def reload(self, previous: Operator, current: Operator) -> None:
+        """Do nothing: a changed table takes effect after a restart."""
+
+    def measurements(self) -> Measurements:
+        """Return nothing: relays export the metrics of the distribution."""
+        return Measurements({}, {})
+
+    def close(self) -> None:
+        """Close the connections."""
+        self.service.stop()
--- a/ravenshelf/process/relay_figures.py
+++ b/ravenshelf/process/relay_figures.py
@@ -4,7 +4,7 @@
 import random
 
 from ravenshelf.background.decisions import JobQueue
-from ravenshelf.background.scheduler import Background
+from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.distribution.decisions.client import ConnectionState
 from ravenshelf.distribution.relay_service import RelayService
 from ravenshelf.distribution.timers import Timers
@@ -47,7 +47,7 @@
         self._measured_at = self.clock()
         self._schedule_measurement()
 
-    def _make_background(self, operator: Operator) -> Background:
+    def _make_background(self, operator: Operator) -> BackgroundScheduler:
         table = operator.background
         jobs = JobQueue(
             table.jobs,
@@ -55,7 +55,7 @@
             round(table.a_second_ms * MICROSECONDS_PER_MILLISECOND),
             round(table.ageing_s * SECOND),
         )
-        return Background(
+        return BackgroundScheduler(
             jobs, self.clock, lambda at: self.timers.set(BACKGROUND, at), lambda: False, Counters()
         )
 
@@ -73,7 +73,7 @@
             self._schedule_measurement()
             self._measure()
         elif key == BACKGROUND:
-            self.background.turn()
+            self.background.run_turn()
         else:
             self.graphite.run_due(key)
 
--- a/tests/distribution/test_controller_processes.py
+++ b/tests/distribution/test_controller_processes.py
@@ -64,18 +64,24 @@
             upstreams_are_owners=True,
         )
         at = await self.relay.start("127.0.0.1:0")
-        self.pilot = SubscriptionService(Node(self.loop, clock, "test", "pilot-0", {"relay-0": at}), random.Random(3), lambda topic: self.versions.setdefault(topic.name, []).append(topic.version))  # fmt: skip
-        self.pilot.start(
+        self.server = SubscriptionService(
+            Node(self.loop, clock, "test", "pilot-0", {"relay-0": at}), random.Random(3), self._topic_changed
+        )
+        self.server.start(
             [topic for service in SERVICES for topic in (service_topic(service), zone_topic(service, 0))]
         )
 
+    def _topic_changed(self, topic) -> None:
+        self.versions.setdefault(topic.name, []).append(topic.version)
+
     def _write_operator_file(self, name: str) -> None:
         members = "\n".join(f'{member} = "{address}"' for member, address in self.members.items())
         others = "\n".join(
             f'{other} = "{address}"' for other, address in self.listen.items() if other != name
         )
         (self.folder / f"{name}.toml").write_text(
-            f'[store]\nfolder = "{self.folder / name}"\n[leadership]\nname = "{name}"\ncluster = "test"\nshards = 8\n'
+            f'[store]\nfolder = "{self.folder / name}"\n[leadership]\nname = "{name}"\n'
+            'cluster = "test"\nshards = 8\n'
             f"[leadership.members]\n{members}\n"
             f'[distribution]\nname = "{name}"\ncluster = "test"\nlisten = "{self.listen[name]}"\n'
             f'services = "{self.folder / "services.toml"}"\n[distribution.parents]\n{others}\n'
@@ -99,7 +105,7 @@
     def limits(self) -> set[str]:
         """The values of the setting that the subscriber holds, over all services."""
         held = [
-            self.pilot.topics[service_topic(service)].entries.get("c:limit", Setting(""))
+            self.server.topics[service_topic(service)].entries.get("c:limit", Setting(""))
             for service in SERVICES
         ]
         return {setting.value for setting in held}
@@ -110,10 +116,10 @@
         return {service: claim.owner for service, claim in claims.items() if claim is not None}
 
     def epochs(self) -> dict[str, int]:
-        return {service: self.pilot.topics[zone_topic(service, 0)].version.epoch for service in SERVICES}
+        return {service: self.server.topics[zone_topic(service, 0)].version.epoch for service in SERVICES}
 
     def tables(self) -> dict[str, dict]:
-        return {service: table_of(self.pilot.topics[zone_topic(service, 0)].entries) for service in SERVICES}
+        return {service: table_of(self.server.topics[zone_topic(service, 0)].entries) for service in SERVICES}
 
     async def until(self, true, seconds: float = 2 * WAIT) -> None:
         async with asyncio.timeout(seconds):
@@ -121,7 +127,7 @@
                 await asyncio.sleep(0.02)
 
     async def stop(self) -> None:
-        self.pilot.stop()
+        self.server.stop()
         self.relay.stop()
         for process in self.processes.values():
             with contextlib.suppress(ProcessLookupError):
@@ -171,7 +177,7 @@
     on_a_cluster(play, tmp_path)
 
 
-def test_a_paused_controller_that_wakes_is_not_obeyed(tmp_path):
+def test_a_suspended_controller_that_resumes_is_ignored(tmp_path):
     async def play(cluster: Cluster) -> None:
         owners = cluster.owners()
         asleep = owners[SERVICES[0]]
@@ -207,7 +213,7 @@
         return Permission.FULL if self.good else None
 
 
-def test_services_are_claimed_no_more_while_the_lease_is_not_good_and_again_when_it_is():
+def test_services_are_claimed_only_while_the_lease_is_valid():
     told, now = [], [0]
     leases = LeasedServices(LapsingMember(), NAMES, lambda: now[0], 8)
     publisher = SimpleNamespace(
@@ -238,7 +244,7 @@
         ("[a", "TOML"),
     ],
 )
-def test_a_bad_file_of_services_is_refused_with_its_place(tmp_path, text, complaint):
+def test_an_invalid_services_file_is_rejected_with_its_place(tmp_path, text, complaint):
     file = tmp_path / "services.toml"
     file.write_text(text)
     with pytest.raises(ServicesFileError) as refused:
@@ -256,7 +262,7 @@
         ('services = "s.toml"\n', "listen: found nothing, expected host:port"),
     ],
 )
-def test_a_bad_controllers_table_is_refused(tmp_path, table, complaint):
+def test_an_invalid_controllers_table_is_rejected(tmp_path, table, complaint):
     said = server_configuration("127.0.0.1:1", ["north"], 1)
     (tmp_path / "fleet.json").write_text(json.dumps(said))
     (tmp_path / "operator.toml").write_text(f'[distribution]\nname = "a"\ncluster = "c"\n{table}')
--- a/tests/distribution/test_distributed_controller.py
+++ b/tests/distribution/test_distributed_controller.py
@@ -82,14 +82,14 @@
     assert pilot.shares(1) == {2: 0.5, 3: 0.5}
 
 
-def test_a_new_table_of_the_owner_is_in_force_within_two_seconds():
+def test_a_new_table_of_the_owner_is_used_within_two_seconds():
     pilot = Pilot(s0=900.0, s1=100.0).run(5)
     pilot.table = {"s-0": TableLine(100.0), "s-1": TableLine(900.0)}
     pilot.controller.owners_table_changed()
     assert pilot.run(2).shares() == {0: 0.1, 1: 0.9}
 
 
-def test_what_drains_here_leaves_at_once_whatever_the_owner_says():
+def test_endpoints_draining_here_are_not_used_whatever_the_owner_publishes():
     pilot = Pilot(s0=900.0, s1=60.0, s2=40.0).run(1)
     pilot.hear(endpoint_list("drrr"))
     assert 0 not in pilot.shares() and set(pilot.shares()) == {1, 2}
@@ -97,12 +97,12 @@
     assert set(pilot.shares()) == {1, 2}
 
 
-def test_names_that_are_not_listed_here_are_left_out():
+def test_endpoints_not_listed_here_are_ignored():
     pilot = Pilot(s0=500.0, s1=250.0, s9=250.0)
     assert pilot.shares() == {0: 0.667, 1: 0.333}
 
 
-def test_a_table_of_cold_lines_alone_is_not_used():
+def test_a_table_of_bounded_lines_only_is_not_used():
     pilot = Pilot()
     pilot.table = {"s-0": TableLine(100.0, 0.3)}
     pilot.controller.owners_table_changed()
@@ -118,7 +118,7 @@
     assert pilot.run(6, [load_report(0, 0), load_report(0, 1)]).shares()[0] == pytest.approx(first, abs=0.02)
 
 
-def test_alone_it_decides_by_kurmacost_as_a_pilot_without_distribution_does():
+def test_without_an_owner_it_decides_as_a_server_without_distribution():
     pilot = Pilot(s0=900.0, s1=100.0)
     pilot.source = TableSource.LOCAL
     plain = Controller(pilot.controller.settings, 7)
@@ -142,7 +142,7 @@
     assert pilot.shares() == {e: round(w / sum(held.values()), 3) for e, w in held.items()}
 
 
-def test_a_real_pilot_takes_the_owners_table_sends_sums_up_and_goes_on_alone(tmp_path):
+def test_a_server_process_uses_the_owners_table_reports_load_and_decides_alone(tmp_path):
     """serve as a process, with a proxy; an owner and a relay in this one."""
     table = {f"t:s-{n}": TableLine(weight) for n, weight in enumerate((800.0, 100.0, 100.0))}
     reports: list[ZoneLoadReport] = []
--- a/tests/distribution/test_distribution_decisions.py
+++ b/tests/distribution/test_distribution_decisions.py
@@ -1,4 +1,5 @@
-"""Decisions of the distribution, each by itself: topics, publication, distributor, client, backoff, aggregation, planner."""
+"""Decisions of the distribution, each by itself: topics, publication, distributor, client, backoff,
+aggregation, planner."""
 
 import random
 from collections import Counter
@@ -88,12 +89,12 @@
         ZoneLoadReport("s", 1, 7, "r", 8, {"a": EndpointLoad(3, 1, 9)}, {0: GroupDemand(4)}),
     ],
 )
-def test_messages_come_back_as_they_were_sent(message):
+def test_messages_survive_encoding_and_decoding(message):
     assert decode(encode(message)) == message
 
 
 @pytest.mark.parametrize("data", [b"", b"\x00", b"\x93\x01", encode(Subscribe("t", NEVER))[:-1], b"\xc1" * 9])
-def test_bytes_that_are_no_message_are_refused(data):
+def test_malformed_messages_are_rejected(data):
     with pytest.raises(MalformedMessageError):
         decode(data)
 
@@ -127,13 +128,13 @@
         (Snapshot("t", version(3, 1), 0, 2, {"b": TWO}), Outcome.INCOMPLETE, {"a": ONE}),
     ],
 )
-def test_what_comes_of_a_message(message, outcome, entries):
+def test_the_outcome_of_an_update(message, outcome, entries):
     topic = holding(2, 3, a=ONE)
     assert topic.receive(message) is outcome and topic.entries == entries
     assert topic.version == (message.version if outcome is Outcome.APPLIED else version(2, 3))
 
 
-def test_a_snapshot_broken_off_is_not_joined_with_the_parts_of_another():
+def test_parts_of_a_dropped_snapshot_are_not_joined_with_those_of_another():
     source = holding(1, 5, **{f"k{n}": ONE for n in range(3 * SNAPSHOT_PART_ENTRIES)})
     first, second, third = source.snapshot()
     topic = Topic("t")
@@ -155,7 +156,7 @@
     assert topic.receive(new.snapshot()[1]) is Outcome.APPLIED and topic.entries == new.entries
 
 
-def test_late_subscribers_get_a_delta_while_the_history_lasts_and_then_a_snapshot():
+def test_late_subscribers_get_a_delta_if_the_history_covers_it_or_else_a_snapshot():
     topic = holding(1, 1, **{f"k{n}": ONE for n in range(40)})
     for sequence in range(2, 60):
         topic.apply(delta(version(1, sequence - 1), version(1, sequence), k3=Setting(str(sequence))))
@@ -179,14 +180,14 @@
     assert flushed <= SECOND // FLUSH_INTERVAL and len(publication.topic.entries) == 20
 
 
-def test_a_change_that_is_taken_back_before_the_flush_costs_nothing():
+def test_a_change_that_is_reverted_before_the_flush_is_not_published():
     publication = Publication(holding(1, 4, a=ONE), 2)
     publication.put(NOW, "a", TWO)
     publication.put(NOW, "a", ONE)
     assert publication.flush() == Delta("t", version(1, 4), version(2, 1), {})
 
 
-def test_an_epoch_that_is_not_later_is_refused():
+def test_an_epoch_that_is_not_later_is_rejected():
     with pytest.raises(ValueError, match="epoch 3 of t is not later than 3"):
         Publication(holding(3, 1), 3)
 
@@ -212,7 +213,7 @@
         return list(self.distributor.topic_changed("t"))
 
 
-def test_a_slow_subscriber_gets_one_delta_for_many_and_holds_up_nobody():
+def test_a_slow_subscriber_gets_one_delta_for_many_changes_and_delays_nobody():
     served = Served(holding(1, 1, **{f"k{n}": ONE for n in range(80)}))
     for name in ("slow", "fast"):
         served.subscribe(name, version(1, 1))
@@ -237,7 +238,7 @@
     assert served.pulled("second", now=NOW + 2 * SECOND)[1:] == topic.snapshot()  # after a heartbeat
 
 
-def test_a_distributor_never_takes_a_subscriber_back():
+def test_a_subscriber_is_never_sent_an_older_version():
     served = Served(holding(2, 5, a=ONE))
     served.subscribe("ahead", version(2, 9))
     served.subscribe("later epoch", version(3, 1))
@@ -289,7 +290,7 @@
         return self.client.topics["t"].entries
 
 
-def test_a_lost_delta_is_noticed_by_the_next_one_and_asked_for_again():
+def test_a_lost_delta_is_detected_by_the_next_one_and_requested_again():
     child = Child(holding(1, 1, a=ONE, b=ONE))
     child.connect()
     child.down()
@@ -301,7 +302,7 @@
     assert child.entries == {"a": TWO, "b": TWO} and child.client.resyncs == 1
 
 
-def test_a_lost_delta_with_nothing_after_it_is_noticed_by_the_digests():
+def test_a_lost_delta_with_nothing_after_it_is_detected_by_the_digests():
     child = Child(holding(1, 1, a=ONE))
     child.connect()
     child.down()
@@ -325,7 +326,7 @@
     assert child.entries == child.served.topic.entries
 
 
-def test_a_parent_that_dies_within_a_snapshot_is_replaced_and_the_rest_asked_of_another():
+def test_a_parent_that_dies_within_a_snapshot_is_replaced_by_another():
     topic = holding(1, 1, **{f"k{n}": ONE for n in range(3 * SNAPSHOT_PART_ENTRIES)})
     child = Child(topic)
     child.connect()
@@ -340,7 +341,7 @@
     assert child.entries == topic.entries
 
 
-def test_a_silent_parent_is_given_up_and_the_dial_to_the_next_too():
+def test_silent_parents_and_dials_time_out():
     client = SubscriptionClient(["p0", "p1"], {}, random.Random(1), NOW)
     assert client.tick(NOW) == [Dial("p0")]
     client.connected(NOW)
@@ -351,7 +352,7 @@
     assert client.tick(client.due_at())[0] == HangUp() and client.parent == "p0"
 
 
-def test_dials_after_a_common_loss_are_spread_and_slow_down():
+def test_dials_after_a_common_loss_are_spread_by_backoff():
     clients = [SubscriptionClient(["p"], {}, random.Random(n), NOW) for n in range(2000)]
     for client in clients:
         client.tick(NOW)
@@ -366,7 +367,7 @@
     assert sum(backoff.next_delay() for _ in range(100)) / 100 > 0.7 * SECOND
 
 
-def test_the_preferred_parent_is_taken_again_after_a_while():
+def test_the_preferred_parent_is_dialled_again_after_a_while():
     client = SubscriptionClient(["p0", "p1"], {}, random.Random(1), NOW)
     client.tick(NOW)
     client.lost(NOW)
@@ -381,7 +382,7 @@
     assert 60 <= second <= 181 and actions == [HangUp(), Dial("p0")]
 
 
-def test_the_bucket_gives_more_than_its_burst_only_when_full_and_pays_it_off():
+def test_the_bucket_grants_more_than_its_burst_only_when_full_and_goes_into_debt():
     bucket = TokenBucket(100.0, 200.0)
     assert bucket.take(NOW, 500) and not bucket.take(NOW + 2 * SECOND, 1)
     assert bucket.ready_at(NOW + 2 * SECOND, 1) > NOW + 2 * SECOND
@@ -400,7 +401,7 @@
     assert list(read_claims("a", {key: entry, "junk": ONE})) == [("s", Claim("a", 8))]
 
 
-def test_a_service_that_its_owner_gives_up_has_none_until_it_is_claimed_again():
+def test_a_released_service_is_vacant_until_it_is_claimed_again():
     view = OwnershipView()
     assert view.update_all("a", {"s": Claim("a", 3), "t": Claim("a", 3)}) == {"s", "t"}
     assert view.update_all("a", {"t": Claim("a", 3)}) == {"s"} and view.claim("s") is None
@@ -414,7 +415,7 @@
     ) == Claim("a", 4)
 
 
-def test_services_spread_evenly_and_a_lost_owner_moves_only_its_own():
+def test_services_spread_evenly_and_only_those_of_a_lost_owner_migrate():
     weights = dict.fromkeys(range(30), 1.0)
     owned = [shard_of_service(f"service-{n}", 256) for n in range(1200)]
     assert max(owned.count(shard) for shard in set(owned)) <= 16
@@ -424,7 +425,7 @@
     assert replicas(5, 3, left)[0] == ready[0]
 
 
-def test_an_owner_whose_lease_has_lapsed_publishes_nothing():
+def test_an_owner_whose_lease_has_expired_publishes_nothing():
     owner = ServiceOwner("a", 1, 8, lambda topic: {"c:x": ONE}, [], random.Random(1), NOW)
     owner.acquire(NOW, "s", PublicationLease(4, NOW + 2 * SECOND))
     owner.distributor.add_subscriber(NOW, "relay")
@@ -472,7 +473,7 @@
 
 
 @pytest.mark.parametrize("pilots, fan_out", [(-1, 8), (5, 1)])
-def test_a_tree_that_can_not_be_is_refused(pilots, fan_out):
+def test_an_impossible_tree_is_rejected(pilots, fan_out):
     with pytest.raises(ValueError, match="expected pilots and a fan-out of two or more"):
         levels(pilots, fan_out)
 
@@ -492,7 +493,7 @@
     )
 
 
-def test_reports_add_up_and_are_counted_once():
+def test_load_reports_add_up_and_are_counted_once():
     leaf, top = Aggregator("leaf"), Aggregator("top")
     assert all(leaf.add(report(f"p{n}", 1)) for n in range(64)) and not leaf.add(report("p3", 1))
     [summed] = leaf.flush(101)
@@ -561,7 +562,7 @@
     assert len(endpoints_of(calm.service_entries())) == 8
 
 
-def test_a_cold_endpoint_has_an_allowance_and_over_18000_pilots_it_holds_whatever_they_have_shut_out():
+def test_the_bound_of_an_endpoint_in_slow_start_holds_over_18000_servers_whatever_they_eject():
     table = table_of(planned(20, changed=True).zone_entries(0))
     cold = table["e0"]
     total = sum(line.weight for line in table.values())
@@ -590,7 +591,7 @@
     assert largest_share(planned_share, ramp, multiple) == pytest.approx(expected)
 
 
-def test_an_owner_out_of_reach_leaves_its_last_table_for_a_while_and_takes_over_again_at_once():
+def test_the_last_table_of_an_unreachable_owner_is_used_for_a_while_and_its_next_at_once():
     reach = OwnerReachability()
     assert reach.source(NOW, True) is TableSource.OWNER
     assert reach.source(NOW + SECOND, False) is TableSource.LAST_TABLE
@@ -599,14 +600,14 @@
     assert reach.source(NOW + 2 * LAST_TABLE_HOLD, True) is TableSource.OWNER
 
 
-def test_a_change_is_told_to_the_caller():
+def test_the_caller_is_notified_of_a_change():
     child = Child(holding(1, 1, a=ONE))
     child.connect()
     [message] = child.served.pulled("child", now=child.now)
     assert child.client.receive(child.now, message) == [TopicChanged("t")]
 
 
-def test_a_reporter_that_starts_again_is_heard_and_sums_wait_for_an_owner_in_reach():
+def test_a_restarted_reporter_is_counted_and_reports_wait_for_a_reachable_owner():
     names = {Relay("r", {"tree": ["p"]}, random.Random(seed), NOW).aggregator.name for seed in (1, 2)}
     assert len(names) == 2 and all(name.startswith("r#") for name in names)
     relay = Relay("r", {"tree": ["p"]}, random.Random(1), NOW)
--- a/tests/distribution/test_distribution_sockets.py
+++ b/tests/distribution/test_distribution_sockets.py
@@ -139,7 +139,7 @@
     on_sockets(play)
 
 
-def test_a_relay_that_is_started_again_at_its_address_gets_its_subscribers_back():
+def test_subscribers_reconnect_to_a_restarted_relay():
     async def play(there: Installation) -> None:
         await there.until(lambda: there.holds("0"))
         there.relay.stop()
@@ -151,7 +151,7 @@
     on_sockets(play)
 
 
-def test_subscribers_beyond_the_limit_are_refused_and_told_so_by_the_end_of_the_connection():
+def test_subscribers_beyond_the_limit_are_rejected():
     async def play(there: Installation) -> None:
         await there.until(lambda: there.relay.status()["refused"] > 0)
         assert there.relay.status()["subscribers"] == 2
@@ -197,7 +197,7 @@
         b"\xc1junk",
     ],
 )
-def test_who_does_not_introduce_itself_is_turned_away_and_the_others_stay(payload):
+def test_unidentified_connections_are_rejected_and_the_others_stay(payload):
     async def play(there: Installation) -> None:
         await there.until(lambda: there.holds("0"))
         side, connection = await dial(there)
@@ -209,7 +209,7 @@
     on_sockets(play)
 
 
-def test_a_subscriber_that_says_what_only_parents_say_is_ended():
+def test_a_subscriber_that_sends_a_parents_message_is_disconnected():
     async def play(there: Installation) -> None:
         side, connection = await dial(there)
         connection.send(Hello(PROTOCOL, "test", "liar"))
@@ -219,12 +219,12 @@
     on_sockets(play)
 
 
-def test_a_subscriber_that_reads_nothing_is_ended_and_the_others_go_on(monkeypatch):
+def test_a_subscriber_that_reads_nothing_is_disconnected_and_the_others_go_on(monkeypatch):
     monkeypatch.setattr(subscribers, "UNREAD_TIMEOUT", SECOND // 2)
 
     async def play(there: Installation) -> None:
         await there.until(lambda: there.holds("0"))
-        side, connection = await dial(there)
+        _, connection = await dial(there)
         connection.send(Hello(PROTOCOL, "test", "deaf"))
         connection.send(Subscribe("s@", NEVER))
         await there.until(lambda: "deaf" in there.relay.subscribers.connections)
@@ -253,9 +253,9 @@
         Frames().feed(b"\xff\xff\xff\xff")
 
 
-def test_on_sockets_a_pilot_gets_the_messages_and_bytes_that_a_hollow_one_gets():
-    """The same two topics and five changes: the same messages of state in turn, of the same bytes. Heartbeats go by time,
-    and whether owners are in reach is told where a pilot comes before its relay knows."""
+def test_on_sockets_a_subscriber_gets_the_same_messages_and_bytes_as_a_simulated_one():
+    """The same two topics and five changes: the same messages of state in turn, of the same bytes. Heartbeats
+    go by time, and whether owners are in reach is told where a pilot comes before its relay knows."""
     world = SimulatedDistribution(
         DistributionSize(
             controllers=1,
@@ -346,7 +346,7 @@
     return process.returncode, out.decode(), said.decode()
 
 
-def test_a_relay_as_a_process_is_watched_asked_and_stopped(tmp_path):
+def test_a_relay_process_is_watched_queried_and_stopped(tmp_path):
     async def play(there: Installation) -> None:
         await there.until(lambda: there.holds("0"))
         listen = there.relay_at
@@ -415,14 +415,14 @@
         ),
     ],
 )
-def test_a_bad_table_is_refused_with_its_place(tmp_path, text, complaint):
+def test_an_invalid_table_is_rejected_with_its_place(tmp_path, text, complaint):
     file = tmp_path / "operator.toml"
     file.write_text(text)
     code, _, said = asyncio.run(run_command("relay", "--operator", str(file)))
     assert code == 2 and complaint in said
 
 
-def test_sums_go_up_and_a_table_that_avoids_the_failing_endpoint_comes_down():
+def test_load_reports_reach_the_owner_and_its_table_avoids_the_failing_endpoint():
     """The whole way on sockets: two pilots, a relay, an owner that decides by KurmaCost."""
     names = [f"e{n}" for n in range(4)]
     listed = Service({name: EndpointEntry(0, True, 1.0) for name in names}, {})
@@ -487,7 +487,7 @@
     assert first == second and set(first) == set(names)
 
 
-def test_a_relay_sends_its_figures_to_graphite(tmp_path):
+def test_a_relay_sends_its_metrics_to_graphite(tmp_path):
     async def play(there: Installation) -> None:
         await there.until(lambda: there.holds("0"))
         carbon = await CarbonReceiver().start()
--- a/tests/distribution/test_distribution_world.py
+++ b/tests/distribution/test_distribution_world.py
@@ -1,4 +1,5 @@
-"""Whole distributions on a virtual network: each fault that it is for is caused, then seeded schedules of them."""
+"""Whole distributions on a virtual network: each fault that it is for is caused, then seeded schedules of
+them."""
 
 import os
 from concurrent.futures import ProcessPoolExecutor
@@ -41,7 +42,7 @@
     assert not world.violations
 
 
-def test_a_change_reaches_exactly_the_pilots_that_call_the_service():
+def test_a_change_reaches_exactly_the_servers_that_call_the_service():
     world = settled(DistributionSize(servers=40, fan_out=16))
     before = {pilot.name: pilot.bytes_in for pilot in world.servers}
     world.mark_change("service-2")
@@ -65,7 +66,7 @@
     converged(world)
 
 
-def test_an_owner_paused_for_a_minute_wakes_after_its_successor_has_published():
+def test_an_owner_suspended_for_a_minute_resumes_after_its_successor_has_published():
     world = settled()
     owner = owner_of(world, "service-1")
     owner.paused_until = world.events.now + 60_000_000
@@ -82,7 +83,7 @@
     converged(world)
 
 
-def test_two_owners_seen_by_different_pilots_end_as_one():
+def test_two_owners_seen_by_different_servers_converge_to_one():
     world = settled(DistributionSize(servers=30, controllers=3, regions=3))
     owner = next(node for node in world.owners if node.region == 2 and node.owner.owned_services)
     service = next(iter(owner.owner.owned_services))
@@ -98,7 +99,7 @@
     converged(world)
 
 
-def test_regions_part_for_an_hour_and_heal_without_an_older_table_winning():
+def test_after_an_hour_of_partition_no_older_table_wins():
     limits = DistributorLimits(64, 20_000.0, 10_000.0)
     world = settled(DistributionSize(servers=18, services=4, endpoints=40, services_called=2, limits=limits))
     world.network.cut_off(1)
@@ -141,7 +142,7 @@
     converged(world)
 
 
-def test_a_slow_relay_holds_back_its_own_children_alone():
+def test_a_slow_relay_delays_only_its_own_children():
     world = settled(DistributionSize(servers=40, services=3, endpoints=30, services_called=3, fan_out=16))
     slow = world.levels[-1][0]
     for connection in slow.connections.values():
@@ -170,7 +171,7 @@
     converged(world)
 
 
-def test_when_all_controllers_are_gone_pilots_keep_their_tables_and_are_told():
+def test_when_all_controllers_are_gone_servers_keep_their_tables_and_are_notified():
     world = settled()
     held = {pilot.name: dict(pilot.client.held_versions.versions()) for pilot in world.servers}
     for owner in world.owners:
@@ -187,7 +188,7 @@
     converged(world)
 
 
-def test_when_no_lease_can_be_granted_pilots_are_told_though_the_controllers_live():
+def test_when_no_lease_can_be_granted_servers_are_notified_though_the_controllers_live():
     world = settled()
     topics = {pilot.name: list(pilot.client.held_versions.versions()) for pilot in world.servers}
     for owner in world.owners:
@@ -215,7 +216,7 @@
     converged(world)
 
 
-def test_a_topic_that_nobody_wants_any_more_is_forgotten_up_to_its_owner():
+def test_a_topic_without_subscribers_is_dropped_up_to_its_owner():
     world = settled(DistributionSize(servers=6, services=2, services_called=1, regions=1))
     topic = next(iter(world.servers[0].client.held_versions.versions()))
     for pilot in world.servers:
--- a/tests/distribution/test_service_decisions.py
+++ b/tests/distribution/test_service_decisions.py
@@ -90,7 +90,7 @@
     return controller
 
 
-def test_tables_follow_the_sums_that_come_up():
+def test_tables_follow_the_load_reports():
     controller = Controller().own().subscribe(0).run(1)
     assert controller.table() == dict.fromkeys(NAMES, 250.0)
     controller.run(20, bad="e2")
@@ -119,7 +119,7 @@
     assert controller.run(1).decisions.planned_services == {}
 
 
-def test_a_successor_keeps_the_former_table_until_it_has_heard_enough():
+def test_a_successor_keeps_the_inherited_table_until_it_has_enough_reports():
     controller = replica(Controller(), e0=900.0, e1=60.0, e2=40.0).own().subscribe(0).run(3, bad="e0")
     assert controller.table() == {"e0": 900.0, "e1": 60.0, "e2": 40.0}
     assert controller.owner.topics[zone_topic("s", 0)].version.epoch == 5
@@ -127,7 +127,7 @@
     assert controller.table()["e0"] < controller.table()["e1"] and set(controller.table()) == set(NAMES)
 
 
-def test_without_any_sums_the_former_table_gives_way_after_a_while():
+def test_without_load_reports_the_inherited_table_is_replaced_after_a_while():
     controller = (
         replica(Controller(), e0=900.0, e1=100.0).own().subscribe(0).run(WARM_UP_WITHOUT_REPORTS / SECOND - 1)
     )
@@ -140,13 +140,13 @@
     [EndpointEntry(0, False, 1.0), EndpointEntry(0, True, 1.0, NOW - SECOND)],
     ids=["drains", "started again"],
 )
-def test_what_drains_or_is_cold_again_leaves_the_former_table_at_once(changed):
+def test_draining_and_restarted_endpoints_leave_the_inherited_table_at_once(changed):
     controller = replica(Controller(), e0=900.0, e1=60.0, e2=40.0)
     controller.listed(e0=changed)
     assert controller.own().subscribe(0).run(1).table() == {"e1": 60.0, "e2": 40.0}
 
 
-def test_a_table_is_never_emptied_by_an_owner_that_knows_none():
+def test_an_owner_without_endpoints_never_empties_a_table():
     controller = Controller().own()
     controller.subscribe(0)
     controller.owner.publish(controller.now)
