--- a/benchmarks/graphite.py
+++ b/benchmarks/graphite.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from benchmarks.measuring import close, memory_mb, quantiles
-from examples.toy import pilot as toy_server
+from examples.toy import server_process
 from ravenshelf.background.decisions import JobQueue, Priority
 from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.collectd import protocol, security, types
@@ -31,7 +31,7 @@
 from ravenshelf.state.counters import Counters
 from standins import collectd as sender
 from standins.carbon import CarbonReceiver, StopReading
-from standins.world import Discovery, Proxy, configuration, entry
+from standins.loopback import LoopbackProxy, LoopbackRegistry, listed_endpoint, server_configuration
 
 PROXIES = 20
 ENDPOINTS = 40
@@ -56,23 +56,24 @@
         self.address = ""
         self.awaited: dict[tuple[int, str], float] = {}  # time of the change by (proxy, endpoint)
         self.proxies = [
-            Proxy(lambda: self.address, number, "north", heard=self.on_line) for number in range(PROXIES)
+            LoopbackProxy(lambda: self.address, number, "north", heard=self.on_line)
+            for number in range(PROXIES)
         ]
 
     async def start(self, stack: contextlib.AsyncExitStack, operator_file: str) -> None:
         """Start the server and wait until every proxy has a table."""
-        listed = [entry(f"s-{number}", "north") for number in range(ENDPOINTS)]
-        self.discovery = await Discovery(listed).start()
+        listed = [listed_endpoint(f"s-{number}", "north") for number in range(ENDPOINTS)]
+        self.discovery = await LoopbackRegistry(listed).start()
         limits = {"lines-per-s": 100_000, "most-waiting": 100_000}
-        server_configuration = configuration("", ["north"], PROXIES, **limits)
+        configuration = server_configuration("", ["north"], PROXIES, **limits)
         self.address = await stack.enter_async_context(
-            toy_server(self.discovery.address, ["--operator", operator_file], server_configuration, True)
+            server_process(self.discovery.address, ["--operator", operator_file], configuration, True)
         )
         self.tasks = [asyncio.create_task(proxy.run()) for proxy in self.proxies]
         while not all(proxy.lines() for proxy in self.proxies):
             await asyncio.sleep(0.05)
 
-    def on_line(self, proxy: Proxy, line: str) -> None:
+    def on_line(self, proxy: LoopbackProxy, line: str) -> None:
         """Note the latency of a drained endpoint.
 
         It is out by a withdrawal, by a line of weight 0, or by a complete table without it.
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -70,10 +70,12 @@
     else:
         installation.signal(name, signal.SIGSTOP)
     await installation.until(
-        lambda: all(proxy.term > terms[proxy.number] and proxy.whole_at > began for proxy in proxies),
+        lambda: all(
+            proxy.term > terms[proxy.number] and proxy.complete_table_at > began for proxy in proxies
+        ),
         TAKEOVER_LIMIT_S + 5,
     )
-    times = [proxy.whole_at - began for proxy in proxies]
+    times = [proxy.complete_table_at - began for proxy in proxies]
     if loss is Loss.KILL:
         await installation.run(name)
     else:
@@ -103,7 +105,7 @@
                 "first_s": round(first, 2),
                 **{loss.value: quantiles(values) for loss, values in times.items()},
                 "losses": [loss.value for loss in plan.losses],
-                "refused_of_older_terms": sum(proxy.refused for proxy in installation.proxies),
+                "refused_of_older_terms": sum(proxy.rejected for proxy in installation.proxies),
             }
         finally:
             await installation.stop()
