--- a/ravenshelf/distribution/upstreams.py
+++ b/ravenshelf/distribution/upstreams.py
@@ -37,9 +37,11 @@
         self.dial: asyncio.Task | None = None
 
     def connection_opened(self, connection: MessageConnection) -> None:
+        """Introduce this node to its parent."""
         connection.send(Hello(PROTOCOL, self.node.cluster, self.node.name))
 
     def message_received(self, connection: MessageConnection, message: Message) -> None:
+        """Pass a message on, unless a newer connection has taken the place of this one."""
         if connection is self.connection:
             self.listener.upstream_message_received(self.name, message)
 
@@ -47,6 +49,7 @@
         """Nothing to do: messages to parents are small and not deferred."""
 
     def connection_ended(self, connection: MessageConnection) -> None:
+        """Report the loss of the present connection."""
         if connection is self.connection:
             self.connection = None
             self.listener.upstream_lost(self.name)
--- a/ravenshelf/settings.py
+++ b/ravenshelf/settings.py
@@ -116,6 +116,7 @@
         return self._values.get(key.replace("-", "_"))
 
     def number(self, key: str, default: float | None) -> float | None:
+        """A number, or `default` where the key is absent or null."""
         value = self._value(key)
         if value is None:
             return default
@@ -124,6 +125,7 @@
         return value
 
     def integer(self, key: str, default: int) -> int:
+        """A number without its fraction."""
         return int(self.number(key, default) or 0)
 
     def microseconds(self, key: str, default: int | None) -> int | None:
@@ -132,9 +134,11 @@
         return default if value is None else round(value * MICROSECONDS_PER_MILLISECOND)
 
     def flag(self, key: str) -> bool:
+        """Whether the value is true; false where the key is absent."""
         return bool(self._value(key))
 
     def text(self, key: str, default: str) -> str:
+        """A text, or `default` where the key is absent or null."""
         value = self._value(key)
         if value is None:
             return default
@@ -152,9 +156,11 @@
         return [(f"{self._path_of(key)}[{number}]", item) for number, item in enumerate(value)]
 
     def texts(self, key: str) -> tuple[str, ...]:
+        """The items of a list as texts."""
         return tuple(str(item) for _, item in self.items(key))
 
     def section(self, key: str) -> "_Section":
+        """The object under a key; an empty one where the key is absent or null."""
         value = self._value(key)
         return _Section(self._path_of(key), {} if value is None else value)
 
