--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# make try: a toy world and a pilot, until Ctrl-C. make test: all tests. make check: formatter, linter and type
-# checker. Each makes the environment that it needs.
+# make try: a toy world and a server, until Ctrl-C. make test: all tests, in four processes. make check: formatter, linter, type
+# checker, words. Each makes the environment that it needs.
 VENV := .venv-dev
 PYTHON := $(VENV)/bin/python
 
@@ -15,7 +15,7 @@
 	$(PYTHON) -m tools.check_words
 
 test: $(VENV)/made
-	$(PYTHON) -m pytest -q -p no:cacheprovider
+	$(PYTHON) -m pytest -q -p no:cacheprovider -n 4
 
 # the catalogues of the operators' pages, made from the code
 pages: $(VENV)/made
