--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,4 @@
-"""Measurements: `python -m benchmarks.NAME [--short]`; the last line is one JSON object with figures, aim and held."""
+"""Measurements: `python -m benchmarks.NAME [--short]`.
+
+The last line of the output is one JSON object with figures, aim and held.
+"""
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,6 +1,7 @@
 """Makes docs/CAPACITY.md from benchmarks/results/: every figure there is a measured slope times a count.
 
-`python -m benchmarks.capacity [--check]`; with --check it ends with 1 where the page is not what the results say.
+`python -m benchmarks.capacity [--check]`; with --check it ends with 1 where the page is not what the results
+say.
 """
 
 import argparse
@@ -41,26 +42,31 @@
 
 @dataclass(frozen=True)
 class Assumption:
+    """What the page takes as given, and whose word it is."""
+
     text: str
     whose: str
 
 
 ASSUMPTIONS = [
     Assumption(
-        f"{PILOTS:,} pilots, {ENDPOINTS:,} endpoints, {SERVICES:,} services, so {ENDPOINTS_A_SERVICE} endpoints a service",
+        f"{PILOTS:,} pilots, {ENDPOINTS:,} endpoints, {SERVICES:,} services, so {ENDPOINTS_A_SERVICE} "
+        "endpoints a service",
         "operators",
     ),
     Assumption(
-        f"{REGIONS} regions; 64 zones in all, so two to three a region (their sentence may also mean 64 a region: asked)",
+        f"{REGIONS} regions; 64 zones in all, so two to three a region (their sentence may also mean 64 a "
+        "region: asked)",
         "ours",
     ),
     Assumption(
-        f"{CHANGES_A_DAY:,} changes of configuration a day, each of one service, in force everywhere within 4 s",
+        f"{CHANGES_A_DAY:,} changes of configuration a day, each of one service, in force everywhere "
+        "within 4 s",
         "operators",
     ),
     Assumption(
-        f"a pilot spends at most {CORE_BUDGET:.1%} of a core, {MEMORY_BUDGET_MB:.0f} MB and {BYTES_BUDGET / 1000:.0f} KB a second for control; "
-        f"{CONTROLLERS} machines for control",
+        f"a pilot spends at most {CORE_BUDGET:.1%} of a core, {MEMORY_BUDGET_MB:.0f} MB and "
+        f"{BYTES_BUDGET / 1000:.0f} KB a second for control; {CONTROLLERS} machines for control",
         "operators",
     ),
     Assumption(
@@ -68,7 +74,8 @@
     ),
     Assumption(f"a pilot's proxies call {SERVICES_CALLED} services", "ours"),
     Assumption(
-        f"a service has endpoints and subscribers in {ZONES_A_SERVICE} of {ZONES} zones; a zone's table holds {LINES_A_DELTA} lines",
+        f"a service has endpoints and subscribers in {ZONES_A_SERVICE} of {ZONES} zones; a zone's table "
+        f"holds {LINES_A_DELTA} lines",
         "ours",
     ),
     Assumption(f"{PROXIES_A_PILOT} proxies a pilot where it decides for itself", "ours"),
@@ -84,14 +91,16 @@
     def __init__(self, results: Results, on_sockets: Results):
         self.results, self.on_sockets = results, on_sockets
         self.measurements = [*results.measurements, *on_sockets.measurements]
-        self.by_name = {one.name: one for one in self.measurements}
+        self.by_name = {measurement.name: measurement for measurement in self.measurements}
 
     def at(self, name: str, count: float) -> float:
         """The figure at a count: the line, or the power law where growth is steeper than the count."""
-        one = self.by_name[name]
-        if one.exponent >= STEEP:
-            return power_law([p.size for p in one.points], [_mean(p.values) for p in one.points], count)
-        return max(0.0, one.intercept) + one.slope * count
+        measurement = self.by_name[name]
+        if measurement.exponent < STEEP:
+            return max(0.0, measurement.intercept) + measurement.slope * count
+        sizes = [point.size for point in measurement.points]
+        means = [_mean(point.values) for point in measurement.points]
+        return power_law(sizes, means, count)
 
     def marginal(self, name: str, count: float) -> float:
         """The slope times a count alone."""
@@ -103,17 +112,18 @@
         return _mean(min(points, key=lambda point: abs(point.size - count)).values)
 
     def fleets(self, pilots: int) -> list[Fleet]:
-        return [one for one in self.results.fleets if one.pilots == pilots]
+        """The runs of the fleets of a size."""
+        return [fleet for fleet in self.results.fleets if fleet.pilots == pilots]
 
     def largest(self, part: str) -> list[Fleet]:
         """The runs of the largest fleet that played a part of the day."""
-        played = [one for one in self.results.fleets if part in one.parts]
-        most = max(one.pilots for one in played)
-        return [one for one in played if one.pilots == most]
+        played = [fleet for fleet in self.results.fleets if part in fleet.parts]
+        largest_size = max(fleet.pilots for fleet in played)
+        return [fleet for fleet in played if fleet.pilots == largest_size]
 
     def fleet(self, figure: str, part: str) -> float:
         """The worst run's figure of a part at the largest size."""
-        return max(getattr(one, figure) for one in self.largest(part))
+        return max(getattr(fleet, figure) for fleet in self.largest(part))
 
 
 def _mean(values: list[float]) -> float:
@@ -145,8 +155,9 @@
 
 
 def head(book: Book) -> list[str]:
+    """The title, where the figures come from, and the assumptions."""
     results = book.results
-    took = (
+    duration = (
         f"{results.wall_seconds / 60:.0f} minutes"
         if results.wall_seconds
         else "ended before it was through: what it has is here"
@@ -154,14 +165,16 @@
     return [
         "# Capacity at the size that is coming",
         "",
-        f"Made by `python -m benchmarks.capacity` from `benchmarks/results/scale.json` (`python -m benchmarks.scale`, commit {results.commit}, "
-        f"{took}; a relay's process by `--role sockets`, commit {book.on_sockets.commit}). Each figure is a measured slope times a "
-        "count; slopes, their range over three runs and how far they are extrapolated stand below. Fleets are hollow: the real modules on a virtual "
-        "clock and network, nothing but sockets left out; their processor time is not played but measured by itself. What was not measured says so.",
+        "Made by `python -m benchmarks.capacity` from `benchmarks/results/scale.json` "
+        f"(`python -m benchmarks.scale`, commit {results.commit}, {duration}; a relay's process by "
+        f"`--role sockets`, commit {book.on_sockets.commit}). Each figure is a measured slope times a count; "
+        "slopes, their range over three runs and how far they are extrapolated stand below. Fleets are "
+        "hollow: the real modules on a virtual clock and network, nothing but sockets left out; their "
+        "processor time is not played but measured by itself. What was not measured says so.",
         "",
         "## Assumptions",
         "",
-        *_table(["assumption", "whose"], [[one.text, one.whose] for one in ASSUMPTIONS]),
+        *_table(["assumption", "whose"], [[assumption.text, assumption.whose] for assumption in ASSUMPTIONS]),
     ]
 
 
@@ -211,7 +224,8 @@
         "## A pilot as it is: it lists all, hears of all, solves for all",
         "",
         *_table(["what", f"at {ENDPOINTS:,} endpoints", "budget", "verdict"], rows),
-        "So the first thing that is missing is that a pilot need know only what its proxies call, and that a service is decided once. The mechanism is "
+        "So the first thing that is missing is that a pilot need know only what its proxies call, and that "
+        "a service is decided once. The mechanism is "
         "`ravenshelf/distribution` (`design/distribution.md`); the figures below are with it.",
         "",
     ]
@@ -261,7 +275,10 @@
 
 
 def _relay_row(book: Book) -> list[str]:
-    """The relays of the last level, several on each machine for control; what a process costs is measured on sockets."""
+    """The relays of the last level, several on each machine for control.
+
+    What a process costs is measured on sockets.
+    """
     tree = levels(PILOTS, FAN_OUT)
     relays = sum(len(level.names) for level in tree)
     children, on_machine = PILOTS / len(tree[-1].names), relays / CONTROLLERS
@@ -275,7 +292,8 @@
     )
     return [
         "relay (a process, measured on sockets)",
-        f"{children:.0f} pilots each, {relays} in all, {on_machine:.0f} a machine: {memory:.0f} MB each at the most",
+        f"{children:.0f} pilots each, {relays} in all, {on_machine:.0f} a machine: {memory:.0f} MB each at "
+        "the most",
         f"out: {deltas:.0f} deltas and {children:.0f} heartbeats a second",
         f"{core:.3f} of a core each, {core * on_machine:.2f} a machine",
         f"{_range(book.largest('zone_returns'), 'relay_bytes_out', 0)} bytes a second out, the busiest",
@@ -347,7 +365,8 @@
         "## Each role with the distribution",
         "",
         *_table(headings, rows),
-        f"An ordinary day, and the worst of the minutes below. A machine for control is taken to have {CORES_A_MACHINE:.0f} cores.",
+        "An ordinary day, and the worst of the minutes below. A machine for control is taken to have "
+        f"{CORES_A_MACHINE:.0f} cores.",
         "",
     ]
 
@@ -395,13 +414,14 @@
 
 
 def worst_minutes(book: Book) -> list[str]:
+    """The worst minutes of a day, each at the largest fleet that played it."""
     rows = []
     for minute in MINUTES:
         fleets = book.largest(minute.part)
         seconds = [_range(fleets, name, 2) + " s" if name else "-" for name in (minute.p99, minute.last)]
         sent = _range(fleets, minute.sent, 0) if minute.sent else "-"
         rows.append([minute.text, f"{fleets[0].pilots:,}", str(len(fleets)), *seconds, sent])
-    behind = max(one.behind for one in book.results.fleets)
+    behind = max(fleet.behind for fleet in book.results.fleets)
     return [
         "## The worst minutes",
         "",
@@ -416,15 +436,17 @@
             ],
             rows,
         ),
-        "Each at the largest fleet that played it; least and most of the runs. The aim is 4 s, the budget 7,000 bytes. In the part with the dead relays a pilot "
-        f"has no way round them: the five seconds until they are back count in full. Subscriptions that lacked something at the end of a part: {behind} at the most.",
+        "Each at the largest fleet that played it; least and most of the runs. The aim is 4 s, the budget "
+        "7,000 bytes. In the part with the dead relays a pilot has no way round them: the five seconds until "
+        "they are back count in full. "
+        f"Subscriptions that lacked something at the end of a part: {behind} at the most.",
         "",
     ]
 
 
 def _range(fleets: list[Fleet], name: str, digits: int) -> str:
     """Least and most of a figure over some fleets; a dash where none played its part."""
-    values = [getattr(one, name) for one in fleets]
+    values = [getattr(fleet, name) for fleet in fleets]
     if not values:
         return "-"
     low, high = (f"{value:,.{digits}f}" for value in (min(values), max(values)))
@@ -432,12 +454,13 @@
 
 
 def growth(book: Book) -> list[str]:
-    sizes = sorted({one.pilots for one in book.results.fleets})
+    """What simulated fleets showed by size, and against watching everything."""
+    sizes = sorted({fleet.pilots for fleet in book.results.fleets})
     rows = [
         [
             f"{size:,}",
             *(
-                _range([one for one in book.fleets(size) if getattr(one, name)], name, digits)
+                _range([fleet for fleet in book.fleets(size) if getattr(fleet, name)], name, digits)
                 for name, digits in (
                     ("relays", 0),
                     ("change_p99", 2),
@@ -454,17 +477,17 @@
         ]
         for size in sizes
     ]
-    watched = sorted(book.results.baselines, key=lambda one: (one.pilots, one.seed))
+    baselines = sorted(book.results.baselines, key=lambda baseline: (baseline.pilots, baseline.seed))
     compared = [
         [
-            f"{one.pilots}",
-            f"{one.seed}",
-            _number(one.watched_bytes),
-            _number(one.watched_source_bytes),
-            _number(one.subscribed_bytes),
-            _number(one.subscribed_source_bytes),
+            f"{baseline.pilots}",
+            f"{baseline.seed}",
+            _number(baseline.watched_bytes),
+            _number(baseline.watched_source_bytes),
+            _number(baseline.subscribed_bytes),
+            _number(baseline.subscribed_source_bytes),
         ]
-        for one in watched
+        for baseline in baselines
     ]
     return [
         "## Growth of hollow fleets",
@@ -485,7 +508,8 @@
             ],
             rows,
         ),
-        "Against everybody watching all, the same run and changes (every service once in ten seconds); bytes a second:",
+        "Against everybody watching all, the same run and changes (every service once in ten seconds); "
+        "bytes a second:",
         "",
         *_table(
             [
@@ -502,6 +526,7 @@
 
 
 def checked(book: Book) -> list[str]:
+    """What the schedules of faults and the comparison with a real process showed."""
     schedules, agreement = book.results.schedules, book.results.agreement
     if schedules is None or agreement is None:
         return []
@@ -514,13 +539,15 @@
     return [
         "## Checked",
         "",
-        f"{schedules.played:,} seeded schedules of faults, {len(schedules.broken)} with a violation. Deliberate breaks seen: {found}. "
+        f"{schedules.played:,} seeded schedules of faults, {len(schedules.broken)} with a violation. "
+        f"Deliberate breaks seen: {found}. "
         f"A hollow pilot against a real process, the same bytes: {agreement.agrees} ({cases}).",
         "",
     ]
 
 
 def slopes(book: Book) -> list[str]:
+    """Every measurement with its slope, and how far it is extrapolated."""
     target = {
         "endpoints listed": ENDPOINTS,
         "proxies": PROXIES_A_PILOT,
@@ -533,45 +560,55 @@
         "services": SERVICES / CONTROLLERS,
         "reports": PILOTS / 282 * SERVICES_CALLED,
     }
-    rows = [_slope(one, target.get(one.count, one.points[-1].size)) for one in book.measurements]
+    rows = [
+        _slope(measurement, target.get(measurement.count, measurement.points[-1].size))
+        for measurement in book.measurements
+    ]
     return [
         "## Slopes",
         "",
-        "Line by least squares over the mean of the runs; range: least and most of the runs' own slopes. From an exponent of "
-        f"{STEEP} on the page extrapolates by the power law. Far: the count used over the largest measured; under 1 it lies within.",
+        "Line by least squares over the mean of the runs; range: least and most of the runs' own slopes. "
+        f"From an exponent of {STEEP} on the page extrapolates by the power law. "
+        "Far: the count used over the largest measured; under 1 it lies within.",
         "",
         *_table(["measurement", "unit for each", "sizes", "slope", "range", "exponent", "far", "held"], rows),
     ]
 
 
-def _slope(one: Measurement, used: float) -> list[str]:
-    far = used / one.points[-1].size
+def _slope(measurement: Measurement, used: float) -> list[str]:
+    smallest, largest = measurement.points[0].size, measurement.points[-1].size
     return [
-        one.name,
-        f"{one.unit} / {one.count}",
-        f"{one.points[0].size:,.0f} to {one.points[-1].size:,.0f}",
-        _number(one.slope),
-        f"{_number(one.slope_low)} to {_number(one.slope_high)}",
-        f"{one.exponent:.2f}",
-        f"{far:.2g}",
-        one.fixed or "-",
+        measurement.name,
+        f"{measurement.unit} / {measurement.count}",
+        f"{smallest:,.0f} to {largest:,.0f}",
+        _number(measurement.slope),
+        f"{_number(measurement.slope_low)} to {_number(measurement.slope_high)}",
+        f"{measurement.exponent:.2f}",
+        f"{used / largest:.2g}",
+        measurement.fixed or "-",
     ]
 
 
 def tail() -> list[str]:
+    """What was not measured, and what is missing."""
     return [
         "## Not measured, and missing",
         "",
-        "- Sockets of controllers, and the network's own framing: not in these figures; a relay's process is measured on loopback.",
-        "- Memory of a pilot's process with `[distribution]` on: taken as that of an idle one and its topics; a relay's process, with the same modules, takes 42 MB.",
-        "- 20,000 routes, 900,000 tenants and 2 ms added to a request: belong to the forwarder, which is not built.",
+        "- Sockets of controllers, and the network's own framing: not in these figures; a relay's process "
+        "is measured on loopback.",
+        "- Memory of a pilot's process with `[distribution]` on: taken as that of an idle one and its "
+        "topics; a relay's process, with the same modules, takes 42 MB.",
+        "- 20,000 routes, 900,000 tenants and 2 ms added to a request: belong to the forwarder, which is "
+        "not built.",
         "- 3.4 million requests a second: sums carry counts, so nothing here grows with them.",
-        "- *Missing*: services' endpoints from discovery or a registry (the registry client); several services at one pilot; a way round a whole level of dead relays.",
+        "- *Missing*: services' endpoints from discovery or a registry (the registry client); several "
+        "services at one pilot; a way round a whole level of dead relays.",
         "",
     ]
 
 
 def page(results: Results, on_sockets: Results) -> str:
+    """The whole page."""
     book = Book(results, on_sockets)
     parts = [
         head(book),
@@ -587,6 +624,7 @@
 
 
 def main(check: bool) -> int:
+    """Writes the page, or compares it with the results; returns the exit code."""
     results, on_sockets = (
         msgspec.json.decode(file.read_bytes(), type=Results) for file in (SCALE_FILE, SOCKETS_FILE)
     )
@@ -602,5 +640,5 @@
     options.add_argument(
         "--check", action="store_true", help="end with 1 where the page is not what the results say"
     )
-    given = options.parse_args()
-    sys.exit(main(given.check))
+    arguments = options.parse_args()
+    sys.exit(main(arguments.check))
--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,4 @@
-"""What each role costs as the fleet grows: slopes over sizes, from the real modules and from hollow fleets of them."""
+"""What each role costs as the fleet grows.
+
+Slopes over sizes, from the real modules and from simulated fleets of them.
+"""
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,6 +1,7 @@
 """Slopes of what each role costs, and hollow fleets: `python -m benchmarks.scale [--short] [--role NAME]`.
 
-The long form keeps its output in `benchmarks/results/`; `python -m benchmarks.capacity` makes docs/CAPACITY.md of it.
+The long form keeps its output in `benchmarks/results/`, of which `python -m benchmarks.capacity` makes
+docs/CAPACITY.md.
 """
 
 import argparse
@@ -74,8 +75,10 @@
 
 
 def fleet_jobs(short: bool) -> list[tuple[int, int, tuple[str, ...]]]:
-    """Size, seed and parts of the day of each fleet to play, the longest first. A whole day of the largest takes over
-    half an hour, so of that the first parts are played, once."""
+    """Size, seed and parts of the day of each fleet to play, the longest first.
+
+    A whole day of the largest takes over half an hour, so of that the first parts are played, once.
+    """
     if short:
         return [(size, 1, fleet.DAY) for size in sorted(SHORT_FLEETS, reverse=True)]
     whole = [(size, seed, fleet.DAY) for size in sorted(FLEETS, reverse=True) for seed in range(1, RUNS + 1)]
@@ -92,6 +95,7 @@
 
 
 def run_baselines(short: bool) -> list[fleet.Baseline]:
+    """Subscriptions against servers that watch all services, at each size."""
     sizes, services = (SHORT_BASELINES, SHORT_BASELINE_SERVICES) if short else (BASELINES, BASELINE_SERVICES)
     jobs = [(size, seed, services) for size in sizes for seed in range(1, (1 if short else RUNS) + 1)]
     with ProcessPoolExecutor(PROCESSES if short else BASELINES_AT_ONCE, _spawn) as pool:
@@ -99,6 +103,7 @@
 
 
 def run_schedules(short: bool) -> Schedules:
+    """Seeded schedules of faults, and schedules with each deliberate break."""
     count, breaks = (SHORT_SCHEDULES, SHORT_SCHEDULES) if short else (SCHEDULES, BREAK_SCHEDULES)
     with ProcessPoolExecutor(PROCESSES if short else SCHEDULES_AT_ONCE, _spawn) as pool:
         played = pool.map(play, [Schedule(seed) for seed in range(count)], chunksize=8)
@@ -115,21 +120,27 @@
 def measured(
     kinds: Iterable[Callable[[bool], Iterable[Measurement]]], short: bool, role: str
 ) -> list[Measurement]:
-    return [one for kind in kinds for one in kind(short) if not role or role in one.role]
+    """The measurements of a role, or of all roles where none is named."""
+    return [
+        measurement for kind in kinds for measurement in kind(short) if not role or role in measurement.role
+    ]
 
 
 def held(results: Results) -> bool:
-    """Whether the aims are met: at the largest fleet a change is everywhere in time and a pilot's bytes are in budget;
-    nobody is behind; the checker saw no violation, and each deliberate break; simulated and real servers agree."""
+    """Whether the aims are met.
+
+    In every fleet a change is everywhere in time, a server's bytes are in budget and nobody is behind; the
+    checker saw no violation, and each deliberate break; simulated and real servers agree.
+    """
     fleets_hold = all(
-        one.change_p99 < CHANGE_AIM
-        and one.all_p99 < CHANGE_AIM
-        and one.zone_p99 < CHANGE_AIM
-        and one.behind == 0
-        and max(one.calm_bytes, one.all_bytes, one.zone_bytes) < BYTES_AIM
-        for one in results.fleets
+        played.change_p99 < CHANGE_AIM
+        and played.all_p99 < CHANGE_AIM
+        and played.zone_p99 < CHANGE_AIM
+        and played.behind == 0
+        and max(played.calm_bytes, played.all_bytes, played.zone_bytes) < BYTES_AIM
+        for played in results.fleets
     )
-    baseline_holds = all(one.subscribed_bytes < one.watched_bytes for one in results.baselines)
+    baseline_holds = all(baseline.subscribed_bytes < baseline.watched_bytes for baseline in results.baselines)
     checked = results.schedules is None or (
         not results.schedules.broken and all(results.schedules.found.values())
     )
@@ -160,6 +171,7 @@
 
 
 def main(short: bool, role: str) -> None:
+    """Runs the benchmark, keeps its output in the long form and prints it as one line."""
     began = time.perf_counter()
     kinds = [sockets.measurements] if role == SOCKETS else [servers.measurements, distribution.measurements]
     results = Results(commit(), short, role, measured(kinds, short, role), [], [], None, None)
@@ -171,7 +183,8 @@
     results.peak_mb = sum(peaks) / 1024
     keep(results)
     aim = (
-        f"change everywhere in {CHANGE_AIM:g} s for 99 in 100 subscriptions, {BYTES_AIM:g} bytes a second and pilot, "
+        f"change everywhere in {CHANGE_AIM:g} s for 99 in 100 subscriptions, "
+        f"{BYTES_AIM:g} bytes a second and pilot, "
         "no invariant broken, each deliberate break found, simulated and real servers agree"
     )
     close("scale", msgspec.to_builtins(results), aim, held(results))
@@ -185,5 +198,5 @@
         default="",
         help="only this role; fleet: simulated fleets and the checker; sockets: a relay as a process",
     )
-    given = options.parse_args()
-    main(given.short, given.role)
+    arguments = options.parse_args()
+    main(arguments.short, arguments.role)
--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -42,8 +42,6 @@
 START = 1000 * SECOND
 SERVICE_ENDPOINTS = 30  # 36,000 endpoints over 1,200 services
 REPEATS = 2000
-
-
 TABLE_LINES = 10
 
 
@@ -60,12 +58,12 @@
     return {f"{LINE}{service}-{n:03d}": TableLine(100.0 + n, 1.0) for n in range(TABLE_LINES)}
 
 
-def snapshots(n: int) -> list[bytes]:
+def snapshots(number: int) -> list[bytes]:
     """Both topics of a service for one zone, as a subscriber is sent them."""
-    service, version = f"service-{n}", Version(1, 1)
+    service, version = f"service-{number}", Version(1, 1)
     return [
         encode(Snapshot(service_topic(service), version, 0, 1, listed_entries(service))),
-        encode(Snapshot(zone_topic(service, n % 64), version, 0, 1, table_entries(service))),
+        encode(Snapshot(zone_topic(service, number % 64), version, 0, 1, table_entries(service))),
     ]
 
 
@@ -77,10 +75,10 @@
 
 
 def subscriber(services: int) -> SubscriptionClient:
-    """A pilot's side of the distribution, brought up from bytes."""
+    """A server's side of the distribution, brought up from bytes."""
     client = _client()
-    for n in range(services):
-        for payload in snapshots(n):
+    for number in range(services):
+        for payload in snapshots(number):
             message = decode(payload)
             client.want(message.topic)
             client.receive(START, message)
@@ -95,12 +93,12 @@
         encode(
             Delta(
                 topic,
-                Version(1, n + 1),
-                Version(1, n + 2),
-                {f"{LINE}service-3-{k:03d}": TableLine(float(n + k)) for k in range(changes)},
+                Version(1, number + 1),
+                Version(1, number + 2),
+                {f"{LINE}service-3-{line:03d}": TableLine(float(number + line)) for line in range(changes)},
             )
         )
-        for n in range(REPEATS)
+        for number in range(REPEATS)
     ]
     began = time.process_time()
     for payload in payloads:
@@ -133,12 +131,15 @@
         encode(
             Delta(
                 topic.name,
-                Version(1, n + 1),
-                Version(1, n + 2),
-                {f"{LINE}service-1-{k:03d}": TableLine(float(n + k)) for k in range(TABLE_LINES)},
+                Version(1, number + 1),
+                Version(1, number + 2),
+                {
+                    f"{LINE}service-1-{line:03d}": TableLine(float(number + line))
+                    for line in range(TABLE_LINES)
+                },
             )
         )
-        for n in range(rounds)
+        for number in range(rounds)
     ]
     began = time.process_time()
     for payload in payloads:
@@ -150,47 +151,49 @@
 
 def relay_state(services: int) -> Distributor:
     """A relay that serves so many services to 64 subscribers, 12 services each."""
-    held: dict[str, Topic] = {}
+    topics: dict[str, Topic] = {}
     by_service: list[list[str]] = []
-    for n in range(services):
-        messages = [decode(payload) for payload in snapshots(n)]
+    for number in range(services):
+        messages = [decode(payload) for payload in snapshots(number)]
         for message in messages:
-            topic = held[message.topic] = Topic(message.topic)
+            topic = topics[message.topic] = Topic(message.topic)
             topic.receive(message)
         by_service.append([message.topic for message in messages])
-    distributor = Distributor(held)
+    distributor = Distributor(topics)
     for child in range(64):
         distributor.add_subscriber(START, f"pilot-{child}")
-        for k in range(12):
-            for topic in by_service[(child * 12 + k) % services]:
+        for called in range(12):
+            for topic in by_service[(child * 12 + called) % services]:
                 distributor.receive(f"pilot-{child}", Subscribe(topic, NEVER))
     return distributor
 
 
 def planner(zones: int, endpoints: int = SERVICE_ENDPOINTS, seed: int = 1) -> ServicePlanner:
     """A service's planner with subscribers in every zone."""
-    made = ServicePlanner("service-1", decode_settings(settings(zones, zones)), seed)
-    made.configure({f"service-1-{n:03d}": EndpointEntry(n % zones, True, 4.0) for n in range(endpoints)})
+    service_planner = ServicePlanner("service-1", decode_settings(settings(zones, zones)), seed)
+    service_planner.configure(
+        {f"service-1-{n:03d}": EndpointEntry(n % zones, True, 4.0) for n in range(endpoints)}
+    )
     for zone in range(zones):
-        made.add_zone(zone, 100.0)
-    return made
+        service_planner.add_zone(zone, 100.0)
+    return service_planner
 
 
 def play(
-    made: ServicePlanner, zones: int, seconds: int, random_source: random.Random, begin: int = 0
+    service_planner: ServicePlanner, zones: int, seconds: int, random_source: random.Random, begin: int = 0
 ) -> None:
     """So many seconds of sums and rounds."""
-    names = list(made.endpoints)
+    names = list(service_planner.endpoints)
     for second in range(begin, begin + seconds):
         for zone in range(zones):
-            local = [name for name in names if made.endpoints[name].zone == zone] or names[:2]
+            local = [name for name in names if service_planner.endpoints[name].zone == zone] or names[:2]
             sums = {
                 name: EndpointLoad(
                     100, random_source.randint(0, 2), 100 * random_source.randint(150_000, 250_000)
                 )
                 for name in local
             }
-            made.add_report(
+            service_planner.add_report(
                 ZoneLoadReport(
                     "service-1",
                     zone,
@@ -203,41 +206,44 @@
                 SECOND,
             )
         for quarter in range(4):
-            made.run_cycle(START + second * SECOND + quarter * SECOND // 4)
+            service_planner.run_cycle(START + second * SECOND + quarter * SECOND // 4)
 
 
 def planner_cpu(zones: int, endpoints: int, seconds: int = 10) -> float:
     """Seconds of a core a second that one service costs its owner, its topics included."""
-    made, random_source = planner(zones, endpoints), random.Random(2)
+    service_planner, random_source = planner(zones, endpoints), random.Random(2)
     publications = {zone: Publication(Topic(zone_topic("service-1", zone)), 1) for zone in range(zones)}
-    play(made, zones, 4, random_source)
+    play(service_planner, zones, 4, random_source)
     began = time.process_time()
     for second in range(4, 4 + seconds):
-        play(made, zones, 1, random_source, second)
+        play(service_planner, zones, 1, random_source, second)
         for zone, publication in publications.items():
-            publication.put_all(START + second * SECOND, made.zone_entries(zone))
+            publication.put_all(START + second * SECOND, service_planner.zone_entries(zone))
             publication.flush()
     return (time.process_time() - began) / seconds
 
 
 def table_bytes(zones: int, seconds: int = 40) -> float:
-    """Bytes a second of one topic in ordinary traffic: what the planner's own changes of a table cost a subscriber."""
-    made, random_source = planner(zones), random.Random(3)
+    """Bytes a second of one topic in ordinary traffic.
+
+    It is what the planner's own changes of a table cost a subscriber.
+    """
+    service_planner, random_source = planner(zones), random.Random(3)
     publication = Publication(Topic(zone_topic("service-1", 0)), 1)
-    play(made, zones, 10, random_source)
-    publication.put_all(START, made.zone_entries(0))
+    play(service_planner, zones, 10, random_source)
+    publication.put_all(START, service_planner.zone_entries(0))
     publication.flush()
     sent = 0
     for second in range(10, 10 + seconds):
-        play(made, zones, 1, random_source, second)
-        publication.put_all(START + second * SECOND, made.zone_entries(0))
+        play(service_planner, zones, 1, random_source, second)
+        publication.put_all(START + second * SECOND, service_planner.zone_entries(0))
         if publication.due_at is not None:
             sent += len(encode(publication.flush()))
     return sent / seconds
 
 
 def report_bytes(endpoints: int) -> float:
-    """Bytes of one service's report from a pilot."""
+    """Bytes of one service's report from a server."""
     return float(len(encode(_report("pilot-12345", 100, endpoints))))
 
 
@@ -247,7 +253,7 @@
 
 
 def aggregation_cpu(reporters: int) -> float:
-    """Seconds for one hop to take a report each from so many pilots and to pass the sum on."""
+    """Seconds for one hop to take a report each from so many servers and to pass the sum on."""
     payloads = [encode(_report(f"pilot-{n}", 1, 10)) for n in range(reporters)]
     hop = Aggregator("relay")
     began = time.process_time()
@@ -266,11 +272,11 @@
         journal = Journal(Path(folder) / "state", {"cluster": "b", "member": "b"})
         began = time.perf_counter()
         rounds = 40
-        for n in range(rounds):
-            journal.append([(n * group + k, b"x" * 400) for k in range(group)])
-        took = (time.perf_counter() - began) / rounds
+        for number in range(rounds):
+            journal.append([(number * group + record, b"x" * 400) for record in range(group)])
+        seconds = (time.perf_counter() - began) / rounds
         journal.close()
-    return took
+    return seconds
 
 
 def measurements(short: bool) -> Iterator[Measurement]:
@@ -393,7 +399,7 @@
 
 def planners(services: int) -> list[ServicePlanner]:
     """So many services, each after some seconds of sums."""
-    made = [planner(16, seed=n) for n in range(services)]
-    for one in made:
-        play(one, 16, 10, random.Random(4))
-    return made
+    service_planners = [planner(16, seed=seed) for seed in range(services)]
+    for service_planner in service_planners:
+        play(service_planner, 16, 10, random.Random(4))
+    return service_planners
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -1,8 +1,9 @@
-"""Hollow fleets on a virtual network: from a change until the last pilot has it, and the worst minutes, by fleet size.
+"""Simulated fleets on a virtual network, by fleet size.
 
-Everything but sockets is the real code: relays, owners, subscribers, their messages and bytes. Delays: 0.3 to 1.5 ms within
-a region, 10 to 120 ms between two, one way; one message in a thousand comes a retransmission (250 ms) late; 100 Mbit/s for
-each connection. Processor time is not played: it is measured by itself and multiplied.
+They show the time from a change until the last server has it, and the worst minutes. Everything but sockets
+is the real code: relays, owners, subscribers, their messages and bytes. Delays are 0.3 to 1.5 ms within a
+region and 10 to 120 ms between two, one way; one message in a thousand comes a retransmission (250 ms) late;
+100 Mbit/s for each connection. Processor time is not played: it is measured by itself and multiplied.
 """
 
 import random
@@ -39,7 +40,10 @@
 
 
 class Fleet(msgspec.Struct):
-    """What one fleet of a size showed. Latencies in seconds, bytes a second for one pilot unless said otherwise."""
+    """What one fleet of a size showed.
+
+    Latencies are in seconds; bytes are a second and for one server unless said otherwise.
+    """
 
     pilots: int
     relays: int
@@ -63,7 +67,7 @@
     restart_bytes: float = 0.0
     parted_last: float = 0.0
     parted_bytes: float = 0.0
-    behind: int = 0  # pilots that lacked something at the end of a part
+    behind: int = 0  # servers that lacked something at the end of a part
     relay_bytes_out: float = 0.0  # of the busiest relay in the worst part
     owner_bytes_out: float = 0.0  # of the busiest controller in the worst part
     wall_seconds: float = 0.0
@@ -71,7 +75,7 @@
 
 
 def size(pilots: int) -> DistributionSize:
-    """A fleet of so many pilots, with the plan's share of services, each of 30 endpoints."""
+    """A fleet of so many servers, with the plan's share of services, each of 30 endpoints."""
     return DistributionSize(
         controllers=CONTROLLERS,
         servers=pilots,
@@ -95,6 +99,7 @@
         self.fleet = Fleet(pilots, sum(len(level) for level in self.world.levels), seed, list(parts))
 
     def play(self) -> Fleet:
+        """Plays the parts in turn and returns what they showed."""
         began = time.perf_counter()
         for part in self.fleet.parts:
             getattr(self, part)()
@@ -104,13 +109,17 @@
 
     # --- helpers ---
 
-    def pilot_bytes(self) -> int:
-        return sum(pilot.bytes_in for pilot in self.world.servers)
+    def server_bytes(self) -> int:
+        """Bytes that all servers have received."""
+        return sum(server.bytes_in for server in self.world.servers)
 
     def a_second(self, seconds: float, play: Callable[[], None]) -> float:
-        """Bytes a second and pilot while `play` runs for so many seconds; the busiest relay and controller are noted."""
+        """Bytes a second and server while `play` runs for so many seconds.
+
+        The busiest relay and controller are recorded.
+        """
         relays = [relay for level in self.world.levels for relay in level]
-        before = self.pilot_bytes()
+        before = self.server_bytes()
         out = [node.bytes_out for node in relays], [node.bytes_out for node in self.world.owners]
         play()
         busiest = [
@@ -119,10 +128,13 @@
         ]
         self.fleet.relay_bytes_out = max(self.fleet.relay_bytes_out, busiest[0])
         self.fleet.owner_bytes_out = max(self.fleet.owner_bytes_out, busiest[1])
-        return (self.pilot_bytes() - before) / seconds / self.fleet.pilots
+        return (self.server_bytes() - before) / seconds / self.fleet.pilots
 
     def latencies(self, services: list[str], marked_at: dict[str, int]) -> list[float]:
-        """Seconds from each service's change until each of its pilots had it; those that lack it are counted."""
+        """Seconds from each service's change until each of its servers had it.
+
+        Servers that lack it are counted.
+        """
         found: list[float] = []
         for service in services:
             had = self.world.change_seen_at[service]
@@ -131,21 +143,23 @@
         return found
 
     def mark(self, services: list[str]) -> dict[str, int]:
+        """Changes the services, and returns when each was changed."""
         for service in services:
             self.world.mark_change(service)
         return dict.fromkeys(services, self.world.events.now)
 
     def unstarted(self) -> int:
+        """Subscriptions that have received no version yet."""
         return sum(
             version == NEVER
-            for pilot in self.world.servers
-            for version in pilot.client.held_versions.versions().values()
+            for server in self.world.servers
+            for version in server.client.held_versions.versions().values()
         )
 
     # --- parts ---
 
     def start(self) -> None:
-        """All pilots start within 20 s."""
+        """All servers start within 20 s."""
         for _ in range(12):
             self.world.run(5)
             if self.world.events.now > 1025 * SECOND and not self.unstarted():
@@ -153,6 +167,7 @@
         self.fleet.behind += self.unstarted()
 
     def calm(self) -> None:
+        """Five seconds in which nothing changes."""
         self.fleet.calm_bytes = self.a_second(5, lambda: self.world.run(5))
 
     def changes(self) -> None:
@@ -184,26 +199,26 @@
         self.fleet.all_p99, self.fleet.all_last = quantile(found, 0.99), max(found)
 
     def zone_returns(self) -> None:
-        """A zone's endpoints start again, and each service's tables are written anew in three beats."""
+        """A zone's endpoints restart, and each service's tables are rewritten in three solve intervals."""
         marked: dict[str, int] = {}
 
-        def back() -> None:
-            for beat in range(3):
+        def rewrite_tables() -> None:
+            for cycle in range(3):
                 for service in self.world.services:
-                    self._rewrite(service, beat)
+                    self._rewrite(service, cycle)
                 marked.update(self.mark(self.world.services))
                 self.world.run(2.5)
             self.world.run(2.5)
 
-        self.fleet.zone_bytes = self.a_second(10, back)
+        self.fleet.zone_bytes = self.a_second(10, rewrite_tables)
         self.fleet.zone_p99 = quantile(self.latencies(self.world.services, marked), 0.99)
 
-    def _rewrite(self, service: str, beat: int) -> None:
+    def _rewrite(self, service: str, cycle: int) -> None:
         names = [f"{service}-{n}" for n in range(self.world.size.endpoints)]
-        back = EndpointEntry(0, True, 1.0, self.world.events.now)
+        restarted = EndpointEntry(0, True, 1.0, self.world.events.now)
         self.world.configuration[service] = {
             **self.world.configuration[service],
-            ENDPOINT + names[beat]: back,
+            ENDPOINT + names[cycle]: restarted,
         }
         self.world.write_table(
             service,
@@ -230,12 +245,12 @@
         self.fleet.killed_snapshot_bytes = float(self.world.snapshot_bytes() - snapshots)
 
     def mass_restart(self) -> None:
-        """Pilots are replaced as in the hour of 2,800 restarts: each comes back with nothing after 2 s."""
+        """Servers are replaced as in the hour of 2,800 restarts: each comes back with nothing after 2 s."""
         count = max(1, round(RESTARTS_A_MINUTE / 6 * self.fleet.pilots / PILOTS))
 
         def restart() -> None:
-            for pilot in self.random_source.sample(self.world.servers, count):
-                pilot.stop_for(2, forget=True)
+            for server in self.random_source.sample(self.world.servers, count):
+                server.stop_for(2, forget=True)
                 self.world.run(10 / count)
             self.world.run(5)
 
@@ -267,13 +282,15 @@
 
 
 def play(pilots: int, seed: int, parts: Sequence[str]) -> Fleet:
-    """Plays these parts of the day on a fleet of so many pilots."""
+    """Plays these parts of the day on a fleet of so many servers."""
     return Player(pilots, seed, parts).play()
 
 
 class Baseline(msgspec.Struct):
-    """Bytes a second for one pilot, and of the source, where every pilot watches all services; and the same changes with
-    subscriptions."""
+    """Bytes a second for one server and of its source, under the same changes.
+
+    `watched` is where every server watches all services, `subscribed` where it subscribes to some.
+    """
 
     pilots: int
     seed: int
@@ -284,7 +301,10 @@
 
 
 def baseline(pilots: int, seed: int, services: int) -> Baseline:
-    """Everybody watching all against subscriptions, under the same changes: all services once in ten seconds."""
+    """Every server watching all services against subscriptions, under the same changes.
+
+    All services change once in ten seconds.
+    """
     found = []
     for called, fan_out in ((services, 4 * pilots), (min(SERVICES_CALLED, services), FAN_OUT)):
         world = SimulatedDistribution(
@@ -305,7 +325,7 @@
         )
         world.run(20)
         before = (
-            sum(pilot.bytes_in for pilot in world.servers),
+            sum(server.bytes_in for server in world.servers),
             sum(relay.bytes_out for relay in world.levels[-1]),
         )
         for service in world.services:
@@ -313,7 +333,7 @@
             world.run(10 / services)
         world.run(2)
         found += [
-            (sum(pilot.bytes_in for pilot in world.servers) - before[0]) / pilots / 12,
+            (sum(server.bytes_in for server in world.servers) - before[0]) / pilots / 12,
             (sum(relay.bytes_out for relay in world.levels[-1]) - before[1]) / 12,
         ]
     return Baseline(pilots, seed, *found)
