--- a/tests/distribution/test_controller_processes.py
+++ b/tests/distribution/test_controller_processes.py
@@ -52,8 +52,8 @@
 
     async def start(self) -> None:
         (self.folder / "services.toml").write_text(services_text("1"))
-        said = server_configuration("127.0.0.1:1", ["north"], 1)
-        (self.folder / "fleet.json").write_text(json.dumps(said))
+        configuration = server_configuration("127.0.0.1:1", ["north"], 1)
+        (self.folder / "fleet.json").write_text(json.dumps(configuration))
         for name in NAMES:
             self._write_operator_file(name)
             await self.run(name)
@@ -214,10 +214,10 @@
 
 
 def test_services_are_claimed_only_while_the_lease_is_valid():
-    told, now = [], [0]
+    claims, now = [], [0]
     leases = LeasedServices(LapsingMember(), NAMES, lambda: now[0], 8)
     publisher = SimpleNamespace(
-        acquire=lambda *words: None, set_claimed=lambda service, claimed: told.append((service, claimed))
+        acquire=lambda *words: None, set_claimed=lambda service, claimed: claims.append((service, claimed))
     )
     leases.attach(publisher, ["s"])
     leases.lease_acquired(shard_of_service("s", 8), 4, None)
@@ -225,11 +225,11 @@
     for seconds in range(10):
         now[0] = seconds * SECOND
         leases.check_leases()
-    assert told and set(told) == {("s", False)} and len(told) == 10 - UNCLAIM_AFTER // SECOND
+    assert claims and set(claims) == {("s", False)} and len(claims) == 10 - UNCLAIM_AFTER // SECOND
     leases.member.good = True
     leases.check_leases()
     leases.check_leases()
-    assert told[-1] == ("s", True) and told.count(("s", True)) == 1
+    assert claims[-1] == ("s", True) and claims.count(("s", True)) == 1
 
 
 @pytest.mark.parametrize(
@@ -243,13 +243,22 @@
         ("[a.endpoints]\nx = { zone = 0, colour = 1 }\n", "colour"),
         ("[a", "TOML"),
     ],
+    ids=[
+        "endpoints are no table",
+        "zone beyond the last",
+        "service name with @",
+        "negative zone",
+        "no zone",
+        "unknown key",
+        "not TOML",
+    ],
 )
 def test_an_invalid_services_file_is_rejected_with_its_place(tmp_path, text, complaint):
     file = tmp_path / "services.toml"
     file.write_text(text)
-    with pytest.raises(ServicesFileError) as refused:
+    with pytest.raises(ServicesFileError) as rejected:
         read(file, 1)
-    assert str(file) in str(refused.value) and (complaint in str(refused.value) or complaint == "TOML")
+    assert str(file) in str(rejected.value) and (complaint in str(rejected.value) or complaint == "TOML")
 
 
 @pytest.mark.parametrize(
@@ -261,12 +270,13 @@
         ),
         ('services = "s.toml"\n', "listen: found nothing, expected host:port"),
     ],
+    ids=["name differs from the lease's", "no listen address"],
 )
 def test_an_invalid_controllers_table_is_rejected(tmp_path, table, complaint):
-    said = server_configuration("127.0.0.1:1", ["north"], 1)
-    (tmp_path / "fleet.json").write_text(json.dumps(said))
+    configuration = server_configuration("127.0.0.1:1", ["north"], 1)
+    (tmp_path / "fleet.json").write_text(json.dumps(configuration))
     (tmp_path / "operator.toml").write_text(f'[distribution]\nname = "a"\ncluster = "c"\n{table}')
-    code, _, words = asyncio.run(
+    code, _, errors = asyncio.run(
         run_command(
             "controller",
             "--config",
@@ -275,4 +285,4 @@
             str(tmp_path / "operator.toml"),
         )
     )
-    assert code == 2 and complaint in words
+    assert code == 2 and complaint in errors
--- a/tests/distribution/test_distributed_controller.py
+++ b/tests/distribution/test_distributed_controller.py
@@ -1,4 +1,4 @@
-"""A pilot whose service's owner decides: the owner's split, the pilot's own guards, and the pilot alone."""
+"""A server whose service's owner decides: its split, the server's own guards, and no owner."""
 
 import asyncio
 import json
@@ -27,7 +27,7 @@
 INDICES = {f"s-{n}": n for n in range(4)}
 
 
-class Pilot:
+class ServerWithOwner:
     """The distributed decisions on a clock set by hand; endpoints 0 and 1 in zone 0, 2 and 3 in zone 1."""
 
     def __init__(self, **weights: float):
@@ -53,77 +53,78 @@
             owners_table=lambda now, zone: (self.source, self.table if zone == 0 else {}),
             index_of=INDICES.get,
         )
-        self.hear(
+        self.run_cycle(
             endpoint_list("rrrr", kind=ListKind.RESTORED),
             ProxyJoined(0, 0, 10.0, True),
             ProxyJoined(1, 1, 10.0, True),
         )
 
-    def hear(self, *news) -> None:
-        self.controller.run_cycle(self.now, list(news), self.kept)
+    def run_cycle(self, *events) -> None:
+        self.controller.run_cycle(self.now, list(events), self.kept)
 
-    def run(self, seconds: float, news=()) -> "Pilot":
+    def run(self, seconds: float, events=()) -> "ServerWithOwner":
         for quarter in range(round(seconds * 4)):
             self.now += SECOND // 4
-            self.hear(*(news if quarter % 4 == 0 else ()))
+            self.run_cycle(*(events if quarter % 4 == 0 else ()))
         return self
 
     def shares(self, zone: int = 0) -> dict[int, float]:
         """What the zone's proxy would send where."""
-        lines = {
-            e: w for e, w in self.kept.tables[self.kept.bound[zone]].items() if e not in self.kept.ejected
-        }
-        return {e: round(w / sum(lines.values()), 3) for e, w in lines.items()}
+        table = self.kept.tables[self.kept.bound[zone]]
+        lines = {endpoint: weight for endpoint, weight in table.items() if endpoint not in self.kept.ejected}
+        return {endpoint: round(weight / sum(lines.values()), 3) for endpoint, weight in lines.items()}
 
 
 def test_the_owners_table_is_used_where_there_is_one_and_the_own_elsewhere():
-    pilot = Pilot(s0=900.0, s1=50.0, s2=50.0)
-    assert pilot.shares(0) == {0: 0.9, 1: 0.05, 2: 0.05}
-    assert pilot.shares(1) == {2: 0.5, 3: 0.5}
+    server = ServerWithOwner(s0=900.0, s1=50.0, s2=50.0)
+    assert server.shares(0) == {0: 0.9, 1: 0.05, 2: 0.05}
+    assert server.shares(1) == {2: 0.5, 3: 0.5}
 
 
 def test_a_new_table_of_the_owner_is_used_within_two_seconds():
-    pilot = Pilot(s0=900.0, s1=100.0).run(5)
-    pilot.table = {"s-0": TableLine(100.0), "s-1": TableLine(900.0)}
-    pilot.controller.owners_table_changed()
-    assert pilot.run(2).shares() == {0: 0.1, 1: 0.9}
+    server = ServerWithOwner(s0=900.0, s1=100.0).run(5)
+    server.table = {"s-0": TableLine(100.0), "s-1": TableLine(900.0)}
+    server.controller.owners_table_changed()
+    assert server.run(2).shares() == {0: 0.1, 1: 0.9}
 
 
 def test_endpoints_draining_here_are_not_used_whatever_the_owner_publishes():
-    pilot = Pilot(s0=900.0, s1=60.0, s2=40.0).run(1)
-    pilot.hear(endpoint_list("drrr"))
-    assert 0 not in pilot.shares() and set(pilot.shares()) == {1, 2}
-    pilot.run(5)
-    assert set(pilot.shares()) == {1, 2}
+    server = ServerWithOwner(s0=900.0, s1=60.0, s2=40.0).run(1)
+    server.run_cycle(endpoint_list("drrr"))
+    assert 0 not in server.shares() and set(server.shares()) == {1, 2}
+    server.run(5)
+    assert set(server.shares()) == {1, 2}
 
 
 def test_endpoints_not_listed_here_are_ignored():
-    pilot = Pilot(s0=500.0, s1=250.0, s9=250.0)
-    assert pilot.shares() == {0: 0.667, 1: 0.333}
+    server = ServerWithOwner(s0=500.0, s1=250.0, s9=250.0)
+    assert server.shares() == {0: 0.667, 1: 0.333}
 
 
 def test_a_table_of_bounded_lines_only_is_not_used():
-    pilot = Pilot()
-    pilot.table = {"s-0": TableLine(100.0, 0.3)}
-    pilot.controller.owners_table_changed()
-    assert pilot.run(3).shares() == {0: 0.5, 1: 0.5}
+    server = ServerWithOwner()
+    server.table = {"s-0": TableLine(100.0, 0.3)}
+    server.controller.owners_table_changed()
+    assert server.run(3).shares() == {0: 0.5, 1: 0.5}
 
 
 @pytest.mark.parametrize(
-    "source, first", [(TableSource.OWNER, 0.9), (TableSource.LAST_TABLE, 0.9), (TableSource.LOCAL, 0.5)]
+    "source, first",
+    [(TableSource.OWNER, 0.9), (TableSource.LAST_TABLE, 0.9), (TableSource.LOCAL, 0.5)],
+    ids=["owner", "last table", "local"],
 )
 def test_without_an_owner_the_last_table_and_then_the_own_decisions(source, first):
-    pilot = Pilot(s0=900.0, s1=100.0).run(3)
-    pilot.source = source
-    assert pilot.run(6, [load_report(0, 0), load_report(0, 1)]).shares()[0] == pytest.approx(first, abs=0.02)
+    server = ServerWithOwner(s0=900.0, s1=100.0).run(3)
+    server.source = source
+    assert server.run(6, [load_report(0, 0), load_report(0, 1)]).shares()[0] == pytest.approx(first, abs=0.02)
 
 
 def test_without_an_owner_it_decides_as_a_server_without_distribution():
-    pilot = Pilot(s0=900.0, s1=100.0)
-    pilot.source = TableSource.LOCAL
-    plain = Controller(pilot.controller.settings, 7)
+    server = ServerWithOwner(s0=900.0, s1=100.0)
+    server.source = TableSource.LOCAL
+    local_controller = Controller(server.controller.settings, 7)
     kept, now = RecordingWriter(), 1000 * SECOND
-    plain.run_cycle(
+    local_controller.run_cycle(
         now,
         [
             endpoint_list("rrrr", kind=ListKind.RESTORED),
@@ -132,14 +133,25 @@
         ],
         kept,
     )
-    news = [load_report(0, 0, failed=18), load_report(0, 1, failed=18), load_report(1, 2), load_report(1, 3)]
-    pilot.run(20, news)
+    events = [
+        load_report(0, 0, failed=18),
+        load_report(0, 1, failed=18),
+        load_report(1, 2),
+        load_report(1, 3),
+    ]
+    server.run(20, events)
     for quarter in range(80):
         now += SECOND // 4
-        plain.run_cycle(now, list(news) if quarter % 4 == 0 else [], kept)
-    assert pilot.controller.spill.shares == plain.spill.shares
-    held = {e: w for e, w in kept.tables[kept.bound[0]].items() if e not in kept.ejected}
-    assert pilot.shares() == {e: round(w / sum(held.values()), 3) for e, w in held.items()}
+        local_controller.run_cycle(now, list(events) if quarter % 4 == 0 else [], kept)
+    assert server.controller.spill.shares == local_controller.spill.shares
+    lines = {
+        endpoint: weight
+        for endpoint, weight in kept.tables[kept.bound[0]].items()
+        if endpoint not in kept.ejected
+    }
+    assert server.shares() == {
+        endpoint: round(weight / sum(lines.values()), 3) for endpoint, weight in lines.items()
+    }
 
 
 def test_a_server_process_uses_the_owners_table_reports_load_and_decides_alone(tmp_path):
@@ -173,9 +185,9 @@
         relay_at = await relay.start("127.0.0.1:0")
         discovery = await LoopbackRegistry([listed_endpoint(f"s-{n}", "north") for n in range(3)]).start()
         listen = f"127.0.0.1:{ports(1)[0]}"
-        said = server_configuration(discovery.address, ["north"], 1, listen)
-        said["settings"]["limits"]["probing"] = False
-        (tmp_path / "pilot.json").write_text(json.dumps(said))
+        configuration = server_configuration(discovery.address, ["north"], 1, listen)
+        configuration["settings"]["limits"]["probing"] = False
+        (tmp_path / "pilot.json").write_text(json.dumps(configuration))
         (tmp_path / "operator.toml").write_text(
             '[distribution]\nname = "pilot-0"\ncluster = "test"\nservice = "s"\n'
             f'[distribution.parents]\nrelay-0 = "{relay_at}"\n'
--- a/tests/distribution/test_distribution_decisions.py
+++ b/tests/distribution/test_distribution_decisions.py
@@ -88,12 +88,17 @@
         Resync({"t": version(4, 5)}),
         ZoneLoadReport("s", 1, 7, "r", 8, {"a": EndpointLoad(3, 1, 9)}, {0: GroupDemand(4)}),
     ],
+    ids=lambda message: type(message).__name__,
 )
 def test_messages_survive_encoding_and_decoding(message):
     assert decode(encode(message)) == message
 
 
-@pytest.mark.parametrize("data", [b"", b"\x00", b"\x93\x01", encode(Subscribe("t", NEVER))[:-1], b"\xc1" * 9])
+@pytest.mark.parametrize(
+    "data",
+    [b"", b"\x00", b"\x93\x01", encode(Subscribe("t", NEVER))[:-1], b"\xc1" * 9],
+    ids=["empty", "no array", "cut array", "cut message", "unused type byte"],
+)
 def test_malformed_messages_are_rejected(data):
     with pytest.raises(MalformedMessageError):
         decode(data)
@@ -106,27 +111,34 @@
     "message, outcome, entries",
     [
         (delta(version(2, 3), version(2, 4), a=TWO), Outcome.APPLIED, {"a": TWO}),
-        (
-            delta(version(2, 1), version(2, 4), a=TWO),
-            Outcome.APPLIED,
-            {"a": TWO},
-        ),  # covers more than is needed
+        (delta(version(2, 1), version(2, 4), a=TWO), Outcome.APPLIED, {"a": TWO}),
         (delta(version(2, 3), version(2, 4), a=None), Outcome.APPLIED, {}),
         (delta(version(2, 2), version(2, 3), a=TWO), Outcome.DUPLICATE, {"a": ONE}),
         (delta(version(2, 4), version(2, 5), a=TWO), Outcome.GAP, {"a": ONE}),
         (delta(version(1, 8), version(1, 9), a=TWO), Outcome.STALE_EPOCH, {"a": ONE}),
-        (
-            delta(version(2, 3), version(3, 1), a=TWO),
-            Outcome.APPLIED,
-            {"a": TWO},
-        ),  # handed over from what we hold
-        (delta(version(2, 2), version(3, 1), a=TWO), Outcome.GAP, {"a": ONE}),  # the successor knew less
+        (delta(version(2, 3), version(3, 1), a=TWO), Outcome.APPLIED, {"a": TWO}),
+        (delta(version(2, 2), version(3, 1), a=TWO), Outcome.GAP, {"a": ONE}),
         (delta(version(2, 4), version(3, 1), a=TWO), Outcome.GAP, {"a": ONE}),
         (Snapshot("t", version(2, 3), 0, 1, {"a": TWO}), Outcome.DUPLICATE, {"a": ONE}),
         (Snapshot("t", version(1, 99), 0, 1, {"a": TWO}), Outcome.STALE_EPOCH, {"a": ONE}),
         (Snapshot("t", version(3, 1), 0, 1, {"b": TWO}), Outcome.APPLIED, {"b": TWO}),
         (Snapshot("t", version(3, 1), 0, 2, {"b": TWO}), Outcome.INCOMPLETE, {"a": ONE}),
     ],
+    ids=[
+        "the next delta",
+        "a delta that covers more than is needed",
+        "a delta that deletes",
+        "a repeated delta",
+        "a delta after a gap",
+        "a delta of an older epoch",
+        "a new epoch's delta from the held version",
+        "a new epoch's delta from an older version",
+        "a new epoch's delta from a newer version",
+        "a snapshot of the held version",
+        "a snapshot of an older epoch",
+        "a snapshot of a newer epoch",
+        "the first of two parts of a snapshot",
+    ],
 )
 def test_the_outcome_of_an_update(message, outcome, entries):
     topic = holding(2, 3, a=ONE)
@@ -314,7 +326,7 @@
     assert child.entries == {"a": TWO} and child.client.resyncs == 1
 
 
-@pytest.mark.parametrize("how", [{"twice": True}, {"reverse": True}])
+@pytest.mark.parametrize("how", [{"twice": True}, {"reverse": True}], ids=["repeated", "reordered"])
 def test_repeated_and_reordered_messages_end_in_the_same_state(how):
     child = Child(holding(1, 1, **{f"k{n}": ONE for n in range(2 * SNAPSHOT_PART_ENTRIES)}))
     child.connect()
@@ -459,11 +471,11 @@
 
 
 @pytest.mark.parametrize(
-    "pilots, fan_out", [(0, 8), (1, 8), (64, 128), (65, 128), (18_000, 128), (18_000, 8), (3, 2)]
+    "server_count, fan_out", [(0, 8), (1, 8), (64, 128), (65, 128), (18_000, 128), (18_000, 8), (3, 2)]
 )
-def test_no_relay_has_more_than_half_of_its_children_by_plan(pilots, fan_out):
-    made = levels(pilots, fan_out)
-    below = pilots
+def test_no_relay_has_more_than_half_of_its_children_by_plan(server_count, fan_out):
+    made = levels(server_count, fan_out)
+    below = server_count
     for level in reversed(made):
         parents = [preferred_parents(place, below, level) for place in range(below)]
         first = Counter(names[0] for names in parents)
@@ -472,10 +484,10 @@
         below = len(level.names)
 
 
-@pytest.mark.parametrize("pilots, fan_out", [(-1, 8), (5, 1)])
-def test_an_impossible_tree_is_rejected(pilots, fan_out):
+@pytest.mark.parametrize("server_count, fan_out", [(-1, 8), (5, 1)])
+def test_an_impossible_tree_is_rejected(server_count, fan_out):
     with pytest.raises(ValueError, match="expected pilots and a fan-out of two or more"):
-        levels(pilots, fan_out)
+        levels(server_count, fan_out)
 
 
 # --- sums on the way up ---
@@ -572,7 +584,7 @@
         received = 0.0
         for _ in range(
             18_000
-        ):  # each pilot has shut out what it likes, by an older list or by failures that it met
+        ):  # each server has ejected endpoints of its own, by an older list or by failures that it met
             out = random_source.sample(["e1", "e2", "e3"], random_source.randint(0, most_out))
             given = received_shares(table, out)
             received += given["e0"]
--- a/tests/distribution/test_distribution_sockets.py
+++ b/tests/distribution/test_distribution_sockets.py
@@ -1,4 +1,4 @@
-"""Owners, relays and subscribers on loopback sockets; and that they say what hollow ones say."""
+"""Owners, relays and subscribers on loopback sockets; and that they send what simulated ones send."""
 
 import asyncio
 import contextlib
@@ -86,20 +86,22 @@
 
     def subscriber(self, number: int) -> SubscriptionService:
         name = f"pilot-{number}"
-        made = SubscriptionService(
+        subscriber = SubscriptionService(
             Node(self.loop, clock, "test", name, {"relay-0": self.relay_at}),
             random.Random(number),
             lambda topic: self.versions.setdefault((name, topic.name), []).append(topic.version),
         )
-        made.start(["s@", "s@0"])
-        return made
+        subscriber.start(["s@", "s@0"])
+        return subscriber
 
     def say(self, value: str) -> None:
         self.content = {"c:x": Setting(value)}
         self.owner.refresh("s@")
 
     def holds(self, value: str) -> bool:
-        return all(one.topics["s@"].entries == {"c:x": Setting(value)} for one in self.subscribers)
+        return all(
+            subscriber.topics["s@"].entries == {"c:x": Setting(value)} for subscriber in self.subscribers
+        )
 
     async def until(self, true) -> None:
         async with asyncio.timeout(WAIT):
@@ -123,13 +125,13 @@
 
 
 def test_a_change_reaches_all_subscribers_through_a_relay():
-    async def play(there: Installation) -> None:
-        await there.until(lambda: there.holds("0"))
+    async def play(installation: Installation) -> None:
+        await installation.until(lambda: installation.holds("0"))
         for value in ("1", "2"):
-            there.say(value)
-            await there.until(lambda value=value: there.holds(value))
-        assert all(seen == sorted(set(seen)) for seen in there.versions.values())
-        status = there.relay.status()
+            installation.say(value)
+            await installation.until(lambda value=value: installation.holds(value))
+        assert all(seen == sorted(set(seen)) for seen in installation.versions.values())
+        status = installation.relay.status()
         assert (
             status["subscribers"] == 3
             and status["wanted"] == 2
@@ -140,21 +142,21 @@
 
 
 def test_subscribers_reconnect_to_a_restarted_relay():
-    async def play(there: Installation) -> None:
-        await there.until(lambda: there.holds("0"))
-        there.relay.stop()
-        there.say("1")
-        there.relay = await there.start_relay(there.relay_at)
-        await there.until(lambda: there.holds("1"))
-        assert all(seen == sorted(set(seen)) for seen in there.versions.values())
+    async def play(installation: Installation) -> None:
+        await installation.until(lambda: installation.holds("0"))
+        installation.relay.stop()
+        installation.say("1")
+        installation.relay = await installation.start_relay(installation.relay_at)
+        await installation.until(lambda: installation.holds("1"))
+        assert all(seen == sorted(set(seen)) for seen in installation.versions.values())
 
     on_sockets(play)
 
 
 def test_subscribers_beyond_the_limit_are_rejected():
-    async def play(there: Installation) -> None:
-        await there.until(lambda: there.relay.status()["refused"] > 0)
-        assert there.relay.status()["subscribers"] == 2
+    async def play(installation: Installation) -> None:
+        await installation.until(lambda: installation.relay.status()["refused"] > 0)
+        assert installation.relay.status()["subscribers"] == 2
 
     on_sockets(play, subscribers=3, most=2)
 
@@ -178,10 +180,10 @@
         pass
 
 
-async def dial(there: Installation) -> tuple[Dialled, MessageConnection]:
+async def dial(installation: Installation) -> tuple[Dialled, MessageConnection]:
     side = Dialled()
-    host, _, port = there.relay_at.rpartition(":")
-    _, connection = await there.loop.create_connection(
+    host, _, port = installation.relay_at.rpartition(":")
+    _, connection = await installation.loop.create_connection(
         lambda: MessageConnection(BufferPool(), side), host, int(port)
     )
     return side, connection
@@ -196,22 +198,23 @@
         encode(Subscribe("s@", NEVER)),
         b"\xc1junk",
     ],
+    ids=["another cluster", "another protocol", "no name", "no hello", "not a message"],
 )
 def test_unidentified_connections_are_rejected_and_the_others_stay(payload):
-    async def play(there: Installation) -> None:
-        await there.until(lambda: there.holds("0"))
-        side, connection = await dial(there)
+    async def play(installation: Installation) -> None:
+        await installation.until(lambda: installation.holds("0"))
+        side, connection = await dial(installation)
         connection.write(payload)
         await asyncio.wait_for(side.ended.wait(), WAIT)
-        there.say("1")
-        await there.until(lambda: there.holds("1"))
+        installation.say("1")
+        await installation.until(lambda: installation.holds("1"))
 
     on_sockets(play)
 
 
 def test_a_subscriber_that_sends_a_parents_message_is_disconnected():
-    async def play(there: Installation) -> None:
-        side, connection = await dial(there)
+    async def play(installation: Installation) -> None:
+        side, connection = await dial(installation)
         connection.send(Hello(PROTOCOL, "test", "liar"))
         connection.send(Heartbeat(1))
         await asyncio.wait_for(side.ended.wait(), WAIT)
@@ -222,20 +225,20 @@
 def test_a_subscriber_that_reads_nothing_is_disconnected_and_the_others_go_on(monkeypatch):
     monkeypatch.setattr(subscribers, "UNREAD_TIMEOUT", SECOND // 2)
 
-    async def play(there: Installation) -> None:
-        await there.until(lambda: there.holds("0"))
-        _, connection = await dial(there)
+    async def play(installation: Installation) -> None:
+        await installation.until(lambda: installation.holds("0"))
+        _, connection = await dial(installation)
         connection.send(Hello(PROTOCOL, "test", "deaf"))
         connection.send(Subscribe("s@", NEVER))
-        await there.until(lambda: "deaf" in there.relay.subscribers.connections)
+        await installation.until(lambda: "deaf" in installation.relay.subscribers.connections)
         connection.transport.pause_reading()
         for turn in itertools.count():
-            there.say(f"{turn}" + "x" * 100_000)
+            installation.say(f"{turn}" + "x" * 100_000)
             await asyncio.sleep(0.02)
-            if "deaf" not in there.relay.subscribers.connections:
+            if "deaf" not in installation.relay.subscribers.connections:
                 break
-        there.say("7")
-        await there.until(lambda: there.holds("7"))
+        installation.say("7")
+        await installation.until(lambda: installation.holds("7"))
         connection.transport.abort()
 
     on_sockets(play)
@@ -255,7 +258,7 @@
 
 def test_on_sockets_a_subscriber_gets_the_same_messages_and_bytes_as_a_simulated_one():
     """The same two topics and five changes: the same messages of state in turn, of the same bytes. Heartbeats
-    go by time, and whether owners are in reach is told where a pilot comes before its relay knows."""
+    go by time, and whether owners are in reach is sent where a server connects before its relay knows."""
     world = SimulatedDistribution(
         DistributionSize(
             controllers=1,
@@ -269,12 +272,12 @@
         ),
         1,
     )
-    hollow: list[tuple] = []
+    simulated: list[tuple] = []
     on_message = world.servers[0].on_message
 
     def taken(upstream, message):
         if isinstance(message, Snapshot | Delta):
-            hollow.append((type(message).__name__, message.topic, len(encode(message))))
+            simulated.append((type(message).__name__, message.topic, len(encode(message))))
         on_message(upstream, message)
 
     world.servers[0].on_message = taken
@@ -300,18 +303,18 @@
             upstreams_are_owners=True,
         )
         relay_at = await relay.start("127.0.0.1:0")
-        pilot = SubscriptionService(
+        subscriber = SubscriptionService(
             Node(loop, clock, "test", "pilot-0", {"relay-0": relay_at}), random.Random(3), lambda topic: None
         )
-        said = pilot.upstream_message_received
+        receive = subscriber.upstream_message_received
 
-        def heard(upstream, message):
+        def record(upstream, message):
             if isinstance(message, Snapshot | Delta):
                 real.append((type(message).__name__, message.topic, len(encode(message))))
-            said(upstream, message)
+            receive(upstream, message)
 
-        pilot.upstream_message_received = heard
-        pilot.start(["service-0@", "service-0@0"])
+        subscriber.upstream_message_received = record
+        subscriber.start(["service-0@", "service-0@0"])
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(WAIT):
                 for n in range(5):
@@ -324,11 +327,11 @@
                     owner.refresh("service-0@")
                 while len(real) < 7:
                     await asyncio.sleep(0.01)
-        for part in (pilot, relay, owner):
+        for part in (subscriber, relay, owner):
             part.stop()
 
     asyncio.run(play())
-    assert sorted(real[:2]) == sorted(hollow[:2]) and real[2:] == hollow[2:] and len(hollow) == 7
+    assert sorted(real[:2]) == sorted(simulated[:2]) and real[2:] == simulated[2:] and len(simulated) == 7
 
 
 # --- the process and its commands ---
@@ -342,27 +345,27 @@
     process = await asyncio.create_subprocess_exec(
         *command(*words), cwd=ROOT, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE
     )
-    out, said = await asyncio.wait_for(process.communicate(), 2 * WAIT)
-    return process.returncode, out.decode(), said.decode()
+    output, errors = await asyncio.wait_for(process.communicate(), 2 * WAIT)
+    return process.returncode, output.decode(), errors.decode()
 
 
 def test_a_relay_process_is_watched_queried_and_stopped(tmp_path):
-    async def play(there: Installation) -> None:
-        await there.until(lambda: there.holds("0"))
-        listen = there.relay_at
-        there.relay.stop()  # the process takes its place
+    async def play(installation: Installation) -> None:
+        await installation.until(lambda: installation.holds("0"))
+        listen = installation.relay_at
+        installation.relay.stop()  # the process takes its place
         admin = tmp_path / "relay.sock"
         file = tmp_path / "operator.toml"
         file.write_text(
             f'[distribution]\nname = "relay-0"\ncluster = "test"\nlisten = "{listen}"\nowners = true\n'
-            f'admin = "{admin}"\n[distribution.parents]\nowner-0 = "{there.owner_at}"\n'
+            f'admin = "{admin}"\n[distribution.parents]\nowner-0 = "{installation.owner_at}"\n'
         )
         process = await asyncio.create_subprocess_exec(
             *command("relay", "--operator", str(file)), cwd=ROOT, stderr=asyncio.subprocess.PIPE
         )
         try:
-            there.say("7")
-            await there.until(lambda: there.holds("7"))
+            installation.say("7")
+            await installation.until(lambda: installation.holds("7"))
             code, out, _ = await run_command("watch", listen, "s@", "--cluster", "test", "--count", "1")
             line = json.loads(out)
             assert code == 0 and line["topic"] == "s@" and line["epoch"] == 1
@@ -373,11 +376,11 @@
             assert code == 0 and "relay-0 of test" in out and "connected" in out
         finally:
             process.send_signal(signal.SIGTERM)
-            _, said = await asyncio.wait_for(process.communicate(), WAIT)
+            _, errors = await asyncio.wait_for(process.communicate(), WAIT)
         assert (
             process.returncode == 0
-            and b"relay relay-0 listens at" in said
-            and b"relay relay-0 stopped" in said
+            and b"relay relay-0 listens at" in errors
+            and b"relay relay-0 stopped" in errors
         )
 
     on_sockets(play)
@@ -414,12 +417,22 @@
             "parents.r: found this relay itself",
         ),
     ],
+    ids=[
+        "empty file",
+        "no cluster",
+        "listen without a port",
+        "no parents",
+        "service and listen",
+        "service name with @",
+        "no subscribers allowed",
+        "itself as a parent",
+    ],
 )
 def test_an_invalid_table_is_rejected_with_its_place(tmp_path, text, complaint):
     file = tmp_path / "operator.toml"
     file.write_text(text)
-    code, _, said = asyncio.run(run_command("relay", "--operator", str(file)))
-    assert code == 2 and complaint in said
+    code, _, errors = asyncio.run(run_command("relay", "--operator", str(file)))
+    assert code == 2 and complaint in errors
 
 
 def test_load_reports_reach_the_owner_and_its_table_avoids_the_failing_endpoint():
@@ -448,7 +461,7 @@
             upstreams_are_owners=True,
         )
         relay_at = await relay.start("127.0.0.1:0")
-        pilots = [
+        subscription_services = [
             SubscriptionService(
                 Node(loop, clock, "test", f"pilot-{n}", {"relay-0": relay_at}),
                 random.Random(n),
@@ -456,31 +469,33 @@
             )
             for n in range(2)
         ]
-        for pilot in pilots:
-            pilot.start(["s@", "s@0"])
+        for subscriber in subscription_services:
+            subscriber.start(["s@", "s@0"])
         try:
             async with asyncio.timeout(2 * WAIT):
                 for turn in itertools.count(1):
                     await asyncio.sleep(0.1)
                     decisions.run_cycle(clock())
                     owner.publish()
-                    for number, pilot in enumerate(pilots):
+                    for number, subscriber in enumerate(subscription_services):
                         sums = {
                             name: EndpointLoad(
                                 10, 10 if name == "e2" else 0, 0 if name == "e2" else 2_000_000
                             )
                             for name in names
                         }
-                        pilot.report(
+                        subscriber.report(
                             ZoneLoadReport(
                                 "s", 0, turn, f"pilot-{number}#1", turn, sums, {0: GroupDemand(40)}
                             )
                         )
-                    tables = [table_of(pilot.topics["s@0"].entries) for pilot in pilots]
+                    tables = [
+                        table_of(subscriber.topics["s@0"].entries) for subscriber in subscription_services
+                    ]
                     if all(table and table["e2"].weight < 0.3 * table["e1"].weight for table in tables):
                         return tables
         finally:
-            for part in (*pilots, relay, owner):
+            for part in (*subscription_services, relay, owner):
                 part.stop()
 
     first, second = asyncio.run(play())
@@ -488,13 +503,13 @@
 
 
 def test_a_relay_sends_its_metrics_to_graphite(tmp_path):
-    async def play(there: Installation) -> None:
-        await there.until(lambda: there.holds("0"))
+    async def play(installation: Installation) -> None:
+        await installation.until(lambda: installation.holds("0"))
         carbon = await CarbonReceiver().start()
         operator = Operator(
             graphite=Graphite(receivers=[f"127.0.0.1:{carbon.port}"], every_s=1, prefix="shop")
         )
-        figures = RelayFigures(operator, there.relay, there.loop)
+        figures = RelayFigures(operator, installation.relay, installation.loop)
         try:
             paths = {
                 f"shop.relay-0.relay.{name}"
@@ -508,14 +523,14 @@
                     "bytes_per_s",
                 )
             }
-            await there.until(lambda: {path for path, _ in carbon.points} >= paths)
+            await installation.until(lambda: {path for path, _ in carbon.points} >= paths)
             newest = {
                 path: value
                 for (path, _), value in sorted(carbon.points.items(), key=lambda point: point[0][1])
             }
             assert newest["shop.relay-0.relay.subscribers"] == 3 and newest["shop.relay-0.relay.topics"] >= 2
             sent = "shop.relay-0.relay.bytes_per_s"
-            await there.until(
+            await installation.until(
                 lambda: any(value > 0 for (path, _), value in carbon.points.items() if path == sent)
             )
         finally:
--- a/tests/distribution/test_distribution_world.py
+++ b/tests/distribution/test_distribution_world.py
@@ -30,10 +30,10 @@
 def epochs(world: SimulatedDistribution, service: str) -> dict[int, set[int]]:
     """By region, the epochs in which pilots hold the service."""
     found: dict[int, set[int]] = {}
-    for pilot in world.servers:
-        for topic, version in pilot.client.held_versions.versions().items():
+    for server in world.servers:
+        for topic, version in server.client.held_versions.versions().items():
             if service_of(topic) == service:
-                found.setdefault(pilot.region, set()).add(version.epoch)
+                found.setdefault(server.region, set()).add(version.epoch)
     return found
 
 
@@ -44,12 +44,14 @@
 
 def test_a_change_reaches_exactly_the_servers_that_call_the_service():
     world = settled(DistributionSize(servers=40, fan_out=16))
-    before = {pilot.name: pilot.bytes_in for pilot in world.servers}
+    before = {server.name: server.bytes_in for server in world.servers}
     world.mark_change("service-2")
     world.run(0.99)  # within a second most pilots have had at most a heartbeat and the change
-    subscribers = {pilot.name for pilot in world.subscribers("service-2")}
+    subscribers = {server.name for server in world.subscribers("service-2")}
     assert set(world.change_seen_at["service-2"]) == subscribers and len(subscribers) < 40
-    others = [pilot.bytes_in - before[pilot.name] for pilot in world.servers if pilot.name not in subscribers]
+    others = [
+        server.bytes_in - before[server.name] for server in world.servers if server.name not in subscribers
+    ]
     assert max(others) <= 24
     converged(world.run(1))
 
@@ -109,9 +111,9 @@
             world.change(service)
     held = {
         topic: version
-        for pilot in world.servers
-        if pilot.region == 1
-        for topic, version in pilot.client.held_versions.versions().items()
+        for server in world.servers
+        if server.region == 1
+        for topic, version in server.client.held_versions.versions().items()
     }
     assert held and all(version != NEVER for version in held.values())  # they go on with what they have
     before = sum(relay.distributor.snapshot_bytes for level in world.levels for relay in level)
@@ -126,8 +128,8 @@
 
 def test_a_subscriber_away_for_an_hour_costs_its_own_topics_once():
     world = settled()
-    pilot = world.servers[4]
-    pilot.stop_for(
+    server = world.servers[4]
+    server.stop_for(
         HOUR / 60, forget=False
     )  # a sixtieth of the hour, and a change each second, are as many versions
     for _ in range(60):
@@ -135,10 +137,10 @@
         for service in world.services:
             world.change(service)
     world.run(1)
-    before = pilot.bytes_in
+    before = server.bytes_in
     world.run(30)
-    assert pilot.client.outcomes[Outcome.GAP] == 0
-    assert pilot.bytes_in - before < 6_000
+    assert server.client.outcomes[Outcome.GAP] == 0
+    assert server.bytes_in - before < 6_000
     converged(world)
 
 
@@ -152,8 +154,10 @@
         world.run(0.2)
     world.mark_change("service-0")
     world.run(1)
-    behind = {pilot.name for pilot in world.subscribers("service-0")} - set(world.change_seen_at["service-0"])
-    assert behind <= {pilot.name for pilot in world.servers if pilot.client.parent == slow.name}
+    behind = {server.name for server in world.subscribers("service-0")} - set(
+        world.change_seen_at["service-0"]
+    )
+    assert behind <= {server.name for server in world.servers if server.client.parent == slow.name}
     world.run(30)
     converged(world)
 
@@ -173,34 +177,34 @@
 
 def test_when_all_controllers_are_gone_servers_keep_their_tables_and_are_notified():
     world = settled()
-    held = {pilot.name: dict(pilot.client.held_versions.versions()) for pilot in world.servers}
+    held = {server.name: dict(server.client.held_versions.versions()) for server in world.servers}
     for owner in world.owners:
         owner.stop_for(120, silently=True)
     world.run(60)
-    for pilot in world.servers:
+    for server in world.servers:
         assert (
-            pilot.client.held_versions.versions() == held[pilot.name]
-            and pilot.client.state.value == "connected"
+            server.client.held_versions.versions() == held[server.name]
+            and server.client.state.value == "connected"
         )
-        assert not any(pilot.live[topic] for topic in held[pilot.name])
+        assert not any(server.live[topic] for topic in held[server.name])
     world.run(120)
-    assert all(all(pilot.live.values()) for pilot in world.servers)
+    assert all(all(server.live.values()) for server in world.servers)
     converged(world)
 
 
 def test_when_no_lease_can_be_granted_servers_are_notified_though_the_controllers_live():
     world = settled()
-    topics = {pilot.name: list(pilot.client.held_versions.versions()) for pilot in world.servers}
+    topics = {server.name: list(server.client.held_versions.versions()) for server in world.servers}
     for owner in world.owners:
         for service in list(owner.owner.owned_services):
             owner.run(lambda owner=owner, service=service: owner.owner.release(owner.now, service))
     world.leases.grants.clear()
     world.leases.suspended = True
     world.run(10)
-    assert not any(pilot.live.get(topic, True) for pilot in world.servers for topic in topics[pilot.name])
+    assert not any(server.live.get(topic, True) for server in world.servers for topic in topics[server.name])
     world.leases.suspended = False
     world.run(10)
-    assert all(pilot.live[topic] for pilot in world.servers for topic in topics[pilot.name])
+    assert all(server.live[topic] for server in world.servers for topic in topics[server.name])
     converged(world)
 
 
@@ -219,10 +223,10 @@
 def test_a_topic_without_subscribers_is_dropped_up_to_its_owner():
     world = settled(DistributionSize(servers=6, services=2, services_called=1, regions=1))
     topic = next(iter(world.servers[0].client.held_versions.versions()))
-    for pilot in world.servers:
-        if topic in pilot.client.held_versions:
-            pilot.unwant(topic)
-            world.seen_versions.pop((pilot.name, topic))
+    for server in world.servers:
+        if topic in server.client.held_versions:
+            server.unwant(topic)
+            world.seen_versions.pop((server.name, topic))
     world.run(60)
     assert not any(topic in relay.relay.topics for level in world.levels for relay in level)
     owner = owner_of(world, service_of(topic))
