--- a/tests/operations/test_catalogue_pages.py
+++ b/tests/operations/test_catalogue_pages.py
@@ -27,16 +27,16 @@
 
 def test_graphs_name_metrics_that_are_exported():
     graphs = json.loads((ROOT / "deploy" / "graphite-graphs.json").read_text())
-    known = [one.path for one in metrics.CATALOGUE.values()]
+    known = [metric.path for metric in metrics.CATALOGUE.values()]
     assert len(graphs["graphs"]) >= 8
     for graph in graphs["graphs"]:
         for target in graph["targets"]:
-            path = target.split("ravenshelf.*.")[1].split(",")[0].rstrip(")")
-            parts = path.split(".")
+            parts = target.split("ravenshelf.*.")[1].split(",")[0].rstrip(")").split(".")
             assert any(
-                len(k.split(".")) in (len(parts), len(parts) - 1)
+                len(path.split(".")) in (len(parts), len(parts) - 1)
                 and all(
-                    w == "*" or w == h or h.startswith("{") for w, h in zip(parts, k.split("."), strict=False)
+                    part == "*" or part == exported or exported.startswith("{")
+                    for part, exported in zip(parts, path.split("."), strict=False)
                 )
-                for k in known
+                for path in known
             ), target
--- a/tests/operations/test_log_events.py
+++ b/tests/operations/test_log_events.py
@@ -32,7 +32,9 @@
             ):
                 event = getattr(log_events, node.func.attr, None)
                 if event is not None:
-                    assert {k.arg for k in node.keywords} == set(event.fields), f"{path}:{node.lineno}"
+                    assert {keyword.arg for keyword in node.keywords} == set(event.fields), (
+                        f"{path}:{node.lineno}"
+                    )
     defined = {name for name in dir(log_events) if isinstance(getattr(log_events, name), log_events.LogEvent)}
     assert defined == used
 
--- a/tests/operations/test_server_operations.py
+++ b/tests/operations/test_server_operations.py
@@ -48,30 +48,35 @@
         await server.optional_parts.start()
         address = f"127.0.0.1:{server.listener.sockets[0].getsockname()[1]}"
         proxies = [LoopbackProxy(lambda: address, n, "north") for n in range(2)]
-        tasks = [loop.create_task(p.run()) for p in proxies]
+        tasks = [loop.create_task(proxy.run()) for proxy in proxies]
         await carbon.wait_until(
-            lambda: any(p.endswith("proxies.bound") and v == 2 for (p, _), v in carbon.points.items())
+            lambda: any(
+                path.endswith("proxies.bound") and value == 2 for (path, _), value in carbon.points.items()
+            )
         )
-        host, place = (
+        host, collectd_address = (
             sender.SimulatedHost("machine", busy=0.9),
             server.optional_parts.collectd.listener.transport.get_extra_info("sockname"),
         )
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as out:
             now = server.clock() / 1e6
             for n in range(3):
-                out.sendto(sender.sign(host.packet(now - 20 + 10 * n), "u", "pw"), place)
-            out.sendto(host.packet(now), place)
-        noticed = server.control_cycle.controller.endpoints
+                out.sendto(sender.sign(host.packet(now - 20 + 10 * n), "u", "pw"), collectd_address)
+            out.sendto(host.packet(now), collectd_address)
+        endpoints = server.control_cycle.controller.endpoints
         await carbon.wait_until(
-            lambda: any(p.endswith("collectd.rejected_per_s") and v for (p, _), v in carbon.points.items())
+            lambda: any(
+                path.endswith("collectd.rejected_per_s") and value
+                for (path, _), value in carbon.points.items()
+            )
         )
-        assert [noticed[e].host_load.read(server.clock())[0] > 0 for e in range(4)] == [
+        assert [endpoints[index].host_load.read(server.clock())[0] > 0 for index in range(4)] == [
             True,
             True,
             False,
             False,
         ]
-        names = {p.split(".", 2)[2] for p, _ in carbon.points}
+        names = {path.split(".", 2)[2] for path, _ in carbon.points}
         assert {
             "process.memory_mb",
             "channel.queue_lines",
@@ -79,7 +84,7 @@
             "control_cycles.duration_ms.p99",
             f"graphite.{hangs.address.replace('.', '_').replace(':', '_')}.queued_points",
         } <= names
-        assert all(p.startswith("ravenshelf.toy.") for p, _ in carbon.points) and not carbon.malformed
+        assert all(path.startswith("ravenshelf.toy.") for path, _ in carbon.points) and not carbon.malformed
         # a new operator file: the metrics go to another receiver, collectd ends
         moved = await CarbonReceiver().start()
         done = []
@@ -88,7 +93,7 @@
             done.append,
         )
         assert done == ["[graphite], [collectd]"]
-        await moved.wait_until(lambda: any(p.startswith("x.toy.") for p, _ in moved.points))
+        await moved.wait_until(lambda: any(path.startswith("x.toy.") for path, _ in moved.points))
         server.optional_parts.reload(decode({}, "f"), done.append)
         assert (
             server.control_cycle.cycle_observer is None
@@ -98,8 +103,8 @@
         for task in tasks:
             task.cancel()
         server.stop()
-        for one in (carbon, hangs, moved):
-            await one.stop()
+        for receiver in (carbon, hangs, moved):
+            await receiver.stop()
 
     asyncio.run(asyncio.wait_for(test(), 40))
 
@@ -128,9 +133,9 @@
 
         async def event(name):
             while True:
-                said = json.loads(await process.stderr.readline())
-                if said["event"] == name:
-                    return said
+                logged = json.loads(await process.stderr.readline())
+                if logged["event"] == name:
+                    return logged
 
         assert (await event("server.listening"))["name"] == "toy"
         file.write_text("[graphite]\nevery = 3\n")
