--- a/tests/architecture/test_code_style.py
+++ b/tests/architecture/test_code_style.py
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize("arguments", [("check",), ("format", "--check")], ids=["linter", "formatter"])
 def test_the_linter_and_the_formatter_find_nothing(arguments):
-    """Over the whole tree; pyproject.toml lists by module what does not pass yet."""
+    """Over the whole tree; pyproject.toml excepts no module from the rules."""
     done = subprocess.run(
         [str(Path(sys.executable).parent / "ruff"), *arguments, "--no-cache"],
         cwd=ROOT,
