--- a/ravenshelf/policy/controller.py
+++ b/ravenshelf/policy/controller.py
@@ -331,8 +331,8 @@
         state = sheds_load, spilling_zones
         if state != self._logged_state:
             self._logged_state = state
-            refused = 100 - 100 * admitted
-            writer.log(f"refusing {refused:.0f}% of flows; zones spilling over 10%: {spilling_zones}")
+            shed_percent = 100 - 100 * admitted
+            writer.log(f"shedding {shed_percent:.0f}% of requests; zones spilling over 10%: {spilling_zones}")
 
     def _renew_tables(
         self,
