--- a/benchmarks/graphite.py
+++ b/benchmarks/graphite.py
@@ -296,7 +296,7 @@
     def call_at(time_us: int, call: Callable[[], None]) -> None:
         loop.call_later(max(0, time_us - clock()) / SECOND, call)
 
-    queue = JobQueue(max_jobs=256, turn=2000, per_second=200_000, ageing=5 * SECOND)
+    queue = JobQueue(max_jobs=256, turn_duration=2000, time_per_second=200_000, ageing_interval=5 * SECOND)
     background = BackgroundScheduler(
         queue, clock, lambda time_us: call_at(time_us, background.run_turn), lambda: False, counters
     )
@@ -322,9 +322,9 @@
     service.close()
     return {
         "longest_hold_ms": round(max(longest_ms, counters["background_slice_most_us"] / 1000), 2),
-        "waiting_points": exporter_queue.size,
+        "waiting_points": exporter_queue.point_count,
         "bound": table.buffer_points,
-        "dropped_points": exporter_queue.dropped,
+        "dropped_points": exporter_queue.dropped_points,
     }
 
 
--- a/ravenshelf/background/decisions.py
+++ b/ravenshelf/background/decisions.py
@@ -35,7 +35,7 @@
     deadline: int
     steps: Iterator[None]
     on_dropped: Callable[[], None] | None = None
-    perishable: bool = False
+    is_perishable: bool = False
     waiting_since: int = 0
     number: int = 0  # in the order of arrival
 
@@ -43,10 +43,10 @@
 class TimeBudget:
     """The event loop's time for jobs: `turn` at a stretch, `per_second` in each second."""
 
-    def __init__(self, turn: int, per_second: int) -> None:
-        self.turn = turn
-        self.per_second = per_second
-        self.available = float(turn)  # below 0 after a slice that took more
+    def __init__(self, turn_duration: int, time_per_second: int) -> None:
+        self.turn_duration = turn_duration
+        self.time_per_second = time_per_second
+        self.available = float(turn_duration)  # below 0 after a slice that took more
         self.refilled_at: int | None = None
 
     def _refill(self, now: int) -> None:
@@ -54,25 +54,25 @@
             self.refilled_at = now
             return
         if now > self.refilled_at:
-            limit = float(max(self.turn, int(self.per_second * MAX_SAVED_SECONDS)))
-            earned = self.per_second * (now - self.refilled_at) / SECOND
+            limit = float(max(self.turn_duration, int(self.time_per_second * MAX_SAVED_SECONDS)))
+            earned = self.time_per_second * (now - self.refilled_at) / SECOND
             self.available = min(limit, self.available + earned)
             self.refilled_at = now
 
     def allowed(self, now: int) -> int:
         """Return the time that a turn may take now; 0 where the budget is spent."""
         self._refill(now)
-        if self.available < MIN_TURN_SHARE * self.turn:
+        if self.available < MIN_TURN_SHARE * self.turn_duration:
             return 0
-        return min(self.turn, int(self.available))
+        return min(self.turn_duration, int(self.available))
 
     def available_at(self, now: int) -> int:
         """Return when a turn may start."""
         self._refill(now)
-        missing = MIN_TURN_SHARE * self.turn - self.available
+        missing = MIN_TURN_SHARE * self.turn_duration - self.available
         if missing <= 0:
             return now
-        return now + int(missing * SECOND / self.per_second) + 1
+        return now + int(missing * SECOND / self.time_per_second) + 1
 
     def spend(self, duration: int, now: int) -> None:
         """A slice has run; what it took beyond the budget is missing in later turns."""
@@ -83,10 +83,10 @@
 class JobQueue:
     """At most `max_jobs` jobs; a job that waits for `ageing` counts as one priority more urgent."""
 
-    def __init__(self, max_jobs: int, turn: int, per_second: int, ageing: int) -> None:
+    def __init__(self, max_jobs: int, turn_duration: int, time_per_second: int, ageing_interval: int) -> None:
         self.max_jobs = max_jobs
-        self.budget = TimeBudget(turn, per_second)
-        self.ageing = ageing
+        self.budget = TimeBudget(turn_duration, time_per_second)
+        self.ageing_interval = ageing_interval
         self.jobs: list[Job] = []
         self.slice_estimates: dict[str, float] = {}  # microseconds, by the job's name
         self.last_number = 0
@@ -111,7 +111,7 @@
 
     def _rank(self, job: Job, now: int) -> tuple[int, int, int]:
         """The lowest runs first: the priority after ageing, then the earliest deadline."""
-        gained = max(0, now - job.waiting_since) // self.ageing
+        gained = max(0, now - job.waiting_since) // self.ageing_interval
         return max(Priority.SIGNAL, job.priority - gained), job.deadline, job.number
 
     def next_job(self, now: int, time_left: int, is_first: bool) -> Job | None:
@@ -131,7 +131,7 @@
     @staticmethod
     def _drop_rank(job: Job, now: int) -> tuple[bool, int, int, int]:
         """The highest is dropped first: expired, then the least urgent, the latest, the newest."""
-        return job.perishable and job.deadline < now, job.priority, job.deadline, job.number
+        return job.is_perishable and job.deadline < now, job.priority, job.deadline, job.number
 
     def offer(self, job: Job, now: int) -> list[Job]:
         """Add a job; return those that are dropped for it, which may include itself."""
@@ -148,7 +148,7 @@
 
     def remove_expired(self, now: int) -> list[Job]:
         """Remove and return the perishable jobs whose deadline has passed."""
-        expired = [job for job in self.jobs if job.perishable and job.deadline < now]
+        expired = [job for job in self.jobs if job.is_perishable and job.deadline < now]
         if expired:
             self.jobs = [job for job in self.jobs if job not in expired]
         return expired
--- a/ravenshelf/background/scheduler.py
+++ b/ravenshelf/background/scheduler.py
@@ -41,12 +41,12 @@
         within: int,
         steps: Iterator[None],
         dropped: Callable[[], None] | None = None,
-        perishable: bool = False,
+        is_perishable: bool = False,
     ) -> None:
         """Queue a job with a deadline `within` microseconds; `dropped` is called if it never will be
         completed."""
         now = self.clock()
-        offered = Job(name, priority, now + within, steps, dropped, perishable)
+        offered = Job(name, priority, now + within, steps, dropped, is_perishable)
         for job in self.queue.offer(offered, now):
             self._drop(job)
         self._schedule(now)
--- a/ravenshelf/collectd/decisions/host_loads.py
+++ b/ravenshelf/collectd/decisions/host_loads.py
@@ -239,6 +239,6 @@
                 skewed.append((name, -offset / SECOND))
         return skewed
 
-    def forget_unlisted_hosts(self) -> None:
+    def remove_unlisted_hosts(self) -> None:
         """Forget hosts that have no listed endpoint any more."""
         self.hosts = {name: host for name, host in self.hosts.items() if self.endpoints_of(name)}
--- a/ravenshelf/graphite/collector.py
+++ b/ravenshelf/graphite/collector.py
@@ -35,7 +35,7 @@
 
 
 class MetricsCollector:
-    """Collects the metrics of one server; `points` closes an interval."""
+    """Collects the metrics of one server; `close_interval` closes an interval."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self.objectives = [group.latency_objective_us or DEFAULT_LATENCY_OBJECTIVE for group in self.groups]
         self.level_is_fraction = settings.service.admission_level_kind == "fraction"
         self.queue_limit = settings.service.queue_limit_lines or 0
-        self.names = PathNames(
+        self.path_names = PathNames(
             prefix,
             [path_component(zone) for zone in settings.zones],
             [path_component(group.name) for group in self.groups],
@@ -161,7 +161,7 @@
 
     # --- points ---
 
-    def points(
+    def close_interval(
         self,
         now: int,
         controller: Controller | None,
@@ -174,7 +174,7 @@
         """
         closed = self.interval
         self.interval = Interval(now, self._take_histograms())
-        builder = PointBuilder(self.names, closed, now)
+        builder = PointBuilder(self.path_names, closed, now)
         builder.add_groups(self.groups)
         builder.add_samples(samples)
         builder.add_drains(len(self.drains.pending))
--- a/ravenshelf/graphite/decisions/queue.py
+++ b/ravenshelf/graphite/decisions/queue.py
@@ -45,24 +45,24 @@
     backfill_rate: int  # points a second
     queued: list[deque[Batch]] = field(default_factory=lambda: [deque() for _ in IMPORTANCES])
     unconfirmed: deque[Batch] = field(default_factory=deque)  # in the order in which they were sent
-    size: int = 0  # points, queued and unconfirmed
+    point_count: int = 0  # points, queued and unconfirmed
     backfill_tokens: float = 0.0  # points; below 0 after a batch that was larger
     refilled_at: int | None = None
-    dropped: int = 0  # points since the start
+    dropped_points: int = 0  # points since the start
 
     def add(self, batch: Batch) -> list[Batch]:
         """Add a batch; return those that are dropped for it, which may include itself."""
         self.queued[batch.importance].append(batch)
-        self.size += len(batch)
+        self.point_count += len(batch)
         return self._drop_excess()
 
     def _drop_excess(self) -> list[Batch]:
         dropped = []
-        while self.size > self.limit:
+        while self.point_count > self.limit:
             least_important = next((batches for batches in reversed(self.queued) if batches), None)
             batch = (self.unconfirmed if least_important is None else least_important).popleft()
-            self.size -= len(batch)
-            self.dropped += len(batch)
+            self.point_count -= len(batch)
+            self.dropped_points += len(batch)
             dropped.append(batch)
         return dropped
 
@@ -122,7 +122,7 @@
             if taken_at is None or now - taken_at < CONFIRMED_AFTER:
                 break
             confirmed.append(self.unconfirmed.popleft())
-        self.size -= sum(map(len, confirmed))
+        self.point_count -= sum(map(len, confirmed))
         return confirmed
 
     def connection_lost(self) -> None:
@@ -143,7 +143,7 @@
         if include_attempted:
             removed += self.unconfirmed
             self.unconfirmed.clear()
-        self.size -= sum(map(len, removed))
+        self.point_count -= sum(map(len, removed))
         return sorted(removed, key=lambda batch: (batch.time, batch.importance))
 
     def remove_old(
@@ -159,5 +159,5 @@
         removed = list(islice(sorted(old, key=lambda batch: batch.time), max_batches))
         for batch in removed:
             self.queued[batch.importance].remove(batch)
-            self.size -= len(batch)
+            self.point_count -= len(batch)
         return removed
--- a/ravenshelf/graphite/exporter.py
+++ b/ravenshelf/graphite/exporter.py
@@ -114,7 +114,7 @@
             connection.close(ConnectionEnd.SUPERSEDED)
             return
         self.policy.connected(self.clock())
-        log_events.RECEIVER_CONNECTED(receiver=self.receiver, waiting=self.queue.size)
+        log_events.RECEIVER_CONNECTED(receiver=self.receiver, waiting=self.queue.point_count)
         self.run_due()
 
     def _on_close(self, connection: ReceiverConnection) -> None:
--- a/ravenshelf/graphite/service.py
+++ b/ravenshelf/graphite/service.py
@@ -215,8 +215,8 @@
         samples = []
         for receiver, exporter in self.exporters.items():
             name = path_component(receiver)
-            samples.append(Sample(metrics.RECEIVER_QUEUED, exporter.queue.size, name))
-            samples.append(Sample(metrics.RECEIVER_DROPPED, exporter.queue.dropped, name))
+            samples.append(Sample(metrics.RECEIVER_QUEUED, exporter.queue.point_count, name))
+            samples.append(Sample(metrics.RECEIVER_DROPPED, exporter.queue.dropped_points, name))
         return samples
 
     def close(self) -> None:
--- a/ravenshelf/process/operations/collectd_signals.py
+++ b/ravenshelf/process/operations/collectd_signals.py
@@ -84,7 +84,7 @@
         if self.endpoints_version != self.server.registry.version:
             self._update_endpoints()
             if self.listener is not None:
-                self.listener.host_loads.forget_unlisted_hosts()
+                self.listener.host_loads.remove_unlisted_hosts()
         return self.endpoints_by_host.get(host, ())
 
     def _update_endpoints(self) -> None:
@@ -108,7 +108,7 @@
         """Read the password file in the background if it has changed: collectd needs no signal either."""
         self._schedule_users_check(now)
         self.background.offer(
-            "collectd.users", Priority.UPKEEP, USERS_CHECK_INTERVAL, self._read_users(), perishable=True
+            "collectd.users", Priority.UPKEEP, USERS_CHECK_INTERVAL, self._read_users(), is_perishable=True
         )
 
     def _read_users(self) -> Iterator[None]:
--- a/ravenshelf/process/operations/metrics_export.py
+++ b/ravenshelf/process/operations/metrics_export.py
@@ -119,7 +119,9 @@
             if self.service is not None:
                 self.service.export(time, importance, points)
 
-        steps = self.collector.points(now, self.server.control_cycle.controller, self._samples(now), export)
+        steps = self.collector.close_interval(
+            now, self.server.control_cycle.controller, self._samples(now), export
+        )
         self.background.offer("metrics", Priority.PRESENT, MEASURE_WITHIN, steps)
 
     def _samples(self, now: int) -> list[Sample]:
@@ -157,7 +159,7 @@
             self._stop(self.service, self.collector)
         else:
             self.service.reload(self.table)
-            self.collector.names.prefix = self._prefix()
+            self.collector.path_names.prefix = self._prefix()
             if self.table.every_s != previous.graphite.every_s:
                 self._schedule(self.server.clock())
 
--- a/tests/background/test_job_queue.py
+++ b/tests/background/test_job_queue.py
@@ -3,12 +3,12 @@
 from ravenshelf.background.decisions import SECOND, Job, JobQueue, Priority
 
 
-def job(name, priority=Priority.PRESENT, deadline=SECOND, perishable=False):
-    return Job(name, priority, deadline, iter(()), perishable=perishable)
+def job(name, priority=Priority.PRESENT, deadline=SECOND, is_perishable=False):
+    return Job(name, priority, deadline, iter(()), is_perishable=is_perishable)
 
 
-def job_queue(max_jobs=8, turn=1000, per_second=100_000, ageing=SECOND):
-    return JobQueue(max_jobs, turn, per_second, ageing)
+def job_queue(max_jobs=8, turn_duration=1000, time_per_second=100_000, ageing_interval=SECOND):
+    return JobQueue(max_jobs, turn_duration, time_per_second, ageing_interval)
 
 
 def run_order(queue, now=0):
@@ -33,7 +33,7 @@
 
 
 def test_a_job_that_waits_long_becomes_more_urgent_until_it_has_run():
-    queue = job_queue(ageing=SECOND)
+    queue = job_queue(ageing_interval=SECOND)
     old = job("upkeep", Priority.UPKEEP, 0)
     queue.offer(old, 0)
     queue.offer(job("present", Priority.PRESENT, 10 * SECOND), 3 * SECOND)
@@ -54,7 +54,7 @@
 
 
 def test_the_budget_of_a_second_holds_and_what_was_overspent_is_paid():
-    queue = job_queue(turn=1000, per_second=10_000)
+    queue = job_queue(turn_duration=1000, time_per_second=10_000)
     queue.offer(job("long"), 0)
     assert queue.budget.allowed(0) == 1000
     queue.slice_done(queue.jobs[0], 6000, 0, False)
@@ -65,7 +65,7 @@
 
 
 def test_a_long_slice_waits_for_a_turn_of_its_own():
-    queue = job_queue(turn=1000)
+    queue = job_queue(turn_duration=1000)
     big = job("big")
     queue.offer(big, 0)
     queue.slice_estimates["big"] = 900
--- a/tests/background/test_scheduler.py
+++ b/tests/background/test_scheduler.py
@@ -61,7 +61,7 @@
 def test_the_owner_of_a_dropped_job_is_notified(reason):
     rig, notified = SchedulerRig(max_jobs=1), []
     rig.scheduler.offer(
-        "mine", Priority.PRESENT, 1000, steps([], 1), lambda: notified.append(reason), perishable=True
+        "mine", Priority.PRESENT, 1000, steps([], 1), lambda: notified.append(reason), is_perishable=True
     )
     if reason == "cancelled":
         rig.scheduler.cancel("mine")
--- a/tests/graphite/test_collector.py
+++ b/tests/graphite/test_collector.py
@@ -46,7 +46,9 @@
     def close_interval(self, seconds=10):
         self.now += seconds * SECOND
         points = {}
-        for _ in self.collector.points(self.now, None, (), lambda importance, made: points.update(made)):
+        for _ in self.collector.close_interval(
+            self.now, None, (), lambda importance, made: points.update(made)
+        ):
             pass
         return {path[2:]: value for path, value in points.items()}
 
--- a/tests/graphite/test_exporting.py
+++ b/tests/graphite/test_exporting.py
@@ -68,9 +68,12 @@
             rig.measure(4000)
             await rig.advance(6)
         assert rig.state(receiver.address) in (ReceiverState.STALLED, ReceiverState.BACKING_OFF)
-        before = rig.queue(receiver.address).size
+        before = rig.queue(receiver.address).point_count
         await rig.advance(300, 5, lambda: rig.measure(4000))
-        assert before < rig.queue(receiver.address).size <= 100_000 and rig.queue(receiver.address).dropped
+        assert (
+            before < rig.queue(receiver.address).point_count <= 100_000
+            and rig.queue(receiver.address).dropped_points
+        )
         await rig.stop(receiver)
 
     run(test())
@@ -110,7 +113,10 @@
         rig = ExportRig(receivers=[receiver.address], buffer_points=1000, backfill_points_s=50, every_s=60)
         times = []
         await rig.advance(3600, 60, lambda: times.append(rig.measure(50)))
-        assert rig.queue(receiver.address).size == 1000 and rig.queue(receiver.address).dropped == 2000
+        assert (
+            rig.queue(receiver.address).point_count == 1000
+            and rig.queue(receiver.address).dropped_points == 2000
+        )
         await receiver.start()
         await rig.advance(70)
         await rig.wait_until(lambda: receiver.points)
@@ -214,7 +220,7 @@
             rig.measure(100 if route == "all" else 700)
             await rig.advance(0.2, 0.2)
             rig.now += 10 * SECOND if route == "all" else 2 * SECOND
-        waits = rig.queue(dead.address).size
+        waits = rig.queue(dead.address).point_count
         assert waits > 200
         connection = rig.service.exporters[stays.address].connection
         rig.service.reload(
--- a/tests/graphite/test_queue.py
+++ b/tests/graphite/test_queue.py
@@ -20,7 +20,7 @@
     dropped = queue.add(Batch(50, 0, points(60)))
     expected = [(30, 2), (10, 1), (20, 1), (30, 1), (10, 0), (20, 0)]
     assert [(b.time, b.importance) for b in dropped] == expected
-    assert queue.size == 100 and queue.dropped == 80
+    assert queue.point_count == 100 and queue.dropped_points == 80
 
 
 def test_current_points_are_sent_before_old_ones_and_old_ones_at_the_backfill_rate():
@@ -44,7 +44,7 @@
     first, second = queue.take(0, 30), queue.take(0, 30)
     assert (first.time, second.time) == (30, 10)
     queue.connection_lost()
-    assert [b.time for b in queue.queued[1]] == [10, 20, 30] and queue.size == 30
+    assert [b.time for b in queue.queued[1]] == [10, 20, 30] and queue.point_count == 30
     assert [b.time for b in queue.remove_all()] == [20]  # the other two may be there in part
 
 
@@ -53,8 +53,8 @@
     queue.add(Batch(10, 1, points(10)))
     queue.take(0, 10)
     queue.all_taken(SECOND)
-    assert queue.size == 10 and not queue.confirm(10 * SECOND)
-    assert [b.time for b in queue.confirm(11 * SECOND)] == [10] and queue.size == 0
+    assert queue.point_count == 10 and not queue.confirm(10 * SECOND)
+    assert [b.time for b in queue.confirm(11 * SECOND)] == [10] and queue.point_count == 0
     queue.connection_lost()
     assert not any(queue.queued)
 
@@ -91,5 +91,5 @@
             removed += sum(map(len, queue.remove_old(now // SECOND - 2, 5)))
         in_queue = sum(len(b) for batches in queue.queued for b in batches)
         in_queue += sum(map(len, queue.unconfirmed))
-        assert in_queue == queue.size <= 100
-        assert added - removed - queue.dropped == in_queue
+        assert in_queue == queue.point_count <= 100
+        assert added - removed - queue.dropped_points == in_queue
--- a/tests/graphite/test_spool.py
+++ b/tests/graphite/test_spool.py
@@ -70,12 +70,12 @@
             await rig.advance(2, 2)
             await rig.wait_until(lambda: not exporter.spooling.is_busy)
             rig.now += 8 * SECOND
-        assert 900 <= exporter.queue.size <= 1000 and exporter.queue.dropped
+        assert 900 <= exporter.queue.point_count <= 1000 and exporter.queue.dropped_points
         assert not [p for p in tmp_path.rglob("*.segment") if p.stat().st_size]
         files.full = False
         rig.now += 61 * SECOND
         rig.measure(100)
-        await rig.wait_until(lambda: exporter.queue.size <= 200)
+        await rig.wait_until(lambda: exporter.queue.point_count <= 200)
         await rig.stop()
 
     run(test())
