--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -7,7 +7,7 @@
 from ravenshelf.policy import commands, events
 from ravenshelf.policy.controller import Controller
 from ravenshelf.policy.flow_control import ChannelFlowControl
-from ravenshelf.process.optional_parts import AdmissionGate, CycleObserver
+from ravenshelf.process.optional_features import AdmissionGate, CycleObserver
 from ravenshelf.settings import Settings
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.endpoint_registry import EndpointRegistry
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -18,7 +18,7 @@
 from ravenshelf.process.cycle_scheduling import CycleScheduler
 from ravenshelf.process.deadline_keys import CallTimeout, ConnectionTimeout, ControllerTimer, ServerDeadline
 from ravenshelf.process.health_checks import HealthChecks
-from ravenshelf.process.optional_parts import AdmissionGate, EventObserver, OptionalParts
+from ravenshelf.process.optional_features import AdmissionGate, EventObserver, OptionalFeatures
 from ravenshelf.process.outgoing_calls import OutgoingCalls
 from ravenshelf.process.registry_client import RegistryClient
 from ravenshelf.process.reloading import Reloader
@@ -74,7 +74,7 @@
         self.may_message_peers = settings.limits.peer_messages_allowed
         self.listener: asyncio.Server | None = None
         self.counters_every_us = 0  # 0: they are not printed from time to time
-        self.optional_parts: OptionalParts | None = None
+        self.optional_features: OptionalFeatures | None = None
         self.observers: list[EventObserver] = []
         self.admission_gate: AdmissionGate | None = None
         self.failure: str | None = None
@@ -177,9 +177,9 @@
     def _is_optional(self, key: Hashable) -> bool:
         """Return whether an optional part handles the deadline; those come after the server's own."""
         return (
-            self.optional_parts is not None
+            self.optional_features is not None
             and isinstance(key, tuple)
-            and key[0] in self.optional_parts.TIMERS
+            and key[0] in self.optional_features.TIMERS
         )
 
     def handle_deadline(self, key: Hashable, now: int) -> None:
@@ -200,8 +200,8 @@
             case ServerDeadline.COUNTERS:
                 self.timers.deadlines.set(ServerDeadline.COUNTERS, now + self.counters_every_us)
                 self.report_counters()
-            case tuple() if self.optional_parts is not None:
-                self.optional_parts.run_due(key, now)
+            case tuple() if self.optional_features is not None:
+                self.optional_features.run_due(key, now)
 
     def _schedule_watch(self, wait_us: int) -> None:
         if ServerDeadline.WATCH not in self.timers.deadlines:  # never put off by what comes meanwhile
@@ -275,8 +275,8 @@
             if self.cycle_scheduler.is_started and self.control_cycle.events:
                 # a drain that was received is carried out, though no cycle is due
                 self.cycle_scheduler.run_cycle()
-            if self.optional_parts is not None:
-                self.optional_parts.close()
+            if self.optional_features is not None:
+                self.optional_features.close()
             if self.peers is not None and self.peers.transport is not None:
                 self.peers.transport.close()
         finally:  # whatever fails in it, the streams get what was written
@@ -330,10 +330,10 @@
     loop.add_signal_handler(signal.SIGUSR1, server.report_counters)
     loop.add_signal_handler(signal.SIGHUP, server.reload)
     if operator is not None:
-        _add_optional_parts(server, operator, read_operator, log)
+        _add_optional_features(server, operator, read_operator, log)
     await server.start()
-    if server.optional_parts is not None and not server.is_stopping:
-        await server.optional_parts.start()
+    if server.optional_features is not None and not server.is_stopping:
+        await server.optional_features.start()
     if not server.is_stopping and server.listener is not None:
         host, port = server.listener.sockets[0].getsockname()[:2]
         log_events.SERVER_LISTENING(name=configuration.get("name"), address=f"{host}:{port}")
@@ -344,7 +344,7 @@
         raise RuntimeError(server.failure)
 
 
-def _add_optional_parts(
+def _add_optional_features(
     server: ControlPlaneServer,
     operator: "Operator",
     read_operator: "Callable[[], Operator] | None",
@@ -353,7 +353,7 @@
     from ravenshelf.process.operations.composer import Operations
 
     parts = Operations(operator, server, random.Random())
-    server.optional_parts = parts
+    server.optional_features = parts
 
     def take_operator(new: "Operator") -> None:
         if log is not None:
--- a/ravenshelf/process/operations/collectd_signals.py
+++ b/ravenshelf/process/operations/collectd_signals.py
@@ -13,7 +13,7 @@
 from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.net.datagrams import address
 from ravenshelf.operator_config.tables import Operator
-from ravenshelf.process.operations.part import SECOND, Measurements
+from ravenshelf.process.operations.feature import SECOND, Measurements
 
 if TYPE_CHECKING:
     from ravenshelf.collectd.listener import CollectdListener
--- a/ravenshelf/process/operations/composer.py
+++ b/ravenshelf/process/operations/composer.py
@@ -11,8 +11,8 @@
 from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.operator_config.tables import Background, Operator
 from ravenshelf.process.operations.collectd_signals import USERS_TIMER, CollectdSignals
+from ravenshelf.process.operations.feature import SECOND, Measurements, OperatorFeature, TimerKey
 from ravenshelf.process.operations.metrics_export import INTERVAL_TIMER, RECEIVER_TIMER, MetricsExport
-from ravenshelf.process.operations.part import SECOND, Measurements, OperationsPart, TimerKey
 from ravenshelf.process.operations.process_metrics import process_measurements
 
 if TYPE_CHECKING:
@@ -81,7 +81,7 @@
 
     async def start(self) -> None:
         """Start the parts, leases first."""
-        parts: tuple[OperationsPart | None, ...] = (
+        parts: tuple[OperatorFeature | None, ...] = (
             self.leases,
             self.subscription,
             self.metrics,
@@ -112,7 +112,7 @@
         changed = changed_tables(previous, operator)
         if "background" in changed:
             self.background.replace_queue(job_queue(operator.background))
-        parts: tuple[OperationsPart | None, ...] = (self.metrics, self.collectd, self.leases)
+        parts: tuple[OperatorFeature | None, ...] = (self.metrics, self.collectd, self.leases)
         for part in parts:
             if part is not None:
                 part.reload(previous, operator)
@@ -123,7 +123,7 @@
 
     def close(self) -> None:
         """Close the connections of all parts."""
-        parts: tuple[OperationsPart | None, ...] = (
+        parts: tuple[OperatorFeature | None, ...] = (
             self.subscription,
             self.leases,
             self.metrics,
--- a/ravenshelf/process/operations/part.py
+++ b/ravenshelf/process/operations/feature.py
@@ -21,7 +21,7 @@
     totals: dict[Metric, float]
 
 
-class OperationsPart(Protocol):
+class OperatorFeature(Protocol):
     """One part: it is started once, and does what the present operator file says."""
 
     async def start(self) -> None:
--- a/ravenshelf/process/operations/leases.py
+++ b/ravenshelf/process/operations/leases.py
@@ -12,7 +12,7 @@
 from ravenshelf.leadership.service import Leadership
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.policy.events import EndpointsListed, ListKind
-from ravenshelf.process.operations.part import SECOND, Measurements
+from ravenshelf.process.operations.feature import SECOND, Measurements
 
 if TYPE_CHECKING:
     from ravenshelf.process.control_plane import ControlPlaneServer
--- a/ravenshelf/process/operations/metrics_export.py
+++ b/ravenshelf/process/operations/metrics_export.py
@@ -11,7 +11,7 @@
 from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.policy.events import EndpointsListed, ListKind
-from ravenshelf.process.operations.part import SECOND, Measurements, TimerKey
+from ravenshelf.process.operations.feature import SECOND, Measurements, TimerKey
 
 if TYPE_CHECKING:
     from ravenshelf.graphite.collector import MetricsCollector
--- a/ravenshelf/process/operations/process_metrics.py
+++ b/ravenshelf/process/operations/process_metrics.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from ravenshelf.background.scheduler import BackgroundScheduler
-from ravenshelf.process.operations.part import Measurements
+from ravenshelf.process.operations.feature import Measurements
 
 if TYPE_CHECKING:
     from ravenshelf.process.control_plane import ControlPlaneServer
--- a/ravenshelf/process/operations/subscription.py
+++ b/ravenshelf/process/operations/subscription.py
@@ -9,7 +9,7 @@
 from ravenshelf.distribution.server_distribution import ServerDistribution
 from ravenshelf.leadership.cluster import clock
 from ravenshelf.operator_config.tables import Operator
-from ravenshelf.process.operations.part import Measurements
+from ravenshelf.process.operations.feature import Measurements
 
 if TYPE_CHECKING:
     from ravenshelf.process.control_plane import ControlPlaneServer
--- a/ravenshelf/process/optional_parts.py
+++ b/ravenshelf/process/optional_features.py
@@ -40,7 +40,7 @@
         """Take a message; it is written when and if it may leave."""
 
 
-class OptionalParts(Protocol):
+class OptionalFeatures(Protocol):
     """All that an operator configuration turns on, as one owner."""
 
     @property
--- a/ravenshelf/process/relay.py
+++ b/ravenshelf/process/relay.py
@@ -62,9 +62,9 @@
         admin = await serve_answers(lambda request: answer(service, request), table.admin)
     figures = None
     if operator.graphite.receivers:  # imported only where it is used, for the memory of a relay
-        from ravenshelf.process.relay_figures import RelayFigures
+        from ravenshelf.process.relay_metrics_export import RelayMetricsExport
 
-        figures = RelayFigures(operator, service, loop)
+        figures = RelayMetricsExport(operator, service, loop)
     log_events.RELAY_LISTENING(name=table.name, address=address, parents=len(table.parents))
     await ended.wait()
     if admin is not None:
--- a/ravenshelf/process/relay_figures.py
+++ b/ravenshelf/process/relay_metrics_export.py
@@ -25,7 +25,7 @@
 BACKGROUND = "background"
 
 
-class RelayFigures:
+class RelayMetricsExport:
     """Sends the relay's metrics to all receivers, once in each interval."""
 
     def __init__(self, operator: Operator, service: RelayService, loop: asyncio.AbstractEventLoop):
--- a/tests/distribution/test_distribution_sockets.py
+++ b/tests/distribution/test_distribution_sockets.py
@@ -40,7 +40,7 @@
 from ravenshelf.distribution.subscription_service import SubscriptionService
 from ravenshelf.net.frames import MOST_FRAME, Frames, pack
 from ravenshelf.operator_config.tables import Graphite, Operator
-from ravenshelf.process.relay_figures import RelayFigures
+from ravenshelf.process.relay_metrics_export import RelayMetricsExport
 from ravenshelf.state.buffers import BufferPool
 from standins.carbon import CarbonReceiver
 from standins.distribution.world import DistributionSize, SimulatedDistribution
@@ -509,7 +509,7 @@
         operator = Operator(
             graphite=Graphite(receivers=[f"127.0.0.1:{carbon.port}"], every_s=1, prefix="shop")
         )
-        figures = RelayFigures(operator, installation.relay, installation.loop)
+        figures = RelayMetricsExport(operator, installation.relay, installation.loop)
         try:
             paths = {
                 f"shop.relay-0.relay.{name}"
--- a/tests/operations/test_server_operations.py
+++ b/tests/operations/test_server_operations.py
@@ -44,8 +44,8 @@
         )
         server = ControlPlaneServer(server_configuration(discovery.address, ["north"], 2), loop, Clock())
         await server.start()
-        server.optional_parts = Operations(operator, server, random.Random(1))
-        await server.optional_parts.start()
+        server.optional_features = Operations(operator, server, random.Random(1))
+        await server.optional_features.start()
         address = f"127.0.0.1:{server.listener.sockets[0].getsockname()[1]}"
         proxies = [LoopbackProxy(lambda: address, n, "north") for n in range(2)]
         tasks = [loop.create_task(proxy.run()) for proxy in proxies]
@@ -56,7 +56,7 @@
         )
         host, collectd_address = (
             sender.SimulatedHost("machine", busy=0.9),
-            server.optional_parts.collectd.listener.transport.get_extra_info("sockname"),
+            server.optional_features.collectd.listener.transport.get_extra_info("sockname"),
         )
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as out:
             now = server.clock() / 1e6
@@ -88,17 +88,17 @@
         # a new operator file: the metrics go to another receiver, collectd ends
         moved = await CarbonReceiver().start()
         done = []
-        server.optional_parts.reload(
+        server.optional_features.reload(
             decode({"graphite": {"receivers": [moved.address], "every_s": 1, "prefix": "x"}}, "f"),
             done.append,
         )
         assert done == ["[graphite], [collectd]"]
         await moved.wait_until(lambda: any(path.startswith("x.toy.") for path, _ in moved.points))
-        server.optional_parts.reload(decode({}, "f"), done.append)
+        server.optional_features.reload(decode({}, "f"), done.append)
         assert (
             server.control_cycle.cycle_observer is None
             and not server.observers
-            and server.optional_parts.metrics.service is None
+            and server.optional_features.metrics.service is None
         )
         for task in tasks:
             task.cancel()
