--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -24,7 +24,7 @@
     ZONES,
     Fleet,
 )
-from ravenshelf.distribution.decisions.tree import levels
+from ravenshelf.distribution.decisions.tree import plan_relay_levels
 
 PAGE = Path(__file__).resolve().parent.parent / "docs" / "CAPACITY.md"
 CORE_BUDGET, MEMORY_BUDGET_MB, BYTES_BUDGET = 0.035, 64.0, 7_000.0
@@ -279,7 +279,7 @@
 
     What a process costs is measured on sockets.
     """
-    tree = levels(PILOTS, FAN_OUT)
+    tree = plan_relay_levels(PILOTS, FAN_OUT)
     relays = sum(len(level.names) for level in tree)
     children, on_machine = PILOTS / len(tree[-1].names), relays / CONTROLLERS
     deltas = children * SERVICES_CALLED / BEAT_S
@@ -304,7 +304,7 @@
 
 def _collector_row(book: Book) -> list[str]:
     """Sums are added up at each relay."""
-    tree = levels(PILOTS, FAN_OUT)
+    tree = plan_relay_levels(PILOTS, FAN_OUT)
     reports = PILOTS / len(tree[-1].names) * SERVICES_CALLED
     on_machine = sum(len(level.names) for level in tree) / CONTROLLERS
     core = book.at("aggregation CPU", reports)
--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -13,8 +13,8 @@
 from ravenshelf.distribution.decisions.client import SubscriptionClient
 from ravenshelf.distribution.decisions.distributor import Distributor, DistributorLimits
 from ravenshelf.distribution.decisions.planner import (
-    ENDPOINT,
-    LINE,
+    ENDPOINT_PREFIX,
+    LINE_PREFIX,
     ServicePlanner,
     service_topic,
     zone_topic,
@@ -48,14 +48,14 @@
 def listed_entries(service: str) -> dict[str, Entry]:
     """A service's list."""
     return {
-        f"{ENDPOINT}{service}-{n:03d}": EndpointEntry(n % 64, True, 4.0, 1_700_000_000_000_000 + n)
+        f"{ENDPOINT_PREFIX}{service}-{n:03d}": EndpointEntry(n % 64, True, 4.0, 1_700_000_000_000_000 + n)
         for n in range(SERVICE_ENDPOINTS)
     }
 
 
 def table_entries(service: str) -> dict[str, Entry]:
     """The table of a zone: its own endpoints, and some of others that it spills to."""
-    return {f"{LINE}{service}-{n:03d}": TableLine(100.0 + n, 1.0) for n in range(TABLE_LINES)}
+    return {f"{LINE_PREFIX}{service}-{n:03d}": TableLine(100.0 + n, 1.0) for n in range(TABLE_LINES)}
 
 
 def snapshots(number: int) -> list[bytes]:
@@ -70,7 +70,7 @@
 def _client(parents: int = 1) -> SubscriptionClient:
     client = SubscriptionClient([f"relay-{n}" for n in range(parents)], {}, random.Random(1), START)
     client.tick(START)
-    client.connected(START)
+    client.connection_opened(START)
     return client
 
 
@@ -80,7 +80,7 @@
     for number in range(services):
         for payload in snapshots(number):
             message = decode(payload)
-            client.want(message.topic)
+            client.subscribe(message.topic)
             client.receive(START, message)
     return client
 
@@ -95,7 +95,10 @@
                 topic,
                 Version(1, number + 1),
                 Version(1, number + 2),
-                {f"{LINE}service-3-{line:03d}": TableLine(float(number + line)) for line in range(changes)},
+                {
+                    f"{LINE_PREFIX}service-3-{line:03d}": TableLine(float(number + line))
+                    for line in range(changes)
+                },
             )
         )
         for number in range(REPEATS)
@@ -134,7 +137,7 @@
                 Version(1, number + 1),
                 Version(1, number + 2),
                 {
-                    f"{LINE}service-1-{line:03d}": TableLine(float(number + line))
+                    f"{LINE_PREFIX}service-1-{line:03d}": TableLine(float(number + line))
                     for line in range(TABLE_LINES)
                 },
             )
@@ -218,7 +221,7 @@
     for second in range(4, 4 + seconds):
         play(service_planner, zones, 1, random_source, second)
         for zone, publication in publications.items():
-            publication.put_all(START + second * SECOND, service_planner.zone_entries(zone))
+            publication.replace_entries(START + second * SECOND, service_planner.zone_entries(zone))
             publication.flush()
     return (time.process_time() - began) / seconds
 
@@ -231,12 +234,12 @@
     service_planner, random_source = planner(zones), random.Random(3)
     publication = Publication(Topic(zone_topic("service-1", 0)), 1)
     play(service_planner, zones, 10, random_source)
-    publication.put_all(START, service_planner.zone_entries(0))
+    publication.replace_entries(START, service_planner.zone_entries(0))
     publication.flush()
     sent = 0
     for second in range(10, 10 + seconds):
         play(service_planner, zones, 1, random_source, second)
-        publication.put_all(START + second * SECOND, service_planner.zone_entries(0))
+        publication.replace_entries(START + second * SECOND, service_planner.zone_entries(0))
         if publication.due_at is not None:
             sent += len(encode(publication.flush()))
     return sent / seconds
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from benchmarks.measuring import quantile
-from ravenshelf.distribution.decisions.planner import ENDPOINT, LINE
+from ravenshelf.distribution.decisions.planner import ENDPOINT_PREFIX, LINE_PREFIX
 from ravenshelf.distribution.messages import NEVER, EndpointEntry, TableLine
 from standins.distribution.world import DistributionSize, SimulatedDistribution
 from standins.fleet.clock import SECOND
@@ -218,12 +218,12 @@
         restarted = EndpointEntry(0, True, 1.0, self.world.events.now)
         self.world.configuration[service] = {
             **self.world.configuration[service],
-            ENDPOINT + names[cycle]: restarted,
+            ENDPOINT_PREFIX + names[cycle]: restarted,
         }
         self.world.write_table(
             service,
             {
-                LINE + name: TableLine(round(self.random_source.uniform(10, 100), 2))
+                LINE_PREFIX + name: TableLine(round(self.random_source.uniform(10, 100), 2))
                 for name in names[:LINES_REWRITTEN]
             },
         )
--- a/benchmarks/scale/sockets.py
+++ b/benchmarks/scale/sockets.py
@@ -18,7 +18,7 @@
 from benchmarks.scale.fits import Measurement, Point, summarize
 from ravenshelf.distribution.decisions.distributor import DistributorLimits
 from ravenshelf.distribution.decisions.ownership import PublicationLease
-from ravenshelf.distribution.decisions.planner import ENDPOINT, LINE, service_topic, zone_topic
+from ravenshelf.distribution.decisions.planner import ENDPOINT_PREFIX, LINE_PREFIX, service_topic, zone_topic
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.messages import EndpointEntry, Entry, TableLine
 from ravenshelf.distribution.node import Node
@@ -68,13 +68,15 @@
 
     @staticmethod
     def _table(service: str, weight: float) -> dict[str, Entry]:
-        return {f"{LINE}{service}-{n:03d}": TableLine(weight + n) for n in range(TABLE_LINES)}
+        return {f"{LINE_PREFIX}{service}-{n:03d}": TableLine(weight + n) for n in range(TABLE_LINES)}
 
     def content(self, topic: str) -> dict[str, Entry]:
         """Return the state of a topic."""
         if topic in self.tables:
             return self.tables[topic]
-        return {f"{ENDPOINT}{topic}-{n:03d}": EndpointEntry(0, True, 4.0) for n in range(SERVICE_ENDPOINTS)}
+        return {
+            f"{ENDPOINT_PREFIX}{topic}-{n:03d}": EndpointEntry(0, True, 4.0) for n in range(SERVICE_ENDPOINTS)
+        }
 
     async def start(self) -> None:
         """Start the owner, the relay and the subscribers, and wait for all topics."""
--- a/ravenshelf/distribution/connection.py
+++ b/ravenshelf/distribution/connection.py
@@ -39,7 +39,7 @@
         self.listener = listener
         self.name = name
         self.frames = Frames()
-        self.paused = False  # the write buffer is full
+        self.is_paused = False  # the write buffer is full
         self.bytes_in = 0
         self.bytes_out = 0
         self.messages_in = 0
@@ -56,11 +56,11 @@
 
     def pause_writing(self) -> None:
         """Called by the event loop: the write buffer is full."""
-        self.paused = True
+        self.is_paused = True
 
     def resume_writing(self) -> None:
         """Called by the event loop: the write buffer has capacity again."""
-        self.paused = False
+        self.is_paused = False
         if self.end is None:
             self.listener.write_resumed(self)
 
--- a/ravenshelf/distribution/decisions/aggregation.py
+++ b/ravenshelf/distribution/decisions/aggregation.py
@@ -11,7 +11,7 @@
 
 from ravenshelf.distribution.messages import EndpointLoad, GroupDemand, ZoneLoadReport
 
-REPORT_WINDOW = 1_000_000  # microseconds
+REPORT_WINDOW_US = 1_000_000  # microseconds
 REPORTER_EXPIRY_WINDOWS = 600  # a reporter without a report for so many windows is forgotten
 
 
@@ -28,14 +28,14 @@
     window: int
 
 
-def add_endpoint(one: EndpointLoad, other: EndpointLoad) -> EndpointLoad:
+def add_endpoint_loads(one: EndpointLoad, other: EndpointLoad) -> EndpointLoad:
     """Return the sum of two endpoint loads."""
     return EndpointLoad(
         one.attempts + other.attempts, one.failures + other.failures, one.latency_sum + other.latency_sum
     )
 
 
-def add_group(one: GroupDemand, other: GroupDemand) -> GroupDemand:
+def add_group_demands(one: GroupDemand, other: GroupDemand) -> GroupDemand:
     """Return the sum of two group demands."""
     return GroupDemand(one.requests + other.requests, one.unanswered + other.unanswered)
 
@@ -50,7 +50,7 @@
     def __init__(self, name: str):
         """`name`: the reporter of the flushed reports, unique for each incarnation."""
         self.name = name
-        self.duplicates = 0
+        self.duplicate_count = 0
         self._sequence = 0
         self._pending: dict[tuple[str, int], _PendingReport] = {}  # by service and proxy zone
         self._reporters: dict[str, _Reporter] = {}
@@ -59,17 +59,19 @@
         """Count a report; return False if it was counted before."""
         reporter = self._reporters.get(report.reporter)
         if reporter is not None and report.sequence <= reporter.sequence:
-            self.duplicates += 1
+            self.duplicate_count += 1
             return False
         self._reporters[report.reporter] = _Reporter(report.sequence, report.window)
         pending = self._pending.setdefault((report.service, report.zone), _PendingReport(report.window))
         pending.window = max(pending.window, report.window)
         for name, load in report.endpoints.items():
             known_load = pending.endpoints.get(name)
-            pending.endpoints[name] = load if known_load is None else add_endpoint(known_load, load)
+            pending.endpoints[name] = load if known_load is None else add_endpoint_loads(known_load, load)
         for group, demand in report.groups.items():
             known_demand = pending.groups.get(group)
-            pending.groups[group] = demand if known_demand is None else add_group(known_demand, demand)
+            pending.groups[group] = (
+                demand if known_demand is None else add_group_demands(known_demand, demand)
+            )
         return True
 
     def flush(self, window: int, may_send: Callable[[str], bool] = _may_always_send) -> list[ZoneLoadReport]:
--- a/ravenshelf/distribution/decisions/claims.py
+++ b/ravenshelf/distribution/decisions/claims.py
@@ -17,22 +17,22 @@
     return _CLAIMS_PREFIX + controller
 
 
-def published_topics(shard: int) -> str:
+def publication_list_topic(shard: int) -> str:
     """Return the topic in which a shard's owner lists the topics that it publishes, for its replicas."""
     return f"{_PUBLISHED_PREFIX}{shard}"
 
 
-def service_of(topic: str) -> str:
+def service_of_topic(topic: str) -> str:
     """Return the service of a topic; empty for topics in which a controller describes itself."""
     return topic.rpartition("@")[0]
 
 
-def service_claim(service: str, epoch: int) -> tuple[str, Entry]:
+def claim_entry(service: str, epoch: int) -> tuple[str, Entry]:
     """Return the key and entry that claim a service."""
     return _SERVICE_KEY_PREFIX + service, Setting(str(epoch))
 
 
-def published_topic(topic: str) -> tuple[str, Entry]:
+def publication_entry(topic: str) -> tuple[str, Entry]:
     """Return the key and entry that list a topic as published, for replicas to subscribe to."""
     return _TOPIC_KEY_PREFIX + topic, Setting("")
 
@@ -44,7 +44,7 @@
             yield key[len(_SERVICE_KEY_PREFIX) :], Claim(controller, int(entry.value))
 
 
-def read_published(entries: Mapping[str, Entry]) -> Iterator[str]:
+def read_published_topics(entries: Mapping[str, Entry]) -> Iterator[str]:
     """Yield the topics that a controller publishes."""
     for key in entries:
         if key.startswith(_TOPIC_KEY_PREFIX):
--- a/ravenshelf/distribution/decisions/client.py
+++ b/ravenshelf/distribution/decisions/client.py
@@ -8,7 +8,7 @@
 
 from ravenshelf.distribution.decisions.backoff import SECOND, Backoff
 from ravenshelf.distribution.decisions.digests import Digest
-from ravenshelf.distribution.decisions.topics import Outcome, Topic
+from ravenshelf.distribution.decisions.topics import Topic, UpdateOutcome
 from ravenshelf.distribution.messages import (
     Delta,
     Heartbeat,
@@ -20,10 +20,10 @@
     Unsubscribe,
 )
 
-SILENCE_TIMEOUT = 3 * SECOND  # a parent that sends nothing for so long counts as lost
-DIAL_TIMEOUT = 3 * SECOND
+SILENCE_TIMEOUT_US = 3 * SECOND  # a parent that sends nothing for so long counts as lost
+DIAL_TIMEOUT_US = 3 * SECOND
 MAX_DIGEST_MISMATCHES = 2  # heartbeats in a row; one may have crossed a subscription in transit
-REHOME_DELAY_RANGE = (60 * SECOND, 180 * SECOND)  # until the preferred parent is tried again
+PREFERRED_PARENT_RETRY_RANGE_US = (60 * SECOND, 180 * SECOND)  # until the preferred parent is tried again
 
 
 class ConnectionState(Enum):
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class HangUp:
+class Disconnect:
     """Close the connection, or give up the dial; `lost` must not be called for it."""
 
 
@@ -65,10 +65,10 @@
     """The parent reports whether it can reach a topic's owner."""
 
     topic: str
-    live: bool
+    is_live: bool
 
 
-Action = Dial | HangUp | Send | TopicChanged | LivenessChanged
+Action = Dial | Disconnect | Send | TopicChanged | LivenessChanged
 
 
 class SubscriptionClient:
@@ -92,11 +92,11 @@
         self.parent_index = 0
         self.held_versions = Digest()  # of the topics that are subscribed to
         self.backoff = Backoff(random_source)
-        self.outcomes: dict[Outcome, int] = dict.fromkeys(Outcome, 0)
+        self.outcome_counts: dict[UpdateOutcome, int] = dict.fromkeys(UpdateOutcome, 0)
         self.resyncs = 0
         self.disconnected_since: int | None = started
         self._deadline = started  # of the next dial, of a dial under way, or of the parent's silence
-        self._rehome_at: int | None = None
+        self._retry_preferred_at: int | None = None
         self._resync_requested: set[str] = set()
         self._digest_mismatches = 0
 
@@ -107,7 +107,7 @@
 
     # --- subscriptions ---
 
-    def want(self, topic: str) -> list[Action]:
+    def subscribe(self, topic: str) -> list[Action]:
         """Subscribe to a topic."""
         if topic in self.held_versions:
             return []
@@ -115,7 +115,7 @@
         self.held_versions.set(topic, state.version)
         return self._send(Subscribe(topic, state.version))
 
-    def unwant(self, topic: str) -> list[Action]:
+    def unsubscribe(self, topic: str) -> list[Action]:
         """Cancel a subscription. The topic's state stays with the caller."""
         if topic not in self.held_versions:
             return []
@@ -128,23 +128,25 @@
 
     # --- connection ---
 
-    def connected(self, now: int) -> list[Action]:
+    def connection_opened(self, now: int) -> list[Action]:
         """The dial has succeeded: subscribe to all topics, with the versions held."""
         self.state = ConnectionState.CONNECTED
         self.disconnected_since = None
-        self._deadline = now + SILENCE_TIMEOUT
+        self._deadline = now + SILENCE_TIMEOUT_US
         is_preferred = self.parent_index == 0
-        self._rehome_at = None if is_preferred else now + self.random_source.randint(*REHOME_DELAY_RANGE)
+        self._retry_preferred_at = (
+            None if is_preferred else now + self.random_source.randint(*PREFERRED_PARENT_RETRY_RANGE_US)
+        )
         self._resync_requested.clear()
         self._digest_mismatches = 0
         return [Send(Subscribe(topic, version)) for topic, version in self.held_versions.versions().items()]
 
-    def lost(self, now: int) -> list[Action]:
+    def connection_lost(self, now: int) -> list[Action]:
         """The connection has ended, or the dial has failed: the next parent is dialled after a backoff."""
         if self.state is ConnectionState.CONNECTED:
             self.disconnected_since = now
         for topic in self.held_versions.versions():
-            self.topics[topic].drop_partial()
+            self.topics[topic].discard_partial_snapshot()
         self.state = ConnectionState.WAITING
         self.parent_index = (self.parent_index + 1) % len(self.parents)
         self._deadline = now + self.backoff.next_delay()
@@ -152,8 +154,8 @@
 
     def due_at(self) -> int:
         """Return the time at which `tick` has something to do."""
-        if self.state is ConnectionState.CONNECTED and self._rehome_at is not None:
-            return min(self._deadline, self._rehome_at)
+        if self.state is ConnectionState.CONNECTED and self._retry_preferred_at is not None:
+            return min(self._deadline, self._retry_preferred_at)
         return self._deadline
 
     def tick(self, now: int) -> list[Action]:
@@ -162,27 +164,27 @@
             return []
         if self.state is ConnectionState.WAITING:
             self.state = ConnectionState.DIALLING
-            self._deadline = now + DIAL_TIMEOUT
+            self._deadline = now + DIAL_TIMEOUT_US
             return [Dial(self.parent)]
-        rehoming = self.state is ConnectionState.CONNECTED and now < self._deadline
-        self.lost(now)
-        if rehoming:
+        is_returning = self.state is ConnectionState.CONNECTED and now < self._deadline
+        self.connection_lost(now)
+        if is_returning:
             self.parent_index = 0
             self._deadline = now
-        return [HangUp(), *self.tick(now)]
+        return [Disconnect(), *self.tick(now)]
 
     # --- messages of the parent ---
 
     def receive(self, now: int, message: Message) -> list[Action]:
         """Handle a message of the connected parent."""
-        self._deadline = now + SILENCE_TIMEOUT
+        self._deadline = now + SILENCE_TIMEOUT_US
         if isinstance(message, Snapshot | Delta):
             return self._apply_update(message)
         if isinstance(message, Heartbeat):
             self.backoff.reset()  # not before: a parent that ends connections at once is not available
             return self._check_digest(message)
         if isinstance(message, TopicLive):
-            return [LivenessChanged(message.topic, message.live)]
+            return [LivenessChanged(message.topic, message.is_live)]
         return []
 
     def _apply_update(self, message: Snapshot | Delta) -> list[Action]:
@@ -190,12 +192,12 @@
         if topic not in self.held_versions:
             return []
         outcome = self.topics[topic].receive(message)
-        self.outcomes[outcome] += 1
-        if outcome is Outcome.APPLIED:
+        self.outcome_counts[outcome] += 1
+        if outcome is UpdateOutcome.APPLIED:
             self.held_versions.set(topic, self.topics[topic].version)
             self._resync_requested.discard(topic)
             return [TopicChanged(topic)]
-        if outcome is Outcome.GAP and topic not in self._resync_requested:
+        if outcome is UpdateOutcome.GAP and topic not in self._resync_requested:
             self._resync_requested.add(topic)
             self.resyncs += 1
             return [Send(Subscribe(topic, self.topics[topic].version))]
--- a/ravenshelf/distribution/decisions/distributed_controller.py
+++ b/ravenshelf/distribution/decisions/distributed_controller.py
@@ -14,11 +14,11 @@
 from ravenshelf.policy.flow_control import ChannelFlowControl
 from ravenshelf.settings import Settings
 
-TABLE_TOTAL = 1000.0  # sum of a table's weights, as in the server's own tables
+TABLE_WEIGHT_SUM = 1000.0  # sum of a table's weights, as in the server's own tables
 SMALLEST_WEIGHT = 0.01
-COMPLETE_SHARE = 0.999  # share of the requests; less is left where only bounded lines remain
+MIN_COMPLETE_SHARE = 0.999  # share of the requests; less is left where only bounded lines remain
 
-OwnersTable = Callable[[int, int], tuple[TableSource, dict[str, TableLine]]]  # by time and proxy zone
+OwnerTableLookup = Callable[[int, int], tuple[TableSource, dict[str, TableLine]]]  # by time and proxy zone
 
 
 class DistributedController(Controller):
@@ -30,12 +30,12 @@
         seed: int,
         channel: ChannelFlowControl | None = None,
         *,
-        owners_table: OwnersTable,
+        owner_table: OwnerTableLookup,
         index_of: Callable[[str], int | None],
     ):
         """`index_of`: returns a listed endpoint's index."""
         super().__init__(settings, seed, channel)
-        self.owners_table = owners_table
+        self.owner_table = owner_table
         self.index_of = index_of
 
     def planned_tables(
@@ -43,7 +43,7 @@
     ) -> list[dict[int, float]]:
         """Return the lines of a zone's tables: the owner's for all, or the own if that can't be used."""
         own = super().planned_tables(zone, strengths, needs)
-        source, table = self.owners_table(self.now, zone)
+        source, table = self.owner_table(self.now, zone)
         lines = self._lines(table) if source is not TableSource.LOCAL else {}
         return [dict(lines) for _ in own] if lines else own
 
@@ -63,13 +63,13 @@
             else:
                 indices[name] = index
         received = received_shares(table, closed)
-        if sum(received.values()) < COMPLETE_SHARE:
+        if sum(received.values()) < MIN_COMPLETE_SHARE:
             return {}
         return {
-            indices[name]: max(SMALLEST_WEIGHT, round(TABLE_TOTAL * share, 2))
+            indices[name]: max(SMALLEST_WEIGHT, round(TABLE_WEIGHT_SUM * share, 2))
             for name, share in received.items()
         }
 
-    def owners_table_changed(self) -> None:
+    def owner_table_changed(self) -> None:
         """Solve in the next control cycle: the rollout reaches all proxies in some tenths of a second."""
         self.next_solve_at = min(self.next_solve_at, self.now)
--- a/ravenshelf/distribution/decisions/distributor.py
+++ b/ravenshelf/distribution/decisions/distributor.py
@@ -25,20 +25,20 @@
     encode,
 )
 
-HEARTBEAT_INTERVAL = SECOND
-MIN_BUDGET_WAIT = 10_000  # microseconds until a snapshot without budget is tried again
+HEARTBEAT_INTERVAL_US = SECOND
+MIN_BUDGET_WAIT_US = 10_000  # microseconds until a snapshot without budget is tried again
 
 
 @dataclass(frozen=True)
 class DistributorLimits:
     """Upper bounds of what a distributor serves."""
 
-    subscribers: int = 64
+    max_subscribers: int = 64
     snapshot_bytes_per_second: float = 4_000_000.0
     snapshot_burst_bytes: float = 1_000_000.0
 
 
-class Outgoing:
+class EncodedMessage:
     """A message and its bytes, encoded once for all subscribers that are sent it."""
 
     __slots__ = ("message", "payload")
@@ -51,7 +51,7 @@
 @dataclass
 class _EncodedUpdates:
     version: Version  # of the topic
-    updates: dict[Version, list[Outgoing]] = field(default_factory=dict)  # by the subscriber's version
+    updates: dict[Version, list[EncodedMessage]] = field(default_factory=dict)  # by the subscriber's version
 
 
 @dataclass
@@ -59,7 +59,7 @@
     heartbeat_at: int
     sent: Digest = field(default_factory=Digest)  # the version of each topic that it has been sent
     dirty: dict[str, None] = field(default_factory=dict)  # topics to be examined, the oldest first
-    parts: deque[Outgoing] = field(default_factory=deque)  # messages to send before any other
+    parts: deque[EncodedMessage] = field(default_factory=deque)  # messages to send before any other
     not_live: set[str] = field(default_factory=set)  # topics reported to it as without a reachable owner
 
 
@@ -81,9 +81,9 @@
     def add_subscriber(self, now: int, name: str) -> bool:
         """Accept a subscriber, replacing one of the same name; return False if the limit is reached."""
         self.remove_subscriber(name)
-        if len(self.subscribers) >= self.limits.subscribers:
+        if len(self.subscribers) >= self.limits.max_subscribers:
             return False
-        self.subscribers[name] = _Subscriber(now + HEARTBEAT_INTERVAL)
+        self.subscribers[name] = _Subscriber(now + HEARTBEAT_INTERVAL_US)
         return True
 
     def remove_subscriber(self, name: str) -> list[str]:
@@ -156,14 +156,14 @@
 
     # --- outgoing messages ---
 
-    def pull(self, now: int, name: str, byte_limit: int) -> list[Outgoing]:
+    def pull(self, now: int, name: str, byte_limit: int) -> list[EncodedMessage]:
         """Return the subscriber's next messages, about `byte_limit` bytes (at least one message, if there is
         any)."""
         subscriber = self.subscribers[name]
-        outgoing: list[Outgoing] = []
+        outgoing: list[EncodedMessage] = []
         if now >= subscriber.heartbeat_at and not subscriber.parts:
-            subscriber.heartbeat_at = now + HEARTBEAT_INTERVAL
-            outgoing.append(Outgoing(Heartbeat(subscriber.sent.value)))
+            subscriber.heartbeat_at = now + HEARTBEAT_INTERVAL_US
+            outgoing.append(EncodedMessage(Heartbeat(subscriber.sent.value)))
         deferred: list[str] = []  # topics whose snapshots exceed the present budget
         pulled_bytes = 0
         while pulled_bytes < byte_limit:
@@ -195,7 +195,7 @@
             return True
         if isinstance(updates[0].message, Snapshot):
             size = sum(len(outgoing.payload) for outgoing in updates)
-            if not self._bucket.take(now, size):
+            if not self._bucket.try_consume(now, size):
                 return False
             self.snapshot_bytes += size
         subscriber.sent.set(topic, state.version)
@@ -210,15 +210,15 @@
             subscriber.not_live.discard(topic)
         else:
             subscriber.not_live.add(topic)
-        subscriber.parts.append(Outgoing(TopicLive(topic, live)))
+        subscriber.parts.append(EncodedMessage(TopicLive(topic, live)))
 
-    def _updates(self, state: Topic, held: Version) -> list[Outgoing]:
+    def _updates(self, state: Topic, held: Version) -> list[EncodedMessage]:
         """Return the updates from a held version, encoded once while the topic's present version stands."""
         encoded = self._encoded.get(state.name)
         if encoded is None or encoded.version != state.version:
             encoded = self._encoded[state.name] = _EncodedUpdates(state.version)
         if held not in encoded.updates:
-            encoded.updates[held] = [Outgoing(message) for message in state.updates_since(held)]
+            encoded.updates[held] = [EncodedMessage(message) for message in state.updates_since(held)]
         return encoded.updates[held]
 
     def due_at(self, now: int, name: str) -> int:
@@ -227,5 +227,7 @@
         if subscriber.parts:
             return now
         if subscriber.dirty:  # deferred until the snapshot budget allows them
-            return min(subscriber.heartbeat_at, max(now + MIN_BUDGET_WAIT, self._bucket.ready_at(now, 1.0)))
+            return min(
+                subscriber.heartbeat_at, max(now + MIN_BUDGET_WAIT_US, self._bucket.ready_at(now, 1.0))
+            )
         return subscriber.heartbeat_at
--- a/ravenshelf/distribution/decisions/fallback.py
+++ b/ravenshelf/distribution/decisions/fallback.py
@@ -4,7 +4,7 @@
 
 from ravenshelf.distribution.decisions.backoff import SECOND
 
-LAST_TABLE_HOLD = (
+LAST_TABLE_VALIDITY_US = (
     10 * SECOND
 )  # four solve intervals; then the last table is older than the evidence it rests on
 
@@ -23,11 +23,11 @@
     def __init__(self) -> None:
         self._lost_at: int | None = None
 
-    def source(self, now: int, reachable: bool) -> TableSource:
+    def table_source(self, now: int, reachable: bool) -> TableSource:
         """Return whose table is in use now, given whether the owner can be reached."""
         if reachable:
             self._lost_at = None
             return TableSource.OWNER
         if self._lost_at is None:
             self._lost_at = now
-        return TableSource.LAST_TABLE if now - self._lost_at < LAST_TABLE_HOLD else TableSource.LOCAL
+        return TableSource.LAST_TABLE if now - self._lost_at < LAST_TABLE_VALIDITY_US else TableSource.LOCAL
--- a/ravenshelf/distribution/decisions/ownership.py
+++ b/ravenshelf/distribution/decisions/ownership.py
@@ -12,7 +12,7 @@
 
 from ravenshelf.leadership.shard_placement import ranked_members
 
-REPLICAS = 2  # controllers that hold a service's topics besides its owner
+REPLICA_COUNT = 2  # controllers that hold a service's topics besides its owner
 
 
 def shard_of_service(service: str, shards: int) -> int:
@@ -20,7 +20,9 @@
     return xxhash.xxh64_intdigest(service.encode()) % shards
 
 
-def replicas(shard: int, owner: int, weights: Mapping[int, float], count: int = REPLICAS) -> list[int]:
+def replica_controllers(
+    shard: int, owner: int, weights: Mapping[int, float], count: int = REPLICA_COUNT
+) -> list[int]:
     """Return the controllers that replicate a shard, the likeliest successor first."""
     return [member for member in ranked_members(shard, weights) if member != owner][:count]
 
@@ -51,7 +53,7 @@
         self._claims[service] = claim
         return known is None or was_vacant or known.owner != claim.owner
 
-    def update_all(self, owner: str, claims: Mapping[str, Claim]) -> set[str]:
+    def replace_claims(self, owner: str, claims: Mapping[str, Claim]) -> set[str]:
         """Record all present claims of a controller; return the services whose owner changes.
 
         A service that this controller owned and no longer claims becomes vacant.
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -22,12 +22,12 @@
 from ravenshelf.settings import Settings
 
 # prefixes of a topic's keys
-ENDPOINT = "e:"
-LINE = "t:"
-LEVEL = "l:"
-SETTING = "c:"
+ENDPOINT_PREFIX = "e:"
+LINE_PREFIX = "t:"
+LEVEL_PREFIX = "l:"
+SETTING_PREFIX = "c:"
 
-DEFAULT_USUAL_RATE = 1.0  # requests a second of a zone without load reports
+DEFAULT_NOMINAL_RATE = 1.0  # requests a second of a zone without load reports
 SHARE_DIGITS = 4  # decimal places of published shares
 NO_TABLE = -1
 NO_ENDPOINT = -1
@@ -164,11 +164,11 @@
             self._names.append(name)
         return self._indices[name]
 
-    def add_zone(self, zone: int, usual: float = DEFAULT_USUAL_RATE) -> None:
-        """A zone has subscribers now. `usual`: its requests a second until load is reported."""
+    def add_zone(self, zone: int, nominal_rate: float = DEFAULT_NOMINAL_RATE) -> None:
+        """A zone has subscribers now. `nominal_rate`: its requests a second until load is reported."""
         if zone not in self.zones:
             self.zones.add(zone)
-            self._events.append(events.ProxyJoined(zone, zone, usual, True))
+            self._events.append(events.ProxyJoined(zone, zone, nominal_rate, True))
 
     def remove_zone(self, zone: int) -> None:
         """A zone has no subscribers any more: its tables are no longer decided."""
@@ -207,8 +207,10 @@
 
     def service_entries(self) -> dict[str, Entry]:
         """Return the present state of the service's topic."""
-        entries: dict[str, Entry] = {SETTING + name: Setting(value) for name, value in self.settings.items()}
-        entries.update((ENDPOINT + name, entry) for name, entry in self.endpoints.items())
+        entries: dict[str, Entry] = {
+            SETTING_PREFIX + name: Setting(value) for name, value in self.settings.items()
+        }
+        entries.update((ENDPOINT_PREFIX + name, entry) for name, entry in self.endpoints.items())
         return entries
 
     def zone_entries(self, zone: int) -> dict[str, Entry]:
@@ -217,9 +219,9 @@
         lines = self.tables.table_lines(zone)
         total = sum(lines.values()) or 1.0
         for index, weight in lines.items():
-            entries[LINE + self._names[index]] = self._line(index, weight, weight / total)
+            entries[LINE_PREFIX + self._names[index]] = self._line(index, weight, weight / total)
         for group, (level, retry_mode) in self.tables.admission_levels(zone).items():
-            entries[f"{LEVEL}{group}"] = AdmissionLevel(level, retry_mode)
+            entries[f"{LEVEL_PREFIX}{group}"] = AdmissionLevel(level, retry_mode)
         return entries
 
     def is_warm(self, name: str) -> bool:
@@ -236,11 +238,15 @@
         return TableLine(weight, round(largest_share(share, capacity_share, multiple), SHARE_DIGITS))
 
 
-def table_of(entries: Mapping[str, Entry]) -> dict[str, TableLine]:
+def read_table(entries: Mapping[str, Entry]) -> dict[str, TableLine]:
     """Return the table lines among a topic's entries, by endpoint."""
-    return {key[len(LINE) :]: entry for key, entry in entries.items() if isinstance(entry, TableLine)}
+    return {key[len(LINE_PREFIX) :]: entry for key, entry in entries.items() if isinstance(entry, TableLine)}
 
 
-def endpoints_of(entries: Mapping[str, Entry]) -> dict[str, EndpointEntry]:
+def read_endpoints(entries: Mapping[str, Entry]) -> dict[str, EndpointEntry]:
     """Return the listed endpoints among a topic's entries, by name."""
-    return {key[len(ENDPOINT) :]: entry for key, entry in entries.items() if isinstance(entry, EndpointEntry)}
+    return {
+        key[len(ENDPOINT_PREFIX) :]: entry
+        for key, entry in entries.items()
+        if isinstance(entry, EndpointEntry)
+    }
--- a/ravenshelf/distribution/decisions/publication.py
+++ b/ravenshelf/distribution/decisions/publication.py
@@ -5,7 +5,7 @@
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.messages import Changes, Delta, Entry, Version
 
-FLUSH_INTERVAL = (
+FLUSH_INTERVAL_US = (
     100_000  # microseconds between two deltas of a topic: a burst of changes leaves as ten a second
 )
 
@@ -37,9 +37,9 @@
             return
         self._pending[key] = entry
         if self._flush_at is None:
-            self._flush_at = now + FLUSH_INTERVAL
+            self._flush_at = now + FLUSH_INTERVAL_US
 
-    def put_all(self, now: int, entries: Mapping[str, Entry]) -> None:
+    def replace_entries(self, now: int, entries: Mapping[str, Entry]) -> None:
         """Make the state equal to `entries`."""
         for key in [key for key in {**self.topic.entries, **self._pending} if key not in entries]:
             self.put(now, key, None)
--- a/ravenshelf/distribution/decisions/service_decisions.py
+++ b/ravenshelf/distribution/decisions/service_decisions.py
@@ -9,28 +9,28 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from ravenshelf.distribution.decisions.aggregation import REPORT_WINDOW, Aggregator
+from ravenshelf.distribution.decisions.aggregation import REPORT_WINDOW_US, Aggregator
 from ravenshelf.distribution.decisions.backoff import SECOND
-from ravenshelf.distribution.decisions.claims import service_of
+from ravenshelf.distribution.decisions.claims import service_of_topic
 from ravenshelf.distribution.decisions.planner import (
-    LINE,
+    LINE_PREFIX,
     ServicePlanner,
-    endpoints_of,
+    read_endpoints,
+    read_table,
     service_topic,
-    table_of,
     zone_topic,
 )
 from ravenshelf.distribution.decisions.service_owner import ServiceOwner
 from ravenshelf.distribution.messages import EndpointEntry, Entry, TableLine, ZoneLoadReport
 from ravenshelf.settings import Settings
 
-CYCLE_INTERVAL = SECOND // 4
-WARM_UP_WITH_REPORTS = 5 * SECOND  # two solve intervals with load reports
-WARM_UP_WITHOUT_REPORTS = 10 * SECOND  # where none arrive at all
+CYCLE_INTERVAL_US = SECOND // 4
+WARM_UP_WITH_REPORTS_US = 5 * SECOND  # two solve intervals with load reports
+WARM_UP_WITHOUT_REPORTS_US = 10 * SECOND  # where none arrive at all
 
 
 @dataclass(frozen=True)
-class Service:
+class ServiceConfiguration:
     """Configuration of a service: its endpoints and settings by name."""
 
     endpoints: Mapping[str, EndpointEntry]
@@ -43,13 +43,13 @@
     started_at: int
     first_report_at: int | None = None
     inherited_tables: dict[int, dict[str, Entry]] = field(default_factory=dict)  # by zone
-    configuration: Service | None = None
+    configuration: ServiceConfiguration | None = None
 
     def is_warm(self, now: int) -> bool:
         """Return whether the planner's own tables are better than the inherited ones."""
-        if self.first_report_at is not None and now - self.first_report_at >= WARM_UP_WITH_REPORTS:
+        if self.first_report_at is not None and now - self.first_report_at >= WARM_UP_WITH_REPORTS_US:
             return True
-        return now - self.started_at >= WARM_UP_WITHOUT_REPORTS and self.first_report_at is None
+        return now - self.started_at >= WARM_UP_WITHOUT_REPORTS_US and self.first_report_at is None
 
 
 class ServiceDecisions:
@@ -58,7 +58,9 @@
     Pass `content` to the `ServiceOwner`, then call `attach` with it before anything else.
     """
 
-    def __init__(self, deployment: Settings, configuration_of: Callable[[str], Service], seed: int):
+    def __init__(
+        self, deployment: Settings, configuration_of: Callable[[str], ServiceConfiguration], seed: int
+    ):
         """`deployment`: as `ServicePlanner` takes it; `configuration_of` returns a service's present
         configuration."""
         self.deployment = deployment
@@ -86,19 +88,19 @@
         self.aggregator.add(report)
 
     def _apply_load_reports(self, now: int) -> None:
-        self._window = now // REPORT_WINDOW
+        self._window = now // REPORT_WINDOW_US
         for report in self.aggregator.flush(self._window):
             planned = self.planned_services.get(report.service)
             if planned is not None:
                 if planned.first_report_at is None:
                     planned.first_report_at = now
-                planned.planner.add_report(report, REPORT_WINDOW)
+                planned.planner.add_report(report, REPORT_WINDOW_US)
 
     # --- control cycles ---
 
     def run_cycle(self, now: int) -> None:
         """Decide all services that have subscribers, and refresh their topics; called each CYCLE_INTERVAL."""
-        if now // REPORT_WINDOW != self._window:
+        if now // REPORT_WINDOW_US != self._window:
             self._apply_load_reports(now)
         subscribed_zones = self._subscribed_zones()
         for service in [service for service in self.planned_services if service not in subscribed_zones]:
@@ -110,7 +112,7 @@
         """Return the owned services with subscribers, and the zones of these."""
         subscribed: dict[str, set[int]] = {}
         for topic in self.owner.distributor.subscriptions:
-            service = service_of(topic)
+            service = service_of_topic(topic)
             if service in self.owner.owned_services:
                 zone = topic[len(service) + 1 :]
                 subscribed.setdefault(service, set()).update([int(zone)] if zone.isdigit() else [])
@@ -143,7 +145,7 @@
 
     def _inherit_table(self, planned: _PlannedService, service: str, zone: int) -> None:
         replicated = self.owner.topics.get(zone_topic(service, zone))
-        if replicated is not None and table_of(replicated.entries):
+        if replicated is not None and read_table(replicated.entries):
             planned.inherited_tables[zone] = dict(replicated.entries)
 
     # --- content of topics ---
@@ -153,7 +155,7 @@
 
         A table is never emptied: if no endpoint is left, the last table stands.
         """
-        service = service_of(topic)
+        service = service_of_topic(topic)
         planned = self.planned_services.get(service)
         if planned is None:
             return self._last_content(topic)
@@ -173,7 +175,7 @@
         inherited = planned.inherited_tables.get(zone)
         usable = self._usable_lines(planned, inherited) if inherited is not None else {}
         for entries in (usable, own):
-            if table_of(entries):
+            if read_table(entries):
                 return entries
         return self._last_content(topic)
 
@@ -182,11 +184,11 @@
         """Return the inherited entries without endpoints that are draining, gone or restarted since."""
         ready = {
             name
-            for name, entry in endpoints_of(planned.planner.service_entries()).items()
+            for name, entry in read_endpoints(planned.planner.service_entries()).items()
             if entry.ready and planned.planner.is_warm(name)
         }
         return {
             key: entry
             for key, entry in inherited.items()
-            if not isinstance(entry, TableLine) or key[len(LINE) :] in ready
+            if not isinstance(entry, TableLine) or key[len(LINE_PREFIX) :] in ready
         }
--- a/ravenshelf/distribution/decisions/service_owner.py
+++ b/ravenshelf/distribution/decisions/service_owner.py
@@ -4,23 +4,23 @@
 from collections.abc import Callable, Mapping, Sequence
 
 from ravenshelf.distribution.decisions.claims import (
+    claim_entry,
     claims_topic,
-    published_topic,
-    published_topics,
-    read_published,
-    service_claim,
-    service_of,
+    publication_entry,
+    publication_list_topic,
+    read_published_topics,
+    service_of_topic,
 )
 from ravenshelf.distribution.decisions.client import Action, SubscriptionClient, TopicChanged
 from ravenshelf.distribution.decisions.distributor import Distributor, DistributorLimits
 from ravenshelf.distribution.decisions.ownership import PublicationLease, shard_of_service
 from ravenshelf.distribution.decisions.publication import Publication
-from ravenshelf.distribution.decisions.relay import Effects
+from ravenshelf.distribution.decisions.relay import NodeActions
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.messages import Entry, Message, Resync, Subscribe, Unsubscribe
 
 # returns the present state of a topic of an owned service; None: not known yet
-Content = Callable[[str], Mapping[str, Entry] | None]
+ContentProvider = Callable[[str], Mapping[str, Entry] | None]
 
 
 class ServiceOwner:
@@ -31,7 +31,7 @@
         name: str,
         incarnation: int,
         shards: int,
-        content: Content,
+        content: ContentProvider,
         others: Sequence[str],
         random_source: random.Random,
         now: int,
@@ -67,14 +67,14 @@
         if self._epochs.get(shard) != lease.epoch:
             self._epochs[shard] = lease.epoch
             self.unfollow_shard(shard)
-            if self._begin_publication(published_topics(shard), lease.epoch):
-                self._schedule_flush(published_topics(shard))
-        self._put(now, claims_topic(self.name), *service_claim(service, lease.epoch))
+            if self._begin_publication(publication_list_topic(shard), lease.epoch):
+                self._schedule_flush(publication_list_topic(shard))
+        self._put(now, claims_topic(self.name), *claim_entry(service, lease.epoch))
         known = {
             **self.topics,
             **self.distributor.subscriptions,
         }  # some subscribe before the lease is granted
-        for topic in [topic for topic in known if service_of(topic) == service]:
+        for topic in [topic for topic in known if service_of_topic(topic) == service]:
             self._publish_topic(now, topic, lease)
 
     def set_claimed(self, now: int, service: str, claimed: bool) -> None:
@@ -82,18 +82,18 @@
 
         Without a claim, servers learn that the service has no owner.
         """
-        key, entry = service_claim(service, self.owned_services[service].epoch)
+        key, entry = claim_entry(service, self.owned_services[service].epoch)
         self._put(now, claims_topic(self.name), key, entry if claimed else None)
 
     def release(self, now: int, service: str) -> None:
         """The lease has expired or was released."""
         self.owned_services.pop(service, None)
-        claim_key, _ = service_claim(service, 0)
+        claim_key, _ = claim_entry(service, 0)
         self._put(now, claims_topic(self.name), claim_key, None)
         shard = shard_of_service(service, self.shards)
         if self._epochs.pop(shard, None) is not None:
-            self._end_publication(published_topics(shard))
-        for topic in [topic for topic in self.publications if service_of(topic) == service]:
+            self._end_publication(publication_list_topic(shard))
+        for topic in [topic for topic in self.publications if service_of_topic(topic) == service]:
             self._end_publication(topic)
 
     # --- publication ---
@@ -101,8 +101,8 @@
     def _publish_topic(self, now: int, topic: str, lease: PublicationLease) -> None:
         if self._begin_publication(topic, lease.epoch):
             self.refresh(now, topic)
-            shard = shard_of_service(service_of(topic), self.shards)
-            self._put(now, published_topics(shard), *published_topic(topic))
+            shard = shard_of_service(service_of_topic(topic), self.shards)
+            self._put(now, publication_list_topic(shard), *publication_entry(topic))
 
     def _begin_publication(self, topic: str, epoch: int) -> bool:
         """Begin to publish a topic; return False if its epoch or a later one is known already."""
@@ -137,7 +137,7 @@
             return
         content = self.content(topic)
         if content is not None:
-            publication.put_all(now, content)
+            publication.replace_entries(now, content)
             self._schedule_flush(topic)
 
     def due_at(self, now: int) -> int | None:
@@ -152,15 +152,15 @@
         topics = [
             topic for topic, at in self._flush_at.items() if at <= now and self._may_publish(now, topic)
         ]
-        to_pull: list[str] = []
+        pending_subscribers: list[str] = []
         for topic in topics:
             del self._flush_at[topic]
             self.publications[topic].flush()
-            to_pull += self.distributor.topic_changed(topic)
-        return topics, to_pull
+            pending_subscribers += self.distributor.topic_changed(topic)
+        return topics, pending_subscribers
 
     def _may_publish(self, now: int, topic: str) -> bool:
-        service = service_of(topic)
+        service = service_of_topic(topic)
         if (
             not service
         ):  # a topic about this controller: its readers compare epochs, so an old one does no harm
@@ -176,7 +176,7 @@
         """Handle a subscriber's message; a topic of an owned service is published from its first subscriber
         on."""
         for topic in self.distributor.receive(name, message):
-            lease = self.owned_services.get(service_of(topic))
+            lease = self.owned_services.get(service_of_topic(topic))
             is_subscribed = topic in self.distributor.subscriptions
             if lease is not None and is_subscribed and topic not in self.publications:
                 self._publish_topic(now, topic, lease)
@@ -187,16 +187,16 @@
 
     # --- other controllers ---
 
-    def upstream_message_received(self, now: int, other: str, message: Message) -> Effects:
+    def upstream_message_received(self, now: int, other: str, message: Message) -> NodeActions:
         """Handle a message of another controller."""
-        effects = Effects()
+        actions = NodeActions()
         for action in self.clients[other].receive(now, message):
             if isinstance(action, TopicChanged):
-                effects.to_pull += self.distributor.topic_changed(action.topic)
-                effects.actions += self._replicate(other, action.topic)
+                actions.pending_subscribers += self.distributor.topic_changed(action.topic)
+                actions.upstream_actions += self._replicate(other, action.topic)
             else:
-                effects.actions.append((other, action))
-        return effects
+                actions.upstream_actions.append((other, action))
+        return actions
 
     def follow_shard(self, shard: int, other: str) -> list[tuple[str, Action]]:
         """Replicate a shard from the controller that owns it."""
@@ -204,8 +204,10 @@
             return []
         actions = self.unfollow_shard(shard)
         self.followed_shards[shard] = other
-        actions += [(other, action) for action in self.clients[other].want(published_topics(shard))]
-        return actions + self._replicate(other, published_topics(shard))
+        actions += [
+            (other, action) for action in self.clients[other].subscribe(publication_list_topic(shard))
+        ]
+        return actions + self._replicate(other, publication_list_topic(shard))
 
     def unfollow_shard(self, shard: int) -> list[tuple[str, Action]]:
         """Stop replicating a shard."""
@@ -213,15 +215,18 @@
         if other is None:
             return []
         client = self.clients[other]
-        topics = [published_topics(shard), *read_published(self.topics[published_topics(shard)].entries)]
-        return [(other, action) for topic in topics for action in client.unwant(topic)]
+        topics = [
+            publication_list_topic(shard),
+            *read_published_topics(self.topics[publication_list_topic(shard)].entries),
+        ]
+        return [(other, action) for topic in topics for action in client.unsubscribe(topic)]
 
     def _replicate(self, other: str, topic: str) -> list[tuple[str, Action]]:
         """Subscribe to the topics that the owner of a followed shard publishes."""
         client = self.clients[other]
         return [
             (other, action)
-            for published in read_published(self.topics[topic].entries)
+            for published in read_published_topics(self.topics[topic].entries)
             if published not in self.publications
-            for action in client.want(published)
+            for action in client.subscribe(published)
         ]
--- a/ravenshelf/distribution/decisions/topics.py
+++ b/ravenshelf/distribution/decisions/topics.py
@@ -10,7 +10,7 @@
 MIN_HISTORY_CHANGES = 16
 
 
-class Outcome(Enum):
+class UpdateOutcome(Enum):
     """Result of receiving an update of a topic."""
 
     APPLIED = "applied"
@@ -42,38 +42,38 @@
         self._history_changes = 0
         self._partial: _PartialSnapshot | None = None
 
-    def receive(self, message: Snapshot | Delta) -> Outcome:
+    def receive(self, message: Snapshot | Delta) -> UpdateOutcome:
         """Handle an update from the topic's upstream."""
         if isinstance(message, Snapshot):
             return self._receive_snapshot(message)
         return self._receive_delta(message)
 
-    def drop_partial(self) -> None:
+    def discard_partial_snapshot(self) -> None:
         """Drop an incomplete snapshot: its connection has broken."""
         self._partial = None
 
     # --- snapshots ---
 
-    def _receive_snapshot(self, part: Snapshot) -> Outcome:
+    def _receive_snapshot(self, part: Snapshot) -> UpdateOutcome:
         if part.version <= self.version:
             return self._rejected(part.version)
         partial = self._partial
         if partial is None or partial.version < part.version:
-            partial = self._partial = _PartialSnapshot(part.version, part.parts, {})
+            partial = self._partial = _PartialSnapshot(part.version, part.part_count, {})
         elif partial.version > part.version:
-            return Outcome.DUPLICATE
-        partial.entries[part.part] = part.entries
+            return UpdateOutcome.DUPLICATE
+        partial.entries[part.part_index] = part.entries
         if len(partial.entries) < partial.parts:
-            return Outcome.INCOMPLETE
+            return UpdateOutcome.INCOMPLETE
         entries = {
             key: entry for number in sorted(partial.entries) for key, entry in partial.entries[number].items()
         }
         self.replace(part.version, entries)
-        return Outcome.APPLIED
+        return UpdateOutcome.APPLIED
 
-    def _rejected(self, version: Version) -> Outcome:
+    def _rejected(self, version: Version) -> UpdateOutcome:
         """Return the outcome of an update that is not later than the version held."""
-        return Outcome.STALE_EPOCH if version.epoch < self.version.epoch else Outcome.DUPLICATE
+        return UpdateOutcome.STALE_EPOCH if version.epoch < self.version.epoch else UpdateOutcome.DUPLICATE
 
     def replace(self, version: Version, entries: dict[str, Entry]) -> None:
         """Replace the complete state; the history restarts, as the changes in between are unknown."""
@@ -85,13 +85,13 @@
 
     # --- deltas ---
 
-    def _receive_delta(self, delta: Delta) -> Outcome:
+    def _receive_delta(self, delta: Delta) -> UpdateOutcome:
         if delta.version <= self.version:
             return self._rejected(delta.version)
         if not self._covers(delta):
-            return Outcome.GAP
+            return UpdateOutcome.GAP
         self.apply(delta)
-        return Outcome.APPLIED
+        return UpdateOutcome.APPLIED
 
     def _covers(self, delta: Delta) -> bool:
         """Return whether the delta holds all changes since the version held."""
--- a/ravenshelf/distribution/decisions/tree.py
+++ b/ravenshelf/distribution/decisions/tree.py
@@ -10,13 +10,13 @@
 
 
 @dataclass(frozen=True)
-class Level:
+class RelayLevel:
     """Relays that are equally far from the service owners."""
 
     names: tuple[str, ...]
 
 
-def levels(servers: int, fan_out: int, prefix: str = "relay") -> list[Level]:
+def plan_relay_levels(servers: int, fan_out: int, prefix: str = "relay") -> list[RelayLevel]:
     """Return the levels of relays that so many servers need, the one next to the service owners first.
 
     Each relay has at most `fan_out` children; half of that is reserved for the children of a relay that is
@@ -33,12 +33,12 @@
         if planned_children == 1:
             break
     return [
-        Level(tuple(f"{prefix}-{depth}-{number}" for number in range(count)))
+        RelayLevel(tuple(f"{prefix}-{depth}-{number}" for number in range(count)))
         for depth, count in enumerate(reversed(counts), 1)
     ]
 
 
-def preferred_parents(index: int, node_count: int, level: Level) -> list[str]:
+def candidate_parents(index: int, node_count: int, level: RelayLevel) -> list[str]:
     """Return the parents of node `index` of `node_count`, in the order in which it tries them.
 
     Nodes are assigned to the level in even blocks, and each falls back on other relays in a pseudo-random
--- a/ravenshelf/distribution/leased_services.py
+++ b/ravenshelf/distribution/leased_services.py
@@ -6,11 +6,17 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from ravenshelf.distribution.decisions.ownership import PublicationLease, replicas, shard_of_service
+from ravenshelf.distribution.decisions.ownership import (
+    PublicationLease,
+    replica_controllers,
+    shard_of_service,
+)
 from ravenshelf.distribution.owner_service import OwnerService
 from ravenshelf.leadership.decisions import Member, Permission
 
-UNCLAIM_AFTER = 5_000_000  # microseconds without a valid lease until the claims of its services are withdrawn
+CLAIM_WITHDRAWAL_DELAY_US = (
+    5_000_000  # microseconds without a valid lease until the claims of its services are withdrawn
+)
 
 
 class ShardLease(PublicationLease):
@@ -114,7 +120,7 @@
         for shard in list(self.owned):
             if self.member.permission(now, shard) is not Permission.FULL:
                 since = self._invalid_since.setdefault(shard, now)
-                if now - since >= UNCLAIM_AFTER:
+                if now - since >= CLAIM_WITHDRAWAL_DELAY_US:
                     self._set_claimed(shard, False)
             elif self._invalid_since.pop(shard, None) is not None:
                 self._set_claimed(shard, True)
@@ -132,7 +138,7 @@
             if owner is None:
                 continue
             is_other = owner != self.member.me
-            if is_other and self.member.me in replicas(shard, owner, weights):
+            if is_other and self.member.me in replica_controllers(shard, owner, weights):
                 self.publisher.follow_shard(shard, self.names[owner])
             elif shard in self.publisher.owner.followed_shards:
                 self.publisher.unfollow_shard(shard)
--- a/ravenshelf/distribution/messages.py
+++ b/ravenshelf/distribution/messages.py
@@ -83,8 +83,8 @@
 
     topic: str
     version: Version
-    part: int
-    parts: int
+    part_index: int
+    part_count: int
     entries: dict[str, Entry]
 
 
@@ -113,7 +113,7 @@
     """Whether the sender can reach the owner of a topic."""
 
     topic: str
-    live: bool
+    is_live: bool
 
 
 class EndpointLoad(msgspec.Struct, frozen=True, array_like=True):
--- a/ravenshelf/distribution/owner_service.py
+++ b/ravenshelf/distribution/owner_service.py
@@ -6,17 +6,17 @@
 
 from ravenshelf.distribution.decisions.distributor import DistributorLimits
 from ravenshelf.distribution.decisions.ownership import PublicationLease
-from ravenshelf.distribution.decisions.service_owner import Content, ServiceOwner
+from ravenshelf.distribution.decisions.service_owner import ContentProvider, ServiceOwner
 from ravenshelf.distribution.messages import Message, Resync, Subscribe, Unsubscribe, ZoneLoadReport
 from ravenshelf.distribution.node import Node
-from ravenshelf.distribution.serving import MAX_TICK_INTERVAL, ServingService
+from ravenshelf.distribution.serving import MAX_TICK_INTERVAL, DistributionService
 
 
 def _ignore_report(_report: ZoneLoadReport) -> None:
     pass
 
 
-class OwnerService(ServingService):
+class OwnerService(DistributionService):
     """Runs a `ServiceOwner` on sockets. The caller reports changes of leases and of shards to replicate."""
 
     def __init__(
@@ -24,7 +24,7 @@
         node: Node,
         incarnation: int,
         shards: int,
-        content: Content,
+        content: ContentProvider,
         random_source: random.Random,
         limits: DistributorLimits = DistributorLimits(),
         report_received: Callable[[ZoneLoadReport], None] = _ignore_report,
@@ -87,24 +87,24 @@
     def publish(self) -> None:
         """Publish what is due; called after the decisions of a control cycle."""
         now = self.clock()
-        _, to_pull = self.owner.publish(now)
-        self.subscribers.pump(to_pull)
+        _, pending_subscribers = self.owner.publish(now)
+        self.subscribers.send_pending(pending_subscribers)
         deadlines = [client.due_at() for client in self.clients.values()]
         publication_due_at = self.owner.due_at(now)
         if publication_due_at is not None:
             deadlines.append(publication_due_at)
-        self.tick_at(min(deadlines, default=now + MAX_TICK_INTERVAL))
+        self.schedule_tick(min(deadlines, default=now + MAX_TICK_INTERVAL))
 
     # --- other controllers ---
 
     def upstream_connected(self, upstream: str) -> None:
         """A dial has succeeded."""
-        actions = self.clients[upstream].connected(self.clock())
+        actions = self.clients[upstream].connection_opened(self.clock())
         self.upstreams.perform((upstream, action) for action in actions)
 
     def upstream_message_received(self, upstream: str, message: Message) -> None:
         """Another controller has sent a message."""
-        self.apply(self.owner.upstream_message_received(self.clock(), upstream, message))
+        self.execute(self.owner.upstream_message_received(self.clock(), upstream, message))
 
     # --- subscribers ---
 
--- a/ravenshelf/distribution/relay_service.py
+++ b/ravenshelf/distribution/relay_service.py
@@ -7,10 +7,10 @@
 from ravenshelf.distribution.decisions.relay import Relay
 from ravenshelf.distribution.messages import Message, Resync, Subscribe, Unsubscribe, ZoneLoadReport
 from ravenshelf.distribution.node import Node
-from ravenshelf.distribution.serving import ServingService
+from ravenshelf.distribution.serving import DistributionService
 
 
-class RelayService(ServingService):
+class RelayService(DistributionService):
     """Runs a `Relay` on sockets."""
 
     def __init__(
@@ -27,24 +27,24 @@
 
     def tick(self) -> None:
         """Dial, forward reports, drop topics that nobody wants, as far as each is due."""
-        self.apply(self.relay.tick(self.clock()))
-        self.tick_at(self.relay.due_at())
+        self.execute(self.relay.tick(self.clock()))
+        self.schedule_tick(self.relay.due_at())
 
     # --- upstreams ---
 
     def upstream_connected(self, upstream: str) -> None:
         """A dial has succeeded."""
-        self.apply(self.relay.upstream_connected(self.clock(), upstream))
+        self.execute(self.relay.upstream_connected(self.clock(), upstream))
 
     def upstream_message_received(self, upstream: str, message: Message) -> None:
         """A parent has sent a message."""
-        self.apply(self.relay.upstream_message_received(self.clock(), upstream, message))
+        self.execute(self.relay.upstream_message_received(self.clock(), upstream, message))
 
     # --- subscribers ---
 
     def subscriber_message_received(self, name: str, message: Subscribe | Unsubscribe | Resync) -> None:
         """A subscriber has changed its subscriptions."""
-        self.apply(self.relay.subscriber_message_received(self.clock(), name, message))
+        self.execute(self.relay.subscriber_message_received(self.clock(), name, message))
 
     def load_report_received(self, report: ZoneLoadReport) -> None:
         """A subscriber has reported load."""
@@ -52,7 +52,7 @@
 
     def subscriber_lost(self, name: str) -> None:
         """A subscriber's connection has ended."""
-        self.apply(self.relay.subscriber_lost(self.clock(), name))
+        self.execute(self.relay.subscriber_lost(self.clock(), name))
 
     # --- status ---
 
@@ -75,8 +75,8 @@
             "topics": len(self.relay.topics),
             "wanted": len(distributor.subscriptions),
             "subscribers": len(distributor.subscribers),
-            "subscribers_most": distributor.limits.subscribers,
-            "refused": self.subscribers.rejected,
+            "subscribers_most": distributor.limits.max_subscribers,
+            "refused": self.subscribers.rejected_count,
             "snapshot_bytes": distributor.snapshot_bytes,
             "upstreams": upstreams,
         }
--- a/ravenshelf/distribution/server_distribution.py
+++ b/ravenshelf/distribution/server_distribution.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from ravenshelf.distribution.decisions.aggregation import REPORT_WINDOW, Aggregator
+from ravenshelf.distribution.decisions.aggregation import REPORT_WINDOW_US, Aggregator
 from ravenshelf.distribution.decisions.distributed_controller import DistributedController
 from ravenshelf.distribution.decisions.fallback import OwnerReachability, TableSource
-from ravenshelf.distribution.decisions.planner import service_topic, table_of, zone_topic
+from ravenshelf.distribution.decisions.planner import read_table, service_topic, zone_topic
 from ravenshelf.distribution.decisions.relay import INCARNATION_BITS
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.messages import EndpointLoad, GroupDemand, TableLine, ZoneLoadReport
@@ -53,7 +53,7 @@
 
     def make_controller(self, *arguments: Any) -> DistributedController:
         """Return a controller that uses the owner's tables; `arguments` as `Controller` takes them."""
-        controller = DistributedController(*arguments, owners_table=self.owners_table, index_of=self.index_of)
+        controller = DistributedController(*arguments, owner_table=self.owner_table, index_of=self.index_of)
         self._controller = controller
         return controller
 
@@ -62,7 +62,7 @@
         topics = [service_topic(self.service)]
         topics.extend(zone_topic(self.service, zone) for zone in self.zones)
         self.subscription.start(topics)
-        self._timers.set(REPORT, self.clock() + REPORT_WINDOW)
+        self._timers.set(REPORT, self.clock() + REPORT_WINDOW_US)
 
     def stop(self) -> None:
         """End the connection."""
@@ -71,13 +71,13 @@
 
     # --- tables ---
 
-    def owners_table(self, _now: int, zone: int) -> tuple[TableSource, dict[str, TableLine]]:
+    def owner_table(self, _now: int, zone: int) -> tuple[TableSource, dict[str, TableLine]]:
         """Return whose table is in use for a zone, and the owner's table."""
         topic = self.subscription.topics.get(zone_topic(self.service, zone))
-        return self._source(zone), table_of(topic.entries) if topic is not None else {}
+        return self._table_source(zone), read_table(topic.entries) if topic is not None else {}
 
-    def _source(self, zone: int) -> TableSource:
-        return self._reachability[zone].source(self.clock(), self._is_reachable(zone))
+    def _table_source(self, zone: int) -> TableSource:
+        return self._reachability[zone].table_source(self.clock(), self._is_reachable(zone))
 
     def _is_connected(self) -> bool:
         return self.subscription.client.disconnected_since is None
@@ -87,7 +87,7 @@
 
     def _topic_changed(self, topic: Topic) -> None:
         if self._controller is not None and topic.name != service_topic(self.service):
-            self._controller.owners_table_changed()
+            self._controller.owner_table_changed()
 
     def _liveness_changed(self, topic: str, live: bool) -> None:
         if live:
@@ -116,13 +116,13 @@
         self.proxies[proxy] = zone
         if zone not in self.zones:
             self.zones.add(zone)
-            self.subscription.want(zone_topic(self.service, zone))
+            self.subscription.subscribe(zone_topic(self.service, zone))
 
     def _add_load(
         self, zone: int, endpoints: dict[str, EndpointLoad], groups: dict[int, GroupDemand]
     ) -> None:
         self._sequence += 1
-        window = self.clock() // REPORT_WINDOW
+        window = self.clock() // REPORT_WINDOW_US
         self.aggregator.add(
             ZoneLoadReport(self.service, zone, window, OWN_REPORTER, self._sequence, endpoints, groups)
         )
@@ -130,6 +130,6 @@
     def _report_due(self, _key: str) -> None:
         now = self.clock()
         connected = self._is_connected()
-        for report in self.aggregator.flush(now // REPORT_WINDOW, lambda _: connected):
-            self.subscription.report(report)
-        self._timers.set(REPORT, now + REPORT_WINDOW)
+        for report in self.aggregator.flush(now // REPORT_WINDOW_US, lambda _: connected):
+            self.subscription.send_report(report)
+        self._timers.set(REPORT, now + REPORT_WINDOW_US)
--- a/ravenshelf/distribution/services_file.py
+++ b/ravenshelf/distribution/services_file.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ravenshelf.distribution.decisions.service_decisions import Service
+from ravenshelf.distribution.decisions.service_decisions import ServiceConfiguration
 from ravenshelf.distribution.messages import EndpointEntry
 from ravenshelf.errors import RavenshelfError
 
@@ -40,7 +40,7 @@
     settings: dict[str, str] = {}
 
 
-def read(path: Path, zones: int) -> dict[str, Service]:
+def read(path: Path, zones: int) -> dict[str, ServiceConfiguration]:
     """Return the services of a file by name; raises ServicesFileError. `zones`: the number of configured
     zones."""
     try:
@@ -63,9 +63,9 @@
             )
 
 
-def _service(service: _Service) -> Service:
+def _service(service: _Service) -> ServiceConfiguration:
     endpoints = {
         uid: EndpointEntry(endpoint.zone, endpoint.ready, endpoint.weight, endpoint.started)
         for uid, endpoint in service.endpoints.items()
     }
-    return Service(endpoints, service.settings)
+    return ServiceConfiguration(endpoints, service.settings)
--- a/ravenshelf/distribution/serving.py
+++ b/ravenshelf/distribution/serving.py
@@ -5,7 +5,7 @@
 
 from ravenshelf.distribution.decisions.client import SubscriptionClient
 from ravenshelf.distribution.decisions.distributor import Distributor
-from ravenshelf.distribution.decisions.relay import Effects
+from ravenshelf.distribution.decisions.relay import NodeActions
 from ravenshelf.distribution.messages import Message, Resync, Subscribe, Unsubscribe, ZoneLoadReport
 from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.subscribers import Subscribers
@@ -17,7 +17,7 @@
 TICK = "tick"
 
 
-class ServingService(ABC):
+class DistributionService(ABC):
     """Serves a distributor's subscribers from what its clients receive; subclasses add the decisions."""
 
     def __init__(self, node: Node, clients: Mapping[str, SubscriptionClient], distributor: Distributor):
@@ -54,14 +54,14 @@
     def _tick_due(self, _key: str) -> None:
         self.tick()
 
-    def tick_at(self, at: int) -> None:
+    def schedule_tick(self, at: int) -> None:
         """Schedule the next tick, at most MAX_TICK_INTERVAL from now."""
         self._timers.set(TICK, min(at, self.clock() + MAX_TICK_INTERVAL))
 
-    def apply(self, effects: Effects) -> None:
-        """Apply the effects of a decision."""
-        self.upstreams.perform(effects.actions)
-        self.subscribers.pump(effects.to_pull)
+    def execute(self, actions: NodeActions) -> None:
+        """Apply the actions of a decision."""
+        self.upstreams.perform(actions.upstream_actions)
+        self.subscribers.send_pending(actions.pending_subscribers)
 
     @abstractmethod
     def upstream_connected(self, upstream: str) -> None:
@@ -74,8 +74,8 @@
     def upstream_lost(self, upstream: str) -> None:
         """A connection has ended, or a dial has failed."""
         client = self.clients[upstream]
-        self.upstreams.perform((upstream, action) for action in client.lost(self.clock()))
-        self.tick_at(client.due_at())
+        self.upstreams.perform((upstream, action) for action in client.connection_lost(self.clock()))
+        self.schedule_tick(client.due_at())
 
     @abstractmethod
     def subscriber_message_received(self, name: str, message: Subscribe | Unsubscribe | Resync) -> None:
--- a/ravenshelf/distribution/subscribers.py
+++ b/ravenshelf/distribution/subscribers.py
@@ -22,9 +22,11 @@
 from ravenshelf.net.datagrams import address
 from ravenshelf.state.buffers import BufferPool
 
-IDENTIFICATION_TIMEOUT = 2_000_000  # microseconds until the first message of a connection must have arrived
-MAX_UNIDENTIFIED = 256  # connections
-UNREAD_TIMEOUT = 30_000_000  # microseconds for which a subscriber may leave its messages unread
+IDENTIFICATION_TIMEOUT_US = (
+    2_000_000  # microseconds until the first message of a connection must have arrived
+)
+MAX_UNIDENTIFIED_CONNECTIONS = 256  # connections
+UNREAD_TIMEOUT_US = 30_000_000  # microseconds for which a subscriber may leave its messages unread
 
 # keys of the timers: by name of the subscriber, and for unidentified connections by their id
 PULL: Literal["pull"] = "pull"
@@ -57,7 +59,7 @@
         self.distributor = distributor
         self.listener = listener
         self.connections: dict[str, MessageConnection] = {}
-        self.rejected = 0  # connections, in total
+        self.rejected_count = 0  # connections, in total
         self.bytes_out = 0  # of all messages ever sent, without frames
         self._unidentified: dict[int, MessageConnection] = {}
         self._timers: Timers[_TimerKey] = Timers(node.loop, node.clock, self._due)
@@ -87,11 +89,11 @@
 
     def connection_opened(self, connection: MessageConnection) -> None:
         """Accept a connection, unless too many are unidentified."""
-        if len(self._unidentified) >= MAX_UNIDENTIFIED:
+        if len(self._unidentified) >= MAX_UNIDENTIFIED_CONNECTIONS:
             connection.close(ConnectionEnd.NO_CAPACITY)
             return
         self._unidentified[id(connection)] = connection
-        self._timers.set((IDENTIFICATION, id(connection)), self.node.clock() + IDENTIFICATION_TIMEOUT)
+        self._timers.set((IDENTIFICATION, id(connection)), self.node.clock() + IDENTIFICATION_TIMEOUT_US)
 
     def message_received(self, connection: MessageConnection, message: Message) -> None:
         """Handle a message; the first of a connection must identify the subscriber."""
@@ -99,7 +101,7 @@
             self._identify(connection, message)
         elif isinstance(message, Subscribe | Unsubscribe | Resync):
             self.listener.subscriber_message_received(connection.name, message)
-            self.pump([connection.name])
+            self.send_pending([connection.name])
         elif isinstance(message, ZoneLoadReport):
             self.listener.load_report_received(message)
         else:
@@ -120,7 +122,7 @@
             return
         connection.name = message.name
         self.connections[message.name] = connection
-        self.pump([message.name])
+        self.send_pending([message.name])
 
     def _is_valid_hello(self, message: Message) -> bool:
         if not isinstance(message, Hello):
@@ -128,20 +130,20 @@
         return (message.protocol, message.cluster) == (PROTOCOL, self.node.cluster) and message.name != ""
 
     def _reject(self, connection: MessageConnection) -> None:
-        self.rejected += 1
+        self.rejected_count += 1
         connection.close(ConnectionEnd.DECLINED)
 
     def _forget_unidentified(self, connection: MessageConnection) -> None:
         if self._unidentified.pop(id(connection), None) is not None:
-            self._timers.drop((IDENTIFICATION, id(connection)))
+            self._timers.remove((IDENTIFICATION, id(connection)))
 
     def connection_ended(self, connection: MessageConnection) -> None:
         """Remove a connection that has ended."""
         self._forget_unidentified(connection)
         if self.connections.get(connection.name) is connection:
             del self.connections[connection.name]
-            self._timers.drop((PULL, connection.name))
-            self._timers.drop((UNREAD, connection.name))
+            self._timers.remove((PULL, connection.name))
+            self._timers.remove((UNREAD, connection.name))
             self.listener.subscriber_lost(connection.name)
 
     # --- outgoing messages ---
@@ -149,21 +151,21 @@
     def write_resumed(self, connection: MessageConnection) -> None:
         """A subscriber has read what it was sent."""
         if connection.name in self.connections:
-            self._timers.drop((UNREAD, connection.name))
-            self.pump([connection.name])
+            self._timers.remove((UNREAD, connection.name))
+            self.send_pending([connection.name])
 
-    def pump(self, names: Iterable[str]) -> None:
+    def send_pending(self, names: Iterable[str]) -> None:
         """Send these subscribers their pending messages, as far as their write buffers have capacity."""
         for name in dict.fromkeys(names):
             connection = self.connections.get(name)
-            if connection is None or connection.paused:
+            if connection is None or connection.is_paused:
                 continue
             now = self.node.clock()
             for outgoing in self.distributor.pull(now, name, WRITE_BUFFER_BYTES):
                 connection.write(outgoing.payload)
                 self.bytes_out += len(outgoing.payload)
-            if connection.paused:
-                self._timers.set((UNREAD, name), now + UNREAD_TIMEOUT)
+            if connection.is_paused:
+                self._timers.set((UNREAD, name), now + UNREAD_TIMEOUT_US)
             elif connection.end is None:
                 self._timers.set((PULL, name), self.distributor.due_at(now, name))
 
@@ -173,6 +175,6 @@
             if unidentified is not None:
                 unidentified.close(ConnectionEnd.SILENT)
         elif key[0] == PULL:
-            self.pump([key[1]])
+            self.send_pending([key[1]])
         else:
             self.connections[key[1]].close(ConnectionEnd.UNREAD)
--- a/ravenshelf/distribution/subscription_service.py
+++ b/ravenshelf/distribution/subscription_service.py
@@ -51,19 +51,19 @@
     def start(self, topics: Iterable[str]) -> None:
         """Subscribe to these topics and dial."""
         for topic in topics:
-            self.want(topic)
+            self.subscribe(topic)
         self._tick()
 
-    def want(self, topic: str) -> None:
+    def subscribe(self, topic: str) -> None:
         """Subscribe to one more topic."""
-        self._perform(self.client.want(topic))
+        self._perform(self.client.subscribe(topic))
 
-    def unwant(self, topic: str) -> None:
+    def unsubscribe(self, topic: str) -> None:
         """Cancel a subscription and drop the topic's state."""
-        self._perform(self.client.unwant(topic))
+        self._perform(self.client.unsubscribe(topic))
         self.topics.pop(topic, None)
 
-    def report(self, report: ZoneLoadReport) -> bool:
+    def send_report(self, report: ZoneLoadReport) -> bool:
         """Send a load report; return False without a connection, so that it can be sent later."""
         if self.client.state is not ConnectionState.CONNECTED:
             return False
@@ -80,7 +80,7 @@
             if isinstance(action, TopicChanged):
                 self.topic_changed(self.topics[action.topic])
             elif isinstance(action, LivenessChanged):
-                self.liveness_changed(action.topic, action.live)
+                self.liveness_changed(action.topic, action.is_live)
             else:
                 self.upstreams.perform([(TREE, action)])
 
@@ -96,7 +96,7 @@
 
     def upstream_connected(self, _upstream: str) -> None:
         """The dial has succeeded."""
-        self._perform(self.client.connected(self.clock()))
+        self._perform(self.client.connection_opened(self.clock()))
         self._schedule_tick()
 
     def upstream_message_received(self, _upstream: str, message: Message) -> None:
@@ -105,5 +105,5 @@
 
     def upstream_lost(self, _upstream: str) -> None:
         """The connection has ended, or the dial has failed."""
-        self._perform(self.client.lost(self.clock()))
+        self._perform(self.client.connection_lost(self.clock()))
         self._schedule_tick()
--- a/ravenshelf/distribution/timers.py
+++ b/ravenshelf/distribution/timers.py
@@ -28,7 +28,7 @@
         self._deadlines.set(key, at)
         self._arm()
 
-    def drop(self, key: Key) -> None:
+    def remove(self, key: Key) -> None:
         """Remove the key's deadline."""
         self._deadlines.cancel(key)
 
--- a/ravenshelf/distribution/upstreams.py
+++ b/ravenshelf/distribution/upstreams.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from ravenshelf.distribution.connection import MessageConnection
-from ravenshelf.distribution.decisions.client import Action, Dial, HangUp, Send, SubscriptionClient
+from ravenshelf.distribution.decisions.client import Action, Dial, Disconnect, Send, SubscriptionClient
 from ravenshelf.distribution.messages import PROTOCOL, Hello, Message
 from ravenshelf.distribution.node import Node
 from ravenshelf.net.connection_end import ConnectionEnd
@@ -80,7 +80,7 @@
                 upstream.connection.send(action.message)
             elif isinstance(action, Dial):
                 upstream.dial = self.node.loop.create_task(self._dial(upstream, action.parent))
-            elif isinstance(action, HangUp):
+            elif isinstance(action, Disconnect):
                 self._hang_up(upstream, ConnectionEnd.SILENT)
 
     async def _dial(self, upstream: _Upstream, parent: str) -> None:
--- a/ravenshelf/process/controller.py
+++ b/ravenshelf/process/controller.py
@@ -11,7 +11,7 @@
 from ravenshelf import log_events
 from ravenshelf.distribution import services_file
 from ravenshelf.distribution.decisions.planner import service_topic
-from ravenshelf.distribution.decisions.service_decisions import CYCLE_INTERVAL, ServiceDecisions
+from ravenshelf.distribution.decisions.service_decisions import CYCLE_INTERVAL_US, ServiceDecisions
 from ravenshelf.distribution.leased_services import LeasedServices
 from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.owner_service import OwnerService
@@ -83,7 +83,7 @@
             self.leases.check_leases()
         self.decisions.run_cycle(now)
         self.publisher.publish()
-        self.loop.call_later(CYCLE_INTERVAL / SECOND, self._run_cycle)
+        self.loop.call_later(CYCLE_INTERVAL_US / SECOND, self._run_cycle)
 
     def reload(self) -> None:
         """Read the services again; a file that can't be used changes nothing."""
--- a/ravenshelf/process/relay_metrics_export.py
+++ b/ravenshelf/process/relay_metrics_export.py
@@ -83,7 +83,7 @@
         """Return the totals since the relay's start, by the metric of their rates."""
         relay = self.service.relay
         return {
-            metrics.RELAY_REJECTED: self.service.subscribers.rejected,
+            metrics.RELAY_REJECTED: self.service.subscribers.rejected_count,
             metrics.RELAY_RESYNCS: sum(client.resyncs for client in relay.clients.values()),
             metrics.RELAY_SNAPSHOT_BYTES: relay.distributor.snapshot_bytes,
             metrics.RELAY_BYTES: self.service.subscribers.bytes_out,
--- a/standins/distribution/leases.py
+++ b/standins/distribution/leases.py
@@ -9,7 +9,11 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from ravenshelf.distribution.decisions.ownership import PublicationLease, replicas, shard_of_service
+from ravenshelf.distribution.decisions.ownership import (
+    PublicationLease,
+    replica_controllers,
+    shard_of_service,
+)
 from ravenshelf.leadership.shard_placement import ranked_members
 from standins.distribution.network import Network
 from standins.distribution.nodes import OwnerNode
@@ -92,7 +96,7 @@
         """Return for each controller the shards that it replicates, with their owners."""
         found: dict[int, dict[int, int]] = {}
         for shard, grant in self.grants.items():
-            for place in replicas(shard, grant.owner, weights):
+            for place in replica_controllers(shard, grant.owner, weights):
                 found.setdefault(place, {})[shard] = grant.owner
         return found
 
--- a/standins/distribution/network.py
+++ b/standins/distribution/network.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from ravenshelf.distribution.decisions.distributor import Outgoing
+from ravenshelf.distribution.decisions.distributor import EncodedMessage
 from ravenshelf.distribution.messages import Message, encode
 from standins.fleet.clock import SECOND, EventQueue
 
@@ -103,7 +103,7 @@
             self.last_up, 0, lambda: self.parent.subscriber_message_arrived(self, message)
         )
 
-    def send_down(self, outgoing: Outgoing) -> None:
+    def send_down(self, outgoing: EncodedMessage) -> None:
         """Send from the parent to the child."""
         size = len(outgoing.payload)
         network = self.network
--- a/standins/distribution/node.py
+++ b/standins/distribution/node.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from ravenshelf.distribution.decisions.client import Action, Dial, HangUp, Send, SubscriptionClient
+from ravenshelf.distribution.decisions.client import Action, Dial, Disconnect, Send, SubscriptionClient
 from ravenshelf.distribution.decisions.distributor import Distributor
 from ravenshelf.distribution.messages import Message
 from standins.distribution.interfaces import Distribution
@@ -135,7 +135,7 @@
                     self.connections[upstream].send_up(action.message)
             elif isinstance(action, Dial):
                 self.world.network.dial(self, upstream, self.world.nodes.get(action.parent))
-            elif isinstance(action, HangUp) and upstream in self.connections:
+            elif isinstance(action, Disconnect) and upstream in self.connections:
                 self.connections.pop(upstream).close(self)
 
     def dialled(self, generation: int, connection: Connection) -> None:
@@ -154,7 +154,7 @@
             self.run(lambda: self._upstream_lost(upstream))
 
     def _upstream_lost(self, upstream: str) -> None:
-        self.perform((upstream, action) for action in self.clients[upstream].lost(self.now))
+        self.perform((upstream, action) for action in self.clients[upstream].connection_lost(self.now))
         self._timer_at = None  # so that the next dial is scheduled
 
     def upstream_message_arrived(self, connection: Connection, message: Message) -> None:
--- a/standins/distribution/nodes.py
+++ b/standins/distribution/nodes.py
@@ -5,7 +5,7 @@
 
 from ravenshelf.distribution.decisions.client import LivenessChanged, SubscriptionClient, TopicChanged
 from ravenshelf.distribution.decisions.distributor import DistributorLimits
-from ravenshelf.distribution.decisions.relay import Effects, Relay
+from ravenshelf.distribution.decisions.relay import NodeActions, Relay
 from ravenshelf.distribution.decisions.service_owner import ServiceOwner
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.messages import Message, Version
@@ -39,7 +39,7 @@
         client = SubscriptionClient(self.parents, self.topics, self.random_source, at)
         self.clients = {TREE: client}
         for topic in wanted:
-            client.want(topic)
+            client.subscribe(topic)
         self.arm()
 
     @property
@@ -59,16 +59,16 @@
         self.alive, self._timer_at = True, None
         self._start(wanted, self.now)
 
-    def want(self, topic: str) -> None:
+    def subscribe(self, topic: str) -> None:
         """Subscribe to a topic."""
-        self.run(lambda: self.perform((TREE, action) for action in self.client.want(topic)))
+        self.run(lambda: self.perform((TREE, action) for action in self.client.subscribe(topic)))
 
-    def unwant(self, topic: str) -> None:
+    def unsubscribe(self, topic: str) -> None:
         """Cancel a subscription and drop the topic."""
-        self.run(lambda: self._unwant(topic))
+        self.run(lambda: self._unsubscribe(topic))
 
-    def _unwant(self, topic: str) -> None:
-        self.perform((TREE, action) for action in self.client.unwant(topic))
+    def _unsubscribe(self, topic: str) -> None:
+        self.perform((TREE, action) for action in self.client.unsubscribe(topic))
         self.topics.pop(topic, None)
         self.live.pop(topic, None)
 
@@ -78,7 +78,7 @@
 
     def on_connected(self, upstream: str) -> None:
         """A dial has succeeded."""
-        self.perform((upstream, action) for action in self.client.connected(self.now))
+        self.perform((upstream, action) for action in self.client.connection_opened(self.now))
 
     def on_message(self, upstream: str, message: Message) -> None:
         """An upstream has sent a message."""
@@ -86,7 +86,7 @@
             if isinstance(action, TopicChanged):
                 self.world.update_applied(self, action.topic, self.topics[action.topic])
             elif isinstance(action, LivenessChanged):
-                self.live[action.topic] = action.live
+                self.live[action.topic] = action.is_live
             else:
                 self.perform([(upstream, action)])
 
@@ -144,9 +144,9 @@
         """Return the time at which `tick` has something to do."""
         return self.relay.due_at()
 
-    def _apply(self, effects: Effects) -> None:
-        self.perform(effects.actions)
-        self.pump_all(effects.to_pull)
+    def _apply(self, effects: NodeActions) -> None:
+        self.perform(effects.upstream_actions)
+        self.pump_all(effects.pending_subscribers)
 
     def tick(self) -> None:
         """Do what is due."""
@@ -223,19 +223,19 @@
 
     def publish(self) -> None:
         """Publish what is due, and record it for the checks."""
-        topics, to_pull = self.owner.publish(self.now)
+        topics, pending_subscribers = self.owner.publish(self.now)
         self.world.record_publications(self.owner, topics)
-        self.pump_all(to_pull)
+        self.pump_all(pending_subscribers)
 
     def on_connected(self, upstream: str) -> None:
         """A dial has succeeded."""
-        self.perform((upstream, action) for action in self.clients[upstream].connected(self.now))
+        self.perform((upstream, action) for action in self.clients[upstream].connection_opened(self.now))
 
     def on_message(self, upstream: str, message: Message) -> None:
         """An upstream has sent a message."""
         effects = self.owner.upstream_message_received(self.now, upstream, message)
-        self.perform(effects.actions)
-        self.pump_all(effects.to_pull)
+        self.perform(effects.upstream_actions)
+        self.pump_all(effects.pending_subscribers)
 
     def on_subscriber_message(self, name: str, message: Message) -> None:
         """A subscriber has changed its subscriptions."""
--- a/standins/distribution/schedules.py
+++ b/standins/distribution/schedules.py
@@ -9,8 +9,8 @@
 
 from ravenshelf.distribution.decisions.backoff import Backoff
 from ravenshelf.distribution.decisions.ownership import PublicationLease
-from ravenshelf.distribution.decisions.planner import LINE
-from ravenshelf.distribution.decisions.topics import Outcome, Topic
+from ravenshelf.distribution.decisions.planner import LINE_PREFIX
+from ravenshelf.distribution.decisions.topics import Topic, UpdateOutcome
 from ravenshelf.distribution.messages import Delta, Snapshot, TableLine, Version
 from standins.distribution.network import MILLISECOND, NetworkRules
 from standins.distribution.node import Node
@@ -92,7 +92,8 @@
             self.world.change(service)
         else:
             self.world.write_table(
-                service, {f"{LINE}{service}-0": TableLine(round(self.random_source.uniform(1, 100), 2))}
+                service,
+                {f"{LINE_PREFIX}{service}-0": TableLine(round(self.random_source.uniform(1, 100), 2))},
             )
 
     def burst_of_changes(self) -> None:
@@ -181,10 +182,10 @@
             return
         for topic in self.world.topics_of(service, zone):
             if topic in server.client.held_versions:
-                server.unwant(topic)
+                server.unsubscribe(topic)
                 self.world.seen_versions.pop((server.name, topic), None)
             else:
-                server.want(topic)
+                server.subscribe(topic)
 
 
 def play(schedule: Schedule) -> list[Violation]:
@@ -220,10 +221,10 @@
 # --- deliberate breaks ---
 
 
-def _receive_by_sequence(self: Topic, message: Snapshot | Delta) -> Outcome:
+def _receive_by_sequence(self: Topic, message: Snapshot | Delta) -> UpdateOutcome:
     """Compare versions without their epochs."""
     if message.version.sequence <= self.version.sequence:
-        return Outcome.DUPLICATE
+        return UpdateOutcome.DUPLICATE
     return _receive(self, message)
 
 
@@ -240,7 +241,7 @@
 
 
 def _first_delay(backoff: Backoff) -> int:
-    return backoff.first
+    return backoff.initial_ceiling
 
 
 def _always_valid(_lease: PublicationLease, _now: int) -> bool:
--- a/standins/distribution/world.py
+++ b/standins/distribution/world.py
@@ -6,12 +6,18 @@
 from functools import partial
 from typing import TypeVar
 
-from ravenshelf.distribution.decisions.claims import service_of
+from ravenshelf.distribution.decisions.claims import service_of_topic
 from ravenshelf.distribution.decisions.distributor import DistributorLimits
-from ravenshelf.distribution.decisions.planner import ENDPOINT, LINE, SETTING, service_topic, zone_topic
+from ravenshelf.distribution.decisions.planner import (
+    ENDPOINT_PREFIX,
+    LINE_PREFIX,
+    SETTING_PREFIX,
+    service_topic,
+    zone_topic,
+)
 from ravenshelf.distribution.decisions.service_owner import ServiceOwner
 from ravenshelf.distribution.decisions.topics import Topic
-from ravenshelf.distribution.decisions.tree import Level, levels, preferred_parents
+from ravenshelf.distribution.decisions.tree import RelayLevel, candidate_parents, plan_relay_levels
 from ravenshelf.distribution.messages import EndpointEntry, Entry, Setting, TableLine, Version
 from standins.distribution.interfaces import Named
 from standins.distribution.leases import Leases
@@ -86,14 +92,14 @@
     # --- processes and services ---
 
     def _listed(self, service: str) -> dict[str, Entry]:
-        entries: dict[str, Entry] = {SETTING + "change": Setting("0")}
+        entries: dict[str, Entry] = {SETTING_PREFIX + "change": Setting("0")}
         for n in range(self.size.endpoints):
-            entries[f"{ENDPOINT}{service}-{n}"] = EndpointEntry(n % self.size.zones, True, 1.0)
+            entries[f"{ENDPOINT_PREFIX}{service}-{n}"] = EndpointEntry(n % self.size.zones, True, 1.0)
         return entries
 
     def _table(self, service: str) -> dict[str, Entry]:
         lines = range(min(self.size.endpoints, TABLE_LINES))
-        return {f"{LINE}{service}-{n}": TableLine(round(1000 / len(lines), 2)) for n in lines}
+        return {f"{LINE_PREFIX}{service}-{n}": TableLine(round(1000 / len(lines), 2)) for n in lines}
 
     def _random(self, name: str) -> random.Random:
         return random.Random(f"{self.seed}/{name}")
@@ -126,13 +132,13 @@
 
     def _make_relays(self) -> list[list[RelayNode]]:
         made: list[list[RelayNode]] = []
-        above: Level | None = None
+        above: RelayLevel | None = None
         limits = DistributorLimits(
             self.size.fan_out,
             self.size.limits.snapshot_bytes_per_second,
             self.size.limits.snapshot_burst_bytes,
         )
-        for level in levels(self.size.servers, self.size.fan_out):
+        for level in plan_relay_levels(self.size.servers, self.size.fan_out):
             made.append(
                 [
                     self._make_relay(name, place, len(level.names), above, limits)
@@ -144,13 +150,13 @@
         return made
 
     def _make_relay(
-        self, name: str, place: int, count: int, above: Level | None, limits: DistributorLimits
+        self, name: str, place: int, count: int, above: RelayLevel | None, limits: DistributorLimits
     ) -> RelayNode:
         region = place * self.size.regions // count
         upstreams = (
             {owner.name: [owner.name] for owner in self.owners}
             if above is None
-            else {"tree": preferred_parents(place, count, above)}
+            else {"tree": candidate_parents(place, count, above)}
         )
         return self._add(
             RelayNode(self, name, region, upstreams, self._random(name), limits, owners=above is None)
@@ -164,7 +170,7 @@
         region = zone * self.size.regions // self.size.zones
         called = self.random_source.sample(self.services, min(self.size.services_called, len(self.services)))
         wanted = [topic for service in called for topic in self.topics_of(service, zone)]
-        parents = preferred_parents(place, self.size.servers, self.last_level)
+        parents = candidate_parents(place, self.size.servers, self.last_level)
         name = f"pilot-{place}"
         started_at = self.events.now + self.random_source.randint(0, self.size.start_spread)
         return self._add(ServerNode(self, name, region, parents, wanted, self._random(name), started_at))
@@ -180,13 +186,13 @@
 
     def content(self, topic: str) -> Mapping[str, Entry]:
         """Return the intended state of a topic."""
-        service = service_of(topic)
+        service = service_of_topic(topic)
         return (self.configuration if topic == service_topic(service) else self.tables)[service]
 
     def change(self, service: str, key: str = "change", value: str | None = None) -> str:
         """Change a setting of a service, and notify its owner; return the new value."""
         value = value if value is not None else str(self.events.now)
-        self.configuration[service] = {**self.configuration[service], SETTING + key: Setting(value)}
+        self.configuration[service] = {**self.configuration[service], SETTING_PREFIX + key: Setting(value)}
         self._refresh(service, [service_topic(service)])
         return value
 
@@ -213,8 +219,8 @@
                 self._violated("one state a version", f"{topic} {state.version} of {owner.name}")
             self.states[topic, state.version] = _fingerprint(state)
             if (
-                service_of(topic) in self.configuration
-                and self.leases.epoch_of(service_of(topic)) > publication.epoch
+                service_of_topic(topic) in self.configuration
+                and self.leases.epoch_of(service_of_topic(topic)) > publication.epoch
             ):
                 self._violated("no order of a deposed owner", f"{topic} {state.version} of {owner.name}")
 
@@ -222,9 +228,9 @@
 
     def update_applied(self, server: Named, topic: str, state: Topic) -> None:
         """Check and record an update that a server has applied."""
-        service = service_of(topic)
+        service = service_of_topic(topic)
         if service in self.marked_values:
-            entry = state.entries.get(SETTING + "change")
+            entry = state.entries.get(SETTING_PREFIX + "change")
             if isinstance(entry, Setting) and entry.value == self.marked_values[service]:
                 self.change_seen_at[service].setdefault(server.name, self.events.now)
         if not self.checked:
@@ -247,7 +253,7 @@
             server
             for server in self.servers
             if server.alive
-            and any(service_of(topic) == service for topic in server.client.held_versions.versions())
+            and any(service_of_topic(topic) == service for topic in server.client.held_versions.versions())
         ]
 
     def snapshot_bytes(self) -> int:
--- a/tests/distribution/test_controller_processes.py
+++ b/tests/distribution/test_controller_processes.py
@@ -13,8 +13,8 @@
 from test_distribution_sockets import SECOND, WAIT, clock, run_command
 
 from ravenshelf.distribution.decisions.ownership import shard_of_service
-from ravenshelf.distribution.decisions.planner import service_topic, table_of, zone_topic
-from ravenshelf.distribution.leased_services import UNCLAIM_AFTER, LeasedServices
+from ravenshelf.distribution.decisions.planner import read_table, service_topic, zone_topic
+from ravenshelf.distribution.leased_services import CLAIM_WITHDRAWAL_DELAY_US, LeasedServices
 from ravenshelf.distribution.messages import Setting
 from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.relay_service import RelayService
@@ -119,7 +119,9 @@
         return {service: self.server.topics[zone_topic(service, 0)].version.epoch for service in SERVICES}
 
     def tables(self) -> dict[str, dict]:
-        return {service: table_of(self.server.topics[zone_topic(service, 0)].entries) for service in SERVICES}
+        return {
+            service: read_table(self.server.topics[zone_topic(service, 0)].entries) for service in SERVICES
+        }
 
     async def until(self, true, seconds: float = 2 * WAIT) -> None:
         async with asyncio.timeout(seconds):
@@ -225,7 +227,9 @@
     for seconds in range(10):
         now[0] = seconds * SECOND
         leases.check_leases()
-    assert claims and set(claims) == {("s", False)} and len(claims) == 10 - UNCLAIM_AFTER // SECOND
+    assert (
+        claims and set(claims) == {("s", False)} and len(claims) == 10 - CLAIM_WITHDRAWAL_DELAY_US // SECOND
+    )
     leases.member.good = True
     leases.check_leases()
     leases.check_leases()
--- a/tests/distribution/test_distributed_controller.py
+++ b/tests/distribution/test_distributed_controller.py
@@ -50,7 +50,7 @@
         self.controller = DistributedController(
             settings,
             7,
-            owners_table=lambda now, zone: (self.source, self.table if zone == 0 else {}),
+            owner_table=lambda now, zone: (self.source, self.table if zone == 0 else {}),
             index_of=INDICES.get,
         )
         self.run_cycle(
@@ -84,7 +84,7 @@
 def test_a_new_table_of_the_owner_is_used_within_two_seconds():
     server = ServerWithOwner(s0=900.0, s1=100.0).run(5)
     server.table = {"s-0": TableLine(100.0), "s-1": TableLine(900.0)}
-    server.controller.owners_table_changed()
+    server.controller.owner_table_changed()
     assert server.run(2).shares() == {0: 0.1, 1: 0.9}
 
 
@@ -104,7 +104,7 @@
 def test_a_table_of_bounded_lines_only_is_not_used():
     server = ServerWithOwner()
     server.table = {"s-0": TableLine(100.0, 0.3)}
-    server.controller.owners_table_changed()
+    server.controller.owner_table_changed()
     assert server.run(3).shares() == {0: 0.5, 1: 0.5}
 
 
--- a/tests/distribution/test_distribution_decisions.py
+++ b/tests/distribution/test_distribution_decisions.py
@@ -10,30 +10,30 @@
 from ravenshelf.distribution.decisions.aggregation import Aggregator
 from ravenshelf.distribution.decisions.allowance import largest_share, received_shares
 from ravenshelf.distribution.decisions.backoff import SECOND, Backoff, TokenBucket
-from ravenshelf.distribution.decisions.claims import read_claims, service_claim, service_of
+from ravenshelf.distribution.decisions.claims import claim_entry, read_claims, service_of_topic
 from ravenshelf.distribution.decisions.client import (
     ConnectionState,
     Dial,
-    HangUp,
+    Disconnect,
     Send,
     SubscriptionClient,
     TopicChanged,
 )
 from ravenshelf.distribution.decisions.distributor import Distributor, DistributorLimits
-from ravenshelf.distribution.decisions.fallback import LAST_TABLE_HOLD, OwnerReachability, TableSource
+from ravenshelf.distribution.decisions.fallback import LAST_TABLE_VALIDITY_US, OwnerReachability, TableSource
 from ravenshelf.distribution.decisions.ownership import (
     Claim,
     OwnershipView,
     PublicationLease,
-    replicas,
+    replica_controllers,
     shard_of_service,
 )
-from ravenshelf.distribution.decisions.planner import ServicePlanner, endpoints_of, table_of
-from ravenshelf.distribution.decisions.publication import FLUSH_INTERVAL, Publication
+from ravenshelf.distribution.decisions.planner import ServicePlanner, read_endpoints, read_table
+from ravenshelf.distribution.decisions.publication import FLUSH_INTERVAL_US, Publication
 from ravenshelf.distribution.decisions.relay import Relay
 from ravenshelf.distribution.decisions.service_owner import ServiceOwner
-from ravenshelf.distribution.decisions.topics import SNAPSHOT_PART_ENTRIES, Outcome, Topic
-from ravenshelf.distribution.decisions.tree import levels, preferred_parents
+from ravenshelf.distribution.decisions.topics import SNAPSHOT_PART_ENTRIES, Topic, UpdateOutcome
+from ravenshelf.distribution.decisions.tree import candidate_parents, plan_relay_levels
 from ravenshelf.distribution.messages import (
     NEVER,
     Delta,
@@ -110,19 +110,19 @@
 @pytest.mark.parametrize(
     "message, outcome, entries",
     [
-        (delta(version(2, 3), version(2, 4), a=TWO), Outcome.APPLIED, {"a": TWO}),
-        (delta(version(2, 1), version(2, 4), a=TWO), Outcome.APPLIED, {"a": TWO}),
-        (delta(version(2, 3), version(2, 4), a=None), Outcome.APPLIED, {}),
-        (delta(version(2, 2), version(2, 3), a=TWO), Outcome.DUPLICATE, {"a": ONE}),
-        (delta(version(2, 4), version(2, 5), a=TWO), Outcome.GAP, {"a": ONE}),
-        (delta(version(1, 8), version(1, 9), a=TWO), Outcome.STALE_EPOCH, {"a": ONE}),
-        (delta(version(2, 3), version(3, 1), a=TWO), Outcome.APPLIED, {"a": TWO}),
-        (delta(version(2, 2), version(3, 1), a=TWO), Outcome.GAP, {"a": ONE}),
-        (delta(version(2, 4), version(3, 1), a=TWO), Outcome.GAP, {"a": ONE}),
-        (Snapshot("t", version(2, 3), 0, 1, {"a": TWO}), Outcome.DUPLICATE, {"a": ONE}),
-        (Snapshot("t", version(1, 99), 0, 1, {"a": TWO}), Outcome.STALE_EPOCH, {"a": ONE}),
-        (Snapshot("t", version(3, 1), 0, 1, {"b": TWO}), Outcome.APPLIED, {"b": TWO}),
-        (Snapshot("t", version(3, 1), 0, 2, {"b": TWO}), Outcome.INCOMPLETE, {"a": ONE}),
+        (delta(version(2, 3), version(2, 4), a=TWO), UpdateOutcome.APPLIED, {"a": TWO}),
+        (delta(version(2, 1), version(2, 4), a=TWO), UpdateOutcome.APPLIED, {"a": TWO}),
+        (delta(version(2, 3), version(2, 4), a=None), UpdateOutcome.APPLIED, {}),
+        (delta(version(2, 2), version(2, 3), a=TWO), UpdateOutcome.DUPLICATE, {"a": ONE}),
+        (delta(version(2, 4), version(2, 5), a=TWO), UpdateOutcome.GAP, {"a": ONE}),
+        (delta(version(1, 8), version(1, 9), a=TWO), UpdateOutcome.STALE_EPOCH, {"a": ONE}),
+        (delta(version(2, 3), version(3, 1), a=TWO), UpdateOutcome.APPLIED, {"a": TWO}),
+        (delta(version(2, 2), version(3, 1), a=TWO), UpdateOutcome.GAP, {"a": ONE}),
+        (delta(version(2, 4), version(3, 1), a=TWO), UpdateOutcome.GAP, {"a": ONE}),
+        (Snapshot("t", version(2, 3), 0, 1, {"a": TWO}), UpdateOutcome.DUPLICATE, {"a": ONE}),
+        (Snapshot("t", version(1, 99), 0, 1, {"a": TWO}), UpdateOutcome.STALE_EPOCH, {"a": ONE}),
+        (Snapshot("t", version(3, 1), 0, 1, {"b": TWO}), UpdateOutcome.APPLIED, {"b": TWO}),
+        (Snapshot("t", version(3, 1), 0, 2, {"b": TWO}), UpdateOutcome.INCOMPLETE, {"a": ONE}),
     ],
     ids=[
         "the next delta",
@@ -143,17 +143,19 @@
 def test_the_outcome_of_an_update(message, outcome, entries):
     topic = holding(2, 3, a=ONE)
     assert topic.receive(message) is outcome and topic.entries == entries
-    assert topic.version == (message.version if outcome is Outcome.APPLIED else version(2, 3))
+    assert topic.version == (message.version if outcome is UpdateOutcome.APPLIED else version(2, 3))
 
 
 def test_parts_of_a_dropped_snapshot_are_not_joined_with_those_of_another():
     source = holding(1, 5, **{f"k{n}": ONE for n in range(3 * SNAPSHOT_PART_ENTRIES)})
     first, second, third = source.snapshot()
     topic = Topic("t")
-    assert topic.receive(first) is Outcome.INCOMPLETE and not topic.entries
-    topic.drop_partial()
-    assert topic.receive(second) is Outcome.INCOMPLETE and topic.receive(third) is Outcome.INCOMPLETE
-    assert topic.receive(first) is Outcome.APPLIED and topic.entries == source.entries
+    assert topic.receive(first) is UpdateOutcome.INCOMPLETE and not topic.entries
+    topic.discard_partial_snapshot()
+    assert (
+        topic.receive(second) is UpdateOutcome.INCOMPLETE and topic.receive(third) is UpdateOutcome.INCOMPLETE
+    )
+    assert topic.receive(first) is UpdateOutcome.APPLIED and topic.entries == source.entries
 
 
 def test_parts_of_an_older_snapshot_do_not_disturb_a_newer_one():
@@ -164,8 +166,8 @@
     topic = Topic("t")
     topic.receive(old.snapshot()[0])
     topic.receive(new.snapshot()[0])
-    assert topic.receive(old.snapshot()[1]) is Outcome.DUPLICATE
-    assert topic.receive(new.snapshot()[1]) is Outcome.APPLIED and topic.entries == new.entries
+    assert topic.receive(old.snapshot()[1]) is UpdateOutcome.DUPLICATE
+    assert topic.receive(new.snapshot()[1]) is UpdateOutcome.APPLIED and topic.entries == new.entries
 
 
 def test_late_subscribers_get_a_delta_if_the_history_covers_it_or_else_a_snapshot():
@@ -189,7 +191,7 @@
         if publication.due_at is not None and publication.due_at <= now:
             flushed += len(publication.flush().changes) > 0
         publication.put(now, f"k{n % 20}", Setting(str(n)))
-    assert flushed <= SECOND // FLUSH_INTERVAL and len(publication.topic.entries) == 20
+    assert flushed <= SECOND // FLUSH_INTERVAL_US and len(publication.topic.entries) == 20
 
 
 def test_a_change_that_is_reverted_before_the_flush_is_not_published():
@@ -258,7 +260,7 @@
 
 
 def test_no_more_subscribers_than_the_limit_and_the_same_name_once():
-    distributor = Distributor({}, DistributorLimits(subscribers=2))
+    distributor = Distributor({}, DistributorLimits(max_subscribers=2))
     assert distributor.add_subscriber(NOW, "a") and distributor.add_subscriber(NOW, "b")
     assert not distributor.add_subscriber(NOW, "c") and distributor.add_subscriber(NOW, "a")
 
@@ -272,14 +274,14 @@
     def __init__(self, topic: Topic, parents=("p0", "p1")):
         self.served = Served(topic)
         self.client = SubscriptionClient(parents, {}, random.Random(1), NOW)
-        self.client.want("t")
+        self.client.subscribe("t")
         self.now = NOW
 
     def connect(self) -> None:
         self.now = max(self.now, self.client.due_at())
         assert isinstance(self.client.tick(self.now)[-1], Dial)
         assert self.served.distributor.add_subscriber(self.now, "child")
-        self.up(self.client.connected(self.now))
+        self.up(self.client.connection_opened(self.now))
 
     def up(self, actions) -> None:
         for action in actions:
@@ -345,7 +347,7 @@
     for message in child.served.pulled("child", room=1):
         child.client.receive(child.now, message)
     assert child.entries == {}
-    child.client.lost(child.now)
+    child.client.connection_lost(child.now)
     child.served.distributor.remove_subscriber("child")
     assert child.client.parent == "p1"
     child.connect()
@@ -356,20 +358,20 @@
 def test_silent_parents_and_dials_time_out():
     client = SubscriptionClient(["p0", "p1"], {}, random.Random(1), NOW)
     assert client.tick(NOW) == [Dial("p0")]
-    client.connected(NOW)
+    client.connection_opened(NOW)
     assert client.tick(NOW + 2 * SECOND) == []
-    assert client.tick(NOW + 3 * SECOND)[0] == HangUp()
+    assert client.tick(NOW + 3 * SECOND)[0] == Disconnect()
     dialled = client.tick(client.due_at())
     assert dialled == [Dial("p1")] and client.state is ConnectionState.DIALLING
-    assert client.tick(client.due_at())[0] == HangUp() and client.parent == "p0"
+    assert client.tick(client.due_at())[0] == Disconnect() and client.parent == "p0"
 
 
 def test_dials_after_a_common_loss_are_spread_by_backoff():
     clients = [SubscriptionClient(["p"], {}, random.Random(n), NOW) for n in range(2000)]
     for client in clients:
         client.tick(NOW)
-        client.connected(NOW)
-        client.lost(NOW)
+        client.connection_opened(NOW)
+        client.connection_lost(NOW)
     waits = sorted(client.due_at() - NOW for client in clients)
     assert waits[0] < 5_000 and waits[-1] > 450_000
     fullest = max(sum(at <= wait < at + 50_000 for wait in waits) for at in range(0, 500_000, 10_000))
@@ -382,23 +384,23 @@
 def test_the_preferred_parent_is_dialled_again_after_a_while():
     client = SubscriptionClient(["p0", "p1"], {}, random.Random(1), NOW)
     client.tick(NOW)
-    client.lost(NOW)
+    client.connection_lost(NOW)
     now = client.due_at()
     client.tick(now)
-    client.connected(now)
+    client.connection_opened(now)
     for second in count(1):
         client.receive(now + second * SECOND, Heartbeat(client.held_versions.value))
         actions = client.tick(now + second * SECOND)
         if actions:
             break
-    assert 60 <= second <= 181 and actions == [HangUp(), Dial("p0")]
+    assert 60 <= second <= 181 and actions == [Disconnect(), Dial("p0")]
 
 
 def test_the_bucket_grants_more_than_its_burst_only_when_full_and_goes_into_debt():
     bucket = TokenBucket(100.0, 200.0)
-    assert bucket.take(NOW, 500) and not bucket.take(NOW + 2 * SECOND, 1)
+    assert bucket.try_consume(NOW, 500) and not bucket.try_consume(NOW + 2 * SECOND, 1)
     assert bucket.ready_at(NOW + 2 * SECOND, 1) > NOW + 2 * SECOND
-    assert bucket.take(NOW + 4 * SECOND, 1)
+    assert bucket.try_consume(NOW + 4 * SECOND, 1)
 
 
 # --- ownership ---
@@ -409,20 +411,20 @@
     assert view.update("s", Claim("b", 7))
     assert not view.update("s", Claim("a", 6)) and view.claim("s") == Claim("b", 7)
     assert view.update("s", Claim("a", 8))
-    key, entry = service_claim("s", 8)
+    key, entry = claim_entry("s", 8)
     assert list(read_claims("a", {key: entry, "junk": ONE})) == [("s", Claim("a", 8))]
 
 
 def test_a_released_service_is_vacant_until_it_is_claimed_again():
     view = OwnershipView()
-    assert view.update_all("a", {"s": Claim("a", 3), "t": Claim("a", 3)}) == {"s", "t"}
-    assert view.update_all("a", {"t": Claim("a", 3)}) == {"s"} and view.claim("s") is None
-    assert view.update_all("a", {"t": Claim("a", 3)}) == set()
-    assert view.update_all("b", {"s": Claim("b", 2)}) == set() and view.claim("s") is None
-    assert view.update_all("a", {"s": Claim("a", 3), "t": Claim("a", 3)}) == {"s"} and view.claim(
+    assert view.replace_claims("a", {"s": Claim("a", 3), "t": Claim("a", 3)}) == {"s", "t"}
+    assert view.replace_claims("a", {"t": Claim("a", 3)}) == {"s"} and view.claim("s") is None
+    assert view.replace_claims("a", {"t": Claim("a", 3)}) == set()
+    assert view.replace_claims("b", {"s": Claim("b", 2)}) == set() and view.claim("s") is None
+    assert view.replace_claims("a", {"s": Claim("a", 3), "t": Claim("a", 3)}) == {"s"} and view.claim(
         "s"
     ) == Claim("a", 3)
-    assert view.update_all("a", {"s": Claim("a", 4), "t": Claim("a", 3)}) == set() and view.claim(
+    assert view.replace_claims("a", {"s": Claim("a", 4), "t": Claim("a", 3)}) == set() and view.claim(
         "s"
     ) == Claim("a", 4)
 
@@ -431,10 +433,10 @@
     weights = dict.fromkeys(range(30), 1.0)
     owned = [shard_of_service(f"service-{n}", 256) for n in range(1200)]
     assert max(owned.count(shard) for shard in set(owned)) <= 16
-    ready = replicas(5, 3, weights)
+    ready = replica_controllers(5, 3, weights)
     assert len(ready) == 2 and 3 not in ready
     left = {member: weight for member, weight in weights.items() if member != ready[1]}
-    assert replicas(5, 3, left)[0] == ready[0]
+    assert replica_controllers(5, 3, left)[0] == ready[0]
 
 
 def test_an_owner_whose_lease_has_expired_publishes_nothing():
@@ -443,7 +445,7 @@
     owner.distributor.add_subscriber(NOW, "relay")
     owner.subscriber_message_received(NOW, "relay", Subscribe("s@0", NEVER))
     asleep_until = NOW + 60 * SECOND
-    assert all(not service_of(topic) for topic in owner.publish(asleep_until)[0])
+    assert all(not service_of_topic(topic) for topic in owner.publish(asleep_until)[0])
     assert owner.due_at(asleep_until) is None and owner.topics["s@0"].version == NEVER
     owner.owned_services["s"].renew(asleep_until + SECOND)
     assert owner.publish(asleep_until)[0] == ["s@0"] and owner.topics["s@0"].version == version(4, 1)
@@ -464,7 +466,7 @@
     for second in range(50):
         owner.refresh(NOW + second * SECOND, "s@0")
         owner.publish(NOW + second * SECOND)
-    assert asked == [] and all(not service_of(topic) for topic in owner.topics)
+    assert asked == [] and all(not service_of_topic(topic) for topic in owner.topics)
 
 
 # --- the tree ---
@@ -474,10 +476,10 @@
     "server_count, fan_out", [(0, 8), (1, 8), (64, 128), (65, 128), (18_000, 128), (18_000, 8), (3, 2)]
 )
 def test_no_relay_has_more_than_half_of_its_children_by_plan(server_count, fan_out):
-    made = levels(server_count, fan_out)
+    made = plan_relay_levels(server_count, fan_out)
     below = server_count
     for level in reversed(made):
-        parents = [preferred_parents(place, below, level) for place in range(below)]
+        parents = [candidate_parents(place, below, level) for place in range(below)]
         first = Counter(names[0] for names in parents)
         assert max(first.values(), default=0) <= max(1, fan_out // 2)
         assert all(len(set(names)) == len(names) for names in parents)
@@ -487,7 +489,7 @@
 @pytest.mark.parametrize("server_count, fan_out", [(-1, 8), (5, 1)])
 def test_an_impossible_tree_is_rejected(server_count, fan_out):
     with pytest.raises(ValueError, match="expected pilots and a fan-out of two or more"):
-        levels(server_count, fan_out)
+        plan_relay_levels(server_count, fan_out)
 
 
 # --- sums on the way up ---
@@ -514,7 +516,9 @@
     }
     assert top.add(summed) and not top.add(summed) and leaf.flush(102) == []
     assert leaf.add(report("p3", 2)) and top.add(leaf.flush(103)[0])
-    assert top.flush(104)[0].endpoints["a"].attempts == 650 and leaf.duplicates == top.duplicates == 1
+    assert (
+        top.flush(104)[0].endpoints["a"].attempts == 650 and leaf.duplicate_count == top.duplicate_count == 1
+    )
 
 
 # --- planner, allowance, fallback ---
@@ -567,15 +571,15 @@
 
 def test_the_planner_decides_by_kurmacost_and_spills_from_a_failing_zone():
     calm, failing = planned(20), planned(20, demand=(40, 20), failures=(12, 0))
-    assert set(table_of(calm.zone_entries(0))) == {"e0", "e1", "e2", "e3"}
-    spilled = {name for name in table_of(failing.zone_entries(0)) if name >= "e4"}
-    assert spilled and not {name for name in table_of(failing.zone_entries(1)) if name < "e4"}
+    assert set(read_table(calm.zone_entries(0))) == {"e0", "e1", "e2", "e3"}
+    spilled = {name for name in read_table(failing.zone_entries(0)) if name >= "e4"}
+    assert spilled and not {name for name in read_table(failing.zone_entries(1)) if name < "e4"}
     assert failing.controller.spill.shares != solve_spill([1, 1], [1, 1], [None, None], [[1, 1], [1, 1]])
-    assert len(endpoints_of(calm.service_entries())) == 8
+    assert len(read_endpoints(calm.service_entries())) == 8
 
 
 def test_the_bound_of_an_endpoint_in_slow_start_holds_over_18000_servers_whatever_they_eject():
-    table = table_of(planned(20, changed=True).zone_entries(0))
+    table = read_table(planned(20, changed=True).zone_entries(0))
     cold = table["e0"]
     total = sum(line.weight for line in table.values())
     assert 0 < cold.largest_share < 1 and table["e1"].largest_share == 1.0
@@ -605,11 +609,11 @@
 
 def test_the_last_table_of_an_unreachable_owner_is_used_for_a_while_and_its_next_at_once():
     reach = OwnerReachability()
-    assert reach.source(NOW, True) is TableSource.OWNER
-    assert reach.source(NOW + SECOND, False) is TableSource.LAST_TABLE
-    assert reach.source(NOW + LAST_TABLE_HOLD, False) is TableSource.LAST_TABLE
-    assert reach.source(NOW + SECOND + LAST_TABLE_HOLD, False) is TableSource.LOCAL
-    assert reach.source(NOW + 2 * LAST_TABLE_HOLD, True) is TableSource.OWNER
+    assert reach.table_source(NOW, True) is TableSource.OWNER
+    assert reach.table_source(NOW + SECOND, False) is TableSource.LAST_TABLE
+    assert reach.table_source(NOW + LAST_TABLE_VALIDITY_US, False) is TableSource.LAST_TABLE
+    assert reach.table_source(NOW + SECOND + LAST_TABLE_VALIDITY_US, False) is TableSource.LOCAL
+    assert reach.table_source(NOW + 2 * LAST_TABLE_VALIDITY_US, True) is TableSource.OWNER
 
 
 def test_the_caller_is_notified_of_a_change():
@@ -624,8 +628,12 @@
     assert len(names) == 2 and all(name.startswith("r#") for name in names)
     relay = Relay("r", {"tree": ["p"]}, random.Random(1), NOW)
     relay.load_report_received(report("a", 1))
-    assert not any(isinstance(action, Send) for _, action in relay.tick(NOW + SECOND).actions)
+    assert not any(isinstance(action, Send) for _, action in relay.tick(NOW + SECOND).upstream_actions)
     relay.upstream_connected(NOW + SECOND, "tree")
     relay.load_report_received(report("b", 1))
-    sent = [action.message for _, action in relay.tick(NOW + 2 * SECOND).actions if isinstance(action, Send)]
+    sent = [
+        action.message
+        for _, action in relay.tick(NOW + 2 * SECOND).upstream_actions
+        if isinstance(action, Send)
+    ]
     assert [one.endpoints["a"].attempts for one in sent] == [20]
--- a/tests/distribution/test_distribution_sockets.py
+++ b/tests/distribution/test_distribution_sockets.py
@@ -17,8 +17,8 @@
 from ravenshelf.distribution.connection import MessageConnection
 from ravenshelf.distribution.decisions.distributor import DistributorLimits
 from ravenshelf.distribution.decisions.ownership import PublicationLease
-from ravenshelf.distribution.decisions.planner import table_of
-from ravenshelf.distribution.decisions.service_decisions import Service, ServiceDecisions
+from ravenshelf.distribution.decisions.planner import read_table
+from ravenshelf.distribution.decisions.service_decisions import ServiceConfiguration, ServiceDecisions
 from ravenshelf.distribution.messages import (
     NEVER,
     PROTOCOL,
@@ -223,7 +223,7 @@
 
 
 def test_a_subscriber_that_reads_nothing_is_disconnected_and_the_others_go_on(monkeypatch):
-    monkeypatch.setattr(subscribers, "UNREAD_TIMEOUT", SECOND // 2)
+    monkeypatch.setattr(subscribers, "UNREAD_TIMEOUT_US", SECOND // 2)
 
     async def play(installation: Installation) -> None:
         await installation.until(lambda: installation.holds("0"))
@@ -438,7 +438,7 @@
 def test_load_reports_reach_the_owner_and_its_table_avoids_the_failing_endpoint():
     """The whole way on sockets: two pilots, a relay, an owner that decides by KurmaCost."""
     names = [f"e{n}" for n in range(4)]
-    listed = Service({name: EndpointEntry(0, True, 1.0) for name in names}, {})
+    listed = ServiceConfiguration({name: EndpointEntry(0, True, 1.0) for name in names}, {})
     decisions = ServiceDecisions(SETTINGS, lambda service: listed, 1)
 
     async def play() -> dict[str, float]:
@@ -484,13 +484,13 @@
                             )
                             for name in names
                         }
-                        subscriber.report(
+                        subscriber.send_report(
                             ZoneLoadReport(
                                 "s", 0, turn, f"pilot-{number}#1", turn, sums, {0: GroupDemand(40)}
                             )
                         )
                     tables = [
-                        table_of(subscriber.topics["s@0"].entries) for subscriber in subscription_services
+                        read_table(subscriber.topics["s@0"].entries) for subscriber in subscription_services
                     ]
                     if all(table and table["e2"].weight < 0.3 * table["e1"].weight for table in tables):
                         return tables
--- a/tests/distribution/test_distribution_world.py
+++ b/tests/distribution/test_distribution_world.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from ravenshelf.distribution.decisions.claims import service_of
+from ravenshelf.distribution.decisions.claims import service_of_topic
 from ravenshelf.distribution.decisions.distributor import DistributorLimits
-from ravenshelf.distribution.decisions.topics import Outcome
+from ravenshelf.distribution.decisions.topics import UpdateOutcome
 from ravenshelf.distribution.messages import NEVER, Version
 from standins.distribution.network import NetworkRules
 from standins.distribution.nodes import OwnerNode
@@ -32,7 +32,7 @@
     found: dict[int, set[int]] = {}
     for server in world.servers:
         for topic, version in server.client.held_versions.versions().items():
-            if service_of(topic) == service:
+            if service_of_topic(topic) == service:
                 found.setdefault(server.region, set()).add(version.epoch)
     return found
 
@@ -139,7 +139,7 @@
     world.run(1)
     before = server.bytes_in
     world.run(30)
-    assert server.client.outcomes[Outcome.GAP] == 0
+    assert server.client.outcome_counts[UpdateOutcome.GAP] == 0
     assert server.bytes_in - before < 6_000
     converged(world)
 
@@ -225,15 +225,15 @@
     topic = next(iter(world.servers[0].client.held_versions.versions()))
     for server in world.servers:
         if topic in server.client.held_versions:
-            server.unwant(topic)
+            server.unsubscribe(topic)
             world.seen_versions.pop((server.name, topic))
     world.run(60)
     assert not any(topic in relay.relay.topics for level in world.levels for relay in level)
-    owner = owner_of(world, service_of(topic))
+    owner = owner_of(world, service_of_topic(topic))
     served = owner.messages_out
     world.run(0.01)
     for _ in range(50):
-        world.change(service_of(topic))
+        world.change(service_of_topic(topic))
     world.run(0.5)
     relays = len(owner.served)
     assert owner.messages_out - served <= 2 * relays + 2  # heartbeats, and its two replicas
--- a/tests/distribution/test_service_decisions.py
+++ b/tests/distribution/test_service_decisions.py
@@ -6,11 +6,11 @@
 from test_distribution_decisions import SETTINGS
 
 from ravenshelf.distribution.decisions.ownership import PublicationLease
-from ravenshelf.distribution.decisions.planner import service_topic, table_of, zone_topic
+from ravenshelf.distribution.decisions.planner import read_table, service_topic, zone_topic
 from ravenshelf.distribution.decisions.service_decisions import (
-    CYCLE_INTERVAL,
-    WARM_UP_WITHOUT_REPORTS,
-    Service,
+    CYCLE_INTERVAL_US,
+    WARM_UP_WITHOUT_REPORTS_US,
+    ServiceConfiguration,
     ServiceDecisions,
 )
 from ravenshelf.distribution.decisions.service_owner import ServiceOwner
@@ -37,7 +37,9 @@
 
     def __init__(self):
         self.now = NOW
-        self.service = Service({name: EndpointEntry(0, True, 1.0) for name in NAMES}, {"team": "orders"})
+        self.service = ServiceConfiguration(
+            {name: EndpointEntry(0, True, 1.0) for name in NAMES}, {"team": "orders"}
+        )
         self.decisions = ServiceDecisions(SETTINGS, lambda service: self.service, 1)
         self.owner = ServiceOwner("a", 1, 8, self.decisions.content, [], random.Random(1), NOW)
         self.decisions.attach(self.owner)
@@ -54,11 +56,11 @@
         return self
 
     def listed(self, **changed: EndpointEntry) -> None:
-        self.service = Service({**self.service.endpoints, **changed}, self.service.settings)
+        self.service = ServiceConfiguration({**self.service.endpoints, **changed}, self.service.settings)
 
     def run(self, seconds: float, bad: str = "") -> "Controller":
         for _ in range(round(seconds * 4)):
-            self.now += CYCLE_INTERVAL
+            self.now += CYCLE_INTERVAL_US
             if bad and self.now % SECOND == 0:
                 self.report(bad)
             self.decisions.run_cycle(self.now)
@@ -79,7 +81,7 @@
     def table(self, zone: int = 0) -> dict[str, float]:
         return {
             name: line.weight
-            for name, line in table_of(self.owner.topics[zone_topic("s", zone)].entries).items()
+            for name, line in read_table(self.owner.topics[zone_topic("s", zone)].entries).items()
         }
 
 
@@ -104,7 +106,7 @@
     controller.report("e1")
     controller.reports -= 1
     controller.report("e1")
-    assert controller.decisions.aggregator.duplicates == 1
+    assert controller.decisions.aggregator.duplicate_count == 1
 
 
 def test_a_service_is_decided_only_while_it_has_subscribers():
@@ -129,7 +131,10 @@
 
 def test_without_load_reports_the_inherited_table_is_replaced_after_a_while():
     controller = (
-        replica(Controller(), e0=900.0, e1=100.0).own().subscribe(0).run(WARM_UP_WITHOUT_REPORTS / SECOND - 1)
+        replica(Controller(), e0=900.0, e1=100.0)
+        .own()
+        .subscribe(0)
+        .run(WARM_UP_WITHOUT_REPORTS_US / SECOND - 1)
     )
     assert controller.table() == {"e0": 900.0, "e1": 100.0}
     assert controller.run(2).table() == dict.fromkeys(NAMES, 250.0)
