--- a/ravenshelf/background/decisions.py
+++ b/ravenshelf/background/decisions.py
@@ -1,7 +1,7 @@
-"""Which background job runs next, how much of the event loop's time it gets, and which jobs are dropped.
+"""Decisions about background jobs: which one runs next, how long, and which ones are dropped.
 
-No I/O; the clock is passed in, times are microseconds. Control cycles are no jobs: the scheduler lets them go
-first.
+Nothing here performs I/O. The caller passes in the time; all times are microseconds. Control cycles are not
+jobs: the scheduler runs no slice while one is due.
 """
 
 import enum
@@ -9,13 +9,14 @@
 from dataclasses import dataclass
 
 SECOND = 1_000_000  # microseconds
-ESTIMATE_GAIN = 0.2  # weight of a new slice in the estimated duration of a job's slices
-MIN_TURN_SHARE = 0.5  # of a turn's budget has to be available: many short turns would cost more
-MAX_SAVED_SECONDS = 0.25  # of the budget of a second
+ESTIMATE_GAIN = 0.2  # weight of the latest slice in the estimated slice duration of a job
+# A turn starts only when this share of the turn duration is available: many short turns would cost more.
+MIN_TURN_SHARE = 0.5
+MAX_SAVED_SECONDS = 0.25  # unused budget that can be saved, as a share of the budget of one second
 
 
 class Priority(enum.IntEnum):
-    """The most urgent is the lowest."""
+    """Priority of a job; the lowest value is the most urgent."""
 
     SIGNAL = 0
     PRESENT = 1
@@ -25,9 +26,10 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A job: `steps` is run a slice at a time; `on_dropped` is called if it never will be completed.
+    """Background job that runs one step of `steps` per slice.
 
-    A perishable job is of no use after its deadline.
+    `on_dropped` is called if the job is dropped before it is complete. A perishable job is of no use after
+    its deadline and is dropped then.
     """
 
     name: str
@@ -36,17 +38,20 @@
     steps: Iterator[None]
     on_dropped: Callable[[], None] | None = None
     is_perishable: bool = False
-    waiting_since: int = 0
-    number: int = 0  # in the order of arrival
+    waiting_since: int = 0  # when the job was queued, or its latest slice ended
+    arrival_number: int = 0  # position in the order of arrival
 
 
 class TimeBudget:
-    """The event loop's time for jobs: `turn` at a stretch, `per_second` in each second."""
+    """Token bucket of the event loop's time for jobs.
+
+    `time_per_second` is added in each second; a turn may use up to `turn_duration`.
+    """
 
     def __init__(self, turn_duration: int, time_per_second: int) -> None:
         self.turn_duration = turn_duration
         self.time_per_second = time_per_second
-        self.available = float(turn_duration)  # below 0 after a slice that took more
+        self.balance = float(turn_duration)  # below 0 after a slice that exceeded the budget
         self.refilled_at: int | None = None
 
     def _refill(self, now: int) -> None:
@@ -55,51 +60,55 @@
             return
         if now > self.refilled_at:
             limit = float(max(self.turn_duration, int(self.time_per_second * MAX_SAVED_SECONDS)))
-            earned = self.time_per_second * (now - self.refilled_at) / SECOND
-            self.available = min(limit, self.available + earned)
+            refill = self.time_per_second * (now - self.refilled_at) / SECOND
+            self.balance = min(limit, self.balance + refill)
             self.refilled_at = now
 
-    def allowed(self, now: int) -> int:
-        """Return the time that a turn may take now; 0 where the budget is spent."""
+    def turn_allowance(self, now: int) -> int:
+        """Return how long a turn that starts at `now` may run; 0 if the budget does not allow a turn."""
         self._refill(now)
-        if self.available < MIN_TURN_SHARE * self.turn_duration:
+        if self.balance < MIN_TURN_SHARE * self.turn_duration:
             return 0
-        return min(self.turn_duration, int(self.available))
+        return min(self.turn_duration, int(self.balance))
 
-    def available_at(self, now: int) -> int:
-        """Return when a turn may start."""
+    def next_allowance_at(self, now: int) -> int:
+        """Return the earliest time at which the budget allows a turn."""
         self._refill(now)
-        missing = MIN_TURN_SHARE * self.turn_duration - self.available
-        if missing <= 0:
+        deficit = MIN_TURN_SHARE * self.turn_duration - self.balance
+        if deficit <= 0:
             return now
-        return now + int(missing * SECOND / self.time_per_second) + 1
+        return now + int(deficit * SECOND / self.time_per_second) + 1
 
     def spend(self, duration: int, now: int) -> None:
-        """A slice has run; what it took beyond the budget is missing in later turns."""
+        """Charge the duration of a slice; an excess over the budget delays and shortens later turns."""
         self._refill(now)
-        self.available -= duration
+        self.balance -= duration
 
 
 class JobQueue:
-    """At most `max_jobs` jobs; a job that waits for `ageing` counts as one priority more urgent."""
+    """Queue of at most `max_jobs` jobs.
+
+    A job's priority rises by one level for each `ageing_interval` that it has waited, so that a steady stream
+    of more urgent jobs cannot starve it.
+    """
 
     def __init__(self, max_jobs: int, turn_duration: int, time_per_second: int, ageing_interval: int) -> None:
         self.max_jobs = max_jobs
         self.budget = TimeBudget(turn_duration, time_per_second)
         self.ageing_interval = ageing_interval
         self.jobs: list[Job] = []
-        self.slice_estimates: dict[str, float] = {}  # microseconds, by the job's name
-        self.last_number = 0
+        self.slice_estimates: dict[str, float] = {}  # estimated slice duration by the job's name
+        self.last_arrival_number = 0
 
     def __len__(self) -> int:
         return len(self.jobs)
 
-    def ready_at(self, now: int) -> int | None:
-        """Return when a turn may start, or None where there is nothing to do."""
-        return self.budget.available_at(now) if self.jobs else None
+    def next_turn_at(self, now: int) -> int | None:
+        """Return the earliest time of the next turn, or None if no job is queued."""
+        return self.budget.next_allowance_at(now) if self.jobs else None
 
-    def slice_done(self, job: Job, duration: int, now: int, is_complete: bool) -> None:
-        """A slice of the job has run."""
+    def record_slice(self, job: Job, duration: int, now: int, is_complete: bool) -> None:
+        """Charge a slice of a queued job to the budget and remove the job if it is complete."""
         self.budget.spend(duration, now)
         estimate = self.slice_estimates.get(job.name, duration)
         self.slice_estimates[job.name] = (1 - ESTIMATE_GAIN) * estimate + ESTIMATE_GAIN * duration
@@ -107,54 +116,57 @@
         if is_complete:
             self.jobs.remove(job)
 
-    # --- order ---
-
-    def _rank(self, job: Job, now: int) -> tuple[int, int, int]:
-        """The lowest runs first: the priority after ageing, then the earliest deadline."""
-        gained = max(0, now - job.waiting_since) // self.ageing_interval
-        return max(Priority.SIGNAL, job.priority - gained), job.deadline, job.number
+    def _run_rank(self, job: Job, now: int) -> tuple[int, int, int]:
+        """Return the sort key of the order of running: priority after ageing, deadline, arrival."""
+        priority_gain = max(0, now - job.waiting_since) // self.ageing_interval
+        return max(Priority.SIGNAL, job.priority - priority_gain), job.deadline, job.arrival_number
 
     def next_job(self, now: int, time_left: int, is_first: bool) -> Job | None:
-        """Return the job whose slice is to run, if it is estimated to fit into the time that is left.
+        """Return the job whose slice runs next, or None if no job is queued or its slice would not fit.
 
-        As the first of a turn a slice runs whatever its estimate: otherwise it would wait for ever.
+        Args:
+            now: The time.
+            time_left: The rest of the turn; the estimated duration of the slice must not exceed it.
+            is_first: Whether this is the first slice of the turn, which runs whatever its estimate: a slice
+                longer than a turn would otherwise never run.
         """
         if not self.jobs:
             return None
-        best = min(self.jobs, key=lambda job: self._rank(job, now))
-        if is_first or self.slice_estimates.get(best.name, 0) <= time_left:
-            return best
+        most_urgent = min(self.jobs, key=lambda job: self._run_rank(job, now))
+        if is_first or self.slice_estimates.get(most_urgent.name, 0) <= time_left:
+            return most_urgent
         return None
 
-    # --- dropped jobs ---
-
     @staticmethod
     def _drop_rank(job: Job, now: int) -> tuple[bool, int, int, int]:
-        """The highest is dropped first: expired, then the least urgent, the latest, the newest."""
-        return job.is_perishable and job.deadline < now, job.priority, job.deadline, job.number
+        """Return the sort key of dropping, highest first: expired, least urgent, latest deadline, newest."""
+        return job.is_perishable and job.deadline < now, job.priority, job.deadline, job.arrival_number
 
     def offer(self, job: Job, now: int) -> list[Job]:
-        """Add a job; return those that are dropped for it, which may include itself."""
-        self.last_number += 1
+        """Add a job; return the jobs that were dropped, which are no longer queued and may include it.
+
+        Expired jobs are dropped in any case, and one more if the queue is still over `max_jobs`.
+        """
+        self.last_arrival_number += 1
         job.waiting_since = now
-        job.number = self.last_number
+        job.arrival_number = self.last_arrival_number
         self.jobs.append(job)
-        dropped = self.remove_expired(now)
+        dropped_jobs = self.remove_expired(now)
         if len(self.jobs) > self.max_jobs:
-            least_valuable = max(self.jobs, key=lambda queued: self._drop_rank(queued, now))
+            least_valuable = max(self.jobs, key=lambda queued_job: self._drop_rank(queued_job, now))
             self.jobs.remove(least_valuable)
-            dropped.append(least_valuable)
-        return dropped
+            dropped_jobs.append(least_valuable)
+        return dropped_jobs
 
     def remove_expired(self, now: int) -> list[Job]:
         """Remove and return the perishable jobs whose deadline has passed."""
-        expired = [job for job in self.jobs if job.is_perishable and job.deadline < now]
-        if expired:
-            self.jobs = [job for job in self.jobs if job not in expired]
-        return expired
+        expired_jobs = [job for job in self.jobs if job.is_perishable and job.deadline < now]
+        if expired_jobs:
+            self.jobs = [job for job in self.jobs if job not in expired_jobs]
+        return expired_jobs
 
     def cancel(self, name: str) -> list[Job]:
-        """Remove and return the jobs of a name."""
-        cancelled = [job for job in self.jobs if job.name == name]
+        """Remove and return the jobs with this name."""
+        cancelled_jobs = [job for job in self.jobs if job.name == name]
         self.jobs = [job for job in self.jobs if job.name != name]
-        return cancelled
+        return cancelled_jobs
--- a/ravenshelf/collectd/listener.py
+++ b/ravenshelf/collectd/listener.py
@@ -89,7 +89,7 @@
         if not self.has_decode_job:
             self.has_decode_job = True
             self.background.offer(
-                DECODE_JOB, Priority.SIGNAL, DECODE_WITHIN, self._decode(), dropped=self._on_job_dropped
+                DECODE_JOB, Priority.SIGNAL, DECODE_WITHIN, self._decode(), on_dropped=self._on_job_dropped
             )
 
     def error_received(self, error: Exception) -> None:
--- a/ravenshelf/graphite/__init__.py
+++ b/ravenshelf/graphite/__init__.py
@@ -1,1 +1,1 @@
-"""The pilot's figures to Graphite: carbon's plaintext and pickle protocols over TCP."""
+"""Export of the server's metrics to Graphite: carbon's plaintext and pickle protocols over TCP."""
--- a/ravenshelf/graphite/collector.py
+++ b/ravenshelf/graphite/collector.py
@@ -1,8 +1,8 @@
-"""Turns events, messages and control cycles into metrics, one interval at a time.
+"""Computation of metrics from events, messages and control cycles, one interval at a time.
 
-The collector observes the control-plane server: it gets the events that the controller gets, every message
-and the duration of every control cycle. It decides nothing. Times are microseconds. No I/O: what the system
-measures of the process is passed in.
+The collector observes the control-plane server: it receives the same events as the controller, every message
+and the duration of every control cycle. It does not influence the server. Nothing here performs I/O:
+measurements of the process are passed in. Times are microseconds.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -28,14 +28,21 @@
 from ravenshelf.settings import Settings
 from ravenshelf.state.message_part import MessagePart
 
-DEFAULT_LATENCY_OBJECTIVE = 10 * SECOND  # of a traffic group without one
+DEFAULT_LATENCY_OBJECTIVE = 10 * SECOND  # for traffic groups that have no latency objective
 
 AdmissionLevel = Callable[[int, int], float | None]
-"""The level that a proxy was last sent for a group (a rate or a fraction, by the settings), or None."""
+"""Returns the admission level that a proxy was last sent for a traffic group, or None.
+
+Whether the level is a rate in requests per second or a fraction of the requests depends on the settings.
+"""
 
 
 class MetricsCollector:
-    """Collects the metrics of one server; `close_interval` closes an interval."""
+    """Collector of one server's metrics.
+
+    The `on_` methods add observations to the current interval; `close_interval` converts it to points and
+    starts the next one. `endpoint_name` returns an endpoint's name by its index.
+    """
 
     def __init__(
         self,
@@ -47,7 +54,7 @@
     ) -> None:
         self.groups = settings.traffic_groups
         self.objectives = [group.latency_objective_us or DEFAULT_LATENCY_OBJECTIVE for group in self.groups]
-        self.level_is_fraction = settings.service.admission_level_kind == "fraction"
+        self.is_level_fraction = settings.service.admission_level_kind == "fraction"
         self.queue_limit = settings.service.queue_limit_lines or 0
         self.path_names = PathNames(
             prefix,
@@ -56,23 +63,24 @@
             endpoint_name,
         )
         self.admission_level = admission_level
-        self.endpoints: dict[int, tuple[int, EndpointState]] = {}  # zone and state by endpoint
+        self.endpoints: dict[int, tuple[int, EndpointState]] = {}  # (zone, state) by endpoint
         self.proxy_zones: dict[int, int] = {}
         self.last_report_at: dict[int, int] = {}  # by zone
         self.drains = DrainTracker()
         self.spare_histograms: Histograms = {}
-        self.interval = Interval(now, self._take_histograms())
+        self.interval = Interval(now, self._empty_histograms())
 
-    def _take_histograms(self) -> Histograms:
-        """Return empty histograms: two sets are used alternately, since a new set costs time and memory."""
-        spare = self.spare_histograms
-        self.spare_histograms = {}
-        return spare or new_histograms()
+    def _empty_histograms(self) -> Histograms:
+        """Return empty histograms for an interval.
 
-    # --- observations ---
+        Two sets are used alternately, since allocating a set costs time and memory.
+        """
+        histograms = self.spare_histograms
+        self.spare_histograms = {}
+        return histograms or new_histograms()
 
     def on_event(self, event: Event, now: int) -> None:
-        """Observe an event that the controller gets."""
+        """Record an event that the controller receives."""
         match event:
             case EndpointsListed():
                 self._on_endpoints_listed(event, now)
@@ -80,7 +88,7 @@
                 self.proxy_zones[proxy] = zone
             case ProxyLeft(proxy):
                 self.proxy_zones.pop(proxy, None)
-                self.drains.proxy_left(proxy)
+                self.drains.remove_proxy(proxy)
             case LoadReport():
                 self._on_load_report(event, now)
             case DemandReport():
@@ -89,27 +97,30 @@
                 self._on_acknowledged(event, now)
 
     def on_message(self, proxy: int, parts: Iterable[MessagePart], marker: int | None) -> None:
-        """Observe a message to a proxy; with a marker the proxy will acknowledge it."""
-        if marker is None or not self.drains.pending:
+        """Record a message that was sent to a proxy.
+
+        The proxy acknowledges the message with `marker`; None means that it does not acknowledge it.
+        """
+        if marker is None or not self.drains.pending_drains:
             return
         for part in parts:
             for endpoint in part.ejected:
-                self.drains.sent(endpoint, proxy, marker)
+                self.drains.record_removal_sent(endpoint, proxy, marker)
 
     def on_control_cycle(self, delay: int, duration: int) -> None:
-        """Observe a control cycle: how late it started and how long it took."""
+        """Record the delay of a control cycle's start and its duration, in microseconds."""
         self.interval.record(metrics.CONTROL_CYCLE_DELAY, delay)
         self.interval.record(metrics.CONTROL_CYCLE_DURATION, duration)
 
     def _on_endpoints_listed(self, event: EndpointsListed, now: int) -> None:
-        listed = set()
+        listed_endpoints = set()
         for entry in event.entries:
             self._update_endpoint(entry.endpoint, entry.zone, entry.state, now)
-            listed.add(entry.endpoint)
+            listed_endpoints.add(entry.endpoint)
         if event.kind is ListKind.UPDATE:
             return
         for endpoint, (zone, _) in list(self.endpoints.items()):
-            if endpoint not in listed:
+            if endpoint not in listed_endpoints:
                 self._update_endpoint(endpoint, zone, EndpointState.GONE, now)
 
     def _update_endpoint(self, endpoint: int, zone: int, state: EndpointState, now: int) -> None:
@@ -138,17 +149,17 @@
     def _on_demand_report(self, report: DemandReport, now: int) -> None:
         zone = self.proxy_zones.get(report.proxy, 0)
         self._on_report(zone, report.window, now)
-        rejected = self._rejected_requests(report)
+        rejected = self._estimate_rejected_requests(report)
         self.interval.add_demand(zone, report.group, report.requests, report.unanswered, rejected)
 
-    def _rejected_requests(self, report: DemandReport) -> float:
-        """Estimate the requests above the admission level that the proxy was last sent."""
+    def _estimate_rejected_requests(self, report: DemandReport) -> float:
+        """Return the requests of a report that exceed the admission level that the proxy was last sent."""
         if self.admission_level is None:
             return 0.0
         level = self.admission_level(report.proxy, report.group)
         if level is None:
             return 0.0
-        if self.level_is_fraction:
+        if self.is_level_fraction:
             admitted = report.requests * min(1.0, level)
         else:
             admitted = level * report.window / SECOND
@@ -156,33 +167,38 @@
 
     def _on_acknowledged(self, event: BatchAcknowledged, now: int) -> None:
         self.interval.record(metrics.UPDATE_LATENCY, event.elapsed)
-        for started_at in self.drains.acknowledged(event.proxy, event.marker):
+        for started_at in self.drains.acknowledge(event.proxy, event.marker):
             self.interval.record(metrics.DRAIN_DURATION, now - started_at)
 
-    # --- points ---
-
     def close_interval(
         self,
         now: int,
         controller: Controller | None,
         samples: Iterable[Sample],
-        take: Callable[[int, list[Point]], None],
+        on_points: Callable[[int, list[Point]], None],
     ) -> Iterator[None]:
-        """Close the interval in the first step and make its points in further steps of a bounded duration.
+        """Close the interval and compute its points, in steps of a bounded duration.
+
+        The first step closes the interval and starts the next one; the further steps compute the points. The
+        server runs the steps as a background job.
 
-        `samples` are values that were measured elsewhere; `take(importance, points)` gets the points.
+        Args:
+            now: The time at which the interval ends, in microseconds.
+            controller: The controller whose estimates are exported, or None if there is none.
+            samples: Values that were measured elsewhere.
+            on_points: Called as `on_points(importance, points)` in the last step, once per importance.
         """
-        closed = self.interval
-        self.interval = Interval(now, self._take_histograms())
-        builder = PointBuilder(self.path_names, closed, now)
+        closed_interval = self.interval
+        self.interval = Interval(now, self._empty_histograms())
+        builder = PointBuilder(self.path_names, closed_interval, now)
         builder.add_groups(self.groups)
         builder.add_samples(samples)
-        builder.add_drains(len(self.drains.pending))
+        builder.add_drains(len(self.drains.pending_drains))
         builder.add_reports()
         builder.add_endpoint_states([state for _, state in self.endpoints.values()])
         yield
         builder.add_distributions()
-        self.spare_histograms = closed.histograms
+        self.spare_histograms = closed_interval.histograms
         yield
         if controller is not None:
             yield from builder.add_controller(controller, self.queue_limit, self.endpoints)
@@ -190,4 +206,4 @@
         yield from builder.add_endpoints()
         for importance in (ESSENTIAL, USEFUL, DETAIL):
             if builder.points[importance]:
-                take(importance, builder.points[importance])
+                on_points(importance, builder.points[importance])
--- a/ravenshelf/graphite/connection.py
+++ b/ravenshelf/graphite/connection.py
@@ -1,5 +1,8 @@
-"""One connection to a carbon receiver: complete lines or frames are written, and it tells when the system
-took them."""
+"""TCP connection to one carbon receiver.
+
+Callers write complete lines or frames. The connection reports when the kernel's socket buffer has accepted
+everything that was written ("flushed").
+"""
 
 import asyncio
 import socket
@@ -9,62 +12,66 @@
 from ravenshelf.net.buffered_connection import BufferedConnection
 from ravenshelf.state.buffers import BufferPool
 
-# What is in the system's buffer counts as taken, so a large buffer would hide a receiver that reads nothing.
+# Bytes in the kernel's send buffer count as flushed, so a large buffer would hide a receiver that reads
+# nothing.
 SEND_BUFFER_BYTES = 64 * 1024
 
 
 class ReceiverConnection(BufferedConnection):
-    """A connection that calls `on_open`, `on_all_taken` and `on_close` with itself; what it receives is
-    ignored."""
+    """Write-only connection to a receiver; received bytes are ignored.
+
+    `on_open`, `on_flushed` and `on_close` are called with the connection itself.
+    """
 
     def __init__(
         self,
         buffers: BufferPool,
         on_open: Callable[["ReceiverConnection"], None],
-        on_all_taken: Callable[["ReceiverConnection"], None],
+        on_flushed: Callable[["ReceiverConnection"], None],
         on_close: Callable[["ReceiverConnection"], None],
     ) -> None:
         super().__init__(buffers)
         self.on_open = on_open
-        self.on_all_taken = on_all_taken
+        self.on_flushed = on_flushed
         self.on_close = on_close
-        self.paused = False
+        self.is_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the buffers' sizes, unless the connection was given up while it was opened."""
+        """Set the buffer sizes, or abort the connection if it was closed while it was being opened."""
         stream = cast(asyncio.Transport, transport)
         self.transport = stream
         if self.end is not None:
             stream.abort()
             return
-        stream.set_write_buffer_limits(high=0, low=0)  # pauses for every byte that the system did not take
+        # With both limits at 0, pause_writing is called as soon as the kernel leaves a byte unaccepted.
+        stream.set_write_buffer_limits(high=0, low=0)
         stream.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         self.on_open(self)
 
     def pause_writing(self) -> None:
-        """The system does not take more."""
-        self.paused = True
+        """Note that the kernel's send buffer is full; called by the event loop."""
+        self.is_paused = True
 
     def resume_writing(self) -> None:
-        """The system has taken everything."""
-        self.paused = False
+        """Report that everything was flushed; called by the event loop."""
+        self.is_paused = False
         if self.end is None:
-            self.on_all_taken(self)
+            self.on_flushed(self)
 
     def write(self, data: bytes) -> None:
-        """Write complete lines or frames; nothing is written to a connection that has ended."""
+        """Write complete lines or frames; do nothing if the connection is not open."""
         if self.end is None and self.transport is not None:
             self.transport.write(data)
 
     def is_idle(self) -> bool:
-        """Return whether the system has taken everything that was written."""
+        """Return whether everything that was written has been flushed."""
         if self.transport is None:
-            return not self.paused
-        return not self.paused and self.transport.get_write_buffer_size() == 0
+            return not self.is_paused
+        return not self.is_paused and self.transport.get_write_buffer_size() == 0
 
     def received(self, data: bytes) -> None:
-        """Ignore it: carbon sends nothing."""
+        """Ignore the data: carbon sends nothing on these connections."""
 
     def ended(self) -> None:
-        """Tell the owner."""
+        """Report the end of the connection."""
         self.on_close(self)
--- a/ravenshelf/graphite/decisions/__init__.py
+++ b/ravenshelf/graphite/decisions/__init__.py
@@ -1,1 +1,4 @@
-"""Decisions about Graphite receivers: connections, routing and queues. No I/O; the clock is passed in."""
+"""Decision logic for Graphite receivers: connection policy, routing and queues.
+
+Nothing here performs I/O; the caller passes in the time.
+"""
--- a/ravenshelf/graphite/decisions/connection.py
+++ b/ravenshelf/graphite/decisions/connection.py
@@ -1,6 +1,6 @@
-"""When to connect to a receiver, when to give a connection up, and when its share fails over.
+"""Policy of one receiver's connection: connect, disconnect, back off and fail over.
 
-No I/O; the clock is passed in, times are microseconds.
+Nothing here performs I/O. The caller passes in the time; all times are microseconds.
 """
 
 import enum
@@ -9,19 +9,23 @@
 
 SECOND = 1_000_000  # microseconds
 CONNECT_TIMEOUT = 3 * SECOND
-STALLED_AFTER = 5 * SECOND  # of a batch that the system does not take
+# Age of the oldest unflushed batch at which a connection counts as stalled.
+STALLED_AFTER = 5 * SECOND
+# Age of the oldest unflushed batch at which a stalled connection is closed.
 STALL_TIMEOUT = 15 * SECOND
 BACKOFF_MIN = SECOND // 2
 BACKOFF_MAX = 60 * SECOND
-MAX_CONNECTS = 10  # in CONNECTS_WINDOW
+MAX_CONNECTS = 10  # connection attempts per CONNECTS_WINDOW
 CONNECTS_WINDOW = 60 * SECOND
-FAIL_OVER_AFTER = 10 * SECOND  # without a connection
-RECOVERED_AFTER = 20 * SECOND  # with a connection; also how long one must last for the backoff to start over
-MAX_DOUBLINGS = 20
+FAIL_OVER_AFTER = 10 * SECOND  # time without a connection after which the share fails over
+# Duration of a connection after which the receiver gets its share back. The backoff starts over only after a
+# connection that lasted this long.
+RECOVERED_AFTER = 20 * SECOND
+MAX_DOUBLINGS = 20  # limit on the exponent of the backoff
 
 
 class ReceiverState(enum.Enum):
-    """The state of the connection to a receiver."""
+    """State of the connection to a receiver."""
 
     BACKING_OFF = "backing off"
     CONNECTING = "connecting"
@@ -30,7 +34,7 @@
 
 
 class ConnectionAction(enum.Enum):
-    """What the exporter has to do now."""
+    """Action that the policy requests from the exporter."""
 
     CONNECT = "connect"
     REPORT_STALL = "report stall"
@@ -38,39 +42,45 @@
 
 
 class ReceiverConnectionPolicy:
-    """The state of one receiver's connection; the exporter does what `next_action` returns and tells the
-    outcome."""
+    """State machine of one receiver's connection.
+
+    The exporter carries out the actions that `next_action` returns and reports their outcome with the `mark_`
+    methods. A batch is flushed when the kernel's socket buffer has accepted all of its bytes.
+    """
 
     def __init__(self, now: int, random_source: random.Random) -> None:
         self.random_source = random_source
         self.state = ReceiverState.BACKING_OFF
         self.state_since = now
-        self.state_until = now  # without meaning while connected
-        self.failures = 0  # in a row
-        self.connects: deque[int] = deque(maxlen=MAX_CONNECTS)  # times of the latest
-        self.unwritten_since: int | None = None  # since when a batch has waited for the system to take it
+        self.state_until = now  # unused in the state CONNECTED
+        self.consecutive_failures = 0
+        self.connect_times: deque[int] = deque(maxlen=MAX_CONNECTS)  # times of the latest attempts
+        self.unflushed_since: int | None = None  # write time of the oldest unflushed batch
         self.last_connected_at = now
-        self.failed_over = False
+        self.is_failed_over = False
 
     def next_action_at(self) -> int | None:
-        """Return when `next_action` is to be called again, if nothing happens before."""
+        """Return the time at which `next_action` must be called, unless an outcome is reported before.
+
+        None means that no action is pending.
+        """
         if self.state is not ReceiverState.CONNECTED:
             return self.state_until
-        return None if self.unwritten_since is None else self.unwritten_since + STALLED_AFTER
+        return None if self.unflushed_since is None else self.unflushed_since + STALLED_AFTER
 
     def next_action(self, now: int) -> ConnectionAction | None:
-        """Return what is to be done now, if anything."""
+        """Return the action that is due at `now` and enter the state that follows, or return None."""
         due_at = self.next_action_at()
         if due_at is None or now < due_at:
             return None
         if self.state is ReceiverState.BACKING_OFF:
             self._enter(ReceiverState.CONNECTING, now)
             self.state_until = now + CONNECT_TIMEOUT
-            self.connects.append(now)
+            self.connect_times.append(now)
             return ConnectionAction.CONNECT
-        if self.state is ReceiverState.CONNECTED and self.unwritten_since is not None:
+        if self.state is ReceiverState.CONNECTED and self.unflushed_since is not None:
             self._enter(ReceiverState.STALLED, now)
-            self.state_until = self.unwritten_since + STALL_TIMEOUT
+            self.state_until = self.unflushed_since + STALL_TIMEOUT
             return ConnectionAction.REPORT_STALL
         return ConnectionAction.DISCONNECT
 
@@ -80,49 +90,57 @@
         self.state = state
         self.state_since = now
 
-    def connected(self, now: int) -> None:
-        """A connection is open."""
+    def mark_connected(self, now: int) -> None:
+        """Record that a connection was opened."""
         self._enter(ReceiverState.CONNECTED, now)
-        self.unwritten_since = None
+        self.unflushed_since = None
 
-    def batch_written(self, now: int) -> None:
-        """A batch was given to the system; the limit counts from the oldest that it has not taken."""
-        if self.unwritten_since is None:
-            self.unwritten_since = now
+    def mark_batch_written(self, now: int) -> None:
+        """Record that a batch is about to be written to the socket.
 
-    def unwritten_for(self, now: int) -> int:
-        """Return for how long a batch has waited for the system to take it."""
-        return 0 if self.unwritten_since is None else now - self.unwritten_since
+        The stall limits count from the oldest unflushed batch; later batches do not extend them.
+        """
+        if self.unflushed_since is None:
+            self.unflushed_since = now
 
-    def all_taken(self, now: int) -> None:
-        """The system has taken every batch; a stalled connection works again."""
-        self.unwritten_since = None
+    def unflushed_duration(self, now: int) -> int:
+        """Return how long the oldest unflushed batch has waited, in microseconds; 0 if there is none."""
+        return 0 if self.unflushed_since is None else now - self.unflushed_since
+
+    def mark_flushed(self, now: int) -> None:
+        """Record that every batch was flushed; a stalled connection returns to the state CONNECTED."""
+        self.unflushed_since = None
         if self.state is ReceiverState.STALLED:
             self._enter(ReceiverState.CONNECTED, now)
 
-    def failed(self, now: int) -> None:
-        """The connection ended, or none was opened: backs off, with full jitter up to a bound that
-        doubles."""
+    def mark_failed(self, now: int) -> None:
+        """Record that the connection ended or could not be opened, and start the backoff.
+
+        The backoff has full jitter below a bound that doubles with each failure, up to BACKOFF_MAX.
+        """
+        # The counter is not reset on connect: a receiver that accepts and then resets connections would be
+        # retried without backoff.
         if self.state is ReceiverState.CONNECTED and now - self.state_since >= RECOVERED_AFTER:
-            self.failures = 0  # not on connect: a receiver that accepts and resets would get no backoff
+            self.consecutive_failures = 0
         self._enter(ReceiverState.BACKING_OFF, now)
-        backoff_bound = min(BACKOFF_MAX, BACKOFF_MIN << min(self.failures, MAX_DOUBLINGS))
+        backoff_bound = min(BACKOFF_MAX, BACKOFF_MIN << min(self.consecutive_failures, MAX_DOUBLINGS))
         backoff = BACKOFF_MIN // 2 + round(self.random_source.random() * backoff_bound)
         self.state_until = now + backoff
-        if len(self.connects) == MAX_CONNECTS:
-            self.state_until = max(self.state_until, self.connects[0] + CONNECTS_WINDOW)
-        self.failures += 1
-        self.unwritten_since = None
+        if len(self.connect_times) == MAX_CONNECTS:
+            self.state_until = max(self.state_until, self.connect_times[0] + CONNECTS_WINDOW)
+        self.consecutive_failures += 1
+        self.unflushed_since = None
 
-    def holds_share(self, now: int) -> bool:
-        """Return whether the receiver gets its own share of the metrics.
+    def has_share(self, now: int) -> bool:
+        """Return whether the receiver's share of the metrics is routed to the receiver itself.
 
-        It fails over late and recovers later still: otherwise the points of a metric would alternate between
-        receivers while a connection flaps.
+        The share fails over only after FAIL_OVER_AFTER without a connection and returns only after
+        RECOVERED_AFTER with one: otherwise the points of a metric would alternate between receivers while a
+        connection flaps.
         """
         is_connected = self.state is ReceiverState.CONNECTED
-        if self.failed_over:
-            self.failed_over = not (is_connected and now - self.state_since >= RECOVERED_AFTER)
+        if self.is_failed_over:
+            self.is_failed_over = not (is_connected and now - self.state_since >= RECOVERED_AFTER)
         else:
-            self.failed_over = not is_connected and now - self.last_connected_at >= FAIL_OVER_AFTER
-        return not self.failed_over
+            self.is_failed_over = not is_connected and now - self.last_connected_at >= FAIL_OVER_AFTER
+        return not self.is_failed_over
--- a/ravenshelf/graphite/decisions/queue.py
+++ b/ravenshelf/graphite/decisions/queue.py
@@ -1,7 +1,8 @@
-"""The queue of points for one receiver: what is sent next, what is sent again, and what is dropped.
+"""Queue of points for one receiver: order of sending, retransmission and dropping.
 
-No I/O; the clock is passed in, times are microseconds. A point is (path, value); a batch has one
-measurement's points of one importance, and all of them carry its time however late they are sent.
+Nothing here performs I/O. The caller passes in the time; times are microseconds unless stated otherwise. A
+point is a pair (path, value). A batch holds the points of one measurement that have the same importance; all
+of them carry the time of the measurement, however late they are sent.
 """
 
 from collections import deque
@@ -12,20 +13,24 @@
 from ravenshelf.graphite.metrics import IMPORTANCES
 
 SECOND = 1_000_000  # microseconds
-CONFIRMED_AFTER = 10 * SECOND  # what the system took so long ago counts as received
-BURST_S = 2.0  # of the backfill rate
+# A batch counts as received this long after the kernel's socket buffer has accepted it.
+CONFIRMED_AFTER = 10 * SECOND
+BURST_S = 2.0  # seconds of the backfill rate that can accumulate as tokens
 
 
 @dataclass(slots=True, eq=False)
 class Batch:
-    """One measurement's points of one importance."""
+    """Points of one measurement that have the same importance."""
 
     time: int  # seconds, a multiple of the interval
     importance: int  # index in metrics.IMPORTANCES
     points: list[tuple[str, float]]
-    encoded: list[bytes] = field(default_factory=list)  # empty until encoded; receivers share it
-    attempted: bool = False  # may have been received in part: only the same receiver may get it again
-    taken_at: int | None = None  # when the system took the last of it
+    # Encoded chunks, empty until the batch is first encoded. Receivers of the same batch share the list.
+    encoded: list[bytes] = field(default_factory=list)
+    # Whether sending was started. The receiver may have part of the batch, so only this receiver may be sent
+    # the batch again.
+    is_attempted: bool = False
+    flushed_at: int | None = None  # when the kernel had accepted all of its bytes
 
     def __len__(self) -> int:
         return len(self.points)
@@ -33,71 +38,83 @@
 
 @dataclass(slots=True)
 class PointQueue:
-    """The points that one receiver has yet to get: bounded, dropped by importance and then oldest first.
+    """Bounded queue of the points that one receiver has not confirmed.
 
-    Current points are sent before old ones, and old ones at no more than `backfill_rate` points a second, so
-    that a recovery after hours does not delay what is measured now. After a broken connection, what the
-    system took within CONFIRMED_AFTER is sent again as a whole: carbon ignores a line or frame that is cut
-    and overwrites a point that comes twice, so a duplicate is harmless and a gap is not.
+    When the queue is full, the least important points are dropped first, and the oldest of these first.
+
+    Current points are sent before old ones. Old points are sent at no more than `backfill_rate` points per
+    second, so that a recovery after hours does not delay current measurements.
+
+    After a lost connection, all batches that were flushed within CONFIRMED_AFTER are sent again as a whole.
+    Carbon ignores a truncated line or frame and overwrites a point that it receives twice, so a duplicate is
+    harmless and a gap is not.
     """
 
-    limit: int  # points
-    backfill_rate: int  # points a second
-    queued: list[deque[Batch]] = field(default_factory=lambda: [deque() for _ in IMPORTANCES])
-    unconfirmed: deque[Batch] = field(default_factory=deque)  # in the order in which they were sent
-    point_count: int = 0  # points, queued and unconfirmed
-    backfill_tokens: float = 0.0  # points; below 0 after a batch that was larger
+    max_points: int
+    backfill_rate: int  # points per second
+    queued_batches: list[deque[Batch]] = field(
+        default_factory=lambda: [deque() for _ in IMPORTANCES]
+    )  # by importance
+    unconfirmed_batches: deque[Batch] = field(default_factory=deque)  # in the order of sending
+    point_count: int = 0  # queued and unconfirmed points
+    backfill_tokens: float = 0.0  # points; below 0 after a batch that was larger than the balance
     refilled_at: int | None = None
-    dropped_points: int = 0  # points since the start
+    dropped_points: int = 0  # since the start
 
     def add(self, batch: Batch) -> list[Batch]:
-        """Add a batch; return those that are dropped for it, which may include itself."""
-        self.queued[batch.importance].append(batch)
+        """Add a batch; return the batches that were dropped to make room, which may include it."""
+        self.queued_batches[batch.importance].append(batch)
         self.point_count += len(batch)
         return self._drop_excess()
 
     def _drop_excess(self) -> list[Batch]:
-        dropped = []
-        while self.point_count > self.limit:
-            least_important = next((batches for batches in reversed(self.queued) if batches), None)
-            batch = (self.unconfirmed if least_important is None else least_important).popleft()
+        dropped_batches = []
+        while self.point_count > self.max_points:
+            least_important = next((batches for batches in reversed(self.queued_batches) if batches), None)
+            batch = (self.unconfirmed_batches if least_important is None else least_important).popleft()
             self.point_count -= len(batch)
             self.dropped_points += len(batch)
-            dropped.append(batch)
-        return dropped
+            dropped_batches.append(batch)
+        return dropped_batches
 
     def _refill(self, now: int) -> None:
         if self.refilled_at is not None:
-            earned = self.backfill_rate * (now - self.refilled_at) / SECOND
-            self.backfill_tokens = min(BURST_S * self.backfill_rate, self.backfill_tokens + earned)
+            refill = self.backfill_rate * (now - self.refilled_at) / SECOND
+            self.backfill_tokens = min(BURST_S * self.backfill_rate, self.backfill_tokens + refill)
         self.refilled_at = now
 
-    def take(self, now: int, current_time: int) -> Batch | None:
-        """Return the next batch to send: one of `current_time` or later, else the oldest as the rate allows.
+    def pop_next(self, now: int, current_time: int) -> Batch | None:
+        """Return the next batch to send and move it to the unconfirmed batches.
 
-        `current_time` is in seconds, the time of the newest measurement.
+        Args:
+            now: The time in microseconds.
+            current_time: The time of the newest measurement, in seconds.
+
+        Returns:
+            A batch of `current_time` or later, the most important one first; if there is none, the oldest
+            batch if the backfill rate allows one, else None.
         """
         self._refill(now)
-        for batches in self.queued:
+        for batches in self.queued_batches:
             if batches and batches[-1].time >= current_time:
-                return self._send(batches, batches[-1])
-        candidates = [batches for batches in self.queued if batches]
+                return self._move_to_unconfirmed(batches, batches[-1])
+        candidates = [batches for batches in self.queued_batches if batches]
         if not candidates or self.backfill_tokens < 0:
             return None
         oldest = min(candidates, key=lambda batches: batches[0].time)
         self.backfill_tokens -= len(oldest[0])
-        return self._send(oldest, oldest[0])
+        return self._move_to_unconfirmed(oldest, oldest[0])
 
-    def _send(self, batches: deque[Batch], batch: Batch) -> Batch:
+    def _move_to_unconfirmed(self, batches: deque[Batch], batch: Batch) -> Batch:
         batches.remove(batch)
-        batch.attempted = True
-        batch.taken_at = None
-        self.unconfirmed.append(batch)
+        batch.is_attempted = True
+        batch.flushed_at = None
+        self.unconfirmed_batches.append(batch)
         return batch
 
-    def next_take_at(self, now: int) -> int | None:
-        """Return when a batch may be taken, or None where none is queued."""
-        if not any(self.queued):
+    def next_pop_at(self, now: int) -> int | None:
+        """Return when the backfill rate allows the next batch, or None if no batch is queued."""
+        if not any(self.queued_batches):
             return None
         self._refill(now)
         if self.backfill_tokens >= 0:
@@ -105,59 +122,68 @@
         return now + int(-self.backfill_tokens * SECOND / self.backfill_rate) + 1
 
     def has_current(self, current_time: int) -> bool:
-        """Return whether a batch of `current_time` or later is queued."""
-        return any(batches and batches[-1].time >= current_time for batches in self.queued)
+        """Return whether a batch of `current_time` (seconds) or later is queued."""
+        return any(batches and batches[-1].time >= current_time for batches in self.queued_batches)
 
-    def all_taken(self, now: int) -> None:
-        """The system has taken everything that was sent."""
-        for batch in self.unconfirmed:
-            if batch.taken_at is None:
-                batch.taken_at = now
+    def mark_flushed(self, now: int) -> None:
+        """Record that the kernel has accepted all batches that were sent."""
+        for batch in self.unconfirmed_batches:
+            if batch.flushed_at is None:
+                batch.flushed_at = now
 
     def confirm(self, now: int) -> list[Batch]:
-        """Remove and return what the system took long enough ago: it counts as received."""
-        confirmed = []
-        while self.unconfirmed:
-            taken_at = self.unconfirmed[0].taken_at
-            if taken_at is None or now - taken_at < CONFIRMED_AFTER:
+        """Remove and return the batches that were flushed at least CONFIRMED_AFTER ago."""
+        confirmed_batches = []
+        while self.unconfirmed_batches:
+            flushed_at = self.unconfirmed_batches[0].flushed_at
+            if flushed_at is None or now - flushed_at < CONFIRMED_AFTER:
                 break
-            confirmed.append(self.unconfirmed.popleft())
-        self.point_count -= sum(map(len, confirmed))
-        return confirmed
-
-    def connection_lost(self) -> None:
-        """Queue the unconfirmed batches again, each at its old place."""
-        for batch in reversed(self.unconfirmed):
-            batches = self.queued[batch.importance]
-            later = (position for position, other in enumerate(batches) if other.time >= batch.time)
-            batches.insert(next(later, len(batches)), batch)
-        self.unconfirmed.clear()
+            confirmed_batches.append(self.unconfirmed_batches.popleft())
+        self.point_count -= sum(map(len, confirmed_batches))
+        return confirmed_batches
+
+    def requeue_unconfirmed(self) -> None:
+        """Queue the unconfirmed batches again, each in the order of its time, after a lost connection."""
+        for batch in reversed(self.unconfirmed_batches):
+            batches = self.queued_batches[batch.importance]
+            later_positions = (position for position, other in enumerate(batches) if other.time >= batch.time)
+            batches.insert(next(later_positions, len(batches)), batch)
+        self.unconfirmed_batches.clear()
 
     def remove_all(self, include_attempted: bool = False) -> list[Batch]:
-        """Remove and return, oldest first, what was never sent to the receiver, or everything."""
-        removed: list[Batch] = []
-        for importance, batches in enumerate(self.queued):
-            removed += [batch for batch in batches if include_attempted or not batch.attempted]
-            kept = [batch for batch in batches if batch.attempted and not include_attempted]
-            self.queued[importance] = deque(kept)
+        """Remove and return, oldest first, the batches that were never sent to the receiver.
+
+        With `include_attempted`, remove and return every batch, the unconfirmed ones included.
+        """
+        removed_batches: list[Batch] = []
+        for importance, batches in enumerate(self.queued_batches):
+            removed_batches += [batch for batch in batches if include_attempted or not batch.is_attempted]
+            remaining_batches = [batch for batch in batches if batch.is_attempted and not include_attempted]
+            self.queued_batches[importance] = deque(remaining_batches)
         if include_attempted:
-            removed += self.unconfirmed
-            self.unconfirmed.clear()
-        self.point_count -= sum(map(len, removed))
-        return sorted(removed, key=lambda batch: (batch.time, batch.importance))
+            removed_batches += self.unconfirmed_batches
+            self.unconfirmed_batches.clear()
+        self.point_count -= sum(map(len, removed_batches))
+        return sorted(removed_batches, key=lambda batch: (batch.time, batch.importance))
 
     def remove_old(
         self, current_time: int, max_batches: int, may_remove: Callable[[Batch], bool] | None = None
     ) -> list[Batch]:
-        """Remove and return batches from before `current_time`, oldest first."""
-        old = (
+        """Remove and return up to `max_batches` queued batches older than `current_time`, oldest first.
+
+        Args:
+            current_time: Batches of this time (seconds) or later stay.
+            max_batches: The largest number of batches to remove.
+            may_remove: Returns False for a batch that must stay; None if none must.
+        """
+        old_batches = (
             batch
-            for batches in self.queued
+            for batches in self.queued_batches
             for batch in batches
             if batch.time < current_time and (may_remove is None or may_remove(batch))
         )
-        removed = list(islice(sorted(old, key=lambda batch: batch.time), max_batches))
-        for batch in removed:
-            self.queued[batch.importance].remove(batch)
+        removed_batches = list(islice(sorted(old_batches, key=lambda batch: batch.time), max_batches))
+        for batch in removed_batches:
+            self.queued_batches[batch.importance].remove(batch)
             self.point_count -= len(batch)
-        return removed
+        return removed_batches
--- a/ravenshelf/graphite/decisions/routing.py
+++ b/ravenshelf/graphite/decisions/routing.py
@@ -1,57 +1,70 @@
-"""Which receiver gets a metric's points, and where queued points go when the set of receivers changes."""
+"""Routing of points to receivers, and of queued points when the set of receivers changes."""
 
 from collections.abc import Iterable, Sequence
 
 import xxhash
 
 Point = tuple[str, float]
-MAX_CACHED_RANKS = 100_000
+MAX_CACHED_RANKINGS = 100_000  # paths
 
 
 class RendezvousRouter:
-    """Rendezvous hashing: each metric ranks the receivers and belongs to the first that holds its share.
+    """Rendezvous hashing of metric paths to receivers.
 
-    When a receiver fails over, only its metrics move, and the same metrics return.
+    Each path ranks the receivers by a hash and belongs to the first one in its ranking that has its share.
+    When a receiver fails over, only the paths that belong to it move to others, and the same paths return
+    when it recovers.
     """
 
-    def __init__(self, receivers: Sequence[str], max_cached_ranks: int = MAX_CACHED_RANKS) -> None:
+    def __init__(self, receivers: Sequence[str], max_cached_rankings: int = MAX_CACHED_RANKINGS) -> None:
         self.receivers = tuple(receivers)
-        self.max_cached_ranks = max_cached_ranks
-        self.cached_ranks: dict[str, tuple[int, ...]] = {}
+        self.max_cached_rankings = max_cached_rankings
+        self.cached_rankings: dict[str, tuple[int, ...]] = {}
 
     def rank(self, path: str) -> tuple[int, ...]:
-        """Return the numbers of the receivers in the order of the path's preference."""
-        ranked = self.cached_ranks.get(path)
-        if ranked is None:
+        """Return the indices of all receivers in the order of the path's preference."""
+        ranking = self.cached_rankings.get(path)
+        if ranking is None:
             scores = [xxhash.xxh64_intdigest(f"{path}\0{receiver}".encode()) for receiver in self.receivers]
-            ranked = tuple(sorted(range(len(scores)), key=lambda number: (-scores[number], number)))
-            if len(self.cached_ranks) >= self.max_cached_ranks:
-                self.cached_ranks.clear()
-            self.cached_ranks[path] = ranked
-        return ranked
-
-    def owner(self, path: str, holds_share: Sequence[bool]) -> int:
-        """Return the receiver of a path; the preferred one if none holds its share: the points wait there."""
-        ranked = self.rank(path)
-        return next((number for number in ranked if holds_share[number]), ranked[0])
-
-    def partition(self, points: Iterable[Point], holds_share: Sequence[bool]) -> dict[int, list[Point]]:
-        """Return the points by the number of their receiver."""
-        by_receiver: dict[int, list[Point]] = {}
+            ranking = tuple(sorted(range(len(scores)), key=lambda index: (-scores[index], index)))
+            if len(self.cached_rankings) >= self.max_cached_rankings:
+                self.cached_rankings.clear()
+            self.cached_rankings[path] = ranking
+        return ranking
+
+    def owner(self, path: str, has_share: Sequence[bool]) -> int:
+        """Return the index of the receiver that gets a path's points.
+
+        If no receiver has its share, this is the most preferred one, and the points wait in its queue.
+
+        Args:
+            path: The metric's path.
+            has_share: Whether each receiver has its share, by the receiver's index.
+        """
+        ranking = self.rank(path)
+        return next((index for index in ranking if has_share[index]), ranking[0])
+
+    def partition(self, points: Iterable[Point], has_share: Sequence[bool]) -> dict[int, list[Point]]:
+        """Return the points grouped by the index of the receiver that gets them."""
+        points_by_receiver: dict[int, list[Point]] = {}
         for point in points:
-            by_receiver.setdefault(self.owner(point[0], holds_share), []).append(point)
-        return by_receiver
+            points_by_receiver.setdefault(self.owner(point[0], has_share), []).append(point)
+        return points_by_receiver
 
 
-def handover_targets(old: Sequence[str], new: Sequence[str], route: str) -> dict[str, list[str]]:
-    """Return which receivers get the queued points of each receiver that was removed.
+def handover_targets(
+    old_receivers: Sequence[str], new_receivers: Sequence[str], route: str
+) -> dict[str, list[str]]:
+    """Return, for each receiver that was removed, the receivers that get its queued points.
 
-    With route "hash" these are all new receivers, and the caller asks `RendezvousRouter` for each point. With
-    "all" the remaining receivers have the points already: the points of the first that was removed go to each
-    that was added.
+    With route "hash" these are all new receivers; the caller asks `RendezvousRouter` about each point. With
+    route "all" the remaining receivers have the points already, so the points of the first removed receiver
+    go to every receiver that was added, and those of the others to none.
     """
-    removed = [receiver for receiver in old if receiver not in new]
+    removed_receivers = [receiver for receiver in old_receivers if receiver not in new_receivers]
     if route == "hash":
-        return {receiver: list(new) for receiver in removed}
-    added = [receiver for receiver in new if receiver not in old]
-    return {receiver: added if number == 0 else [] for number, receiver in enumerate(removed)}
+        return {receiver: list(new_receivers) for receiver in removed_receivers}
+    added_receivers = [receiver for receiver in new_receivers if receiver not in old_receivers]
+    return {
+        receiver: added_receivers if index == 0 else [] for index, receiver in enumerate(removed_receivers)
+    }
--- a/ravenshelf/graphite/dialing.py
+++ b/ravenshelf/graphite/dialing.py
@@ -1,4 +1,4 @@
-"""Opens a connection to a receiver: looks its name up and tries all its addresses within one time limit."""
+"""Opening of connections to a receiver: name resolution and all addresses within one time limit."""
 
 import asyncio
 import socket
@@ -12,13 +12,22 @@
 
 SocketAddress = tuple[Any, ...]
 Resolve = Callable[[str, int], Awaitable[Sequence[SocketAddress]]]
-"""Gives the socket addresses of a host and port without blocking the event loop; raises OSError."""
+"""Resolves a host and port to socket addresses without blocking the event loop; raises OSError."""
 
 
 async def resolve_name(host: str, port: int) -> list[SocketAddress]:
-    """Ask the system's resolver, on a thread: a name server that hangs must not block the event loop."""
-    found = await asyncio.get_running_loop().getaddrinfo(host, port, type=socket.SOCK_STREAM)
-    return [entry[4] for entry in found]
+    """Resolve a name with the system's resolver.
+
+    The lookup runs on a thread: a name server that does not answer must not block the event loop.
+
+    Returns:
+        The socket addresses of the host, for stream sockets.
+
+    Raises:
+        OSError: The name cannot be resolved.
+    """
+    address_entries = await asyncio.get_running_loop().getaddrinfo(host, port, type=socket.SOCK_STREAM)
+    return [entry[4] for entry in address_entries]
 
 
 async def dial(
@@ -28,16 +37,26 @@
     resolve: Resolve,
     loop: asyncio.AbstractEventLoop,
 ) -> None:
-    """Try the receiver's addresses in turn, starting with another one at each attempt.
+    """Try the receiver's addresses in turn until one accepts the connection.
 
-    Closes the connection with REFUSED where none accepts it.
+    Each address gets an equal part of CONNECT_TIMEOUT. If none accepts, the connection is closed with
+    REFUSED; no error is raised.
+
+    Args:
+        connection: The protocol object of the new connection.
+        receiver: The receiver's address, "host:port".
+        attempt: A number that changes with each attempt; it selects the address that is tried first.
+        resolve: Resolves the receiver's host name.
+        loop: The event loop.
     """
     try:
         host, port = address(receiver)
         addresses = list(dict.fromkeys(await resolve(host.strip("[]"), port)))
-        start = attempt % len(addresses) if addresses else 0
-        for place in addresses[start:] + addresses[:start]:
-            if await _try_address(connection, place, CONNECT_TIMEOUT / SECOND / len(addresses), loop):
+        first_index = attempt % len(addresses) if addresses else 0
+        for socket_address in addresses[first_index:] + addresses[:first_index]:
+            if await _try_address(
+                connection, socket_address, CONNECT_TIMEOUT / SECOND / len(addresses), loop
+            ):
                 return
         connection.close(ConnectionEnd.REFUSED)
     except (OSError, ValueError, UnicodeError):
@@ -45,12 +64,15 @@
 
 
 async def _try_address(
-    connection: ReceiverConnection, place: SocketAddress, timeout_s: float, loop: asyncio.AbstractEventLoop
+    connection: ReceiverConnection,
+    socket_address: SocketAddress,
+    timeout_s: float,
+    loop: asyncio.AbstractEventLoop,
 ) -> bool:
-    """Return whether there is nothing more to try: the connection is open, or was given up meanwhile."""
+    """Return whether no further address must be tried: the connection is open or was closed meanwhile."""
     try:
-        opening = loop.create_connection(lambda: connection, place[0], place[1])
-        await asyncio.wait_for(opening, timeout_s)
+        connect_call = loop.create_connection(lambda: connection, socket_address[0], socket_address[1])
+        await asyncio.wait_for(connect_call, timeout_s)
     except (TimeoutError, OSError):
         return connection.end is not None
     return True
--- a/ravenshelf/graphite/drains.py
+++ b/ravenshelf/graphite/drains.py
@@ -1,7 +1,6 @@
-"""Tracks drains: from the change of the endpoint list to the acknowledgement of the last proxy that was sent
-it.
+"""Measurement of drains, from the change of the endpoint list to the last proxy's acknowledgement.
 
-Times are microseconds. No I/O.
+Nothing here performs I/O; times are microseconds.
 """
 
 from dataclasses import dataclass, field
@@ -9,51 +8,59 @@
 
 @dataclass(slots=True)
 class Drain:
-    """One endpoint's drain; `awaited` has the (proxy, marker) pairs that are not acknowledged yet."""
+    """Drain of one endpoint."""
 
     started_at: int
-    awaited: set[tuple[int, int]] = field(default_factory=set)
-    was_sent: bool = False
+    # (proxy, marker) of each message with the endpoint's removal that is not acknowledged yet
+    unacknowledged_messages: set[tuple[int, int]] = field(default_factory=set)
+    has_sent_removal: bool = False
 
 
 class DrainTracker:
-    """The drains that are pending, by endpoint."""
+    """Pending drains by endpoint."""
 
     def __init__(self) -> None:
-        self.pending: dict[int, Drain] = {}
+        self.pending_drains: dict[int, Drain] = {}
 
     def start(self, endpoint: int, now: int) -> bool:
-        """Start an endpoint's drain; False where one is pending already."""
-        if endpoint in self.pending:
+        """Start an endpoint's drain; return False if one is pending already."""
+        if endpoint in self.pending_drains:
             return False
-        self.pending[endpoint] = Drain(now)
+        self.pending_drains[endpoint] = Drain(now)
         return True
 
     def cancel(self, endpoint: int) -> None:
-        """The endpoint is ready again before all proxies have acknowledged."""
-        self.pending.pop(endpoint, None)
+        """Discard the endpoint's drain: it became ready again before all proxies had acknowledged."""
+        self.pending_drains.pop(endpoint, None)
 
-    def sent(self, endpoint: int, proxy: int, marker: int) -> None:
-        """A proxy was sent the endpoint's removal, to be acknowledged with `marker`."""
-        drain = self.pending.get(endpoint)
+    def record_removal_sent(self, endpoint: int, proxy: int, marker: int) -> None:
+        """Record that a proxy was sent the endpoint's removal and will acknowledge it with `marker`."""
+        drain = self.pending_drains.get(endpoint)
         if drain is not None:
-            drain.awaited.add((proxy, marker))
-            drain.was_sent = True
+            drain.unacknowledged_messages.add((proxy, marker))
+            drain.has_sent_removal = True
 
-    def acknowledged(self, proxy: int, marker: int) -> list[int]:
-        """Return the start times of the drains that this acknowledgement completes."""
-        for drain in self.pending.values():
-            drain.awaited.discard((proxy, marker))
+    def acknowledge(self, proxy: int, marker: int) -> list[int]:
+        """Record an acknowledgement; return the start times of the drains that it completes."""
+        for drain in self.pending_drains.values():
+            drain.unacknowledged_messages.discard((proxy, marker))
         return self._remove_completed()
 
-    def proxy_left(self, proxy: int) -> None:
-        """Nothing is awaited of the proxy any more; a drain that this completes has no duration."""
-        for drain in self.pending.values():
-            drain.awaited -= {pair for pair in drain.awaited if pair[0] == proxy}
+    def remove_proxy(self, proxy: int) -> None:
+        """Stop waiting for a proxy that has left.
+
+        A drain that this completes is removed without a duration.
+        """
+        for drain in self.pending_drains.values():
+            drain.unacknowledged_messages -= {
+                message for message in drain.unacknowledged_messages if message[0] == proxy
+            }
         self._remove_completed()
 
     def _remove_completed(self) -> list[int]:
-        completed = [
-            endpoint for endpoint, drain in self.pending.items() if drain.was_sent and not drain.awaited
+        completed_endpoints = [
+            endpoint
+            for endpoint, drain in self.pending_drains.items()
+            if drain.has_sent_removal and not drain.unacknowledged_messages
         ]
-        return [self.pending.pop(endpoint).started_at for endpoint in completed]
+        return [self.pending_drains.pop(endpoint).started_at for endpoint in completed_endpoints]
--- a/ravenshelf/graphite/formats.py
+++ b/ravenshelf/graphite/formats.py
@@ -1,7 +1,7 @@
-"""Encodes points in carbon's two line protocols, after its published description.
+"""Encoding of points in carbon's two protocols, according to carbon's published documentation.
 
-Plaintext: `path value time`, a newline after each point. Pickle: frames of a length of four bytes in network
-order and a pickle (protocol 2) of [(path, (time, value)), ...].
+Plaintext: a line `path value time` for each point, terminated by a newline. Pickle: frames that consist of a
+length (four bytes in network byte order) and a pickle (protocol 2) of [(path, (time, value)), ...].
 """
 
 import pickle
@@ -9,39 +9,52 @@
 import struct
 from collections.abc import Iterator, Sequence
 
-FRAME_POINTS = 500  # carbon rejects frames over 1 MiB
-SLICE_POINTS = 200  # encoded in one slice of background work
-MAX_COMPONENT_LENGTH = 64
+POINTS_PER_FRAME = 500  # Carbon rejects frames over 1 MiB.
+POINTS_PER_SLICE = 200  # plaintext points that are encoded in one slice of a background job
+MAX_COMPONENT_LENGTH = 64  # characters
 PICKLE_PROTOCOL = 2
 PROTOCOLS = ("plaintext", "pickle")
-_FORBIDDEN = re.compile(r"[^A-Za-z0-9_\-]+")
+_FORBIDDEN_CHARACTERS = re.compile(r"[^A-Za-z0-9_\-]+")
 
 
 def path_component(text: str) -> str:
-    """Return text as one component of a path: carbon's separators, spaces and wildcards become `_`."""
-    return _FORBIDDEN.sub("_", text).strip("_")[:MAX_COMPONENT_LENGTH] or "_"
+    """Convert text to one component of a metric's path.
+
+    Runs of other characters than letters, digits, `_` and `-` become `_`, among them carbon's separators,
+    spaces and wildcards. The result has at most MAX_COMPONENT_LENGTH characters and is never empty.
+    """
+    return _FORBIDDEN_CHARACTERS.sub("_", text).strip("_")[:MAX_COMPONENT_LENGTH] or "_"
 
 
 def format_value(value: float) -> str:
-    """Return a value in the plaintext protocol's form."""
+    """Format a value for the plaintext protocol, with up to ten significant digits."""
     return f"{value:.10g}"
 
 
 def encode(protocol: str, time: int, points: Sequence[tuple[str, float]]) -> Iterator[bytes]:
-    """Yield a batch in chunks that each end with a complete line or frame; `time` is in seconds."""
+    """Encode points in chunks that each end with a complete line or frame.
+
+    Args:
+        protocol: One of PROTOCOLS.
+        time: The time of all points, in seconds.
+        points: Pairs (path, value).
+
+    Returns:
+        An iterator over the chunks; each chunk is encoded when it is requested.
+    """
     if protocol == "plaintext":
         return _encode_plaintext(time, points)
     return _encode_pickle(time, points)
 
 
 def _encode_plaintext(time: int, points: Sequence[tuple[str, float]]) -> Iterator[bytes]:
-    for start in range(0, len(points), SLICE_POINTS):
-        chunk = points[start : start + SLICE_POINTS]
+    for start in range(0, len(points), POINTS_PER_SLICE):
+        chunk = points[start : start + POINTS_PER_SLICE]
         yield "".join(f"{path} {format_value(value)} {time}\n" for path, value in chunk).encode()
 
 
 def _encode_pickle(time: int, points: Sequence[tuple[str, float]]) -> Iterator[bytes]:
-    for start in range(0, len(points), FRAME_POINTS):
-        chunk = points[start : start + FRAME_POINTS]
+    for start in range(0, len(points), POINTS_PER_FRAME):
+        chunk = points[start : start + POINTS_PER_FRAME]
         body = pickle.dumps([(path, (time, float(value))) for path, value in chunk], protocol=PICKLE_PROTOCOL)
         yield struct.pack("!L", len(body)) + body
--- a/ravenshelf/graphite/interval.py
+++ b/ravenshelf/graphite/interval.py
@@ -1,7 +1,6 @@
-"""What the metrics collector accumulates during one interval: sums by group, zone and endpoint, and
-distributions.
+"""Totals and distributions that the metrics collector accumulates during one interval.
 
-Times are microseconds. No I/O.
+Nothing here performs I/O; times are microseconds.
 """
 
 from collections.abc import Sequence
@@ -16,7 +15,7 @@
 
 SECOND = 1_000_000  # microseconds
 HISTOGRAM_MAX = 600 * SECOND
-HISTOGRAM_DIGITS = 2  # significant digits: an error of 1% for some KB each
+HISTOGRAM_DIGITS = 2  # significant digits; the error is 1%, at some KB per histogram
 DISTRIBUTIONS = (
     metrics.DRAIN_DURATION,
     metrics.REPORT_AGE,
@@ -31,13 +30,13 @@
 
 
 def new_histograms() -> Histograms:
-    """Return an empty histogram for each metric that is a distribution."""
+    """Create an empty histogram for each metric that is a distribution."""
     return {metric: HdrHistogram(1, HISTOGRAM_MAX, HISTOGRAM_DIGITS) for metric in DISTRIBUTIONS}
 
 
 @dataclass(slots=True)
 class DemandTotals:
-    """Requests of one zone's proxies in one traffic group."""
+    """Requests that one zone's proxies received in one traffic group."""
 
     demand: float = 0.0
     failed: float = 0.0
@@ -46,32 +45,35 @@
 
 @dataclass(slots=True)
 class AttemptTotals:
-    """Attempts at one zone's endpoints; `latency_sum` is over the attempts that succeeded."""
+    """Attempts at one zone's endpoints."""
 
     attempts: float = 0.0
     failed: float = 0.0
-    latency_sum: float = 0.0
+    latency_sum: float = 0.0  # over the attempts that succeeded
 
 
 @dataclass(slots=True)
 class ObjectiveTotals:
-    """Successful attempts of one zone's proxies, and how many met each group's latency objective."""
+    """Successful attempts of one zone's proxies, and how many of them met each latency objective."""
 
     succeeded: float
-    within_objective: list[float]
+    within_objective: list[float]  # by traffic group
 
-    def share(self, group: int) -> float:
-        """Return the share of the successful attempts that met the group's latency objective."""
+    def share_within_objective(self, group: int) -> float:
+        """Return the share of the successful attempts that met the group's latency objective.
+
+        It is 0 if no attempt succeeded.
+        """
         return self.within_objective[group] / self.succeeded if self.succeeded else 0.0
 
 
 class Interval:
-    """The sums and distributions of one interval."""
+    """Totals and distributions of one interval."""
 
     def __init__(self, started_at: int, histograms: Histograms) -> None:
         self.started_at = started_at
         self.histograms = histograms
-        self.demand: dict[tuple[int, int], DemandTotals] = {}  # by (zone of the proxies, group)
+        self.demand: dict[tuple[int, int], DemandTotals] = {}  # by (zone of the proxies, traffic group)
         self.attempts: dict[int, AttemptTotals] = {}  # by zone of the endpoints
         self.objectives: dict[int, ObjectiveTotals] = {}  # by zone of the proxies
         self.endpoint_attempts: dict[int, float] = {}
@@ -79,16 +81,22 @@
         self.drains_started = 0
 
     def record(self, metric: Metric, microseconds: float) -> None:
-        """Add a value to a distribution; values outside its range count as the nearest in it."""
+        """Add a value to a distribution, clamped to the histogram's range of 1 to HISTOGRAM_MAX."""
         self.histograms[metric].record_value(min(HISTOGRAM_MAX, max(1, int(microseconds))))
 
     def add_load(self, report: LoadReport, endpoint_zone: int, objectives: Sequence[int]) -> None:
-        """Add a load report; `objectives` are the groups' latency objectives."""
+        """Add a load report.
+
+        Args:
+            report: The report.
+            endpoint_zone: The zone of the endpoint that it is about.
+            objectives: The latency objective of each traffic group, in microseconds.
+        """
         succeeded = report.attempts - report.failed
-        zone = self.attempts.setdefault(endpoint_zone, AttemptTotals())
-        zone.attempts += report.attempts
-        zone.failed += report.failed
-        zone.latency_sum += succeeded * report.mean_latency
+        zone_totals = self.attempts.setdefault(endpoint_zone, AttemptTotals())
+        zone_totals.attempts += report.attempts
+        zone_totals.failed += report.failed
+        zone_totals.latency_sum += succeeded * report.mean_latency
         earlier_attempts = self.endpoint_attempts.get(report.endpoint, 0.0)
         self.endpoint_attempts[report.endpoint] = earlier_attempts + report.attempts
         self._add_within_objectives(report, succeeded, objectives)
@@ -102,11 +110,12 @@
         if not succeeded or not report.mean_latency:
             return
         for group, objective in enumerate(objectives):
-            met = 1 - exp(-objective / report.mean_latency)  # as if latencies were exponential
-            totals.within_objective[group] += succeeded * met
+            # A report has only the mean latency, so the latencies are taken to be exponentially distributed.
+            share_within_objective = 1 - exp(-objective / report.mean_latency)
+            totals.within_objective[group] += succeeded * share_within_objective
 
     def add_demand(self, zone: int, group: int, requests: float, failed: float, rejected: float) -> None:
-        """Add a demand report of a proxy in `zone`."""
+        """Add the requests of a demand report from a proxy in `zone`."""
         totals = self.demand.setdefault((zone, group), DemandTotals())
         totals.demand += requests
         totals.failed += failed
--- a/ravenshelf/graphite/metrics.py
+++ b/ravenshelf/graphite/metrics.py
@@ -1,22 +1,22 @@
-"""The catalogue of metrics: path, unit, importance, source and meaning of everything that is sent to
-Graphite.
+"""Catalogue of the metrics that are exported to Graphite.
 
-The metrics collector makes its paths from these entries; `ravenshelf figures` and the operators' page list
-them.
+Each entry has the path, unit, importance, source and meaning of a metric. The metrics collector derives its
+paths from these entries; `ravenshelf figures` and the operators' page list them.
 """
 
 from typing import NamedTuple
 
 ESSENTIAL, USEFUL, DETAIL = range(3)  # indices in IMPORTANCES
-IMPORTANCES = ("essential", "useful", "detail")  # where a queue is full, points of the last one go first
+# Names of the importances. A full queue drops points of the last one first.
+IMPORTANCES = ("essential", "useful", "detail")
 QUANTILES = (("p50", 50.0), ("p90", 90.0), ("p99", 99.0), ("p999", 99.9), ("max", 100.0))
 
 
 class Metric(NamedTuple):
-    """A metric; a distribution has one path for each quantile.
+    """Entry of the catalogue; a distribution is exported as one path per quantile.
 
-    `path` follows the prefix and the server's name and has its placeholders in braces. `estimated_from` says
-    how an estimate is made; it is empty for what the server counts itself.
+    `path` is appended to the prefix and the server's name; its placeholders are in braces. `estimated_from`
+    describes how an estimate is computed; it is empty for values that the server counts or measures itself.
     """
 
     path: str
@@ -31,7 +31,7 @@
 CATALOGUE: dict[str, Metric] = {}
 
 
-def metric(
+def add_metric(
     path: str,
     unit: str,
     importance: int,
@@ -40,116 +40,133 @@
     estimated_from: str = "",
     is_distribution: bool = False,
 ) -> Metric:
-    """Add a metric to the catalogue and return it; raises ValueError where the path is in use."""
+    """Add a metric to the catalogue and return it.
+
+    Raises:
+        ValueError: The catalogue already has a metric with this path.
+    """
     if path in CATALOGUE:
-        raise ValueError(f"two metrics have the path {path}")
-    added = Metric(path, unit, importance, source, meaning, estimated_from, is_distribution)
-    CATALOGUE[path] = added
-    return added
+        raise ValueError(f"expected a path for each metric, found two metrics with the path {path}")
+    new_metric = Metric(path, unit, importance, source, meaning, estimated_from, is_distribution)
+    CATALOGUE[path] = new_metric
+    return new_metric
 
 
-WINDOWED = "counted when received, which is up to one window and its delay after the request ended"
-WITHIN = (
+COUNTING_DELAY = "counted when received, which is up to one window and its delay after the request ended"
+OBJECTIVE_ESTIMATE = (
     "requests that succeeded times the share of the zone's successful attempts that met the latency "
     "objective, where a report of mean m counts 1 - exp(-objective / m) of its attempts: "
     "reports give a mean and no distribution"
 )
 
-# --- traffic groups ---
+# Traffic groups
 
-WEIGHTED_GOODPUT = metric(
+WEIGHTED_GOODPUT = add_metric(
     "group.{group}.weighted_goodput_per_s",
     "weighted requests/s",
     ESSENTIAL,
     "RATE, LOAD",
     "requests that met the latency objective, times the group's priority weight",
-    f"{WITHIN}; times the group's priority weight; {WINDOWED}",
+    f"{OBJECTIVE_ESTIMATE}; times the group's priority weight; {COUNTING_DELAY}",
 )
-GOODPUT = metric(
+GOODPUT = add_metric(
     "group.{group}.within_objective_per_s",
     "requests/s",
     ESSENTIAL,
     "RATE, LOAD",
     "requests that met the latency objective",
-    f"{WITHIN}; {WINDOWED}",
+    f"{OBJECTIVE_ESTIMATE}; {COUNTING_DELAY}",
 )
-SUCCEEDED = metric(
+SUCCEEDED = add_metric(
     "group.{group}.succeeded_per_s",
     "requests/s",
     ESSENTIAL,
     "RATE",
     "requests that succeeded at any latency",
-    f"demand less rejected and failed requests; {WINDOWED}",
+    f"demand less rejected and failed requests; {COUNTING_DELAY}",
 )
-FAILED = metric(
+FAILED = add_metric(
     "group.{group}.failed_per_s",
     "requests/s",
     ESSENTIAL,
     "RATE",
     "requests that were admitted and failed",
-    WINDOWED,
+    COUNTING_DELAY,
 )
-REJECTED = metric(
+REJECTED = add_metric(
     "group.{group}.rejected_per_s",
     "requests/s",
     ESSENTIAL,
     "RATE, tables",
     "requests that an admission level rejected",
-    f"demand above the admission level that was last sent to the proxy; {WINDOWED}",
+    f"demand above the admission level that was last sent to the proxy; {COUNTING_DELAY}",
+)
+DEMAND = add_metric(
+    "group.{group}.demand_per_s",
+    "requests/s",
+    ESSENTIAL,
+    "RATE",
+    "requests that proxies received",
+    COUNTING_DELAY,
 )
-DEMAND = metric("group.{group}.demand_per_s", "requests/s", ESSENTIAL, "RATE", "requests that came", WINDOWED)
 
-# --- endpoints that drain ---
+# Drains
 
-DRAINS_STARTED = metric(
-    "drains.started", "count", ESSENTIAL, "discovery", "endpoints that started to drain or were removed"
+DRAINS_STARTED = add_metric(
+    "drains.started", "count", ESSENTIAL, "discovery", "ready endpoints that started to drain or were removed"
 )
-DRAINS_PENDING = metric(
-    "drains.pending", "count", ESSENTIAL, "tables, ACK", "drains that some proxy has not acknowledged yet"
+DRAINS_PENDING = add_metric(
+    "drains.pending",
+    "count",
+    ESSENTIAL,
+    "tables, ACK",
+    "drains that at least one proxy has not acknowledged yet",
 )
-DRAIN_DURATION = metric(
+DRAIN_DURATION = add_metric(
     "drains.duration_ms",
     "ms",
     ESSENTIAL,
     "discovery, ACK",
-    "from the change of the endpoint list to the last proxy's acknowledgement",
+    "time from the change of the endpoint list to the acknowledgement of the last proxy",
     is_distribution=True,
 )
 
-# --- control channel, proxies and endpoints ---
+# Control channel, proxies and endpoints
 
-CHANNEL_QUEUE = metric(
+CHANNEL_QUEUE = add_metric(
     "channel.queue_lines",
     "lines",
     ESSENTIAL,
     "decisions",
-    "lines that are estimated to be queued in the control channel",
-    "lines sent less the estimated rate of the channel",
+    "estimated number of lines that are queued in the control channel",
+    "lines sent less the lines that the channel has delivered at its estimated rate",
 )
-CHANNEL_QUEUE_UTILIZATION = metric(
+CHANNEL_QUEUE_UTILIZATION = add_metric(
     "channel.queue_utilization",
     "share",
     ESSENTIAL,
     "decisions",
-    "queued lines over the queue limit",
-    "as queue_lines",
+    "estimated queued lines divided by the queue limit",
+    "as for channel.queue_lines",
 )
-CHANNEL_RATE = metric(
+CHANNEL_RATE = add_metric(
     "channel.rate_lines_per_s",
     "lines/s",
     ESSENTIAL,
     "decisions",
     "the control channel's estimated rate",
-    "the time until markers were acknowledged against the lines queued before them",
+    "lines queued before a marker, divided by the time until the marker was acknowledged",
 )
-PROXIES_CONNECTED = metric(
+PROXIES_CONNECTED = add_metric(
     "proxies.connected", "count", ESSENTIAL, "streams", "proxies that are connected to this server"
 )
-PROXIES_BOUND = metric(
+PROXIES_BOUND = add_metric(
     "proxies.bound", "count", ESSENTIAL, "tables", "connected proxies that are bound to a table"
 )
-ENDPOINT_STATES = metric("endpoints.{state}", "count", ESSENTIAL, "discovery", "endpoints by listed state")
-CONTROL_CYCLES_FAILED = metric(
+ENDPOINT_STATES = add_metric(
+    "endpoints.{state}", "count", ESSENTIAL, "discovery", "endpoints in each state of the endpoint list"
+)
+CONTROL_CYCLES_FAILED = add_metric(
     "control_cycles.failed",
     "count",
     ESSENTIAL,
@@ -157,186 +174,226 @@
     "control cycles in which the decisions raised an error",
 )
 
-# --- zones ---
+# Zones
 
-ZONE_DEMAND = metric(
+ZONE_DEMAND = add_metric(
     "zone.{zone}.demand_per_s",
     "requests/s",
     USEFUL,
     "decisions",
-    "estimated demand of the zone's own proxies",
-    "decaying sums of RATE; the usual rate until the first report",
+    "estimated demand of the proxies in the zone",
+    "decayed totals of RATE; the nominal rate until the first report",
 )
-ZONE_SPILL = metric(
+ZONE_SPILL = add_metric(
     "zone.{zone}.spill.{to}",
     "share",
     USEFUL,
     "decisions",
-    "share of the zone's demand that another zone serves",
+    "share of the zone's demand that zone {to} serves",
 )
-ZONE_HEALTH = metric(
+ZONE_HEALTH = add_metric(
     "zone.{zone}.health",
     "share",
     USEFUL,
     "decisions",
     "mean health score of the zone's endpoints: the share of attempts that succeed",
-    "decaying sums of LOAD with a prior, returning to 1 without new reports",
+    "decayed totals of LOAD with a prior; returns to 1 without new reports",
 )
-ZONE_ATTEMPTS = metric(
-    "zone.{zone}.attempts_per_s", "attempts/s", USEFUL, "LOAD", "attempts at the zone's endpoints", WINDOWED
+ZONE_ATTEMPTS = add_metric(
+    "zone.{zone}.attempts_per_s",
+    "attempts/s",
+    USEFUL,
+    "LOAD",
+    "attempts at the zone's endpoints",
+    COUNTING_DELAY,
 )
-ZONE_FAILURE_RATIO = metric(
-    "zone.{zone}.failure_ratio", "share", USEFUL, "LOAD", "share of these attempts that failed", WINDOWED
+ZONE_FAILURE_RATIO = add_metric(
+    "zone.{zone}.failure_ratio",
+    "share",
+    USEFUL,
+    "LOAD",
+    "share of the attempts at the zone's endpoints that failed",
+    COUNTING_DELAY,
 )
-ZONE_LATENCY = metric(
-    "zone.{zone}.latency_ms", "ms", USEFUL, "LOAD", "mean latency of the attempts that succeeded", WINDOWED
+ZONE_LATENCY = add_metric(
+    "zone.{zone}.latency_ms",
+    "ms",
+    USEFUL,
+    "LOAD",
+    "mean latency of the attempts that succeeded",
+    COUNTING_DELAY,
 )
 
-# --- reports and table updates ---
+# Reports and table updates
 
-REPORTS_RECEIVED = metric(
+REPORTS_RECEIVED = add_metric(
     "reports.received_per_s", "messages/s", USEFUL, "LOAD, RATE", "load and demand reports that were received"
 )
-REPORT_AGE = metric(
+REPORT_AGE = add_metric(
     "reports.age_ms",
     "ms",
     USEFUL,
     "LOAD, RATE",
     "age of a report when it is received",
-    "half its window; its delay is not known, so the true age is higher",
+    "half of its window; the transmission delay is unknown, so the true age is higher",
     is_distribution=True,
 )
-REPORT_INTERVAL = metric(
+REPORT_INTERVAL = add_metric(
     "reports.interval_ms",
     "ms",
     USEFUL,
     "LOAD, RATE",
-    "time between two reports of one zone",
+    "time between consecutive reports of one zone",
     is_distribution=True,
 )
-UPDATE_LATENCY = metric(
+UPDATE_LATENCY = add_metric(
     "table_updates.latency_ms",
     "ms",
     USEFUL,
     "ACK",
-    "from a table update to its effect, as proxies acknowledge it",
+    "time from the dispatch of a table update until the proxy had applied it, as acknowledged",
     is_distribution=True,
 )
-MESSAGES_SENT = metric("table_updates.messages_per_s", "messages/s", USEFUL, "server", "messages to proxies")
-LINES_SENT = metric(
+MESSAGES_SENT = add_metric(
+    "table_updates.messages_per_s", "messages/s", USEFUL, "server", "messages sent to proxies"
+)
+LINES_SENT = add_metric(
     "table_updates.lines_per_s",
     "lines/s",
     USEFUL,
     "server",
-    "lines in these messages, as the control channel counts them",
+    "lines in messages to proxies, as the control channel counts them",
 )
-CONTROL_CYCLES = metric("control_cycles.per_s", "cycles/s", USEFUL, "server", "control cycles")
-CONTROL_CYCLE_DURATION = metric(
+CONTROL_CYCLES = add_metric("control_cycles.per_s", "cycles/s", USEFUL, "server", "control cycles that ran")
+CONTROL_CYCLE_DURATION = add_metric(
     "control_cycles.duration_ms", "ms", USEFUL, "server", "duration of a control cycle", is_distribution=True
 )
-CONTROL_CYCLE_DELAY = metric(
+CONTROL_CYCLE_DELAY = add_metric(
     "control_cycles.delay_ms",
     "ms",
     USEFUL,
     "server",
-    "how late the event loop started a control cycle",
+    "delay with which the event loop started a control cycle",
     is_distribution=True,
 )
 
-# --- process, background jobs, Graphite and collectd ---
+# Process, background jobs, Graphite and collectd
 
-PROCESS_MEMORY = metric("process.memory_mb", "MB", DETAIL, "system", "resident memory")
-PROCESS_DESCRIPTORS = metric("process.descriptors", "count", DETAIL, "system", "open descriptors")
-PROCESS_CPU = metric("process.cpu_utilization", "share", DETAIL, "system", "processor time of one core")
-BACKGROUND_UTILIZATION = metric(
-    "background.utilization", "share", DETAIL, "server", "the event loop's time that background jobs use"
+PROCESS_MEMORY = add_metric("process.memory_mb", "MB", DETAIL, "system", "resident memory of the process")
+PROCESS_DESCRIPTORS = add_metric("process.descriptors", "count", DETAIL, "system", "open file descriptors")
+PROCESS_CPU = add_metric(
+    "process.cpu_utilization",
+    "share",
+    DETAIL,
+    "system",
+    "processor time of the process, as a share of one core",
 )
-BACKGROUND_QUEUED = metric("background.queued", "count", DETAIL, "server", "background jobs that are queued")
-BACKGROUND_DROPPED = metric(
+BACKGROUND_UTILIZATION = add_metric(
+    "background.utilization",
+    "share",
+    DETAIL,
+    "server",
+    "share of the event loop's time that background jobs use",
+)
+BACKGROUND_QUEUED = add_metric(
+    "background.queued", "count", DETAIL, "server", "background jobs that are queued"
+)
+BACKGROUND_DROPPED = add_metric(
     "background.dropped", "count", DETAIL, "server", "background jobs dropped since the start"
 )
-RECEIVER_QUEUED = metric(
+RECEIVER_QUEUED = add_metric(
     "graphite.{receiver}.queued_points", "points", DETAIL, "server", "points that are queued for the receiver"
 )
-RECEIVER_DROPPED = metric(
-    "graphite.{receiver}.dropped_points", "points", DETAIL, "server", "points dropped since the start"
+RECEIVER_DROPPED = add_metric(
+    "graphite.{receiver}.dropped_points",
+    "points",
+    DETAIL,
+    "server",
+    "points for the receiver that were dropped since the start",
 )
-PACKETS_ACCEPTED = metric(
+PACKETS_ACCEPTED = add_metric(
     "collectd.packets_per_s", "packets/s", DETAIL, "server", "collectd packets that were accepted"
 )
-PACKETS_REJECTED = metric(
+PACKETS_REJECTED = add_metric(
     "collectd.rejected_per_s", "packets/s", DETAIL, "server", "collectd packets that were rejected"
 )
-COLLECTD_VALUES = metric(
+COLLECTD_VALUES = add_metric(
     "collectd.values_per_s", "values/s", DETAIL, "server", "collectd values that were used"
 )
 
-# --- leases and store ---
+# Leases and store
 
-SHARDS_OWNED = metric(
+SHARDS_OWNED = add_metric(
     "leadership.shards", "count", ESSENTIAL, "leadership", "shards whose lease this server holds"
 )
-MEMBERS_CONNECTED = metric(
+MEMBERS_CONNECTED = add_metric(
     "leadership.members",
     "count",
     ESSENTIAL,
     "leadership",
-    "controller members that are connected, this one included",
+    "connected controller members, including this one",
 )
-COMMANDS_WAITING = metric(
+COMMANDS_WAITING = add_metric(
     "leadership.waiting_commands",
     "count",
     USEFUL,
     "leadership",
-    "commands that wait for their record or for a lease",
+    "commands that wait for their record to be written or for a lease",
 )
-RECORDS_WRITTEN = metric(
+RECORDS_WRITTEN = add_metric(
     "leadership.records_per_s", "records/s", USEFUL, "leadership", "records sent to the voters"
 )
-STORE_COMMITS = metric("store.commits_per_s", "commits/s", DETAIL, "store", "synchronized writes to disk")
+STORE_COMMITS = add_metric("store.commits_per_s", "commits/s", DETAIL, "store", "synchronized writes to disk")
 
-# --- relays ---
+# Relays
 
-RELAY_SUBSCRIBERS = metric("relay.subscribers", "count", ESSENTIAL, "relay", "subscribers that are connected")
-RELAY_UPSTREAMS = metric("relay.upstreams", "count", ESSENTIAL, "relay", "upstreams that are connected")
-RELAY_TOPICS = metric("relay.topics", "count", USEFUL, "relay", "topics that are cached")
-RELAY_REJECTED = metric(
+RELAY_SUBSCRIBERS = add_metric(
+    "relay.subscribers", "count", ESSENTIAL, "relay", "subscribers that are connected"
+)
+RELAY_UPSTREAMS = add_metric("relay.upstreams", "count", ESSENTIAL, "relay", "upstreams that are connected")
+RELAY_TOPICS = add_metric("relay.topics", "count", USEFUL, "relay", "topics that are cached")
+RELAY_REJECTED = add_metric(
     "relay.rejected_per_s", "connections/s", ESSENTIAL, "relay", "connections that were rejected"
 )
-RELAY_RESYNCS = metric(
+RELAY_RESYNCS = add_metric(
     "relay.resyncs_per_s", "resyncs/s", USEFUL, "relay", "requests to a parent for updates that were missed"
 )
-RELAY_SNAPSHOT_BYTES = metric(
-    "relay.snapshot_bytes_per_s", "bytes/s", USEFUL, "relay", "snapshots sent to subscribers"
+RELAY_SNAPSHOT_BYTES = add_metric(
+    "relay.snapshot_bytes_per_s", "bytes/s", USEFUL, "relay", "bytes of snapshots sent to subscribers"
 )
-RELAY_BYTES = metric(
-    "relay.bytes_per_s", "bytes/s", DETAIL, "relay", "sent to subscribers, without frame headers"
+RELAY_BYTES = add_metric(
+    "relay.bytes_per_s", "bytes/s", DETAIL, "relay", "bytes sent to subscribers, without frame headers"
 )
 
-# --- single endpoints ---
+# Single endpoints
 
-ENDPOINT_ATTEMPTS = metric(
-    "endpoint.{endpoint}.attempts_per_s", "attempts/s", DETAIL, "LOAD", "attempts at the endpoint", WINDOWED
+ENDPOINT_ATTEMPTS = add_metric(
+    "endpoint.{endpoint}.attempts_per_s",
+    "attempts/s",
+    DETAIL,
+    "LOAD",
+    "attempts at the endpoint",
+    COUNTING_DELAY,
 )
-ENDPOINT_HEALTH = metric(
+ENDPOINT_HEALTH = add_metric(
     "endpoint.{endpoint}.health",
     "share",
     DETAIL,
     "decisions",
     "the endpoint's health score",
-    "as zone health",
+    "as for zone.{zone}.health",
 )
-ENDPOINT_WEIGHT = metric(
+ENDPOINT_WEIGHT = add_metric(
     "endpoint.{endpoint}.effective_weight",
     "weight",
     DETAIL,
     "decisions",
-    "listed weight times slow start, health, speed and the machine's load",
+    "weight in the endpoint list times the factors for slow start, health, speed and host load",
 )
 
 
 def rows() -> list[tuple[str, ...]]:
-    """Return path, unit, importance, source, meaning and estimate of each metric, as the rows of a table."""
+    """Return a table row for each metric: path, unit, importance, source, meaning and estimate."""
     quantile_names = ",".join(name for name, _ in QUANTILES)
     return [
         (
--- a/ravenshelf/graphite/points.py
+++ b/ravenshelf/graphite/points.py
@@ -1,7 +1,7 @@
-"""Makes the points of a closed interval: (path, value) pairs by importance.
+"""Conversion of a closed interval to points: (path, value) pairs by importance.
 
-Generators pause after a slice of work, so that a large fleet's points are made in several background slices.
-Times are microseconds. No I/O.
+Generators yield after each slice of work, so that the points of a large fleet are computed in several slices
+of a background job. Nothing here performs I/O; times are microseconds.
 """
 
 from collections import defaultdict
@@ -18,15 +18,15 @@
 from ravenshelf.policy.events import EndpointState
 from ravenshelf.settings import TrafficGroup
 
-SLICE_ENDPOINTS = 64
-SHORTEST_INTERVAL_S = 1e-3
+ENDPOINTS_PER_SLICE = 64
+SHORTEST_INTERVAL_S = 1e-3  # lower bound of the divisor of rates
 MILLISECOND = 1000  # microseconds
 
 Point = tuple[str, float]
 
 
 class Sample(NamedTuple):
-    """A value that was measured elsewhere; `receiver` is for the metrics that have one in their path."""
+    """Value that was measured elsewhere; `receiver` fills the placeholder of metrics that have one."""
 
     metric: Metric
     value: float
@@ -35,7 +35,11 @@
 
 @dataclass(slots=True)
 class PathNames:
-    """The names that paths are made of; `endpoint_name` gives an endpoint's name by its number."""
+    """Names that paths are made of.
+
+    `zones` and `groups` are path components by index; `endpoint_name` returns an endpoint's name by its
+    index.
+    """
 
     prefix: str
     zones: list[str]
@@ -44,7 +48,10 @@
 
 
 class PointBuilder:
-    """Collects the points of one interval by importance."""
+    """Builder of the points of one interval, by importance.
+
+    `now` is the time at which the interval ended.
+    """
 
     def __init__(self, names: PathNames, interval: Interval, now: int) -> None:
         self.names = names
@@ -54,18 +61,21 @@
         self.points: dict[int, list[Point]] = defaultdict(list)
 
     def add(self, metric: Metric, value: float, **placeholders: str) -> None:
-        """Add a point; a value that is no finite number has none."""
+        """Add a point, unless its value is infinite or not a number.
+
+        `placeholders` are the values of the placeholders in the metric's path.
+        """
         if isfinite(value):
             path = f"{self.names.prefix}.{metric.path.format(**placeholders)}"
             self.points[metric.importance].append((path, value))
 
     def add_samples(self, samples: Iterable[Sample]) -> None:
-        """Add points of what was measured elsewhere."""
+        """Add the points of values that were measured elsewhere."""
         for sample in samples:
             self.add(sample.metric, sample.value, receiver=sample.receiver)
 
     def add_groups(self, groups: Sequence[TrafficGroup]) -> None:
-        """Add the points of each traffic group."""
+        """Add the points of each traffic group; `groups` are in the order of the path names."""
         for group, name in enumerate(self.names.groups):
             demand = failed = rejected = within_objective = 0.0
             for (zone, totals_group), totals in self.interval.demand.items():
@@ -74,9 +84,9 @@
                 demand += totals.demand
                 failed += totals.failed
                 rejected += totals.rejected
-                objectives = self.interval.objectives.get(zone, _NO_ATTEMPTS)
+                objective_totals = self.interval.objectives.get(zone, _NO_ATTEMPTS)
                 succeeded = max(0.0, totals.demand - totals.failed - totals.rejected)
-                within_objective += succeeded * objectives.share(group)
+                within_objective += succeeded * objective_totals.share_within_objective(group)
             succeeded = max(0.0, demand - failed - rejected)
             weighted_goodput = within_objective * groups[group].priority_weight
             self.add(metrics.DEMAND, demand / self.seconds, group=name)
@@ -87,22 +97,24 @@
             self.add(metrics.WEIGHTED_GOODPUT, weighted_goodput / self.seconds, group=name)
 
     def add_drains(self, pending: int) -> None:
-        """Add the points of drains."""
+        """Add the number of drains that were started and the number that are pending."""
         self.add(metrics.DRAINS_STARTED, self.interval.drains_started)
         self.add(metrics.DRAINS_PENDING, pending)
 
     def add_reports(self) -> None:
-        """Add the rate of reports."""
+        """Add the rate of load and demand reports."""
         self.add(metrics.REPORTS_RECEIVED, self.interval.reports / self.seconds)
 
     def add_endpoint_states(self, states: list[EndpointState]) -> None:
-        """Add the count of endpoints in each listed state."""
+        """Add the number of endpoints in each state of the endpoint list."""
         for state in (EndpointState.READY, EndpointState.DRAINING):
             self.add(metrics.ENDPOINT_STATES, states.count(state), state=state.value)
 
     def add_distributions(self) -> None:
-        """Add quantiles and empty the histograms; without values in the interval there is no point, not a
-        0."""
+        """Add the quantiles of all distributions and empty the histograms.
+
+        A distribution without values in the interval gets no points, rather than points with the value 0.
+        """
         for metric, histogram in self.interval.histograms.items():
             if not histogram.get_total_count():
                 continue
@@ -113,29 +125,35 @@
             histogram.reset()
 
     def add_controller(
-        self, controller: Controller, queue_limit: float, listed: Collection[int]
+        self, controller: Controller, queue_limit: float, listed_endpoints: Collection[int]
     ) -> Iterator[None]:
-        """Add what the controller estimates, in slices; `listed` are the endpoints of the current list."""
+        """Add the controller's estimates, in slices.
+
+        Args:
+            controller: The controller.
+            queue_limit: The control channel's queue limit in lines, 0 if it has none.
+            listed_endpoints: The endpoints of the current endpoint list; others get no points of their own.
+        """
         self._add_channel(controller, queue_limit)
         own_demand = controller.demand().own
         yield
-        zone_health: dict[int, list[float]] = defaultdict(list)
+        zone_health_scores: dict[int, list[float]] = defaultdict(list)
         weights = controller.strengths()
         yield
         for count, endpoint in enumerate(controller.usable_endpoints(), 1):
-            health = endpoint.health_score(self.now)
-            zone_health[endpoint.zone].append(health)
-            if endpoint.index in listed:
+            score = endpoint.health_score(self.now)
+            zone_health_scores[endpoint.zone].append(score)
+            if endpoint.index in listed_endpoints:
                 weight = weights[endpoint.zone].get(endpoint.index, 0.0)
                 name = path_component(self.names.endpoint_name(endpoint.index))
-                self.add(metrics.ENDPOINT_HEALTH, health, endpoint=name)
+                self.add(metrics.ENDPOINT_HEALTH, score, endpoint=name)
                 self.add(metrics.ENDPOINT_WEIGHT, weight, endpoint=name)
-            if count % SLICE_ENDPOINTS == 0:
+            if count % ENDPOINTS_PER_SLICE == 0:
                 yield
         for zone, name in enumerate(self.names.zones):
             self.add(metrics.ZONE_DEMAND, own_demand[zone], zone=name)
-            if zone_health[zone]:
-                mean_health = sum(zone_health[zone]) / len(zone_health[zone])
+            if zone_health_scores[zone]:
+                mean_health = sum(zone_health_scores[zone]) / len(zone_health_scores[zone])
                 self.add(metrics.ZONE_HEALTH, mean_health, zone=name)
             for target, spill_share in enumerate(controller.spill.shares[zone]):
                 if target != zone:
@@ -143,8 +161,8 @@
 
     def _add_channel(self, controller: Controller, queue_limit: float) -> None:
         channel = controller.channel
-        drained_lines = channel.pace * max(0, self.now - channel.now) / SECOND
-        queued_lines = max(0.0, channel.queued_lines - drained_lines)
+        delivered_lines = channel.pace * max(0, self.now - channel.now) / SECOND
+        queued_lines = max(0.0, channel.queued_lines - delivered_lines)
         bound_proxies = sum(proxy.table is not None for proxy in list(controller.proxies.values()))
         self.add(metrics.CHANNEL_QUEUE, queued_lines)
         self.add(metrics.CHANNEL_QUEUE_UTILIZATION, queued_lines / queue_limit if queue_limit else 0.0)
@@ -153,7 +171,7 @@
         self.add(metrics.PROXIES_BOUND, bound_proxies)
 
     def add_zones(self) -> None:
-        """Add the points of each zone's endpoints."""
+        """Add the rate, failure ratio and mean latency of the attempts at each zone's endpoints."""
         for zone, totals in self.interval.attempts.items():
             if zone >= len(self.names.zones):
                 continue
@@ -166,11 +184,11 @@
                 self.add(metrics.ZONE_LATENCY, mean_latency / MILLISECOND, zone=name)
 
     def add_endpoints(self) -> Iterator[None]:
-        """Add the attempts at each endpoint, in slices."""
+        """Add the rate of attempts at each endpoint, in slices."""
         for count, (endpoint, attempts) in enumerate(self.interval.endpoint_attempts.items(), 1):
             name = path_component(self.names.endpoint_name(endpoint))
             self.add(metrics.ENDPOINT_ATTEMPTS, attempts / self.seconds, endpoint=name)
-            if count % SLICE_ENDPOINTS == 0:
+            if count % ENDPOINTS_PER_SLICE == 0:
                 yield
 
 
--- a/ravenshelf/graphite/service.py
+++ b/ravenshelf/graphite/service.py
@@ -1,4 +1,7 @@
-"""Exports metrics to all receivers of the operator file: to each everything, or to each its share."""
+"""Export of metrics to the receivers of the operator file.
+
+With the route "all" every receiver gets every point; with "hash" each receiver gets a share of the points.
+"""
 
 import asyncio
 import contextlib
@@ -26,42 +29,42 @@
 
 
 class GraphiteTable(Protocol):
-    """The keys of the operator file's `[graphite]` that are read here."""
+    """Keys of the operator file's table `[graphite]` that the service reads."""
 
     @property
     def receivers(self) -> list[str]:
-        """Addresses, "host:port"."""
+        """Addresses of the receivers, each "host:port"."""
 
     @property
     def protocol(self) -> str:
-        """One of formats.PROTOCOLS."""
+        """Protocol of all receivers, one of formats.PROTOCOLS."""
 
     @property
     def route(self) -> str:
-        """ROUTE_ALL or ROUTE_HASH."""
+        """Distribution of points to receivers: ROUTE_ALL or ROUTE_HASH."""
 
     @property
     def buffer_points(self) -> int:
-        """The limit of a receiver's queue."""
+        """Limit of each receiver's queue in memory, in points."""
 
     @property
     def backfill_points_s(self) -> int:
-        """Old points that are sent in a second."""
+        """Maximum rate at which old points are sent to a receiver, in points per second."""
 
     @property
     def spool_mb(self) -> float:
-        """The limit of a receiver's spool; 0 for none."""
+        """Limit of each receiver's spool in megabytes; 0 disables spooling."""
 
     @property
     def spool_dir(self) -> str:
-        """The folder of the spools."""
+        """Folder that contains the spools of all receivers."""
 
 
 class GraphiteService:
-    """The exporters of all receivers.
+    """Exporters of all receivers.
 
-    `table` is the operator file's `[graphite]`; `wake_at(receiver, time)` has `run_due(receiver)` called at
-    that time.
+    `table` is the operator file's table `[graphite]`. The service calls `wake_at(receiver, time)` to have
+    `run_due(receiver)` called at that time, in microseconds.
     """
 
     def __init__(
@@ -83,7 +86,7 @@
         self.resolve = resolve
         self.spool_thread: ThreadPoolExecutor | None = None
         self.exporters: dict[str, Exporter] = {}
-        self.holds_share: dict[str, bool] = {}
+        self.has_share: dict[str, bool] = {}
         self.table = table
         self.router = RendezvousRouter(table.receivers)
         for receiver in table.receivers:
@@ -102,7 +105,7 @@
             wake_at=lambda time: self.wake_at(receiver, time),
             resolve=self.resolve,
         )
-        self.holds_share[receiver] = True
+        self.has_share[receiver] = True
         self.wake_at(receiver, self.clock())
 
     def _new_spool(self, receiver: str) -> Spool | None:
@@ -111,23 +114,29 @@
         if self.spool_thread is None:
             self.spool_thread = ThreadPoolExecutor(1, "spool")
         max_bytes = int(self.table.spool_mb * BYTES_PER_MB)
-        return Spool(Path(self.table.spool_dir), receiver, max_bytes, self.spool_thread, self._on_loop)
+        return Spool(Path(self.table.spool_dir), receiver, max_bytes, self.spool_thread, self._call_on_loop)
 
-    def _on_loop(self, call: Callable[[], None]) -> None:
-        with contextlib.suppress(RuntimeError):  # the loop has ended: nobody waits for the outcome
-            self.loop.call_soon_threadsafe(call)
+    def _call_on_loop(self, callback: Callable[[], None]) -> None:
+        # RuntimeError: the event loop was closed, so nothing waits for the callback any more.
+        with contextlib.suppress(RuntimeError):
+            self.loop.call_soon_threadsafe(callback)
 
     def run_due(self, receiver: str) -> None:
-        """Do what is due at a receiver, if it still is one."""
+        """Run a receiver's exporter; do nothing if the receiver was removed meanwhile."""
         if receiver in self.exporters:
             self.exporters[receiver].run_due()
 
-    # --- points ---
-
     def export(self, time: int, importance: int, points: list[Point]) -> None:
-        """Queue a measurement's points of one importance; `time` is in seconds."""
+        """Queue the points of one measurement and importance for the receivers.
+
+        Args:
+            time: The time of the measurement, in seconds.
+            importance: Index in metrics.IMPORTANCES.
+            points: Pairs (path, value).
+        """
         if self.table.route == ROUTE_ALL:
-            encoded: list[bytes] = []  # encoded once for all receivers
+            # Shared by the batches of all receivers, so that the points are encoded only once.
+            encoded: list[bytes] = []
             for exporter in self.exporters.values():
                 exporter.add([Batch(time, importance, points, encoded)])
             return
@@ -135,75 +144,78 @@
         self._export_shares(Batch(time, importance, points))
 
     def _export_shares(self, batch: Batch) -> None:
-        holds_share = [self.holds_share[receiver] for receiver in self.router.receivers]
-        for number, share in self.router.partition(batch.points, holds_share).items():
-            exporter = self.exporters[self.router.receivers[number]]
+        has_share = [self.has_share[receiver] for receiver in self.router.receivers]
+        for index, share in self.router.partition(batch.points, has_share).items():
+            exporter = self.exporters[self.router.receivers[index]]
             exporter.add([Batch(batch.time, batch.importance, share)])
 
     def _update_shares(self) -> None:
-        """Let receivers fail over and recover.
+        """Update which receivers have their share.
 
-        What was never sent to a receiver goes with its share. What it may have received in part waits for it
-        alone, so that no point is at two receivers.
+        When a share fails over, the batches that were never sent to its receiver go to the others. Batches
+        that the receiver may have in part stay in its own queue, so that no point is stored by two receivers.
         """
         now = self.clock()
         for receiver, exporter in self.exporters.items():
-            held_share = self.holds_share[receiver]
-            self.holds_share[receiver] = exporter.policy.holds_share(now)
-            if held_share and not self.holds_share[receiver]:
-                batches = exporter.remove_all() if any(self.holds_share.values()) else []
+            has_previous_share = self.has_share[receiver]
+            self.has_share[receiver] = exporter.policy.has_share(now)
+            if has_previous_share and not self.has_share[receiver]:
+                batches = exporter.remove_all() if any(self.has_share.values()) else []
                 log_events.RECEIVER_FAILED_OVER(receiver=receiver, moved=sum(map(len, batches)))
                 for batch in batches:
                     self._export_shares(batch)
-            elif not held_share and self.holds_share[receiver]:
+            elif not has_previous_share and self.has_share[receiver]:
                 log_events.RECEIVER_RECOVERED(receiver=receiver)
 
-    # --- reload ---
-
     def reload(self, table: GraphiteTable) -> None:
-        """Use a new table.
+        """Apply a new table.
 
-        Receivers that remain keep their connection and their queue; what is queued for one that was removed
-        goes to others. A new protocol replaces every exporter: encoded batches and open connections are of
-        the old one.
+        Receivers in both tables keep their connection and queue. Points that are queued for a removed
+        receiver are handed over to others. A change of protocol replaces every exporter, since encoded
+        batches and open connections use the old protocol.
         """
-        old = self.table
+        old_table = self.table
         self.table = table
-        remaining = [receiver for receiver in old.receivers if receiver in table.receivers]
-        if old.protocol != table.protocol:
-            remaining = []
-        removed = {
-            receiver: self.exporters.pop(receiver) for receiver in old.receivers if receiver not in remaining
+        remaining_receivers = [receiver for receiver in old_table.receivers if receiver in table.receivers]
+        if old_table.protocol != table.protocol:
+            remaining_receivers = []
+        removed_exporters = {
+            receiver: self.exporters.pop(receiver)
+            for receiver in old_table.receivers
+            if receiver not in remaining_receivers
         }
-        self.holds_share = {receiver: self.holds_share[receiver] for receiver in remaining}
+        self.has_share = {receiver: self.has_share[receiver] for receiver in remaining_receivers}
         self.router = RendezvousRouter(table.receivers)
-        for receiver in remaining:
-            self._reload_exporter(self.exporters[receiver], old)
+        for receiver in remaining_receivers:
+            self._reload_exporter(self.exporters[receiver], old_table)
         for receiver in table.receivers:
             if receiver not in self.exporters:
                 self._start_exporter(receiver)
-        self._hand_over(removed, handover_targets([*old.receivers], [*table.receivers], table.route))
+        self._hand_over(
+            removed_exporters, handover_targets([*old_table.receivers], [*table.receivers], table.route)
+        )
 
-    def _reload_exporter(self, exporter: Exporter, old: GraphiteTable) -> None:
-        exporter.queue.limit = self.table.buffer_points
+    def _reload_exporter(self, exporter: Exporter, old_table: GraphiteTable) -> None:
+        exporter.queue.max_points = self.table.buffer_points
         exporter.queue.backfill_rate = self.table.backfill_points_s
-        if (old.spool_mb, old.spool_dir) != (self.table.spool_mb, self.table.spool_dir):
-            exporter.spooling.spool = self._new_spool(exporter.receiver)
+        if (old_table.spool_mb, old_table.spool_dir) != (self.table.spool_mb, self.table.spool_dir):
+            exporter.spool_transfer.spool = self._new_spool(exporter.receiver)
 
-    def _hand_over(self, removed: dict[str, Exporter], targets_of: dict[str, list[str]]) -> None:
-        # By share, what may have been received in part is dropped: it may be at the old receiver. Where each
-        # receiver has everything, the new one has none of it.
+    def _hand_over(self, removed_exporters: dict[str, Exporter], targets: dict[str, list[str]]) -> None:
+        # With ROUTE_HASH, batches that the old receiver may have in part are dropped, so that no point is
+        # stored by two receivers. With ROUTE_ALL every receiver stores all points, so a new receiver gets
+        # these batches too.
         include_attempted = self.table.route == ROUTE_ALL
-        for receiver, exporter in removed.items():
+        for receiver, exporter in removed_exporters.items():
             batches = exporter.remove_all(include_attempted)
             exporter.close()
-            if receiver in self.table.receivers:  # the same receiver by another protocol
+            if receiver in self.table.receivers:  # The receiver remains; only its protocol has changed.
                 self._add_copies(receiver, batches)
             elif self.table.route == ROUTE_HASH:
                 for batch in batches:
                     self._export_shares(batch)
             else:
-                for target in targets_of[receiver]:
+                for target in targets[receiver]:
                     self._add_copies(target, batches)
 
     def _add_copies(self, receiver: str, batches: list[Batch]) -> None:
@@ -211,7 +223,7 @@
         self.exporters[receiver].add(copies)
 
     def samples(self) -> list[Sample]:
-        """Return the state of each receiver's queue."""
+        """Return the queued points, and the points dropped since the start, of each receiver."""
         samples = []
         for receiver, exporter in self.exporters.items():
             name = path_component(receiver)
@@ -220,7 +232,7 @@
         return samples
 
     def close(self) -> None:
-        """Close every connection and end the spool's thread after the writes that it has."""
+        """Close every connection and let the spool's thread end once its pending operations are done."""
         for exporter in self.exporters.values():
             exporter.close()
         if self.spool_thread is not None:
@@ -228,6 +240,15 @@
 
 
 def interval_boundary(now: int, interval_s: int) -> int:
-    """Return the time in seconds of a measurement made at `now`: the interval's boundary, also if it is made
-    late."""
+    """Return the time of a measurement: the latest boundary of an interval at or before `now`.
+
+    Measurements that start late get the same time as punctual ones.
+
+    Args:
+        now: The time in microseconds.
+        interval_s: The length of an interval in seconds.
+
+    Returns:
+        The boundary in seconds.
+    """
     return now // (interval_s * SECOND) * interval_s
--- a/ravenshelf/graphite/spool.py
+++ b/ravenshelf/graphite/spool.py
@@ -1,10 +1,10 @@
-"""The spool: a receiver's points on disk while it takes none.
+"""Spool: storage on disk for the points of a receiver that is not connected.
 
 Reads and writes run on one thread, not on the event loop.
 
-A batch on disk is msgpack of (version, time, importance, [(path, value), ...]). A segment is removed once all
-its batches were received, so a crash before that sends some twice; carbon overwrites a point that comes
-twice.
+A stored batch is the msgpack encoding of (version, time, importance, [(path, value), ...]). A segment is
+removed once all of its batches were received. After a crash before that, some of them are sent twice; this is
+harmless, since carbon overwrites a point that it receives twice.
 """
 
 import hashlib
@@ -24,29 +24,37 @@
 
 MAX_SEGMENT_BYTES = 1024 * 1024
 MIN_SEGMENT_BYTES = 4096
-SEGMENTS_IN_SPOOL = 8  # at least, where the spool is small
+# A spool whose limit is below 8 MiB is divided into this many segments.
+SEGMENTS_PER_SPOOL = 8
 FORMAT_VERSION = 1
-FOLDER_NAME_LENGTH = 16
+FOLDER_NAME_LENGTH = 16  # hexadecimal digits
 
 Outcome = TypeVar("Outcome")
 
 
 class SpooledSegment(NamedTuple):
-    """The batches of one segment and the byte ranges before them that could not be read; number 0: only
-    ranges."""
+    """Batches of one segment, and the byte ranges that were skipped before them as unreadable.
+
+    The number is 0 if there are skipped ranges but no segment to read.
+    """
 
     number: int
     batches: list[Batch]
-    skipped: list[SkippedRange]
+    skipped_ranges: list[SkippedRange]
 
 
-def pack(batch: Batch) -> bytes:
-    """Return a batch in the form in which it is stored."""
+def encode_batch(batch: Batch) -> bytes:
+    """Encode a batch for storage."""
     return msgspec.msgpack.encode((FORMAT_VERSION, batch.time, batch.importance, batch.points))
 
 
-def unpack(body: bytes) -> Batch | None:
-    """Return the stored batch; None for what is no batch of this version, such as a later program's."""
+def decode_batch(body: bytes) -> Batch | None:
+    """Decode a stored batch.
+
+    Returns:
+        The batch, or None if `body` is malformed or has another format version, such as that of a later
+        release.
+    """
     try:
         version, time, importance, points = msgspec.msgpack.decode(
             body, type=tuple[int, int, int, list[tuple[str, float]]]
@@ -59,10 +67,10 @@
 
 
 class Spool:
-    """The spool of one receiver.
+    """Spool of one receiver.
 
-    Every operation runs on `thread`; `on_loop` calls its `on_done` on the event loop, with the result or the
-    error (OSError or DamagedSegmentError).
+    Every operation runs on `thread`. Its `on_done` is then called on the event loop, through `call_on_loop`,
+    with the result or with the error (OSError or DamagedSegmentError); no operation raises.
     """
 
     def __init__(
@@ -71,78 +79,78 @@
         receiver: str,
         max_bytes: int,
         thread: ThreadPoolExecutor,
-        on_loop: Callable[[Callable[[], None]], None],
-        files: FileSystem | None = None,
+        call_on_loop: Callable[[Callable[[], None]], None],
+        file_system: FileSystem | None = None,
     ) -> None:
         digest = hashlib.sha256(receiver.encode()).hexdigest()
-        self.folder = folder / digest[:FOLDER_NAME_LENGTH]  # receivers are distinguished by their address
+        # Each receiver has a folder of its own, named after a digest of its address.
+        self.folder = folder / digest[:FOLDER_NAME_LENGTH]
         self.max_bytes = max_bytes
-        self.files = files
+        self.file_system = file_system
         self.thread = thread
-        self.on_loop = on_loop
+        self.call_on_loop = call_on_loop
         self.segments: Segments | None = None
 
     def write(self, batches: list[Batch], on_done: Callable[[int | Exception], None]) -> None:
-        """Append batches; the result is the count of records on disk."""
+        """Append batches; the result is the number of records on disk."""
         self._run(lambda: self._append(batches), on_done)
 
     def read(self, on_done: Callable[[SpooledSegment | Exception | None], None]) -> None:
-        """Read the oldest segment; the result is None where there is none."""
+        """Read the oldest segment; the result is None if the spool is empty."""
         self._run(self._read_oldest, on_done)
 
     def remove(self, number: int, on_done: Callable[[Exception | None], None]) -> None:
-        """Remove a segment."""
-        self._run(lambda: self._opened().drop(number), on_done)
+        """Remove the segment with this number; the result is None."""
+        self._run(lambda: self._open_segments().drop(number), on_done)
 
     def close(self) -> None:
-        """Close the open file."""
-        self._run(self._close_segments, _ignore)
+        """Close the segment file that is open for writing."""
+        self._run(self._close_segments, _ignore_outcome)
 
-    def _run(self, work: Callable[[], Outcome], on_done: Callable[[Outcome | Exception], None]) -> None:
+    def _run(self, operation: Callable[[], Outcome], on_done: Callable[[Outcome | Exception], None]) -> None:
         def run() -> None:
-            outcome = _result_or_error(work)
-            self.on_loop(lambda: on_done(outcome))
+            outcome = _result_or_error(operation)
+            self.call_on_loop(lambda: on_done(outcome))
 
         self.thread.submit(run)
 
-    def _opened(self) -> Segments:
+    def _open_segments(self) -> Segments:
         if self.segments is None:
-            segment_bytes = max(MIN_SEGMENT_BYTES, self.max_bytes // SEGMENTS_IN_SPOOL)
+            segment_bytes = max(MIN_SEGMENT_BYTES, self.max_bytes // SEGMENTS_PER_SPOOL)
             segment_bytes = min(MAX_SEGMENT_BYTES, segment_bytes)
-            self.segments = Segments(self.folder, self.max_bytes, segment_bytes, self.files)
+            self.segments = Segments(self.folder, self.max_bytes, segment_bytes, self.file_system)
         return self.segments
 
     def _append(self, batches: list[Batch]) -> int:
-        segments = self._opened()
-        segments.append([pack(batch) for batch in batches])
+        segments = self._open_segments()
+        segments.append([encode_batch(batch) for batch in batches])
         return len(segments)
 
     def _read_oldest(self) -> SpooledSegment | None:
-        segments = self._opened()
-        skipped = segments.skipped
+        segments = self._open_segments()
+        skipped_ranges = segments.skipped
         segments.skipped = []
         oldest = segments.oldest()
         if oldest is None:
-            return SpooledSegment(0, [], skipped) if skipped else None
+            return SpooledSegment(0, [], skipped_ranges) if skipped_ranges else None
         number, bodies = oldest
-        batches = [batch for batch in map(unpack, bodies) if batch is not None]
-        return SpooledSegment(number, batches, skipped)
+        batches = [batch for batch in map(decode_batch, bodies) if batch is not None]
+        return SpooledSegment(number, batches, skipped_ranges)
 
     def _close_segments(self) -> None:
         if self.segments is not None:
             self.segments.close()
 
 
-def _ignore(outcome: object) -> None:
-    """Nobody waits for the outcome."""
+def _ignore_outcome(outcome: object) -> None:
+    """Do nothing: no caller waits for the outcome."""
 
 
-def _result_or_error(work: Callable[[], Outcome]) -> Outcome | Exception:
+def _result_or_error(operation: Callable[[], Outcome]) -> Outcome | Exception:
     try:
-        return work()
+        return operation()
     except (OSError, DamagedSegmentError) as error:
         return error
-    except (
-        Exception
-    ) as error:  # a defect must not stop the export: points are kept in memory, as on a failed disk
+    except Exception as error:
+        # A defect must not stop the export: it is handled as a disk error, and the points stay in memory.
         return OSError(0, repr(error))
--- a/ravenshelf/graphite/spool_transfer.py
+++ b/ravenshelf/graphite/spool_transfer.py
@@ -1,4 +1,4 @@
-"""Moves one receiver's batches between its queue in memory and its spool on disk."""
+"""Transfer of one receiver's batches between its queue in memory and its spool on disk."""
 
 from collections.abc import Callable
 
@@ -6,16 +6,19 @@
 from ravenshelf.graphite.decisions.queue import SECOND, Batch, PointQueue
 from ravenshelf.graphite.spool import Spool, SpooledSegment
 
-PAUSE_AFTER_ERROR = 60 * SECOND
-PAUSE_AFTER_EMPTY = SECOND
+PAUSE_AFTER_ERROR = 60 * SECOND  # after a failed operation on the spool
+PAUSE_AFTER_EMPTY = SECOND  # after a read of an empty spool
 MAX_BATCHES_PER_WRITE = 64
 
 
 class SpoolTransfer:
-    """Writes old batches while the receiver takes none and reads them back once the queue is empty.
+    """Transfer between a receiver's queue and its spool.
 
-    Without a spool every operation does nothing. `on_dropped` gets the batches that the queue dropped;
-    `on_queued` is called when batches of the spool were queued.
+    Old batches are written to the spool while the receiver is not connected, and read back once the queue is
+    empty. Without a spool no operation does anything.
+
+    `on_dropped` is called with the batches that the queue dropped; `on_queued` is called after batches of the
+    spool were queued.
     """
 
     def __init__(
@@ -35,20 +38,22 @@
         self.on_queued = on_queued
         self.is_busy = False
         self.paused_until = 0
-        self.unfinished_batches: dict[
-            int, int
-        ] = {}  # by segment: batches that were read and are not received
-        self.segment_of: dict[Batch, int] = {}
+        # Number of batches, by segment, that were read back and are neither received nor dropped
+        self.unfinished_batches: dict[int, int] = {}
+        self.segment_numbers: dict[Batch, int] = {}  # of the batches that were read back
 
     def _is_available(self) -> bool:
         return self.spool is not None and not self.is_busy and self.clock() >= self.paused_until
 
     def write_old(self, current_time: int) -> None:
-        """Move batches from before `current_time` (seconds) to the spool."""
+        """Move queued batches older than `current_time` (seconds) to the spool.
+
+        At most MAX_BATCHES_PER_WRITE batches are moved. Batches that were read from the spool stay in memory.
+        """
         if self.spool is None or not self._is_available():
             return
         batches = self.queue.remove_old(
-            current_time, MAX_BATCHES_PER_WRITE, lambda batch: batch not in self.segment_of
+            current_time, MAX_BATCHES_PER_WRITE, lambda batch: batch not in self.segment_numbers
         )
         if not batches:
             return
@@ -64,7 +69,7 @@
             self.on_dropped(self.queue.add(batch))
 
     def read_oldest(self) -> None:
-        """Queue the batches of the oldest segment, unless those of another are still queued."""
+        """Queue the batches of the oldest segment, unless batches of an earlier one are unfinished."""
         if self.spool is None or not self._is_available() or self.unfinished_batches:
             return
         self.is_busy = True
@@ -80,22 +85,27 @@
             self._queue_segment(outcome)
 
     def _queue_segment(self, segment: SpooledSegment) -> None:
-        for lost in segment.skipped:
+        for skipped_range in segment.skipped_ranges:
             log_events.SPOOL_CORRUPTED(
-                receiver=self.receiver, bytes=lost.size_bytes, file=f"{lost.file} from {lost.offset}"
+                receiver=self.receiver,
+                bytes=skipped_range.size_bytes,
+                file=f"{skipped_range.file} from {skipped_range.offset}",
             )
         self.unfinished_batches[segment.number] = len(segment.batches)
-        self.segment_of.update(dict.fromkeys(segment.batches, segment.number))
+        self.segment_numbers.update(dict.fromkeys(segment.batches, segment.number))
         for batch in segment.batches:
             self.on_dropped(self.queue.add(batch))
         if not segment.batches:
             self._remove_segment(segment.number)
         self.on_queued()
 
-    def finished(self, batches: list[Batch]) -> None:
-        """The batches were received or dropped: segments without unfinished batches are removed."""
+    def finish_batches(self, batches: list[Batch]) -> None:
+        """Record that batches were received, dropped or moved to another receiver.
+
+        Segments without unfinished batches are removed from the spool.
+        """
         for batch in batches:
-            number = self.segment_of.pop(batch, None)
+            number = self.segment_numbers.pop(batch, None)
             if number is None:
                 continue
             self.unfinished_batches[number] -= 1
--- a/tests/background/test_job_queue.py
+++ b/tests/background/test_job_queue.py
@@ -15,7 +15,7 @@
     names = []
     while (best := queue.next_job(now, 10**6, True)) is not None:
         names.append(best.name)
-        queue.slice_done(best, 0, now, True)
+        queue.record_slice(best, 0, now, True)
     return names
 
 
@@ -39,7 +39,7 @@
     queue.offer(job("present", Priority.PRESENT, 10 * SECOND), 3 * SECOND)
     # else a steady stream of present work would starve it
     assert queue.next_job(3 * SECOND, 1000, True) is old
-    queue.slice_done(old, 10, 3 * SECOND, False)
+    queue.record_slice(old, 10, 3 * SECOND, False)
     assert queue.next_job(3 * SECOND, 1000, True).name == "present"
 
 
@@ -56,12 +56,15 @@
 def test_the_budget_of_a_second_holds_and_what_was_overspent_is_paid():
     queue = job_queue(turn_duration=1000, time_per_second=10_000)
     queue.offer(job("long"), 0)
-    assert queue.budget.allowed(0) == 1000
-    queue.slice_done(queue.jobs[0], 6000, 0, False)
-    assert queue.budget.allowed(0) == 0
-    ready_at = queue.ready_at(0)
-    assert 540_000 <= ready_at <= 560_000  # 5,500 microseconds are missing at 10,000 a second
-    assert queue.budget.allowed(ready_at - 2000) == 0 and queue.budget.allowed(ready_at) > 0
+    assert queue.budget.turn_allowance(0) == 1000
+    queue.record_slice(queue.jobs[0], 6000, 0, False)
+    assert queue.budget.turn_allowance(0) == 0
+    next_turn_at = queue.next_turn_at(0)
+    assert 540_000 <= next_turn_at <= 560_000  # 5,500 microseconds are missing at 10,000 a second
+    assert (
+        queue.budget.turn_allowance(next_turn_at - 2000) == 0
+        and queue.budget.turn_allowance(next_turn_at) > 0
+    )
 
 
 def test_a_long_slice_waits_for_a_turn_of_its_own():
--- a/tests/background/test_scheduler.py
+++ b/tests/background/test_scheduler.py
@@ -12,12 +12,12 @@
     """A scheduler with the clock and the control cycle of the test."""
 
     def __init__(self, max_jobs=8, turn=1000):
-        self.now, self.wakes, self.cycle_is_due, self.counters = 0, [], False, Counters()
+        self.now, self.wakes, self.is_cycle_due, self.counters = 0, [], False, Counters()
         self.scheduler = BackgroundScheduler(
             JobQueue(max_jobs, turn, 100_000, SECOND),
             lambda: self.now,
             self.wakes.append,
-            lambda: self.cycle_is_due,
+            lambda: self.is_cycle_due,
             self.counters,
         )
 
@@ -33,14 +33,14 @@
     rig, done = SchedulerRig(turn=20_000), []
 
     def make_cycle_due():
-        rig.cycle_is_due = len(done) == 3
+        rig.is_cycle_due = len(done) == 3
 
     rig.scheduler.offer("metrics", Priority.PRESENT, SECOND, steps(done, 100, make_cycle_due))
     rig.scheduler.run_turn()
     assert len(done) == 3 and rig.wakes[-1] > rig.now  # not one slice more once a cycle is due
     rig.scheduler.run_turn()
     assert len(done) == 3
-    rig.cycle_is_due = False
+    rig.is_cycle_due = False
     while len(rig.scheduler.queue):
         rig.now += 10_000
         rig.scheduler.run_turn()
--- a/tests/graphite/test_exporting.py
+++ b/tests/graphite/test_exporting.py
@@ -171,7 +171,7 @@
         await rig.wait_until(lambda: rig.state("graphite.example:2003") == ReceiverState.CONNECTING)
         await rig.advance(4)
         assert rig.state("graphite.example:2003") in (ReceiverState.BACKING_OFF, ReceiverState.CONNECTING)
-        assert rig.service.exporters["graphite.example:2003"].policy.failures
+        assert rig.service.exporters["graphite.example:2003"].policy.consecutive_failures
         await rig.stop()
 
     run(test())
@@ -230,7 +230,9 @@
             rig.service.exporters[stays.address].connection is connection
         )  # a receiver that stays is not dialled anew
         await rig.advance(30)
-        await rig.wait_until(lambda: not any(rig.queue(a).queued[1] for a in (stays.address, new.address)))
+        await rig.wait_until(
+            lambda: not any(rig.queue(a).queued_batches[1] for a in (stays.address, new.address))
+        )
         if route == "all":
             await rig.wait_until(lambda: len(new.points) >= waits)
         else:
--- a/tests/graphite/test_queue.py
+++ b/tests/graphite/test_queue.py
@@ -11,7 +11,7 @@
 
 
 def test_the_least_important_points_are_dropped_first_and_of_them_the_oldest():
-    queue = PointQueue(limit=100, backfill_rate=10)
+    queue = PointQueue(max_points=100, backfill_rate=10)
     for time in (10, 20, 30):
         for importance in (0, 1, 2):
             assert not queue.add(Batch(time, importance, points(10)))
@@ -24,44 +24,46 @@
 
 
 def test_current_points_are_sent_before_old_ones_and_old_ones_at_the_backfill_rate():
-    queue = PointQueue(limit=1000, backfill_rate=10)
+    queue = PointQueue(max_points=1000, backfill_rate=10)
     for time in range(10, 60, 10):
         queue.add(Batch(time, 1, points(10)))
     queue.add(Batch(60, 0, points(10)))
-    assert queue.take(0, 60).time == 60
-    assert queue.take(0, 60).time == 10  # one batch may be taken ahead of the rate
-    assert queue.take(0, 60) is None
-    assert queue.next_take_at(0) == SECOND + 1
-    assert queue.take(SECOND + 1, 60).time == 20
+    assert queue.pop_next(0, 60).time == 60
+    assert queue.pop_next(0, 60).time == 10  # one batch may be taken ahead of the rate
+    assert queue.pop_next(0, 60) is None
+    assert queue.next_pop_at(0) == SECOND + 1
+    assert queue.pop_next(SECOND + 1, 60).time == 20
     queue.add(Batch(70, 2, points(5)))
-    assert queue.take(SECOND + 1, 70).time == 70
+    assert queue.pop_next(SECOND + 1, 70).time == 70
 
 
 def test_what_may_have_been_received_in_part_is_sent_again_as_a_whole_and_first():
-    queue = PointQueue(limit=1000, backfill_rate=1000)
+    queue = PointQueue(max_points=1000, backfill_rate=1000)
     for time in (10, 20, 30):
         queue.add(Batch(time, 1, points(10)))
-    first, second = queue.take(0, 30), queue.take(0, 30)
+    first, second = queue.pop_next(0, 30), queue.pop_next(0, 30)
     assert (first.time, second.time) == (30, 10)
-    queue.connection_lost()
-    assert [b.time for b in queue.queued[1]] == [10, 20, 30] and queue.point_count == 30
+    queue.requeue_unconfirmed()
+    assert [b.time for b in queue.queued_batches[1]] == [10, 20, 30] and queue.point_count == 30
     assert [b.time for b in queue.remove_all()] == [20]  # the other two may be there in part
 
 
 def test_what_the_system_took_long_ago_counts_as_received():
-    queue = PointQueue(limit=100, backfill_rate=10)
+    queue = PointQueue(max_points=100, backfill_rate=10)
     queue.add(Batch(10, 1, points(10)))
-    queue.take(0, 10)
-    queue.all_taken(SECOND)
+    queue.pop_next(0, 10)
+    queue.mark_flushed(SECOND)
     assert queue.point_count == 10 and not queue.confirm(10 * SECOND)
     assert [b.time for b in queue.confirm(11 * SECOND)] == [10] and queue.point_count == 0
-    queue.connection_lost()
-    assert not any(queue.queued)
+    queue.requeue_unconfirmed()
+    assert not any(queue.queued_batches)
 
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["add", "take", "all_taken", "connection_lost", "remove_all", "remove_old"]),
+        st.sampled_from(
+            ["add", "pop_next", "mark_flushed", "requeue_unconfirmed", "remove_all", "remove_old"]
+        ),
         st.integers(0, 2),
         st.integers(1, 40),
     ),
@@ -72,24 +74,24 @@
 @given(STEPS)
 @settings(max_examples=150, deadline=None)
 def test_the_limit_holds_and_no_point_is_lost_uncounted(steps):
-    queue, now, added, removed = PointQueue(limit=100, backfill_rate=50), 0, 0, 0
+    queue, now, added, removed = PointQueue(max_points=100, backfill_rate=50), 0, 0, 0
     for step, importance, size in steps:
         now += SECOND
         if step == "add":
             queue.add(Batch(now // SECOND, importance, points(size)))
             added += size
-        elif step == "take":
-            queue.take(now, now // SECOND - 3)
-        elif step == "all_taken":
-            queue.all_taken(now)
+        elif step == "pop_next":
+            queue.pop_next(now, now // SECOND - 3)
+        elif step == "mark_flushed":
+            queue.mark_flushed(now)
             removed += sum(map(len, queue.confirm(now + 10 * SECOND)))
-        elif step == "connection_lost":
-            queue.connection_lost()
+        elif step == "requeue_unconfirmed":
+            queue.requeue_unconfirmed()
         elif step == "remove_all":
             removed += sum(map(len, queue.remove_all()))
         else:
             removed += sum(map(len, queue.remove_old(now // SECOND - 2, 5)))
-        in_queue = sum(len(b) for batches in queue.queued for b in batches)
-        in_queue += sum(map(len, queue.unconfirmed))
+        in_queue = sum(len(b) for batches in queue.queued_batches for b in batches)
+        in_queue += sum(map(len, queue.unconfirmed_batches))
         assert in_queue == queue.point_count <= 100
         assert added - removed - queue.dropped_points == in_queue
--- a/tests/graphite/test_routing.py
+++ b/tests/graphite/test_routing.py
@@ -15,9 +15,9 @@
 def test_only_the_share_of_a_failed_receiver_moves_and_the_same_share_returns(count, data):
     router = RendezvousRouter([f"r-{n}:2003" for n in range(count)])
     failed = data.draw(st.integers(0, count - 1))
-    holds_share = [n != failed for n in range(count)]
+    has_share = [n != failed for n in range(count)]
     for path, _ in points(200):
-        before, after = router.owner(path, [True] * count), router.owner(path, holds_share)
+        before, after = router.owner(path, [True] * count), router.owner(path, has_share)
         assert (before == after) == (before != failed) and after != failed
         assert router.owner(path, [True] * count) == before
     assert router.owner("x", [False] * count) == router.owner("x", [True] * count)
--- a/tests/graphite/test_spool.py
+++ b/tests/graphite/test_spool.py
@@ -31,7 +31,7 @@
         for _ in range(10):
             times.append(rig.measure(100))
             await rig.advance(10, 2)
-            await rig.wait_until(lambda: not exporter.spooling.is_busy)
+            await rig.wait_until(lambda: not exporter.spool_transfer.is_busy)
         rig.service.spool_thread.submit(lambda: None).result()
         return receiver.port, times  # no closing: as after a kill
 
@@ -63,16 +63,16 @@
         rig = ExportRig(
             receivers=[receiver.address], spool_mb=1.0, spool_dir=str(tmp_path), buffer_points=1000
         )
-        exporter, files = rig.service.exporters[receiver.address], FullDisk()
-        exporter.spooling.spool.files = files
+        exporter, file_system = rig.service.exporters[receiver.address], FullDisk()
+        exporter.spool_transfer.spool.file_system = file_system
         for _ in range(20):
             rig.measure(100)
             await rig.advance(2, 2)
-            await rig.wait_until(lambda: not exporter.spooling.is_busy)
+            await rig.wait_until(lambda: not exporter.spool_transfer.is_busy)
             rig.now += 8 * SECOND
         assert 900 <= exporter.queue.point_count <= 1000 and exporter.queue.dropped_points
         assert not [p for p in tmp_path.rglob("*.segment") if p.stat().st_size]
-        files.full = False
+        file_system.full = False
         rig.now += 61 * SECOND
         rig.measure(100)
         await rig.wait_until(lambda: exporter.queue.point_count <= 200)
