--- a/ravenshelf/process/__init__.py
+++ b/ravenshelf/process/__init__.py
@@ -1,1 +1,1 @@
-"""Start, the round, stop: what joins the network, the memory and the decisions."""
+"""The server process: start, control cycles and stop, connecting network, state and controller."""
--- a/ravenshelf/process/acceptor.py
+++ b/ravenshelf/process/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepted connections: unidentified ones, collectors, and the streams of proxies."""
+"""The connection acceptor: the server's side of proxy streams and collector connections."""
 
 from collections.abc import Callable, Hashable
 from typing import Protocol
@@ -20,37 +20,49 @@
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.slots import SlotTable
 
-JOIN_TIMEOUT_US = 1_500_000  # whoever has not identified itself so long after connecting is closed
-MINIMUM_STAY_US = (
-    1_000_000  # for so long at least nobody is closed for want of capacity, but at the very limit
-)
-IDLE_TIMEOUT_US = 30_000_000  # of a superseded connection that says nothing
-CLOCK_TOLERANCE_US = 1_000_000  # an acknowledgement can't take longer than since its marker was written
+# A connection that has not identified itself this long after connecting is closed.
+JOIN_TIMEOUT_US = 1_500_000
+# An unidentified connection younger than this is not closed to free a slot, unless all slots are in use.
+MINIMUM_LIFETIME_US = 1_000_000
+# A superseded connection that sends nothing for this long is closed. The streams of proxies are also checked
+# for silence at this interval, but closed for it only when all slots are in use.
+IDLE_TIMEOUT_US = 30_000_000
+# An acknowledgement can't take longer than the time since its marker was written; if its took_ms exceeds that
+# by more than this, the message is malformed.
+CLOCK_TOLERANCE_US = 1_000_000
 LOGGED_LINE_BYTES = 120
 
 
 class DeadlineSetter(Protocol):
-    """Sets and cancels deadlines; see `Timers`."""
+    """The part of the interface of `Timers` that the acceptor uses."""
 
     def set(self, key: Hashable, at: int) -> None:
-        """Set the key's only deadline."""
+        """Set the key's deadline to `at`, in microseconds, in place of an earlier setting."""
 
     def cancel(self, key: Hashable) -> None:
         """Cancel the key's deadline, if it has one."""
 
 
 class ConnectionAcceptor:
-    """Owns the accepted connections and publishes what they report; `clock` gives microseconds.
-
-    While `reserve` slots or fewer are free, new connections make others close. `next_turn(call)` has a
-    call made in the loop's next turn.
+    """Owner of all accepted connections; turns their messages into events.
+
+    Args:
+        decoder: Decoder of the messages of proxies and collectors.
+        slots: Slots of the accepted connections; each connection holds one until it ends.
+        reserved_slots: While this many slots or fewer are free, each new connection causes an older one to be
+            closed, if one may be closed.
+        timers: Deadlines of unidentified and superseded connections.
+        counters: Counters of connections, messages and faults.
+        clock: Function that returns the time in microseconds.
+        publish: Function that is called with each event.
+        next_turn: Function that schedules a callback for the event loop's next iteration.
     """
 
     def __init__(
         self,
         decoder: StreamDecoder,
         slots: SlotTable[AcceptedConnection],
-        reserve: int,
+        reserved_slots: int,
         timers: DeadlineSetter,
         counters: Counters,
         clock: Callable[[], int],
@@ -59,64 +71,72 @@
     ):
         self.decoder = decoder
         self.slots = slots
-        self.reserve = reserve
+        self.reserved_slots = reserved_slots
         self.timers = timers
         self.counters = counters
         self.clock = clock
         self.publish = publish
         self.next_turn = next_turn
         self.streams: dict[int, AcceptedConnection] = {}  # by proxy
-        self.collectors: dict[int, AcceptedConnection] = {}  # by zone, the newest
-        self.unidentified: dict[AcceptedConnection, None] = {}  # in the order in which they connected
-        self.superseded: dict[AcceptedConnection, None] = {}  # the one longest silent first
-        self.idle_streams: list[AcceptedConnection] = []  # silent between two sweeps, the likeliest dead last
-        self.swept_at = 0
-        self.lingering: set[AcceptedConnection] = set()  # at the stop: those that still get what was written
-        self.all_closed: Callable[[], None] | None = None  # called once they have it, from the stop on
+        self.collectors: dict[int, AcceptedConnection] = {}  # by zone; the newest collector of each zone
+        self.unidentified_connections: dict[AcceptedConnection, None] = {}  # ordered by connection time
+        # Ordered by the time of the last message.
+        self.superseded_connections: dict[AcceptedConnection, None] = {}
+        # Streams that sent nothing between the last two sweeps; the one most likely to be dead is last.
+        self.idle_streams: list[AcceptedConnection] = []
+        self.last_idle_sweep_at = 0
+        # Connections whose sockets are still open after `stop`, so that written data can be delivered.
+        self.lingering_connections: set[AcceptedConnection] = set()
+        # Set by `stop`; called when the last lingering socket has closed.
+        self.on_all_closed: Callable[[], None] | None = None
         self.handlers: dict[str, Callable[[AcceptedConnection, dict[str, str]], None]] = {
             stream_codec.SUBSCRIBE: self._subscribe,
             stream_codec.SOURCE: self._identify_collector,
-            stream_codec.LOAD: self._load_report,
-            stream_codec.RATE: self._demand_report,
-            stream_codec.ACK: self._acknowledgement,
+            stream_codec.LOAD: self._handle_load_report,
+            stream_codec.RATE: self._handle_demand_report,
+            stream_codec.ACK: self._handle_acknowledgement,
         }
 
-    # --- connections ---
+    # Connections
 
     def connected(self, connection: AcceptedConnection) -> None:
-        """Take a new connection, or close it where there is no capacity."""
+        """Accept a new connection, or close it if no slot can be freed for it or the server is stopping."""
         self.counters["accepted"] += 1
         connection.connected_at = self.clock()
-        if self.all_closed is not None:
+        if self.on_all_closed is not None:
             connection.close(ConnectionEnd.STOPPING)
             return
-        if self.slots.size - len(self.slots) <= self.reserve:
-            self._make_room(connection.connected_at)
+        if self.slots.size - len(self.slots) <= self.reserved_slots:
+            self._free_slot(connection.connected_at)
         connection.slot = self.slots.acquire(connection)
         if connection.slot is None:
             connection.close(ConnectionEnd.NO_CAPACITY)
             return
-        self.unidentified[connection] = None
+        self.unidentified_connections[connection] = None
         self.timers.set(ConnectionTimeout(connection), connection.connected_at + JOIN_TIMEOUT_US)
 
-    def _make_room(self, now: int) -> None:
-        """Close a superseded connection, else the oldest unidentified one that is not about to join.
+    def _free_slot(self, now: int) -> None:
+        """Close one connection so that its slot becomes free, if one may be closed.
 
-        At the very limit it is a stream that has said nothing for IDLE_TIMEOUT_US: machines that vanish leave
-        theirs open, and those would keep out whoever lives. The price: a proxy without requests says nothing
-        either, and has to join again.
+        The first choice is the superseded connection that has been silent longest, the second is the oldest
+        unidentified connection, if it is older than MINIMUM_LIFETIME_US or all slots are in use. If there is
+        neither and all slots are in use, a stream that has sent nothing for IDLE_TIMEOUT_US is closed:
+        machines that crash leave their streams open, and these would otherwise keep live proxies out. A
+        healthy proxy without requests is silent as well and then has to join again.
         """
         self._sweep_idle(now)
         is_full = len(self.slots) == self.slots.size
-        oldest = next(iter(self.superseded), None) or next(iter(self.unidentified), None)
-        if oldest is None and is_full:
-            oldest = self._next_idle_stream()
-            if oldest is not None:
-                oldest.close(ConnectionEnd.NO_CAPACITY)
-        elif oldest is not None:
-            has_stayed = oldest.connected_at <= now - MINIMUM_STAY_US
-            if oldest.is_superseded or has_stayed or is_full:
-                oldest.close(ConnectionEnd.NO_CAPACITY)
+        candidate = next(iter(self.superseded_connections), None) or next(
+            iter(self.unidentified_connections), None
+        )
+        if candidate is None and is_full:
+            candidate = self._next_idle_stream()
+            if candidate is not None:
+                candidate.close(ConnectionEnd.NO_CAPACITY)
+        elif candidate is not None:
+            has_minimum_lifetime = candidate.connected_at <= now - MINIMUM_LIFETIME_US
+            if candidate.is_superseded or has_minimum_lifetime or is_full:
+                candidate.close(ConnectionEnd.NO_CAPACITY)
 
     def _next_idle_stream(self) -> AcceptedConnection | None:
         while self.idle_streams:
@@ -126,94 +146,113 @@
         return None
 
     def _sweep_idle(self, now: int) -> None:
-        """Note every IDLE_TIMEOUT_US which streams said nothing since the last sweep."""
-        if now - self.swept_at < IDLE_TIMEOUT_US:
+        """Collect the streams that sent nothing since the last sweep, if that is IDLE_TIMEOUT_US ago."""
+        if now - self.last_idle_sweep_at < IDLE_TIMEOUT_US:
             return
-        self.swept_at = now
+        self.last_idle_sweep_at = now
         streams = list(self.streams.values())
-        silent = [stream for stream in streams if not stream.has_spoken]
-        # those that owe an acknowledgement go first: they are the likelier to be dead
-        self.idle_streams = sorted(silent, key=lambda stream: bool(stream.pending_markers))
+        silent_streams = [stream for stream in streams if not stream.has_spoken]
+        # Streams with unacknowledged markers are more likely to be dead; they sort last and are closed first.
+        self.idle_streams = sorted(silent_streams, key=lambda stream: bool(stream.pending_markers))
         for stream in streams:
             stream.has_spoken = False
 
-    def _identified(self, connection: AcceptedConnection, purpose: str) -> None:
+    def _set_purpose(self, connection: AcceptedConnection, purpose: str) -> None:
         connection.purpose = purpose
         connection.is_superseded = False
-        self._forget_timeout(connection)
+        self._remove_timeout(connection)
 
-    def _forget_timeout(self, connection: AcceptedConnection) -> None:
-        self.unidentified.pop(connection, None)
-        self.superseded.pop(connection, None)
+    def _remove_timeout(self, connection: AcceptedConnection) -> None:
+        self.unidentified_connections.pop(connection, None)
+        self.superseded_connections.pop(connection, None)
         self.timers.cancel(ConnectionTimeout(connection))
 
     def _supersede(self, connection: AcceptedConnection) -> None:
-        """A newer one is in its place; it stays while it speaks, for the server ends nothing without need."""
+        """Mark a connection as replaced by a newer one of the same proxy or zone.
+
+        It stays open while it sends messages, because the server closes no connection without need.
+        """
         connection.is_superseded = True
         self.counters[f"{connection.purpose}_superseded"] += 1
-        self._superseded_spoke(connection)
+        self._restart_idle_timeout(connection)
 
-    def _superseded_spoke(self, connection: AcceptedConnection) -> None:
-        self.superseded.pop(connection, None)
-        self.superseded[connection] = None
+    def _restart_idle_timeout(self, connection: AcceptedConnection) -> None:
+        self.superseded_connections.pop(connection, None)
+        self.superseded_connections[connection] = None
         self.timers.set(ConnectionTimeout(connection), self.clock() + IDLE_TIMEOUT_US)
 
     def closed(self, connection: AcceptedConnection) -> None:
-        """Forget a connection that has ended, and publish the end of a proxy's stream."""
+        """Remove a connection that has ended, and publish ProxyLeft if it was a proxy's current stream."""
         assert connection.end is not None
         self.counters[f"{connection.purpose}_{connection.end.name.lower()}"] += 1
-        self._forget_timeout(connection)
+        self._remove_timeout(connection)
         self.slots.release(connection.slot)
-        self.collectors = {zone: each for zone, each in self.collectors.items() if each is not connection}
+        self.collectors = {
+            zone: collector for zone, collector in self.collectors.items() if collector is not connection
+        }
         proxy = connection.proxy
         if connection.purpose != STREAM or proxy is None or self.streams.get(proxy) is not connection:
             return
         del self.streams[proxy]
         if outcome(STREAM, connection.end) is not None:
-            # what is queued for a stream that the server ended goes on counting
+            # If the server ended the stream, the lines queued for it still count as queued.
             self.publish(ProxyLeft(proxy, connection.end in ENDS_BY_SERVER))
 
-    def stop(self, all_closed: Callable[[], None]) -> None:
-        """Hear nobody any more; `all_closed` is called when all have what was written to them."""
-        self.all_closed = all_closed
-        self.lingering = set(self.slots.items.values())
-        for connection in list(self.lingering):
+    def stop(self, on_all_closed: Callable[[], None]) -> None:
+        """Close all connections, delivering what was written to them, and accept no more.
+
+        Args:
+            on_all_closed: Called once all sockets are closed; at once if there is no connection.
+        """
+        self.on_all_closed = on_all_closed
+        self.lingering_connections = set(self.slots.items.values())
+        for connection in list(self.lingering_connections):
             connection.close(ConnectionEnd.STOPPING)
-        if not self.lingering:
-            all_closed()
+        if not self.lingering_connections:
+            on_all_closed()
 
     def abort_lingering(self) -> None:
-        """Drop what was written to those that have not taken it by now."""
-        for connection in list(self.lingering):
+        """Abort the connections that are still open after `stop`, dropping data not yet delivered."""
+        for connection in list(self.lingering_connections):
             connection.transport.abort()
 
     def socket_closed(self, connection: AcceptedConnection) -> None:
-        """Note that a socket is closed; the connection's end was reported before."""
-        if connection in self.lingering:
-            self.lingering.discard(connection)
-            if not self.lingering and self.all_closed is not None:
-                self.all_closed()
+        """Handle the closing of a socket; the connection's end was reported to `closed` before."""
+        if connection in self.lingering_connections:
+            self.lingering_connections.discard(connection)
+            if not self.lingering_connections and self.on_all_closed is not None:
+                self.on_all_closed()
 
     def checks_terms(self, proxy: int) -> bool:
-        """Return whether the proxy rejects orders of an older term, as it said when it joined."""
+        """Return whether the proxy announced, when it joined, that it rejects commands of an older term."""
         stream = self.streams.get(proxy)
         return stream is not None and stream.checks_terms
 
     def write(self, proxy: int, message: bytes, marker: int | None) -> None:
-        """Write a message to a proxy's stream, if it has one."""
+        """Write a message to a proxy's stream, if it has one.
+
+        Args:
+            proxy: Index of the proxy.
+            message: The encoded message.
+            marker: Marker that the message asks the proxy to acknowledge, or None.
+        """
         stream = self.streams.get(proxy)
         if stream is not None:
             if marker is not None:
                 stream.pending_markers[marker] = self.clock()
             stream.write(message)
 
-    # --- messages ---
+    # Messages
 
     def received(self, connection: AcceptedConnection, line: bytes) -> None:
-        """Handle a line; a malformed message is logged, and an unreadable one ends its connection."""
+        """Handle a line of a connection.
+
+        A malformed message is logged, counted and skipped. If the line is unreadable, or the connection has
+        not identified itself yet, the connection is closed.
+        """
         connection.has_spoken = True
         if connection.is_superseded:
-            self._superseded_spoke(connection)
+            self._restart_idle_timeout(connection)
         kind = "unreadable"
         try:
             kind, words = stream_codec.split_line(line)
@@ -224,66 +263,69 @@
                 self.handlers[kind](connection, stream_codec.parse_fields(words))
             self.counters[f"received_{kind.lower()}"] += 1
         except MalformedMessageError as error:
-            logged = repr(line[:LOGGED_LINE_BYTES])
+            logged_line = repr(line[:LOGGED_LINE_BYTES])
             log_events.MESSAGE_MALFORMED(
-                purpose=connection.purpose, peer=connection.peer, line=logged, why=str(error)
+                purpose=connection.purpose, peer=connection.peer, line=logged_line, why=str(error)
             )
             if isinstance(error, UnreadableConnectionError) or connection.purpose == UNIDENTIFIED:
                 self.counters["unreadable"] += 1
                 connection.close(ConnectionEnd.UNREADABLE)
-            else:  # a slip in one message says nothing against those around it
+            else:  # one malformed message does not make the messages before and after it invalid
                 self.counters[f"malformed_{kind.lower()}"] += 1
 
     def _subscribe(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
-        joined = self.decoder.joined(fields)
-        proxy = joined.proxy
+        join_event = self.decoder.joined(fields)
+        proxy = join_event.proxy
         if connection.purpose == COLLECTOR or connection.proxy not in (None, proxy):
-            raise UnreadableConnectionError("expected one proxy to a stream")
-        former = self.streams.get(proxy)
-        if connection.proxy is not None and former is not connection:
+            raise UnreadableConnectionError(
+                "expected SUBSCRIBE on a stream of the same proxy, found it on another connection"
+            )
+        previous_stream = self.streams.get(proxy)
+        if connection.proxy is not None and previous_stream is not connection:
             self.counters["stale"] += 1  # this stream is superseded
             return
-        if former is connection:  # the stream has not broken: what is in flight on it will be acknowledged
+        if previous_stream is connection:
+            # The stream is intact, so the proxy will still acknowledge the markers in flight on it.
             self.publish(ProxyLeft(proxy, True))
         self.streams[proxy] = connection
         connection.proxy = proxy
         connection.checks_terms = stream_codec.checks_terms(fields)
-        self._identified(connection, STREAM)
-        if former is not None and former is not connection:
-            self._supersede(former)  # its end, late as it may come, changes nothing any more
-        self.publish(joined)
+        self._set_purpose(connection, STREAM)
+        if previous_stream is not None and previous_stream is not connection:
+            self._supersede(previous_stream)  # when it ends later, no event is published
+        self.publish(join_event)
 
     def _identify_collector(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
         zone = self.decoder.zone(fields)
         if connection.proxy is not None:
-            raise UnreadableConnectionError("expected a stream or a collector, not both")
-        former = self.collectors.get(zone)
+            raise UnreadableConnectionError("expected SOURCE on a collector, found it on a proxy's stream")
+        previous_collector = self.collectors.get(zone)
         self.collectors[zone] = connection
         connection.zone = zone
-        self._identified(connection, COLLECTOR)
-        if former is not None and former is not connection:
-            self._supersede(former)
+        self._set_purpose(connection, COLLECTOR)
+        if previous_collector is not None and previous_collector is not connection:
+            self._supersede(previous_collector)
 
-    def _load_report(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
+    def _handle_load_report(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
         if connection.purpose != COLLECTOR:
-            raise MalformedMessageError("expected SOURCE before reports")
+            raise MalformedMessageError("expected SOURCE before LOAD on the connection, found no SOURCE")
         report = self.decoder.load_report(fields)
         if self.decoder.zone(fields) != connection.zone:
-            raise MalformedMessageError("expected the zone of its collector")
+            raise MalformedMessageError("expected the zone of the collector's SOURCE, found another zone")
         if report is None:
             self.counters["reports_of_unknown"] += 1
             return
         self.publish(report)
 
-    def _demand_report(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
+    def _handle_demand_report(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
         report = self.decoder.demand_report(fields)
         if not self._is_stale(connection, report.proxy):
             self.publish(report)
 
-    def _acknowledgement(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
+    def _handle_acknowledgement(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
         acknowledged = self.decoder.acknowledged(fields)
         if connection.purpose == COLLECTOR:
-            raise MalformedMessageError("expected marks on the stream of their proxy")
+            raise MalformedMessageError("expected ACK on the proxy's stream, found it on a collector")
         if self._is_stale(connection, acknowledged.proxy):
             return
         written_at = connection.pending_markers.get(acknowledged.marker)
@@ -291,15 +333,21 @@
             self.counters["acks_unexpected"] += 1
             return
         if acknowledged.elapsed > self.clock() - written_at + CLOCK_TOLERANCE_US:
-            raise MalformedMessageError("expected took_ms up to the time since the mark was written")
+            raise MalformedMessageError("took_ms: expected the time since the marker at most, found more")
         del connection.pending_markers[acknowledged.marker]
         self.publish(acknowledged)
 
     def _is_stale(self, connection: AcceptedConnection, proxy: int) -> bool:
-        """Return whether the stream is not the proxy's (any more); then it says nothing of the proxy."""
+        """Return whether the connection is a stream that is not the proxy's current one.
+
+        Reports from such a stream are counted and otherwise ignored. A collector's reports are never stale.
+
+        Raises:
+            MalformedMessageError: The connection has not identified itself.
+        """
         if connection.purpose == COLLECTOR or self.streams.get(proxy) is connection:
             return False
         if connection.proxy is None:
-            raise MalformedMessageError("expected SUBSCRIBE or SOURCE first")
+            raise MalformedMessageError("expected SUBSCRIBE or SOURCE as the first message")
         self.counters["stale"] += 1
         return True
--- a/ravenshelf/process/command_execution.py
+++ b/ravenshelf/process/command_execution.py
@@ -1,4 +1,4 @@
-"""Carries out the commands of a control cycle that are no messages to proxies."""
+"""Execution of the commands of a control cycle that are not messages to proxies."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,15 @@
 
 
 class CommandExecutor:
-    """Passes each command to its owner; `send_to_peer(peer, payload)` returns whether a datagram was sent."""
+    """Dispatcher that passes each command to the component that carries it out.
+
+    Args:
+        timers: Deadlines of the server, for the controller's timers.
+        registry_client: Client of the endpoint registry, for watches and fetches.
+        health_checks: Runner of health checks.
+        send_to_peer: Function that sends a payload to a peer and returns whether a datagram was sent.
+        counters: Counters of datagrams.
+    """
 
     def __init__(
         self,
@@ -29,9 +37,11 @@
         self.counters = counters
 
     def execute(self, command: commands.Command) -> None:
-        """Carry out one command."""
+        """Carry out one command; a command of any other type is ignored."""
         match command:
-            case commands.StartTimer(at, key):  # expires in a later turn of the loop, even where it is past
+            case commands.StartTimer(
+                at, key
+            ):  # a time in the past expires in a later loop iteration, not now
                 self.timers.set(ControllerTimer(at, key), at)
             case commands.LogMessage(text):
                 log_events.DECISION_MESSAGE(text=text)
--- a/ravenshelf/process/configuration.py
+++ b/ravenshelf/process/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a server reads at its start: checked once, with errors that name the field."""
+"""The configuration file of a server: reading, validation, and comparison at a reload."""
 
 import json
 import os
@@ -9,20 +9,27 @@
 from ravenshelf.net.datagrams import address
 from ravenshelf.net.endpoint_codec import EndpointListDecoder, UnreadableListError
 
-FILE_VARIABLE = "RELAY_CONFIG"  # the environment's name for the file's path
+FILE_VARIABLE = "RELAY_CONFIG"  # environment variable that holds the path of the configuration file
+# Environment variables that supply a field missing from the file.
 VARIABLE_BY_FIELD = {"name": "RELAY_NAME", "listen": "RELAY_LISTEN", "discovery": "RELAY_DISCOVERY"}
-LEAST_SOCKETS = 64
+MINIMUM_SOCKETS = 64
 DEFAULT_SOCKETS = 1024
-PORT_LIMIT = 65536
-SHOWN_LENGTH = 60
-# a reload takes the first; the list is newer than the second, and a seed begins with a start
-NOT_WAITING_FOR_RESTART = frozenset(["discovery", "known", "seed"])
+PORT_LIMIT = 65536  # ports are lower than this
+QUOTED_LENGTH = 60  # characters of an invalid value quoted in an error
+# A reload need not report a change of these fields. A new `discovery` takes effect at once; `known` is older
+# than the list the server already has; `seed` is used only when a server starts.
+FIELDS_WITHOUT_RESTART = frozenset(["discovery", "known", "seed"])
 
 Configuration = dict[str, Any]
 
 
 class ConfigurationError(RavenshelfError):
-    """The configuration can't be used: `path` is the field or the file, `problem` what was expected."""
+    """Error for a configuration that can't be used.
+
+    Attributes:
+        path: The field, the file or the environment variable at fault.
+        problem: What was expected there and, where it is known, what was found.
+    """
 
     def __init__(self, path: str, problem: str):
         super().__init__(f"{path}: {problem}")
@@ -30,8 +37,8 @@
         self.problem = problem
 
 
-def _shown(value: object) -> str:
-    return repr(str(value)[:SHOWN_LENGTH])
+def _quoted(value: object) -> str:
+    return repr(str(value)[:QUOTED_LENGTH])
 
 
 def _check_address(value: Any, path: str) -> None:
@@ -43,10 +50,10 @@
         raise ConfigurationError(path, f"expected host:port, not {value!r}") from error
 
 
-def _object(configuration: Configuration, name: str) -> dict[str, Any]:
+def _object_field(configuration: Configuration, name: str) -> dict[str, Any]:
     value = configuration.get(name)
     if not isinstance(value, dict):
-        raise ConfigurationError(name, f"expected an object, not {_shown(value)}")
+        raise ConfigurationError(name, f"expected an object, not {_quoted(value)}")
     return value
 
 
@@ -55,18 +62,22 @@
         value = settings.get(name)
         if not isinstance(value, list) or not value:
             raise ConfigurationError(
-                f"settings.{name}", f"expected a list that is not empty, not {_shown(value)}"
+                f"settings.{name}", f"expected a list that is not empty, not {_quoted(value)}"
             )
-    if not all(isinstance(each, dict) and isinstance(each.get("name"), str) for each in settings["classes"]):
-        raise ConfigurationError("settings.classes", "expected objects with a name each")
+    if not all(
+        isinstance(group, dict) and isinstance(group.get("name"), str) for group in settings["classes"]
+    ):
+        raise ConfigurationError(
+            "settings.classes", "expected objects that each have a name, found another value"
+        )
 
 
 def _check_limits(configuration: Configuration) -> None:
-    limits = _object(configuration, "limits") if "limits" in configuration else {}
+    limits = _object_field(configuration, "limits") if "limits" in configuration else {}
     sockets = limits.get("sockets", DEFAULT_SOCKETS)
-    if not isinstance(sockets, int) or sockets < LEAST_SOCKETS:
+    if not isinstance(sockets, int) or sockets < MINIMUM_SOCKETS:
         raise ConfigurationError(
-            "limits.sockets", f"expected a whole number from {LEAST_SOCKETS}, not {sockets!r}"
+            "limits.sockets", f"expected a whole number from {MINIMUM_SOCKETS}, not {sockets!r}"
         )
 
 
@@ -81,7 +92,7 @@
 def _check_peers(configuration: Configuration) -> None:
     peers = configuration.get("peers") or []
     if not isinstance(peers, list):
-        raise ConfigurationError("peers", f"expected a list of addresses, not {_shown(peers)}")
+        raise ConfigurationError("peers", f"expected a list of addresses, not {_quoted(peers)}")
     for number, peer in enumerate(peers):
         _check_address(peer, f"peers[{number}]")
     for name in ("peer_listen", "peers_all"):
@@ -90,12 +101,19 @@
 
 
 def check(configuration: object) -> Configuration:
-    """Return the configuration if it is valid; raises ConfigurationError."""
+    """Validate a decoded configuration file.
+
+    Returns:
+        The configuration, unchanged.
+
+    Raises:
+        ConfigurationError: A field is missing or invalid.
+    """
     if not isinstance(configuration, dict):
-        raise ConfigurationError("configuration", "expected an object")
+        raise ConfigurationError("configuration", "expected an object, found another value")
     _check_address(configuration.get("listen"), "listen")
     _check_address(configuration.get("discovery"), "discovery")
-    _check_settings(_object(configuration, "settings"))
+    _check_settings(_object_field(configuration, "settings"))
     _check_limits(configuration)
     _check_seed(configuration)
     _check_peers(configuration)
@@ -108,20 +126,27 @@
 
 
 def read(path: str | None, environment: Mapping[str, str] = os.environ) -> Configuration:
-    """Read the file at `path`, or the one that RELAY_CONFIG names; raises ConfigurationError.
+    """Read and validate a configuration file.
+
+    Args:
+        path: Path of the file; if None or empty, the environment variable RELAY_CONFIG holds it.
+        environment: Environment variables; those of VARIABLE_BY_FIELD supply fields missing from the file.
 
-    Other variables fill in what the file leaves out.
+    Raises:
+        ConfigurationError: No path is given, or the file can't be read, is not JSON or is not valid.
     """
     path = path or environment.get(FILE_VARIABLE)
     if not path:
-        raise ConfigurationError(FILE_VARIABLE, "expected the path of the configuration, it is not set")
+        raise ConfigurationError(
+            FILE_VARIABLE, "expected the path of the configuration file, found no such variable"
+        )
     try:
         with open(path, encoding="utf-8") as file:
             configuration = json.load(file)
     except OSError as error:
         raise ConfigurationError(path, str(error.strerror)) from error
     except ValueError as error:
-        raise ConfigurationError(path, f"expected JSON, {error}") from error
+        raise ConfigurationError(path, f"expected JSON, found invalid text: {error}") from error
     if isinstance(configuration, dict):
         for field, variable in VARIABLE_BY_FIELD.items():
             if field not in configuration and variable in environment:
@@ -130,45 +155,53 @@
 
 
 def apply_reload(old: Configuration, new: Configuration) -> tuple[Configuration, list[str]]:
-    """Return the configuration to go on with after a reload, and the fields that wait for a restart.
+    """Return the configuration in force after a reload.
+
+    Only a new address of the endpoint registry takes effect. The file of another deployment, loaded by
+    mistake, would point the server at that deployment's registry, so it is rejected: a file must contain all
+    zones and traffic groups that the server serves.
+
+    Returns:
+        The configuration in force, and the names of changed fields that take effect after a restart, as
+        "field" or "object.field".
 
-    Only the endpoint registry's address is taken. A file of another deployment, by mistake, would lead
-    the server to another's registry: raises ConfigurationError for it.
+    Raises:
+        ConfigurationError: A zone or traffic group of the old configuration is missing from the new one.
     """
     _check_same_deployment(old, new, "azs", str)
-    _check_same_deployment(old, new, "classes", lambda each: str(each["name"]))
-    waiting = []
-    for name in sorted((set(old) | set(new)) - NOT_WAITING_FOR_RESTART):
-        former = old.get(name)
-        present = new.get(name)
-        if isinstance(former, dict) and isinstance(present, dict):
-            parts = sorted(set(former) | set(present))
-            waiting += [f"{name}.{part}" for part in parts if former.get(part) != present.get(part)]
-        elif former != present:
-            waiting.append(name)
-    return old | {"discovery": new["discovery"]}, waiting
+    _check_same_deployment(old, new, "classes", lambda group: str(group["name"]))
+    restart_fields = []
+    for name in sorted((set(old) | set(new)) - FIELDS_WITHOUT_RESTART):
+        old_value = old.get(name)
+        new_value = new.get(name)
+        if isinstance(old_value, dict) and isinstance(new_value, dict):
+            keys = sorted(set(old_value) | set(new_value))
+            restart_fields += [f"{name}.{key}" for key in keys if old_value.get(key) != new_value.get(key)]
+        elif old_value != new_value:
+            restart_fields.append(name)
+    return old | {"discovery": new["discovery"]}, restart_fields
 
 
 def _check_same_deployment(
     old: Configuration, new: Configuration, name: str, name_of: Callable[[Any], str]
 ) -> None:
-    ours = [name_of(each) for each in old["settings"][name]]
-    theirs = [name_of(each) for each in new["settings"][name]]
-    if not set(ours) <= set(theirs):
+    old_names = [name_of(entry) for entry in old["settings"][name]]
+    new_names = [name_of(entry) for entry in new["settings"][name]]
+    if not set(old_names) <= set(new_names):
         raise ConfigurationError(
             f"settings.{name}",
-            f"expected those that this pilot serves, {', '.join(ours)}, not {', '.join(theirs)}; "
-            "this is another deployment's configuration, nothing of it is taken",
+            f"expected those that this server serves, {', '.join(old_names)}, not {', '.join(new_names)}; "
+            "the file is another deployment's configuration, and none of it takes effect",
         )
 
 
 def summary(configuration: Configuration) -> str:
-    """Return one line for people."""
+    """Return a one-line description of a valid configuration for an operator to read."""
     settings = configuration["settings"]
-    known = configuration.get("known") or {"targets": []}
+    restored_list = configuration.get("known") or {"targets": []}
     return (
-        f"{configuration.get('name', 'a pilot')}: listens at {configuration['listen']}, "
+        f"{configuration.get('name', 'a server')}: listens at {configuration['listen']}, "
         f"discovery at {configuration['discovery']} ({settings.get('discovery', 'on_request')}); "
         f"zones {len(settings['azs'])}, classes {len(settings['classes'])}, "
-        f"peers {len(configuration.get('peers') or [])}, known endpoints {len(known['targets'])}"
+        f"peers {len(configuration.get('peers') or [])}, known endpoints {len(restored_list['targets'])}"
     )
--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -1,4 +1,4 @@
-"""The control cycle: all events go to the controller in one call, its commands out as one message a proxy."""
+"""The control cycle: the controller decides on a batch of events; each proxy gets one message at most."""
 
 from collections.abc import Callable
 
@@ -15,14 +15,19 @@
 from ravenshelf.state.proxy_tables import ProxyMessage, ProxyTables
 
 LOGGED_EVENTS_LIMIT = 20
-LINES_EPSILON = 1e-6  # lines: charges are sums of floats
+LINES_TOLERANCE = 1e-6  # lines; charges are sums of floats and may differ by rounding
 
 
 class ControlCycle:
-    """Gathers events, runs the controller on them and writes what it ordered.
-
-    `controller_seed` seeds the controller's random choices; one that takes over after a failure gets the
-    next.
+    """Collector of events that runs the controller on them and writes its commands to the proxies.
+
+    Args:
+        settings: Settings of the deployment.
+        controller_seed: Seed of the controller's random choices; each controller that replaces a failed one
+            gets the next higher number.
+        registry: Endpoints as last listed.
+        proxy_tables: Tables of the proxies, and the changes that a cycle makes to them.
+        counters: Counters of cycles, messages and lines.
     """
 
     def __init__(
@@ -40,58 +45,73 @@
         self.counters = counters
         self.group_names = [group.name for group in settings.traffic_groups]
         self.message_overhead_lines = settings.service.message_overhead_lines or 0
-        self.joined: dict[int, events.ProxyJoined] = {}  # by proxy
-        self.events: list[events.Event] = []  # for the next cycle
+        self.join_events: dict[int, events.ProxyJoined] = {}  # of the connected proxies, by proxy
+        self.events: list[events.Event] = []  # events for the next cycle
         self.failures = 0
         self.cycle_observer: CycleObserver | None = None
         self.admission_gate: AdmissionGate | None = None
         self.make_controller: Callable[..., Controller] = Controller
         self.controller = Controller(settings, controller_seed)
 
-    def decide_with(self, make_controller: Callable[..., Controller]) -> None:
-        """Have another kind of controller decide from now on; called before `begin`."""
+    def replace_controller(self, make_controller: Callable[..., Controller]) -> None:
+        """Replace the controller by one that `make_controller` creates; must be called before `begin`.
+
+        Args:
+            make_controller: Function with the arguments of `Controller`: settings, seed and, after a failure,
+                the previous controller's channel.
+        """
         self.make_controller = make_controller
         self.controller = make_controller(self.settings, self.controller_seed)
 
     def begin(self) -> None:
-        """Give a new controller the list as last held, then the proxies that have joined already."""
+        """Queue the first events of a new controller: the last endpoint list, then the connected proxies."""
         self.events = [events.EndpointsListed(events.ListKind.RESTORED, self.registry.snapshot())]
-        self.events += [joined._replace(is_fresh=False) for joined in self.joined.values()]
+        self.events += [event._replace(is_fresh=False) for event in self.join_events.values()]
 
     def deliver(self, event: events.Event) -> None:
-        """Take an event for the next cycle."""
+        """Queue an event for the next cycle and apply joins and departures of proxies to the tables.
+
+        A proxy that joins again without having left is first recorded as having left.
+        """
         if isinstance(event, events.ProxyJoined):
-            if event.proxy in self.joined:
+            if event.proxy in self.join_events:
                 self.deliver(events.ProxyLeft(event.proxy))
-            self.joined[event.proxy] = event
+            self.join_events[event.proxy] = event
             self.proxy_tables.proxy_joined(event.proxy, event.is_fresh)
         elif isinstance(event, events.ProxyLeft):
-            self.joined.pop(event.proxy, None)
+            self.join_events.pop(event.proxy, None)
             self.proxy_tables.proxy_left(event.proxy)
         self.events.append(event)
 
     def run(self, now: int, write: Callable[[int, bytes, int | None], None]) -> list[commands.Command] | None:
-        """Run one cycle; return the commands that are no messages, or None where the controller failed.
+        """Run one cycle on all queued events.
 
-        `write(proxy, message, marker)` puts a message on a proxy's stream.
+        Args:
+            now: Time of the cycle in microseconds.
+            write: Function that writes a message with a marker, or None, to a proxy's stream.
+
+        Returns:
+            The commands that are not messages to proxies, or None if the controller failed. In that case
+            nothing of the cycle is written, and a new controller is in place.
         """
-        delivered = self.events
+        cycle_events = self.events
         self.events = []
         channel = self.controller.channel
         channel.advance(now)
         batch_number = channel.batch_number
         try:
             self._reconcile(channel)
-            self.controller.run_cycle(now, delivered, self.proxy_tables)
+            self.controller.run_cycle(now, cycle_events, self.proxy_tables)
             changes = self.proxy_tables.changes
             messages = self.proxy_tables.take_messages(self._encode)
         except Exception:
-            names = [type(event).__name__ for event in delivered[:LOGGED_EVENTS_LIMIT]]
+            names = [type(event).__name__ for event in cycle_events[:LOGGED_EVENTS_LIMIT]]
             log_events.CONTROL_CYCLE_FAILED.with_traceback(events=str(names))
-            self._start_over()
+            self._replace_failed_controller()
             return None
         written_lines = self._write(messages, changes.marker, write)
-        # not by the queue's length before and after: acknowledgements in this cycle have shortened it
+        # The charge is that of this cycle's batch. It can't be calculated from the queue's length before and
+        # after the cycle, because acknowledgements in the cycle have shortened the queue.
         has_batch = channel.batch_number != batch_number
         self._settle_charges(channel, written_lines, channel.batches[-1].total_lines if has_batch else 0.0)
         self.counters["control_cycles"] += 1
@@ -108,7 +128,7 @@
         marker: int | None,
         write: Callable[[int, bytes, int | None], None],
     ) -> float:
-        """Write all messages; return how many lines they are, with the overhead of each."""
+        """Write all messages and return their number of lines, including the message overhead."""
         written_lines: float = 0
         for proxy, parts, payload in messages:
             line_count = sum(part.line_count() for part in parts)
@@ -127,17 +147,21 @@
     def _settle_charges(
         self, channel: ChannelFlowControl, written_lines: float, charged_lines: float
     ) -> None:
-        """Record lines beyond the charge: the controller must never take the queue for shorter than it is."""
+        """Add lines that were written but not charged to the channel's queue.
+
+        Without them the controller would estimate the queue as shorter than it is.
+        """
         self.counters.add("lines_charged", charged_lines)
         self.counters.add("lines_written", written_lines)
-        if written_lines > charged_lines + LINES_EPSILON:
+        if written_lines > charged_lines + LINES_TOLERANCE:
             self.counters.add("lines_beyond_charge", written_lines - charged_lines)
             channel.record_uncharged_lines(written_lines - charged_lines)
 
     def _reconcile(self, channel: ChannelFlowControl) -> None:
-        """Readmit what proxies may have ejected by unknown orders, as the channel has capacity for it.
+        """Readmit endpoints that proxies may have ejected on commands unknown to this server.
 
-        Not with the table itself: when all proxies join at once, twice the lines would overfill the channel.
+        It is done as far as the channel has capacity, and not in the message that brings a proxy its table:
+        when all proxies join at once, twice the lines would overfill the channel.
         """
         if not channel.fits(1, (), False):
             return
@@ -146,15 +170,18 @@
                 self.proxy_tables.confirm_ejections(proxy, endpoints)
                 channel.charge([proxy], len(endpoints))
 
-    def _start_over(self) -> None:
-        """Begin with a new controller: one that failed may believe in orders that were never written.
+    def _replace_failed_controller(self) -> None:
+        """Replace a failed controller by a new one.
 
-        Safer than to go on with it, and than to end: the proxies' streams stay, and the new one binds
-        them all.
+        The failed controller may have recorded commands as sent that were never written, so it is unsafe to
+        continue with it. Ending the process would be worse: this way the proxies' streams stay open, and the
+        new controller binds all proxies again.
         """
         self.failures += 1
         self.counters["controller_failures"] += 1
-        channel = self.controller.channel  # its queue stays, and its markers are not given again
+        # The new controller keeps the channel: the lines in its queue are still to be acknowledged, and no
+        # marker may be used twice.
+        channel = self.controller.channel
         channel.discard_charges()
         self.controller = self.make_controller(self.settings, self.controller_seed + self.failures, channel)
         self.proxy_tables.reset()
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -1,4 +1,4 @@
-"""The control-plane server: makes its parts, joins them, starts and stops them."""
+"""The control-plane server: construction of its components, start, reload and stop."""
 
 import asyncio
 import random
@@ -30,28 +30,33 @@
 from ravenshelf.state.proxy_tables import ProxyTables
 from ravenshelf.state.slots import SlotTable
 
-if TYPE_CHECKING:  # plain serve loads none of it
+if TYPE_CHECKING:  # not loaded by `ravenshelf serve` without an operator file
     from ravenshelf.operator_config.tables import Operator
     from ravenshelf.process.logs import Sink
 
 DEFAULT_SOCKETS = 1024
-OWN_DESCRIPTORS = 24  # that the process itself needs: 12 were counted
-CALL_LIMIT = 64  # open at a time, to the endpoint registry and to endpoints
-CALL_SHARE = 16  # at most one socket in so many is a call's
+RESERVED_DESCRIPTORS = 24  # descriptors reserved for the process itself, which was seen to use 12
+CALL_LIMIT = 64  # open calls to the endpoint registry and to endpoints
+SOCKETS_PER_CALL = 16  # at most one socket in this many is used for a call
 COLLECTOR_RESERVE = 16
 DEFAULT_TICK_US = 1000
 BACKLOG = 1024
-# seconds for all to take what was written; SIGKILL comes 0.7 s after SIGTERM, and the log has its end to
-# write
+# At a stop, connections have this many seconds to deliver what was written to them. SIGKILL follows SIGTERM
+# after 0.7 s, and the rest of the log has to be written before that too.
 LINGER_TIMEOUT_S = 0.25
 
 
 class ControlPlaneServer:
-    """One server; `configuration` is checked, `clock` gives microseconds.
+    """A server that follows the endpoint registry and writes proxies their tables.
 
-    Events come in through `publish`, which an admission gate may hold back, or through `deliver`, which
-    it may not. The optional parts set `admission_gate`, add themselves to `observers` and set `failure`
-    before they stop the server for a reason that makes it exit with an error.
+    Events come in through `publish`, where an admission gate may reject them, or through `deliver`, which
+    bypasses the gate. The optional features set `admission_gate`, add themselves to `observers`, and set
+    `failure` before they stop the server for a reason that must make the process exit with an error.
+
+    Args:
+        configuration: A configuration that `configuration.check` has accepted.
+        loop: The event loop that the server runs in.
+        clock: Function that returns the time in microseconds.
     """
 
     def __init__(
@@ -63,17 +68,17 @@
         self.clock = clock
         self.counters = Counters()
         self.buffers = BufferPool()
-        self.timers = Timers(loop, clock, self.counters, self.handle_deadline, self._is_optional)
+        self.timers = Timers(loop, clock, self.counters, self.handle_deadline, self._is_feature_deadline)
         self._make_state(settings)
         self._make_network(settings)
-        self._make_decisions(settings)
+        self._make_control_cycle(settings)
         self.reloader = Reloader(
-            lambda: self.configuration, self._take_configuration, self.timers, clock, self.counters
+            lambda: self.configuration, self._apply_configuration, self.timers, clock, self.counters
         )
         self.peers: datagrams.Datagrams | None = None
         self.may_message_peers = settings.limits.peer_messages_allowed
         self.listener: asyncio.Server | None = None
-        self.counters_every_us = 0  # 0: they are not printed from time to time
+        self.counters_every_us = 0  # interval between log lines with the counters; 0 for none
         self.optional_features: OptionalFeatures | None = None
         self.observers: list[EventObserver] = []
         self.admission_gate: AdmissionGate | None = None
@@ -95,8 +100,8 @@
 
     def _make_network(self, settings: Settings) -> None:
         sockets = self.configuration.get("limits", {}).get("sockets", DEFAULT_SOCKETS)
-        call_limit = min(CALL_LIMIT, sockets // CALL_SHARE)
-        connection_limit = sockets - OWN_DESCRIPTORS - call_limit
+        call_limit = min(CALL_LIMIT, sockets // SOCKETS_PER_CALL)
+        connection_limit = sockets - RESERVED_DESCRIPTORS - call_limit
         self.outgoing_calls = OutgoingCalls(
             self.loop,
             self.clock,
@@ -106,7 +111,8 @@
             lambda: self.configuration["discovery"],
         )
         self.connections: SlotTable[AcceptedConnection] = SlotTable(connection_limit)
-        # unidentified connections leave capacity for every proxy's stream, its successor, and the collectors
+        # Slots that unidentified connections must leave free: two for each proxy, because a new stream may
+        # arrive before the old one has ended, and some for collectors.
         reserve = min(connection_limit // 2, 2 * settings.service.proxy_count + COLLECTOR_RESERVE)
         self.acceptor = ConnectionAcceptor(
             stream_codec.StreamDecoder(settings, self.registry.index_by_name.get),
@@ -119,7 +125,7 @@
             self.loop.call_soon,
         )
 
-    def _make_decisions(self, settings: Settings) -> None:
+    def _make_control_cycle(self, settings: Settings) -> None:
         seed = int(str(self.configuration.get("seed", "0")), 16)
         self.control_cycle = ControlCycle(settings, seed, self.registry, self.proxy_tables, self.counters)
         self.registry_client = RegistryClient(
@@ -148,15 +154,15 @@
             self.command_executor.execute,
         )
 
-    # --- events ---
+    # Events
 
     def publish(self, event: events.Event) -> None:
-        """Deliver an event, unless the admission gate says that it is not for this server's controller."""
+        """Deliver an event, unless the admission gate finds that it is not for this server's controller."""
         if self.admission_gate is None or self.admission_gate.passes(event):
             self.deliver(event)
 
     def deliver(self, event: events.Event) -> None:
-        """Give an event to the controller, with the next control cycle, and to all observers."""
+        """Pass an event to all observers, and to the controller in the next control cycle."""
         self.control_cycle.deliver(event)
         for observer in self.observers:
             observer.on_event(event, self.clock())
@@ -172,10 +178,10 @@
     def _send_to_peer(self, peer: int | None, payload: bytes) -> bool:
         return self.may_message_peers and self.peers is not None and self.peers.send(peer, payload)
 
-    # --- deadlines ---
+    # Deadlines
 
-    def _is_optional(self, key: Hashable) -> bool:
-        """Return whether an optional part handles the deadline; those come after the server's own."""
+    def _is_feature_deadline(self, key: Hashable) -> bool:
+        """Return whether an optional feature handles the deadline; these run after the server's own."""
         return (
             self.optional_features is not None
             and isinstance(key, tuple)
@@ -183,7 +189,7 @@
         )
 
     def handle_deadline(self, key: Hashable, now: int) -> None:
-        """Handle a deadline that has expired."""
+        """Handle a deadline that has expired, by the kind of its key."""
         match key:
             case ServerDeadline.CONTROL_CYCLE:
                 self.cycle_scheduler.run_cycle()
@@ -204,20 +210,24 @@
                 self.optional_features.run_due(key, now)
 
     def _schedule_watch(self, wait_us: int) -> None:
-        if ServerDeadline.WATCH not in self.timers.deadlines:  # never put off by what comes meanwhile
+        if ServerDeadline.WATCH not in self.timers.deadlines:  # a deadline already set is not postponed
             self.timers.set(ServerDeadline.WATCH, self.clock() + wait_us)
 
-    # --- start, reload and stop ---
+    # Start, reload and stop
 
     async def start(self) -> None:
-        """Restore the list, run the first control cycle, and only then accept connections."""
+        """Restore the endpoint list, run the first control cycle, and only then accept connections.
+
+        Raises:
+            OSError: An address can't be listened at.
+        """
         self._restore_endpoints()
         self.cycle_scheduler.start()
         if self.registry_client.is_pushed:
             self.registry_client.open_watch()
         if self.configuration.get("peer_listen"):
             await self._open_peer_socket()
-            if self.is_stopping:  # meanwhile: nothing begins any more
+            if self.is_stopping:  # `stop` was called while the socket opened, so nothing more may start
                 return
         host, port = datagrams.address(self.configuration["listen"])
         self.listener = await self.loop.create_server(
@@ -228,20 +238,20 @@
         self.timers.arm()
 
     def _restore_endpoints(self) -> None:
-        known = self.configuration.get("known")
-        if known is None:
+        restored_list = self.configuration.get("known")
+        if restored_list is None:
             return
-        entries, addresses, malformed = self.endpoint_decoder.entries(known["targets"])
-        listed = [entry for entry in entries if entry.state is not events.EndpointState.GONE]
-        self.registry.update(events.ListKind.REPLACE, known["rev"], listed, addresses)
-        for _, reason in malformed:
+        entries, addresses, malformed_entries = self.endpoint_decoder.entries(restored_list["targets"])
+        listed_entries = [entry for entry in entries if entry.state is not events.EndpointState.GONE]
+        self.registry.update(events.ListKind.REPLACE, restored_list["rev"], listed_entries, addresses)
+        for _, reason in malformed_entries:
             log_events.RESTORED_ENTRY_MALFORMED(why=reason)
 
     async def _open_peer_socket(self) -> None:
         peers = self.configuration.get("peers") or []
-        everyone = self.configuration.get("peers_all")
+        all_peers_address = self.configuration.get("peers_all")
         _, self.peers = await self.loop.create_datagram_endpoint(
-            lambda: datagrams.Datagrams(peers, everyone, self._receive_from_peer),
+            lambda: datagrams.Datagrams(peers, all_peers_address, self._receive_from_peer),
             local_addr=datagrams.address(self.configuration["peer_listen"]),
         )
 
@@ -249,17 +259,18 @@
         """Read the configuration files again; see `Reloader`."""
         self.reloader.reload()
 
-    def _take_configuration(self, new: dict[str, Any]) -> None:
-        has_new_address = new["discovery"] != self.configuration["discovery"]
-        self.configuration = new
+    def _apply_configuration(self, new_configuration: dict[str, Any]) -> None:
+        has_new_address = new_configuration["discovery"] != self.configuration["discovery"]
+        self.configuration = new_configuration
         if has_new_address:
             self.registry_client.address_changed()
 
     def stop(self) -> None:
-        """Accept no more, decide what was received, write what is ordered, and let the process end.
+        """Stop the server: run a last control cycle on the events received, then close all connections.
 
-        From here on nothing is dialed, watched, reloaded or due; a peer that reads nothing holds it up for
-        LINGER_TIMEOUT_S at most.
+        From the call on, the server accepts and opens no connections, reloads nothing and handles no
+        deadlines. `stopped` is set once all streams have received what was written to them, but
+        LINGER_TIMEOUT_S later at the latest, so that a peer that reads nothing can't delay the end.
         """
         if self.is_stopping:
             return
@@ -273,13 +284,13 @@
         try:
             self.outgoing_calls.close_all(ConnectionEnd.STOPPING)
             if self.cycle_scheduler.is_started and self.control_cycle.events:
-                # a drain that was received is carried out, though no cycle is due
+                # An endpoint's drain that was received is passed on to the proxies, even if no cycle is due.
                 self.cycle_scheduler.run_cycle()
             if self.optional_features is not None:
                 self.optional_features.close()
             if self.peers is not None and self.peers.transport is not None:
                 self.peers.transport.close()
-        finally:  # whatever fails in it, the streams get what was written
+        finally:  # even if the last cycle fails, the streams receive what was written to them
             self.acceptor.stop(self._finish_stop)
 
     def _finish_stop(self) -> None:
@@ -287,15 +298,15 @@
             self.acceptor.abort_lingering()
             self.stopped.set_result(None)
 
-    # --- reports ---
+    # Reports
 
     def report_loop_failure(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Log what failed in a callback of the loop; the server goes on."""
+        """Log and count an exception in a callback of the event loop; the server goes on."""
         self.counters["calls_failed"] += 1
         log_events.CALLBACK_FAILED.with_traceback(context.get("exception"), text=str(context.get("message")))
 
     def report_counters(self) -> None:
-        """Log how much is in use now, and all counters."""
+        """Log the numbers of connections, calls, endpoints and deadlines in use, and all counters."""
         usage = {
             "connections": len(self.connections),
             "proxies": len(self.acceptor.streams),
@@ -316,9 +327,20 @@
     read_operator: "Callable[[], Operator] | None" = None,
     log: "Sink | None" = None,
 ) -> None:
-    """Run a server until it has stopped; the functions read the configuration files anew at each SIGHUP.
-
-    Raises RuntimeError where an optional part can't go on.
+    """Run a server until it has stopped.
+
+    Args:
+        configuration: A configuration that `configuration.check` has accepted.
+        read_configuration: Function that reads the configuration file; called at each SIGHUP.
+        clock: Function that returns the time in microseconds.
+        counters_every_us: Interval between log lines with the counters; 0 for none.
+        operator: The operator file's tables, or None without an operator file.
+        read_operator: Function that reads the operator file; called at each SIGHUP.
+        log: The log sink, whose format a reload of the operator file may change.
+
+    Raises:
+        OSError: An address can't be listened at.
+        RuntimeError: An optional feature failed in a way that the server can't continue after.
     """
     loop = asyncio.get_running_loop()
     server = ControlPlaneServer(configuration, loop, clock)
@@ -352,13 +374,16 @@
 ) -> None:
     from ravenshelf.process.operations.composer import Operations
 
-    parts = Operations(operator, server, random.Random())
-    server.optional_features = parts
+    operations = Operations(operator, server, random.Random())
+    server.optional_features = operations
 
-    def take_operator(new: "Operator") -> None:
+    def apply_operator(new_operator: "Operator") -> None:
         if log is not None:
-            log.form = new.log.format
-        parts.reload(new, lambda changed: log_events.OPERATOR_CONFIGURATION_RELOADED(changed=changed))
+            log.line_format = new_operator.log.format
+        operations.reload(
+            new_operator,
+            lambda changed_tables: log_events.OPERATOR_CONFIGURATION_RELOADED(changed=changed_tables),
+        )
 
     server.reloader.read_operator = read_operator
-    server.reloader.take_operator = take_operator
+    server.reloader.apply_operator = apply_operator
--- a/ravenshelf/process/controller.py
+++ b/ravenshelf/process/controller.py
@@ -1,4 +1,4 @@
-"""A service owner's process: leases, the services that these grant, their decisions and publication."""
+"""A service owner's process: its leases, and the decisions and publication for the leased services."""
 
 import asyncio
 import random
@@ -19,22 +19,30 @@
 from ravenshelf.leadership.service import Leadership
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.process import logs
-from ravenshelf.process.relay import limits
+from ravenshelf.process.relay import distributor_limits
 from ravenshelf.settings import decode_settings
 from ravenshelf.state.counters import Counters
 
 SECOND = 1_000_000  # microseconds
-FOLLOW_INTERVAL = SECOND
+FOLLOW_INTERVAL = SECOND  # between checks of the leases and of the shards to follow
 SEED_BITS = 32
-FAREWELL_TIME = 0.1  # seconds for the messages that release leases
+LEASE_RELEASE_TIME = 0.1  # seconds in which the messages that release the leases can be sent before the exit
 EXIT_FAILED = 1
 
 
 class OwnerProcess:
-    """One of the controllers that share the services of a file."""
+    """A service owner: one of the controllers that share the services of a services file.
+
+    Args:
+        configuration: A configuration that `configuration.check` has accepted.
+        operator: The operator file's tables.
+        loop: The event loop that the process runs in.
+
+    Raises:
+        ServicesFileError: The services file can't be read or is not valid.
+    """
 
     def __init__(self, configuration: dict, operator: Operator, loop: asyncio.AbstractEventLoop):
-        """Reads the services; raises ServicesFileError."""
         table = operator.distribution
         settings = decode_settings(configuration["settings"])
         self.file = Path(table.services)
@@ -49,7 +57,8 @@
         )
         shards = operator.leadership.shards
         self.leases = LeasedServices(self.leadership.member, self.leadership.names, clock, shards)
-        self.leadership.adapter = cast(Any, self.leases)  # has the calls of Leadership, but not its class
+        # LeasedServices has the methods that Leadership calls on its adapter, but is not a subclass of it.
+        self.leadership.adapter = cast(Any, self.leases)
         self.decisions = ServiceDecisions(
             settings, self.services.__getitem__, random_source.getrandbits(SEED_BITS)
         )
@@ -59,7 +68,7 @@
             shards,
             self.decisions.content,
             random_source,
-            limits(table),
+            distributor_limits(table),
             self.decisions.add_load_report,
         )
         self.decisions.attach(self.publisher.owner)
@@ -67,7 +76,14 @@
         self._followed_at = 0
 
     async def start(self) -> str:
-        """Listen, connect to the other controllers, begin the control cycles; return the address."""
+        """Listen, connect to the other controllers and start the control cycles.
+
+        Returns:
+            The address listened at, as host:port.
+
+        Raises:
+            OSError: The address can't be listened at, or a file of the leadership can't be read.
+        """
         address = await self.publisher.start(self.listen)
         await self.leadership.start()
         self.loop.call_soon(self._run_cycle)
@@ -86,7 +102,7 @@
         self.loop.call_later(CYCLE_INTERVAL_US / SECOND, self._run_cycle)
 
     def reload(self) -> None:
-        """Read the services again; a file that can't be used changes nothing."""
+        """Read the services file again; if it is not valid, the previous services stay in force."""
         try:
             services = services_file.read(self.file, self.zones)
         except services_file.ServicesFileError as error:
@@ -100,21 +116,29 @@
         log_events.SERVICES_RELOADED(services=len(self.services))
 
     def stop(self) -> None:
-        """Request the end of the process."""
+        """Let `serve` end the process with exit code 0."""
         self._end("")
 
-    def _end(self, why: str) -> None:
+    def _end(self, reason: str) -> None:
         if not self.ended.done():
-            self.ended.set_result(why)
+            self.ended.set_result(reason)
 
     def close(self) -> None:
-        """Release all leases and end all connections."""
+        """Release all leases and close all connections."""
         self.leadership.close()
         self.publisher.stop()
 
 
 async def serve(configuration: dict, operator: Operator) -> int:
-    """Run a controller until SIGTERM or SIGINT; return the exit code."""
+    """Run a service owner until SIGTERM, SIGINT or a failure.
+
+    Returns:
+        The exit code.
+
+    Raises:
+        OSError: The address can't be listened at, or a file of the leadership can't be read.
+        ServicesFileError: The services file can't be read or is not valid.
+    """
     loop = asyncio.get_running_loop()
     process = OwnerProcess(configuration, operator, loop)
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -124,17 +148,29 @@
     log_events.SERVICE_OWNER_LISTENING(
         name=operator.distribution.name, address=address, services=len(process.services)
     )
-    why = await process.ended
+    reason = await process.ended
     process.close()
-    await asyncio.sleep(FAREWELL_TIME)
-    if why:
-        log_events.DISTRIBUTION_FAILED(why=why)
+    await asyncio.sleep(LEASE_RELEASE_TIME)
+    if reason:
+        log_events.DISTRIBUTION_FAILED(why=reason)
         return EXIT_FAILED
     return 0
 
 
 def run(configuration: dict, operator: Operator, level: str) -> int:
-    """Run the controller of the operator file; return the exit code. Raises ServicesFileError."""
+    """Run the service owner that the operator file configures, with its log and event loop.
+
+    Args:
+        configuration: A configuration that `configuration.check` has accepted.
+        operator: The operator file's tables.
+        level: Lowest level of log lines.
+
+    Returns:
+        The exit code.
+
+    Raises:
+        ServicesFileError: The services file can't be read or is not valid.
+    """
     sink = logs.start(level, operator.log.format)
     try:
         code = uvloop.run(serve(configuration, operator))
--- a/ravenshelf/process/cycle_scheduling.py
+++ b/ravenshelf/process/cycle_scheduling.py
@@ -1,4 +1,4 @@
-"""When control cycles run, and what becomes of their commands."""
+"""Scheduling of control cycles and execution of their commands."""
 
 import time
 from collections.abc import Callable
@@ -9,15 +9,22 @@
 from ravenshelf.process.timers import Timers
 from ravenshelf.state.counters import Counters
 
-RETRY_DELAY_US = (
-    250_000  # after a cycle whose controller failed: a failure at every start must not fill a core
-)
+# Delay of the next cycle after one whose controller failed. Without it, a controller that fails at every
+# start would keep a CPU core busy.
+RETRY_DELAY_US = 250_000
 
 
 class CycleScheduler:
-    """Runs a control cycle a tick after the last one, as soon as there are events.
+    """Scheduler that runs a control cycle when there are events, at most one per tick.
 
-    `write(proxy, message, marker)` puts a message on a proxy's stream; `execute` carries out other commands.
+    Args:
+        control_cycle: The control cycle to run.
+        timers: Deadlines of the server, for the next cycle.
+        clock: Function that returns the time in microseconds.
+        counters: Counters of delays and durations; those of accepted connections are read.
+        tick_us: Minimum time from the start of one cycle to the start of the next.
+        write: Function that writes a message with a marker, or None, to a proxy's stream.
+        execute: Function that carries out a command that is not a message to a proxy.
     """
 
     def __init__(
@@ -38,56 +45,60 @@
         self.write = write
         self.execute = execute
         self.is_started = False
-        self.is_stopping = False  # commands are not carried out any more
+        self.is_stopping = False  # if set, cycles write messages but carry out no other commands
         self.last_cycle_at = 0
         self.due_at = 0
-        self.connections_accepted = 0  # until the last cycle
+        self.connections_accepted = 0  # total at the end of the last cycle
 
     def start(self) -> None:
-        """Give the controller the restored list and run the first cycle."""
+        """Pass the restored endpoint list to the controller and run the first cycle."""
         self.control_cycle.begin()
         self.is_started = True
         self.due_at = self.clock()
         self.run_cycle()
 
     def request(self) -> None:
-        """Have a cycle run, a tick after the last one at the earliest."""
+        """Schedule a cycle, a tick after the last one at the earliest, unless one is already scheduled."""
         if self.is_started and ServerDeadline.CONTROL_CYCLE not in self.timers.deadlines:
             self.due_at = max(self.clock(), self.last_cycle_at + self.tick_us)
             self.timers.set(ServerDeadline.CONTROL_CYCLE, self.due_at)
 
     def is_due(self) -> bool:
-        """Return whether events wait for a cycle whose time has come."""
+        """Return whether a scheduled cycle is due and has not run yet."""
         at = self.timers.deadlines.time_of(ServerDeadline.CONTROL_CYCLE)
         return at is not None and at <= self.clock()
 
     def run_cycle(self) -> None:
-        """Hand all events to the controller, write its messages and carry out its other commands."""
+        """Run a cycle now: write the controller's messages and carry out its other commands.
+
+        If the controller fails, the next cycle is scheduled RETRY_DELAY_US from now.
+        """
         now = self.clock()
         lateness_us = now - self.due_at
         self.counters.record_maximum("loop_lag_max_us", lateness_us)
         self.last_cycle_at = now
-        began = time.perf_counter_ns()
-        ordered = self.control_cycle.run(now, self.write)
-        if ordered is None:
+        start_ns = time.perf_counter_ns()
+        cycle_commands = self.control_cycle.run(now, self.write)
+        if cycle_commands is None:
             self.due_at = now + RETRY_DELAY_US
             self.timers.deadlines.set(ServerDeadline.CONTROL_CYCLE, self.due_at)
-        elapsed_us = (time.perf_counter_ns() - began) // 1000
+        elapsed_us = (time.perf_counter_ns() - start_ns) // 1000
         self._leave_time_for_accepts(now)
         self.counters.record_maximum("control_cycle_max_us", elapsed_us)
         if self.control_cycle.cycle_observer is not None:
             self.control_cycle.cycle_observer.on_control_cycle(lateness_us, elapsed_us)
         if not self.is_stopping:
-            for command in ordered or ():
+            for command in cycle_commands or ():
                 self.execute(command)
 
-    def _leave_time_for_accepts(self, began_at: int) -> None:
-        """Put the next cycle off by this one's length while connections come.
+    def _leave_time_for_accepts(self, cycle_started_at: int) -> None:
+        """Postpone the next cycle by the duration of this one if connections were accepted since the last.
 
-        The loop accepts one connection a turn, and hundreds may come at once; with a cycle between each two,
-        proxies waited 6 s to join. The price: events wait for a cycle's length longer.
+        The event loop accepts one connection per iteration, and hundreds may arrive at once. With a cycle
+        between every two of them, proxies waited 6 s to join. In return, events wait longer by the duration
+        of a cycle.
         """
-        before = self.connections_accepted
+        previously_accepted = self.connections_accepted
         self.connections_accepted = self.counters["accepted"]
-        if before != self.connections_accepted:
-            self.last_cycle_at = max(began_at, 2 * self.clock() - began_at - self.tick_us)
+        if previously_accepted != self.connections_accepted:
+            self.last_cycle_at = max(cycle_started_at, 2 * self.clock() - cycle_started_at - self.tick_us)
--- a/ravenshelf/process/deadline_keys.py
+++ b/ravenshelf/process/deadline_keys.py
@@ -1,4 +1,4 @@
-"""What each deadline of the control-plane server is for; optional parts use tuples of their own as keys."""
+"""Keys of the control-plane server's deadlines; optional features use tuples of their own as keys."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -8,28 +8,31 @@
 
 
 class ServerDeadline(Enum):
-    """Deadlines of which the server has one each."""
+    """Keys of the deadlines of which the server has at most one each."""
 
     CONTROL_CYCLE = "control cycle"
-    WATCH = "watch"  # a watch of the endpoint registry is due
-    RELOAD = "reload"  # the configuration is read once more
-    COUNTERS = "counters"  # they are printed
+    WATCH = "watch"  # a new watch of the endpoint registry is opened
+    RELOAD = "reload"  # a configuration file that could not be used is read again
+    COUNTERS = "counters"  # the counters are logged
 
 
 class ControllerTimer(NamedTuple):
-    """A timer that the controller started: when it expires, and the controller's key."""
+    """Key of a timer that the controller started: when it expires, and the controller's own key."""
 
     at: int
     key: str
 
 
 class CallTimeout(NamedTuple):
-    """The end of a silent outgoing call; the call itself, for its slot may be another's by then."""
+    """Key of the deadline at which a silent outgoing call is closed.
+
+    It holds the call and not its slot number, because the slot may belong to another call by then.
+    """
 
     call: HttpCall
 
 
 class ConnectionTimeout(NamedTuple):
-    """The end of an accepted connection that says nothing."""
+    """Key of the deadline at which a silent accepted connection is closed."""
 
     connection: AcceptedConnection
--- a/ravenshelf/process/health_checks.py
+++ b/ravenshelf/process/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: one result for each, from /_load where endpoints report load, else from /ping."""
+"""Health checks of endpoints: a request for /_load if endpoints report their load, otherwise for /ping."""
 
 from collections.abc import Callable
 
@@ -12,11 +12,20 @@
 from ravenshelf.state.endpoint_registry import EndpointRegistry
 
 DEFAULT_DIAL_TIMEOUT_US = 250_000
-ANSWER_TIMEOUT_US = 1_000_000  # beyond the dial
+RESPONSE_TIMEOUT_US = 1_000_000  # added to the dial timeout
 
 
 class HealthChecks:
-    """Runs health checks and publishes their results; `clock` gives microseconds."""
+    """Runner of health checks that publishes one HealthCheckCompleted for each.
+
+    Args:
+        settings: Settings of the deployment: whether health checks are allowed, timeouts, load columns.
+        registry: Endpoints as last listed, for their addresses.
+        counters: Counters of health checks.
+        calls: Opener of the HTTP calls.
+        publish: Function that is called with each result.
+        clock: Function that returns the time in microseconds.
+    """
 
     def __init__(
         self,
@@ -28,7 +37,7 @@
         clock: Callable[[], int],
     ):
         self.is_allowed = settings.limits.health_checks_allowed
-        self.timeout_us = (settings.limits.dial_timeout_us or DEFAULT_DIAL_TIMEOUT_US) + ANSWER_TIMEOUT_US
+        self.timeout_us = (settings.limits.dial_timeout_us or DEFAULT_DIAL_TIMEOUT_US) + RESPONSE_TIMEOUT_US
         self.has_load = settings.telemetry.source != "none"
         self.columns = settings.telemetry.columns
         self.registry = registry
@@ -38,7 +47,11 @@
         self.clock = clock
 
     def begin(self, endpoint: int) -> None:
-        """Check one endpoint; one without an address fails at once."""
+        """Start a health check of an endpoint.
+
+        If the endpoint has no address, the check fails at once. If the settings allow no health checks,
+        nothing is sent or published.
+        """
         address = self.registry.addresses.get(endpoint)
         if not self.is_allowed or address is None:
             self.counters["health_checks_not_sent"] += 1
@@ -46,21 +59,21 @@
                 self.publish(HealthCheckCompleted(endpoint, False, 0, ()))
             return
         self.counters["health_checks_sent"] += 1
-        began = self.clock()
+        started_at = self.clock()
         path = "/_load" if self.has_load else "/ping"
         self.calls.open(
             path,
-            lambda call: self._ended(call, endpoint, began),
+            lambda call: self._publish_result(call, endpoint, started_at),
             None,
             self.timeout_us,
             address,
         )
 
-    def _ended(self, call: HttpCall, endpoint: int, began: int) -> None:
+    def _publish_result(self, call: HttpCall, endpoint: int, started_at: int) -> None:
         assert call.end is not None
         if outcome(HEALTH_CHECK, call.end) is None:
             return
         has_succeeded = call.end is ConnectionEnd.ANSWERED
         text = call.body.decode("utf-8", "replace").strip() if has_succeeded and self.has_load else ""
         load = load_report(named_values(text, "="), self.columns)
-        self.publish(HealthCheckCompleted(endpoint, has_succeeded, self.clock() - began, load))
+        self.publish(HealthCheckCompleted(endpoint, has_succeeded, self.clock() - started_at, load))
--- a/ravenshelf/process/logs.py
+++ b/ravenshelf/process/logs.py
@@ -1,4 +1,4 @@
-"""Log lines on standard error: bounded in rate, written by a thread so that a full pipe blocks nothing."""
+"""The log on standard error: limited in rate, written by a thread so that a full pipe blocks nothing else."""
 
 import json
 import queue
@@ -16,73 +16,86 @@
 
 __all__ = ["LEVELS", "Sink", "start"]
 LINES_PER_SECOND = 20
-BURST = 200  # lines at once
+BURST_LINES = 200  # lines that may be written at once
 QUEUE_LINES = 1000
-ERROR_NUMBER = 40  # of loguru's levels: from here on lines are written beyond the rate, too
-# seconds for the last lines; with the 0.25 that streams may take, well within the 0.7 until SIGKILL
+ERROR_LEVEL = 40  # loguru's number of the level ERROR; such lines are written even if they exceed the rate
+# At the end of the process, the queued lines have this many seconds to be written. Together with the 0.25 s
+# that streams have at a stop, it is well below the 0.7 s between SIGTERM and SIGKILL.
 FLUSH_TIMEOUT = 0.15
 
 
 class Sink:
-    """Takes loguru's messages and passes lines to `out` in a thread.
+    """Sink for loguru that formats messages, limits their rate and writes them in a thread.
 
-    `form` is "text" or "json"; it may change while the log is written. It must have no method `write`: loguru
-    would take it for a file and call that, past the rate and the thread.
+    The class must have no method `write`. Otherwise loguru would treat the sink as a file and call that
+    method, which would bypass the rate limit and the thread.
+
+    Args:
+        out: Function that writes a line; called in the thread.
+        line_format: "text" or "json".
     """
 
-    def __init__(self, out: Callable[[str], None], form: str = "text"):
+    def __init__(self, out: Callable[[str], None], line_format: str = "text"):
         self.out = out
-        self.form = form
+        self.line_format = line_format
         self.lines: queue.Queue[str | None] = queue.Queue(QUEUE_LINES)
-        self.lines_left_out = 0
-        self.tokens = float(BURST)
-        self.refilled_at = 0.0  # seconds of the log's own time
+        self.dropped_lines = 0
+        self.tokens = float(BURST_LINES)
+        self.refilled_at = 0.0  # time of the last message, in seconds; 0 before the first
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
     def __call__(self, message: Any) -> None:
-        """Queue a message of loguru's, or count it as left out."""
+        """Queue a message of loguru, or drop it and count it if the rate is exceeded or the queue is full."""
         self._refill(message.record["time"].timestamp())
-        if self.tokens < 1 and message.record["level"].no < ERROR_NUMBER:
-            self.lines_left_out += 1
+        if self.tokens < 1 and message.record["level"].no < ERROR_LEVEL:
+            self.dropped_lines += 1
             return
         self.tokens = max(0.0, self.tokens - 1)
         try:
             self.lines.put_nowait(self._line(message))
-            self.lines_left_out = 0
+            self.dropped_lines = 0
         except queue.Full:
-            self.lines_left_out += 1
+            self.dropped_lines += 1
 
     def _refill(self, at: float) -> None:
         if self.refilled_at:
             elapsed = max(0.0, at - self.refilled_at)
-            self.tokens = min(BURST, self.tokens + elapsed * LINES_PER_SECOND)
+            self.tokens = min(BURST_LINES, self.tokens + elapsed * LINES_PER_SECOND)
         self.refilled_at = at
 
     def _line(self, message: Any) -> str:
-        if self.form == "json":
-            return as_json(message.record, self.lines_left_out)
-        if self.lines_left_out:
-            return f"({self.lines_left_out} lines left out) {message}"
+        if self.line_format == "json":
+            return as_json(message.record, self.dropped_lines)
+        if self.dropped_lines:
+            return f"({self.dropped_lines} lines left out) {message}"
         return str(message)
 
     def _run(self) -> None:
         while (text := self.lines.get()) is not None:
-            with suppress(OSError, ValueError):  # nobody reads; the server goes on
+            with suppress(OSError, ValueError):  # the output may be closed; the server runs on without a log
                 self.out(text)
 
     def finish(self, seconds: float) -> None:
-        """Write what is queued, for so long at most."""
-        until = time.monotonic() + seconds
+        """Write the queued lines and end the thread, waiting for `seconds` at most."""
+        deadline = time.monotonic() + seconds
         try:
             self.lines.put(None, timeout=seconds)
         except queue.Full:
             return
-        self.thread.join(max(0.0, until - time.monotonic()))
+        self.thread.join(max(0.0, deadline - time.monotonic()))
+
 
+def as_json(record: dict[str, Any], dropped_lines: int = 0) -> str:
+    """Return a log record as a line with a JSON object.
 
-def as_json(record: dict[str, Any], lines_left_out: int = 0) -> str:
-    """Return a record as one object: its time, level, the event's stable name, its fields, its words."""
+    The object has the time, the level, the name of the log event, the event's fields and the message. It also
+    has the traceback of an exception and the number of dropped lines, if there are any.
+
+    Args:
+        record: A record of loguru.
+        dropped_lines: Number of lines dropped since the last line that was written.
+    """
     fields = {
         "at": record["time"].astimezone(UTC).isoformat(timespec="milliseconds"),
         "level": record["level"].name,
@@ -93,10 +106,10 @@
     if record["exception"] is not None:
         from traceback import format_exception
 
-        raised = record["exception"]
-        fields["trace"] = "".join(format_exception(raised.type, raised.value, raised.traceback))
-    if lines_left_out:
-        fields["left_out"] = lines_left_out
+        exception = record["exception"]
+        fields["trace"] = "".join(format_exception(exception.type, exception.value, exception.traceback))
+    if dropped_lines:
+        fields["left_out"] = dropped_lines
     return json.dumps(fields, default=str) + "\n"
 
 
@@ -105,9 +118,18 @@
     sys.stderr.flush()
 
 
-def start(level: str, form: str = "text", write: Callable[[str], None] | None = None) -> Sink:
-    """Send the log, from `level` on, to standard error or to `write`."""
-    sink = Sink(write or _write_to_stderr, form)
+def start(level: str, line_format: str = "text", write: Callable[[str], None] | None = None) -> Sink:
+    """Start logging, in place of loguru's default output.
+
+    Args:
+        level: Lowest level of log lines.
+        line_format: "text" or "json".
+        write: Function that writes a line; default: write to standard error.
+
+    Returns:
+        The sink; `Sink.finish` writes the remaining lines at the end.
+    """
+    sink = Sink(write or _write_to_stderr, line_format)
     logger.remove()
     logger.add(sink, level=level, format="{time:HH:mm:ss.SSS} {level} {message}", catch=True)
     return sink
--- a/ravenshelf/process/operations/__init__.py
+++ b/ravenshelf/process/operations/__init__.py
@@ -1,6 +1,5 @@
-"""What an operator file turns on beside table updates: metrics, host loads of collectd, leases, a
-subscription.
+"""Features that an operator file turns on: metrics export, collectd host loads, leases, a subscription.
 
-Nothing is imported that the file leaves off, and nothing delays a control cycle: timers of the parts run
-after those of the server, and their work runs in background jobs.
+Modules of a feature that is off are not imported. The features do not delay control cycles: their timers run
+after those of the server, and their work is done in background jobs.
 """
--- a/ravenshelf/process/operations/collectd_signals.py
+++ b/ravenshelf/process/operations/collectd_signals.py
@@ -1,4 +1,4 @@
-"""Gives the controller host loads of collectd's values."""
+"""Load signals from collectd: the values of its packets become host loads for the controller."""
 
 from __future__ import annotations
 
@@ -21,11 +21,17 @@
 
 USERS_TIMER = "users"
 USERS_CHECK_INTERVAL = 10 * SECOND
-NO_VERSION = -1  # of the endpoint list
+NO_LIST_VERSION = -1  # lower than any version of the endpoint list
 
 
 class CollectdSignals:
-    """Off without an address to listen at."""
+    """Listener for collectd's packets; it is off if the operator file has no address to listen at.
+
+    Args:
+        operator: The operator file's tables.
+        server: The server whose controller gets the host loads.
+        background: Scheduler of the background jobs that read the password file.
+    """
 
     def __init__(
         self, operator: Operator, server: ControlPlaneServer, background: BackgroundScheduler
@@ -36,11 +42,16 @@
         self.listener: CollectdListener | None = None
         self.users_modified_at: float = 0.0
         self.endpoints_by_host: dict[str, tuple[int, ...]] = {}
-        self.endpoints_version = NO_VERSION
+        self.endpoints_version = NO_LIST_VERSION
         self.reloads: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen if there is an address."""
+        """Listen for packets if the operator file has an address to listen at.
+
+        Raises:
+            OSError: The address can't be listened at, or the types file can't be read.
+            UsersFileError: The password file can't be read or is not valid.
+        """
         if self.table.listen:
             await self._listen()
 
@@ -51,14 +62,14 @@
 
         table = self.table
         server = self.server
-        known_users = users.Users(users.load(table.users) if table.users else {})
+        configured_users = users.Users(users.load(table.users) if table.users else {})
         types_text = types.BUILT_IN_TYPES
         if table.types:
             types_text = Path(table.types).read_text(encoding="utf-8")
         parsed_types = types.parse(types_text, table.types or "types.db")
         listener = CollectdListener(
             table,
-            known_users,
+            configured_users,
             HostLoads(self.endpoints_of, parsed_types, server.counters),
             self.background,
             server.counters,
@@ -74,12 +85,13 @@
         if table.users:
             self._schedule_users_check(server.clock())
 
-    # --- endpoints of a host ---
+    # Endpoints of a host
 
     def endpoints_of(self, host: str) -> tuple[int, ...]:
-        """Return the listed endpoints on a host of collectd.
+        """Return the indices of the listed endpoints on a host, which is named as collectd names it.
 
-        The operator file names the host of an endpoint; otherwise it is the endpoint's name or its address.
+        The operator file may name the host of an endpoint. Otherwise the endpoint is on the host whose name
+        equals the endpoint's name or the host of its address.
         """
         if self.endpoints_version != self.server.registry.version:
             self._update_endpoints()
@@ -89,23 +101,26 @@
 
     def _update_endpoints(self) -> None:
         registry = self.server.registry
-        by_host: dict[str, list[int]] = {}
+        indices_by_host: dict[str, list[int]] = {}
         for index in registry.entries:
             name = registry.names[index]
-            configured = [host for host, names in self.table.hosts.items() if name in names]
+            configured_hosts = [host for host, names in self.table.hosts.items() if name in names]
             endpoint_address = registry.addresses.get(index, "").rpartition(":")[0]
-            for host in configured or {name, endpoint_address} - {""}:
-                by_host.setdefault(host, []).append(index)
-        self.endpoints_by_host = {host: tuple(indices) for host, indices in by_host.items()}
+            for host in configured_hosts or {name, endpoint_address} - {""}:
+                indices_by_host.setdefault(host, []).append(index)
+        self.endpoints_by_host = {host: tuple(indices) for host, indices in indices_by_host.items()}
         self.endpoints_version = registry.version
 
-    # --- users ---
+    # Users
 
     def _schedule_users_check(self, now: int) -> None:
         self.server.timers.set((USERS_TIMER,), now + USERS_CHECK_INTERVAL)
 
     def check_users(self, now: int) -> None:
-        """Read the password file in the background if it has changed: collectd needs no signal either."""
+        """Have the password file read in the background if it has changed, and schedule the next check.
+
+        The file is polled because collectd does not require a signal after a change of it either.
+        """
         self._schedule_users_check(now)
         self.background.offer(
             "collectd.users", Priority.UPKEEP, USERS_CHECK_INTERVAL, self._read_users(), is_perishable=True
@@ -120,34 +135,37 @@
             if modified_at == self.users_modified_at:
                 return
             yield
-            known_users = users.load(file)
+            passwords = users.load(file)
             self.users_modified_at = modified_at
             if self.listener is not None:
-                self.listener.users.update(known_users, self.server.clock())
-                log_events.COLLECTD_USERS_LOADED(users=len(known_users))
+                self.listener.users.update(passwords, self.server.clock())
+                log_events.COLLECTD_USERS_LOADED(users=len(passwords))
         except (OSError, users.UsersFileError) as error:
             log_events.COLLECTD_USERS_REJECTED(why=str(error))
 
-    # --- reload ---
+    # Reload
 
     def reload(self, previous: Operator, current: Operator) -> None:
-        """Listen anew if the table changed, otherwise read a changed password file."""
+        """Replace the listener if the table `[collectd]` changed, otherwise read a changed password file.
+
+        The new listener opens in a task of the event loop.
+        """
         self.table = current.collectd
         if previous.collectd != current.collectd:
-            self.endpoints_version = NO_VERSION
+            self.endpoints_version = NO_LIST_VERSION
             self.endpoints_by_host = {}
-            task = self.server.loop.create_task(self._listen_anew())
+            task = self.server.loop.create_task(self._replace_listener())
             self.reloads.add(task)
             task.add_done_callback(self.reloads.discard)
         elif self.table.users and self.listener is not None:
             self.check_users(self.server.clock())
 
-    async def _listen_anew(self) -> None:
-        """Replace the listener; what it learnt of the hosts stays if the types are the same."""
-        former = self.listener
+    async def _replace_listener(self) -> None:
+        """Replace the listener; the state of the hosts is kept if the types file is the same."""
+        former_listener = self.listener
         self.listener = None
-        if former is not None:
-            former.close()
+        if former_listener is not None:
+            former_listener.close()
         if not self.table.listen:
             self.server.timers.cancel((USERS_TIMER,))
             return
@@ -156,15 +174,15 @@
         except OSError as error:
             log_events.OPERATOR_CONFIGURATION_REJECTED(why=f"[collectd] listen: {error}")
             return
-        if former is not None and former.table.types == self.table.types:
-            self._keep_hosts(former)
+        if former_listener is not None and former_listener.table.types == self.table.types:
+            self._restore_hosts(former_listener)
 
-    def _keep_hosts(self, former: CollectdListener) -> None:
+    def _restore_hosts(self, former_listener: CollectdListener) -> None:
         if self.listener is not None:
-            self.listener.host_loads.hosts = former.host_loads.hosts
+            self.listener.host_loads.hosts = former_listener.host_loads.hosts
 
     def measurements(self) -> Measurements:
-        """Return the packets and values since the start."""
+        """Return the totals of packets and values since the start; nothing if there is no listener."""
         if self.listener is None:
             return Measurements({}, {})
         from ravenshelf.graphite import metrics
--- a/ravenshelf/process/operations/composer.py
+++ b/ravenshelf/process/operations/composer.py
@@ -1,4 +1,4 @@
-"""Starts, reloads and closes the parts that an operator file turns on."""
+"""Construction, start, reload and end of the features that an operator file turns on."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 BACKGROUND_TIMER = "background"
 MILLISECOND = 1000  # microseconds
-RESTART_TABLES = ("distribution", "leadership", "store")
+RESTART_TABLES = ("distribution", "leadership", "store")  # changes take effect only after a restart
 
 
 def job_queue(table: Background) -> JobQueue:
@@ -36,7 +36,13 @@
 
 
 class Operations:
-    """All parts of one server; has to be made before the server accepts connections."""
+    """All optional features of a server; must be created before the server accepts connections.
+
+    Args:
+        operator: The operator file's tables.
+        server: The server that the features extend.
+        random_source: Source of the features' random choices.
+    """
 
     TIMERS = frozenset([BACKGROUND_TIMER, INTERVAL_TIMER, RECEIVER_TIMER, USERS_TIMER])
 
@@ -80,19 +86,23 @@
         self.server.timers.set((BACKGROUND_TIMER,), time)
 
     async def start(self) -> None:
-        """Start the parts, leases first."""
-        parts: tuple[OperatorFeature | None, ...] = (
+        """Start the features, leases first.
+
+        Raises:
+            OSError: An address can't be listened at, or a file can't be read.
+        """
+        features: tuple[OperatorFeature | None, ...] = (
             self.leases,
             self.subscription,
             self.metrics,
             self.collectd,
         )
-        for part in parts:
-            if part is not None:
-                await part.start()
+        for feature in features:
+            if feature is not None:
+                await feature.start()
 
     def run_due(self, key: TimerKey, now: int) -> None:
-        """Handle one of the TIMERS."""
+        """Handle a timer whose key starts with one of TIMERS; `now` is in microseconds."""
         if key[0] == BACKGROUND_TIMER:
             self.background.run_turn()
         elif key[0] == USERS_TIMER:
@@ -101,34 +111,38 @@
             self.metrics.run_due(key, now)
 
     def reload(self, operator: Operator, done: Callable[[str], None]) -> None:
-        """Use a new operator file as a whole; `done` gets the tables that changed.
+        """Apply a new operator file as a whole.
+
+        A new collectd listener opens in a task of the event loop, after this has returned.
 
-        A new listener opens in a task of the event loop.
+        Args:
+            operator: The new operator file's tables.
+            done: Function that is called with a text that lists the changed tables.
         """
         from ravenshelf.operator_config.keys import changed_tables
 
         previous = self.operator
         self.operator = operator
-        changed = changed_tables(previous, operator)
-        if "background" in changed:
+        table_names = changed_tables(previous, operator)
+        if "background" in table_names:
             self.background.replace_queue(job_queue(operator.background))
-        parts: tuple[OperatorFeature | None, ...] = (self.metrics, self.collectd, self.leases)
-        for part in parts:
-            if part is not None:
-                part.reload(previous, operator)
+        features: tuple[OperatorFeature | None, ...] = (self.metrics, self.collectd, self.leases)
+        for feature in features:
+            if feature is not None:
+                feature.reload(previous, operator)
         for table in RESTART_TABLES:
-            if table in changed and (table == "distribution" or self.leases is not None):
+            if table in table_names and (table == "distribution" or self.leases is not None):
                 log_events.RESTART_REQUIRED(table=table)
-        done(", ".join(f"[{table}]" for table in changed) or "nothing changed")
+        done(", ".join(f"[{table}]" for table in table_names) or "nothing changed")
 
     def close(self) -> None:
-        """Close the connections of all parts."""
-        parts: tuple[OperatorFeature | None, ...] = (
+        """Close the connections of all features."""
+        features: tuple[OperatorFeature | None, ...] = (
             self.subscription,
             self.leases,
             self.metrics,
             self.collectd,
         )
-        for part in parts:
-            if part is not None:
-                part.close()
+        for feature in features:
+            if feature is not None:
+                feature.close()
--- a/ravenshelf/process/operations/feature.py
+++ b/ravenshelf/process/operations/feature.py
@@ -1,5 +1,4 @@
-"""The interfaces between the control-plane server, the parts that an operator file turns on, and their
-composer."""
+"""Interfaces between the control-plane server, the features of an operator file, and their composer."""
 
 from __future__ import annotations
 
@@ -11,27 +10,27 @@
 
 SECOND = 1_000_000  # microseconds
 TimerKey = tuple[Any, ...]
-"""The name of a timer of the server and, where there are several, whose it is."""
+"""Key of a server timer: the timer's name, followed by its owner if there are several of that name."""
 
 
 class Measurements(NamedTuple):
-    """Values of one part: `levels` are exported as they are, `totals` as their rate per second."""
+    """Values measured by one feature: `levels` are exported unchanged, `totals` as rates per second."""
 
     levels: dict[Metric, float]
     totals: dict[Metric, float]
 
 
 class OperatorFeature(Protocol):
-    """One part: it is started once, and does what the present operator file says."""
+    """A feature that an operator file turns on; it is started once and may then be reloaded."""
 
     async def start(self) -> None:
-        """Start what the operator file turns on."""
+        """Start the feature, if the operator file turns it on."""
 
     def reload(self, previous: Operator, current: Operator) -> None:
-        """Use a new operator file."""
+        """Apply a new operator file in place of the previous one."""
 
     def measurements(self) -> Measurements:
-        """Return values for the metrics export, which is on."""
+        """Return the feature's values for the metrics export; called only if metrics are exported."""
 
     def close(self) -> None:
-        """Close connections."""
+        """Close all connections of the feature."""
--- a/ravenshelf/process/operations/leases.py
+++ b/ravenshelf/process/operations/leases.py
@@ -17,11 +17,19 @@
 if TYPE_CHECKING:
     from ravenshelf.process.control_plane import ControlPlaneServer
 
-WARM_UP_MEMORY = 60 * SECOND  # endpoints that started before are not warming up any more
+WARM_UP_MEMORY = 60 * SECOND  # an endpoint that started longer ago than this is not warming up any more
 
 
 class Leases:
-    """Has to be made before proxies connect: they are owned or not from the first."""
+    """This server's leases; restricts the server to the proxies whose shards it holds.
+
+    It must be created before proxies connect, because the admission gate must apply from their first message.
+
+    Args:
+        operator: The operator file's tables.
+        server: The server, which gets the admission gate.
+        random_source: Source of the random choices of the leadership.
+    """
 
     def __init__(self, operator: Operator, server: ControlPlaneServer, random_source: random.Random) -> None:
         self.server = server
@@ -69,7 +77,7 @@
         return self.server.registry.version
 
     def _recent_starts(self) -> dict[str, int]:
-        """Return the endpoints that started recently, with the time of their start."""
+        """Return the start times, in microseconds by endpoint name, of endpoints that started recently."""
         since = self.server.clock() - WARM_UP_MEMORY
         registry = self.server.registry
         return {
@@ -79,7 +87,7 @@
         }
 
     def _restore_warm_up(self, starts: Mapping[str, int]) -> None:
-        """Tell the controller of starts that an earlier lease holder knew and our endpoint list does not."""
+        """Deliver start times that the previous lease holder recorded and that are later than the list's."""
         registry = self.server.registry
         restarted = []
         for name, started_at in starts.items():
@@ -91,11 +99,15 @@
             self.server.deliver(EndpointsListed(ListKind.UPDATE, tuple(restarted)))
 
     async def start(self) -> None:
-        """Listen, and connect to the other members."""
+        """Listen, and connect to the other members.
+
+        Raises:
+            OSError: The address can't be listened at, or a certificate can't be read.
+        """
         await self.leadership.start()
 
     def reload(self, previous: Operator, current: Operator) -> None:
-        """Read the certificates, which may have been renewed under the same names."""
+        """Read the certificates again, which may have been renewed under the same file names."""
         del previous, current
         try:
             self.leadership.read_certificates()
@@ -103,7 +115,7 @@
             log_events.CERTIFICATES_REJECTED(why=str(error))
 
     def measurements(self) -> Measurements:
-        """Return the state of the leases, and the records and commits that were written."""
+        """Return the shards, members and waiting commands, and the totals of records and commits."""
         from ravenshelf.graphite import metrics
 
         waiting_commands = sum(len(owned.gate) for owned in self.adapter.owned.values())
@@ -119,5 +131,5 @@
         return Measurements(levels, totals)
 
     def close(self) -> None:
-        """Give up the leases and close the connections."""
+        """Release the leases and close the connections to the other members."""
         self.leadership.close()
--- a/ravenshelf/process/operations/metrics_export.py
+++ b/ravenshelf/process/operations/metrics_export.py
@@ -1,4 +1,4 @@
-"""Exports the server's metrics to Graphite at each interval."""
+"""Export of the server's metrics to Graphite, at each interval."""
 
 from __future__ import annotations
 
@@ -21,13 +21,21 @@
     from ravenshelf.process.control_plane import ControlPlaneServer
 
 INTERVAL_TIMER = "metrics"
-RECEIVER_TIMER = "graphite"  # of each receiver
-MEASURE_WITHIN = 2 * SECOND
-SHORTEST_INTERVAL_S = 1e-3
+RECEIVER_TIMER = "graphite"  # first item of the timer key of each receiver
+MEASUREMENT_DEADLINE = 2 * SECOND  # deadline of the background job that calculates an interval's points
+SHORTEST_INTERVAL_S = 1e-3  # rates are not calculated over a shorter interval
 
 
 class MetricsExport:
-    """Off without receivers; `sources` are asked for their measurements at each interval."""
+    """Exporter of the server's metrics; it is off if the operator file names no receivers.
+
+    Args:
+        operator: The operator file's tables.
+        server: The server that is measured.
+        random_source: Source of the random part of delays.
+        background: Scheduler of the background jobs.
+        sources: Functions that return measurements; each is called once per interval.
+    """
 
     def __init__(
         self,
@@ -48,7 +56,7 @@
         self.previous_at = 0
 
     async def start(self) -> None:
-        """Start the export if there are receivers."""
+        """Start the export if the operator file names receivers."""
         if self.table.receivers:
             self._start()
 
@@ -66,8 +74,8 @@
             self._endpoint_name,
         )
         self.collector.on_event(EndpointsListed(ListKind.RESTORED, server.registry.snapshot()), now)
-        for joined in server.control_cycle.joined.values():
-            self.collector.on_event(joined, now)
+        for join_event in server.control_cycle.join_events.values():
+            self.collector.on_event(join_event, now)
         self.service = GraphiteService(
             self.table,
             self.random_source,
@@ -98,7 +106,7 @@
         self.server.timers.set((INTERVAL_TIMER,), next_boundary)
 
     def run_due(self, key: TimerKey, now: int) -> None:
-        """Handle a timer: close an interval, or do what is due at a receiver."""
+        """Handle a timer: the end of an interval, or a timer of a receiver."""
         if self.service is None:
             return
         if key[0] == INTERVAL_TIMER:
@@ -107,7 +115,7 @@
             self.service.run_due(key[1])
 
     def _measure(self, now: int) -> None:
-        """Close an interval; its points are made in the background and have its boundary as time."""
+        """End an interval and offer the background job that exports its points, timed at its boundary."""
         from ravenshelf.graphite.service import interval_boundary
 
         if self.collector is None:
@@ -122,33 +130,33 @@
         steps = self.collector.close_interval(
             now, self.server.control_cycle.controller, self._samples(now), export
         )
-        self.background.offer("metrics", Priority.PRESENT, MEASURE_WITHIN, steps)
+        self.background.offer("metrics", Priority.PRESENT, MEASUREMENT_DEADLINE, steps)
 
     def _samples(self, now: int) -> list[Sample]:
-        """Return what others measured: levels as they are, totals as rates since the last interval."""
+        """Return the sources' levels unchanged, their totals as rates, and the samples of the receivers."""
         from ravenshelf.graphite.points import Sample
 
         levels: dict[Metric, float] = {}
         totals: dict[Metric, float] = {}
         for source in self.sources:
-            measured = source()
-            levels |= measured.levels
-            totals |= measured.totals
+            measurements = source()
+            levels |= measurements.levels
+            totals |= measurements.totals
         rates = self._rates(totals, now)
         receiver_samples = self.service.samples() if self.service is not None else []
         return [*receiver_samples, *starmap(Sample, levels.items()), *starmap(Sample, rates.items())]
 
     def _rates(self, totals: dict[Metric, float], now: int) -> dict[Metric, float]:
-        previous = self.previous_totals
+        last_totals = self.previous_totals
         seconds = max(SHORTEST_INTERVAL_S, (now - self.previous_at) / SECOND)
         self.previous_totals = totals
         self.previous_at = now
-        if previous is None:
+        if last_totals is None:
             return {}
-        return {metric: (total - previous.get(metric, 0)) / seconds for metric, total in totals.items()}
+        return {metric: (total - last_totals.get(metric, 0)) / seconds for metric, total in totals.items()}
 
     def reload(self, previous: Operator, current: Operator) -> None:
-        """Start, stop or change the export."""
+        """Start, stop or change the export if the table `[graphite]` changed."""
         self.table = current.graphite
         if previous.graphite == current.graphite:
             return
@@ -172,10 +180,10 @@
         self.server.timers.cancel((INTERVAL_TIMER,))
 
     def measurements(self) -> Measurements:
-        """Return nothing: the receivers' queues are measured with their service."""
+        """Return empty measurements, because the receivers' samples are exported by the service itself."""
         return Measurements({}, {})
 
     def close(self) -> None:
-        """Close the connections; points that are queued in memory are lost."""
+        """Close the connections to the receivers; points that are queued in memory are lost."""
         if self.service is not None:
             self.service.close()
--- a/ravenshelf/process/operations/process_metrics.py
+++ b/ravenshelf/process/operations/process_metrics.py
@@ -18,19 +18,19 @@
 
 
 def resident_memory_mb() -> float:
-    """Return the resident memory of this process."""
+    """Return the resident memory of this process in megabytes (10**6 bytes)."""
     with open("/proc/self/statm", "rb") as file:
         resident_pages = int(file.read().split()[1])
     return resident_pages * PAGE_BYTES / BYTES_PER_MB
 
 
 def open_descriptors() -> int:
-    """Return the count of this process's open descriptors."""
+    """Return the number of file descriptors that this process has open."""
     return len(os.listdir("/proc/self/fd"))
 
 
 def process_measurements(server: ControlPlaneServer, background: BackgroundScheduler) -> Measurements:
-    """Return what the system and the server's counters measure."""
+    """Return the process's memory, descriptors and CPU time, and the counters of cycles and jobs."""
     from ravenshelf.graphite import metrics
 
     usage = resource.getrusage(resource.RUSAGE_SELF)
--- a/ravenshelf/process/operations/subscription.py
+++ b/ravenshelf/process/operations/subscription.py
@@ -1,4 +1,4 @@
-"""The subscription to the tables of a service that an owner decides."""
+"""Subscription to the tables of a service, which a service owner decides and publishes."""
 
 from __future__ import annotations
 
@@ -16,8 +16,15 @@
 
 
 class Subscription:
-    """Replaces the server's controller by one that uses the owner's tables; has to be made before the first
-    cycle."""
+    """Subscription that replaces the server's controller by one that uses the service owner's tables.
+
+    It must be created before the first control cycle.
+
+    Args:
+        operator: The operator file's tables.
+        server: The server whose controller is replaced.
+        random_source: Source of the random choices of the distribution.
+    """
 
     def __init__(self, operator: Operator, server: ControlPlaneServer, random_source: random.Random) -> None:
         table = operator.distribution
@@ -31,7 +38,7 @@
             index_of=server.registry.index_by_name.get,
         )
         server.observers.append(self.service)
-        server.control_cycle.decide_with(self.service.make_controller)
+        server.control_cycle.replace_controller(self.service.make_controller)
 
     def _endpoint_name(self, endpoint: int) -> str:
         return self.server.registry.names[endpoint]
@@ -41,12 +48,12 @@
         self.service.start()
 
     def reload(self, previous: Operator, current: Operator) -> None:
-        """Do nothing: a changed table takes effect after a restart."""
+        """Do nothing, because a changed table `[distribution]` takes effect only after a restart."""
 
     def measurements(self) -> Measurements:
-        """Return nothing: relays export the metrics of the distribution."""
+        """Return empty measurements, because the relays export the metrics of the distribution."""
         return Measurements({}, {})
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close the connections to the parents."""
         self.service.stop()
--- a/ravenshelf/process/optional_features.py
+++ b/ravenshelf/process/optional_features.py
@@ -1,4 +1,4 @@
-"""How the parts that an operator configuration turns on join the control-plane server."""
+"""Interfaces between the control-plane server and the features that an operator file turns on."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, Protocol
@@ -6,55 +6,55 @@
 from ravenshelf.policy.events import Event
 from ravenshelf.state.message_part import MessagePart
 
-if TYPE_CHECKING:  # plain serve loads none of it
+if TYPE_CHECKING:  # not loaded by `ravenshelf serve` without an operator file
     from ravenshelf.operator_config.tables import Operator
 
 
 class EventObserver(Protocol):
-    """Is told every event that the controller is told, such as the metrics collector."""
+    """Observer of every event that is delivered to the controller, such as the metrics collector."""
 
     def on_event(self, event: Event, now: int) -> None:
-        """Take an event, at the server's time in microseconds."""
+        """Observe an event, delivered at the server's time `now` in microseconds."""
 
 
 class CycleObserver(Protocol):
-    """Is told what control cycles have done."""
+    """Observer of control cycles and of the messages that they write."""
 
     def on_message(self, proxy: int, parts: list[MessagePart], marker: int | None) -> None:
-        """Take the message that was written to a proxy."""
+        """Observe a message to a proxy, with the marker to acknowledge if it has one."""
 
     def on_control_cycle(self, delay: int, duration: int) -> None:
-        """Take how late a control cycle began and how long it took, in microseconds."""
+        """Observe a control cycle: how late it began and how long it took, in microseconds."""
 
 
 class AdmissionGate(Protocol):
-    """Decides which events come in and which messages leave, where servers share the proxies."""
+    """Filter of incoming events and outgoing messages, for servers that share the proxies."""
 
     def passes(self, event: Event) -> bool:
         """Return whether the event is for this server's controller."""
 
     def apply_inherited_state(self, proxy: int, parts: list[MessagePart]) -> None:
-        """Change a message's parts before it is encoded."""
+        """Change the parts of a message in place before it is encoded."""
 
     def submit(self, proxy: int, parts: list[MessagePart], message: bytes, marker: int | None) -> None:
-        """Take a message; it is written when and if it may leave."""
+        """Accept an encoded message; the gate writes it once that is permitted, or discards it."""
 
 
 class OptionalFeatures(Protocol):
-    """All that an operator configuration turns on, as one owner."""
+    """All features that an operator file turns on, with one interface for the server."""
 
     @property
     def TIMERS(self) -> frozenset[str]:  # noqa: N802 a constant of the class
         """First items of the deadline keys that `run_due` handles."""
 
     async def start(self) -> None:
-        """Begin to listen, dial and measure."""
+        """Start the features: listen, connect and measure."""
 
     def reload(self, operator: "Operator", done: Callable[[str], None]) -> None:
-        """Take a new operator configuration; `done` is told what changed."""
+        """Apply a new operator file; `done` is called with a text that lists the changed tables."""
 
     def run_due(self, key: tuple[Any, ...], now: int) -> None:
-        """Handle a deadline."""
+        """Handle a deadline whose key starts with one of TIMERS; `now` is in microseconds."""
 
     def close(self) -> None:
-        """End at the server's stop."""
+        """Close all connections; called when the server stops."""
--- a/ravenshelf/process/outgoing_calls.py
+++ b/ravenshelf/process/outgoing_calls.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the endpoint registry and to endpoints, bounded in number and in time."""
+"""HTTP calls to the endpoint registry and to endpoints, limited in number and in time."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,9 +12,15 @@
 
 
 class OutgoingCalls:
-    """Opens calls, gives each a slot and a deadline, and frees both at its end.
+    """Opener of HTTP calls, each of which holds a slot and a deadline until it ends.
 
-    `registry_address()` is host:port of the endpoint registry as it is configured now.
+    Args:
+        loop: The event loop.
+        clock: Function that returns the time in microseconds.
+        timers: Deadlines of the server.
+        buffers: Pool of the receive buffers.
+        call_limit: Maximum number of calls open at a time.
+        registry_address: Function that returns the configured host:port of the endpoint registry.
     """
 
     def __init__(
@@ -41,10 +47,18 @@
         timeout_us: int,
         address: str | None = None,
     ) -> HttpCall:
-        """Dial `address` (default: the endpoint registry) and request a path.
+        """Connect and request a path.
 
-        `done` is called once, at the end. `on_line` gets the answer's lines as they come; without it the call
-        collects its body. A call that finds no free slot ends as NO_CAPACITY.
+        Args:
+            path: The path to request.
+            done: Function that is called once, when the call has ended.
+            on_line: Function that is called with each line of the response as it arrives; if None, the call
+                collects the response's body.
+            timeout_us: Time from now after which the call is closed, unless it is extended.
+            address: host:port; default: the endpoint registry.
+
+        Returns:
+            The call. If no slot is free, it ends with NO_CAPACITY in the next iteration of the event loop.
         """
 
         def ended(call: HttpCall) -> None:
@@ -62,11 +76,11 @@
         return call
 
     def extend(self, call: HttpCall, timeout_us: int) -> None:
-        """Move an open call's deadline to `timeout_us` from now."""
+        """Move the deadline of a call to `timeout_us` from now; do nothing if the call has ended."""
         if call.slot is not None and call.end is None:
             self.timers.deadlines.set(CallTimeout(call), self.clock() + timeout_us)
 
     def close_all(self, end: ConnectionEnd) -> None:
-        """End every open call."""
+        """Close every open call with the given end."""
         for call in list(self.slots.items.values()):
             call.close(end)
--- a/ravenshelf/process/registry_client.py
+++ b/ravenshelf/process/registry_client.py
@@ -1,4 +1,4 @@
-"""The client of the endpoint registry: requests the list, watches it, and reports each failure once."""
+"""The client of the endpoint registry: fetches and watches the endpoint list, reports each failure once."""
 
 import random
 from collections.abc import Callable
@@ -13,16 +13,18 @@
 from ravenshelf.state.endpoint_registry import EndpointRegistry, VersionGapError
 
 LIST_PATH = "/catalog/members"
-CALL_TIMEOUT_US = 5_000_000  # a call that is not answered by then has failed
-IDLE_TIMEOUT_US = 5_000_000  # an open watch says something every 2 s
-# a change arrives within 6 s: versions lower than ours for so long are of a registry that was restored
-RESTORED_AFTER_US = 30_000_000
-# within this a watch that the controller does not request is opened again, not by all servers at one time
+CALL_TIMEOUT_US = 5_000_000  # a call without a response after this time has failed
+IDLE_TIMEOUT_US = 5_000_000  # the registry sends a line on an open watch every 2 s at least
+# A change arrives within 6 s. If the list has not been updated for this long and a lower version arrives, the
+# registry has been restored from a backup.
+RESTORED_REGISTRY_IDLE_US = 30_000_000
+# Maximum delay before a watch that the controller does not request is opened again. The delay is random, so
+# that not all servers open theirs at the same time.
 RETRY_DELAY_US = 1_000_000
 
 
 class CallOpener(Protocol):
-    """Opens calls to the endpoint registry; see `OutgoingCalls`."""
+    """The part of the interface of `OutgoingCalls` that its users need."""
 
     def open(
         self,
@@ -32,17 +34,25 @@
         timeout_us: int,
         address: str | None = None,
     ) -> HttpCall:
-        """Open a call."""
+        """Open a call; see `OutgoingCalls.open`."""
 
     def extend(self, call: HttpCall, timeout_us: int) -> None:
-        """Move an open call's deadline."""
+        """Move an open call's deadline; see `OutgoingCalls.extend`."""
 
 
 class RegistryClient:
-    """Keeps `registry` up to date and publishes what changed.
-
-    `is_pushed`: the registry pushes lists, so a watch is always wanted and the controller requests none.
-    `schedule_watch(wait_us)` has `open_watch_if_due` called after a time.
+    """Client of the endpoint registry that updates the server's endpoint list and publishes its changes.
+
+    Args:
+        registry: The server's endpoint list, which is updated.
+        decoder: Decoder of endpoint lists.
+        counters: Counters of requests, failures and lists.
+        calls: Opener of the HTTP calls.
+        publish: Function that is called with each event.
+        schedule_watch: Function that has `open_watch_if_due` called after a delay in microseconds.
+        is_pushed: Whether the registry pushes lists. If so, the client always keeps a watch open, and the
+            controller requests none.
+        random_source: Source of the random part of delays.
     """
 
     def __init__(
@@ -64,24 +74,26 @@
         self.schedule_watch = schedule_watch
         self.is_pushed = is_pushed
         self.random_source = random_source
-        self.is_watch_wanted = is_pushed
+        self.is_watch_required = is_pushed
         self.watch: HttpCall | None = None
-        self.former_watch: HttpCall | None = None  # at the former address, read until the new one answers
+        # Watch at the registry's previous address, read until the watch at the new address answers.
+        self.former_watch: HttpCall | None = None
         self.address_changes = 0
-        self.is_new_address = False  # its versions may be others
+        # Whether the address is new and no list has come from it yet; its versions may be numbered otherwise.
+        self.is_new_address = False
         self.has_watch_answered = False
-        self.watch_version = 0  # that the watch's next changes follow
+        self.watch_version = 0  # version of the list to which the watch's next changes apply
 
-    # --- what the controller requests ---
+    # Requests of the controller
 
     def watch_endpoints(self, enabled: bool) -> None:
-        """Open a new watch in place of one that may not have answered, or close it.
+        """Replace the watch by a new one, or close it; does nothing if the registry pushes lists.
 
-        A watch at a former address is read on.
+        With `enabled`, a watch at a previous address stays open until the new watch answers.
         """
         if self.is_pushed:
             return
-        self.is_watch_wanted = enabled
+        self.is_watch_required = enabled
         self._close_watch()
         if enabled:
             self.open_watch()
@@ -92,16 +104,21 @@
         """Request the complete list once."""
         self.counters["discovery_fetches"] += 1
         address_changes = self.address_changes
-        self.calls.open(LIST_PATH, lambda call: self._fetched(call, address_changes), None, CALL_TIMEOUT_US)
+        self.calls.open(
+            LIST_PATH, lambda call: self._handle_fetch_end(call, address_changes), None, CALL_TIMEOUT_US
+        )
 
-    # --- the watch ---
+    # The watch
 
     def address_changed(self) -> None:
-        """Open a watch at a new address; the one that speaks is read until the new one answers."""
+        """Open a watch at the registry's new address.
+
+        The last watch that answered, at a previous address, is read until the new one answers.
+        """
         self.is_new_address = True
         self.address_changes += 1
         if self.watch is not None and self.former_watch is not None and not self.has_watch_answered:
-            self._close_watch()  # at an address between, that never answered
+            self._close_watch()  # the address had changed before, and this watch at it never answered
         elif self.watch is not None:
             self._close_former_watch()
             self.former_watch = self.watch
@@ -109,16 +126,19 @@
         self.open_watch()
 
     def open_watch(self) -> None:
-        """Open a watch from the version held; a new address, whose versions are its own, is asked for all."""
+        """Open a watch of the changes after the list's version.
+
+        At a new address, whose versions may be numbered otherwise, it is a watch of the complete list.
+        """
         self.counters["discovery_watches"] += 1
         self.has_watch_answered = False
         self.watch_version = 0 if self.is_new_address else self.registry.version
         path = f"{LIST_PATH}?watch=1&after={self.watch_version}"
-        self.watch = self.calls.open(path, self._watch_ended, self._watch_line, CALL_TIMEOUT_US)
+        self.watch = self.calls.open(path, self._handle_watch_end, self._handle_watch_line, CALL_TIMEOUT_US)
 
     def open_watch_if_due(self) -> None:
-        """Open a watch where one is wanted and none is open."""
-        if self.watch is None and self.is_watch_wanted:
+        """Open a watch if one is required and none is open."""
+        if self.watch is None and self.is_watch_required:
             self.open_watch()
 
     def _close_watch(self) -> None:
@@ -128,104 +148,115 @@
             watch.close(ConnectionEnd.SUPERSEDED)
 
     def _close_former_watch(self) -> None:
-        former = self.former_watch
+        closing_watch = self.former_watch
         self.former_watch = None
-        if former is not None:
-            former.close(ConnectionEnd.SUPERSEDED)
+        if closing_watch is not None:
+            closing_watch.close(ConnectionEnd.SUPERSEDED)
 
     def _schedule_watch(self) -> None:
-        """Have a watch opened where the controller may not request one.
+        """Schedule a watch, if one is required and none is open, where the controller may not request one.
 
-        That is where lists are pushed, or come from elsewhere meanwhile. It guards against a list that never
-        speaks again: any list is an answer to the controller, which then requests no more.
+        The controller requests no watch if lists are pushed, or once it has received any list, even from a
+        previous address or a fetch. Without this, the server might then never receive another change.
         """
-        if self.watch is None and self.is_watch_wanted:
+        if self.watch is None and self.is_watch_required:
             self.schedule_watch(round(RETRY_DELAY_US * self.random_source.uniform(0.5, 1)))
 
-    def _watch_line(self, call: HttpCall, line: bytes) -> None:
+    def _handle_watch_line(self, call: HttpCall, line: bytes) -> None:
         if call is not self.watch and call is not self.former_watch:
             return
         self.calls.extend(call, IDLE_TIMEOUT_US)
-        if not line:  # nothing changed since the version held; of a new address, the list is still to come
+        # An empty line means that nothing has changed since the requested version. From a new address, the
+        # complete list was requested, so an empty line is not the answer yet.
+        if not line:
             if not self.is_new_address:
-                self._watch_answered(call)
+                self._publish_watch_changes(call)
             return
         try:
-            listed = self.decoder.read(line)
+            endpoint_list = self.decoder.read(line)
         except UnreadableListError as error:
             log_events.WATCH_EVENT_MALFORMED(why=str(error))
             call.close(ConnectionEnd.UNREADABLE)
             return
-        is_update = not listed.get("all", False)
-        if self._needs_complete_list(call, is_update, listed["rev"]):
+        is_update = not endpoint_list.get("all", False)
+        if self._needs_complete_list(call, is_update, endpoint_list["rev"]):
             call.close(ConnectionEnd.UNREADABLE)
             return
         kind = ListKind.UPDATE if is_update else ListKind.REPLACE
         try:
-            changed = self._update(listed, kind, self.watch_version if is_update else None)
+            changes = self._update(endpoint_list, kind, self.watch_version if is_update else None)
         except VersionGapError:
             self.counters["discovery_gaps"] += 1
             call.close(ConnectionEnd.UNREADABLE)
             return
-        self.watch_version = max(self.watch_version, listed["rev"])
-        self._watch_answered(call, changed)
+        self.watch_version = max(self.watch_version, endpoint_list["rev"])
+        self._publish_watch_changes(call, changes)
 
     def _needs_complete_list(self, call: HttpCall, is_update: bool, version: int) -> bool:
-        """Forget the version held where the registry counts anew; return whether changes can't be taken then.
+        """Reset the list's version if the registry's versions are numbered anew.
+
+        This is so at a new address, and after the registry was restored from a backup and continues from a
+        lower version. Without the reset, its lists would never be accepted again. In return, a list that
+        arrives more than half a minute late is mistaken for one of a restored registry, until the next
+        changes.
 
-        A registry that was restored from a backup counts on from a lower version: without this, its list
-        would never be taken again. The price: a list that is late by more than half a minute is taken for
-        one, until the changes that follow.
+        Returns:
+            Whether the line can't be applied because it is an update to a list that the server does not have.
+            If so, the watch has to be opened again to get the complete list.
         """
-        is_lower = version < self.registry.version
+        is_lower_version = version < self.registry.version
         idle_us = self.registry.clock() - self.registry.updated_at
-        is_restored = is_lower and idle_us > RESTORED_AFTER_US
+        is_restored = is_lower_version and idle_us > RESTORED_REGISTRY_IDLE_US
         if call is not self.watch or not (self.is_new_address or is_restored):
             return False
-        self.is_new_address = is_update and is_lower
-        self.registry.version = 0  # the versions of the new one are as high as ours by random_source only
+        self.is_new_address = is_update and is_lower_version
+        self.registry.version = 0  # the old and the new versions can't be compared; if equal, it is by chance
         self.watch_version = 0
         return self.is_new_address
 
-    def _watch_answered(self, call: HttpCall, changed: EndpointsListed | None = None) -> None:
-        """Publish what a watch brought; its first line, even without news, ends the former watch."""
+    def _publish_watch_changes(self, call: HttpCall, changes: EndpointsListed | None = None) -> None:
+        """Publish the changes that a watch brought.
+
+        The first line of the current watch closes the former watch. It is published even without changes,
+        because the controller waits for an answer.
+        """
         is_first = call is self.watch and not self.has_watch_answered
         if is_first:
             self.has_watch_answered = True
             self._close_former_watch()
-        if changed is not None or is_first:
-            self.publish(changed or EndpointsListed(ListKind.UPDATE, ()))
+        if changes is not None or is_first:
+            self.publish(changes or EndpointsListed(ListKind.UPDATE, ()))
 
-    def _watch_ended(self, call: HttpCall) -> None:
+    def _handle_watch_end(self, call: HttpCall) -> None:
         if call is self.former_watch:
             self.former_watch = None
         if call is not self.watch:
             return
         self.watch = None
-        # a watch is never complete by itself
+        # A watch has no regular end, so a complete response is reported like a closed connection.
         end = ConnectionEnd.CLOSED if call.end is ConnectionEnd.ANSWERED else call.end
         self._report_failure(WATCH, end, call)
         if call.end is not ConnectionEnd.STOPPING and (self.is_pushed or self.former_watch is not None):
             self._schedule_watch()
 
-    # --- the answer to a request ---
+    # Responses to a fetch
 
-    def _fetched(self, call: HttpCall, address_changes: int) -> None:
+    def _handle_fetch_end(self, call: HttpCall, address_changes: int) -> None:
         if call.end is not ConnectionEnd.ANSWERED:
             self._report_failure(FETCH, call.end, call)
             return
-        if address_changes != self.address_changes:  # the versions are those of a former address
+        if address_changes != self.address_changes:  # the list's version is that of a previous address
             self._report_failure(FETCH, ConnectionEnd.DECLINED, call)
             return
         try:
-            listed = self.decoder.read(call.body)
+            endpoint_list = self.decoder.read(call.body)
         except UnreadableListError as error:
             log_events.ENDPOINT_LIST_MALFORMED(why=str(error))
             self._report_failure(FETCH, ConnectionEnd.UNREADABLE, call)
             return
-        kind = ListKind.REPLACE if listed.get("all", True) else ListKind.UPDATE
-        changed = self._update(listed, kind, None)
-        self.publish(changed or EndpointsListed(ListKind.UPDATE, ()))
+        kind = ListKind.REPLACE if endpoint_list.get("all", True) else ListKind.UPDATE
+        changes = self._update(endpoint_list, kind, None)
+        self.publish(changes or EndpointsListed(ListKind.UPDATE, ()))
         self._schedule_watch()
 
     def _report_failure(self, purpose: str, end: ConnectionEnd | None, call: HttpCall) -> None:
@@ -239,24 +270,41 @@
         if not self.is_pushed:
             self.publish(WatchFailed())
 
-    # --- lists ---
+    # Endpoint lists
+
+    def _update(
+        self, endpoint_list: dict, kind: ListKind, after_version: int | None
+    ) -> EndpointsListed | None:
+        """Apply a list to the registry.
+
+        A malformed entry does not remove its endpoint, which keeps its previous entry. If the endpoint of a
+        malformed entry in a complete list is unknown, all endpoints missing from the list keep theirs.
 
-    def _update(self, listed: dict, kind: ListKind, after_version: int | None) -> EndpointsListed | None:
-        """Take a list into the registry; a malformed entry stays as it was: a slip is no removal."""
-        entries, addresses, malformed = self.decoder.entries(listed["targets"])
-        for index, reason in malformed:
+        Args:
+            endpoint_list: The decoded list.
+            kind: Whether the list is complete or an update.
+            after_version: Version of the list to which an update applies, or None if it is not checked.
+
+        Returns:
+            The changes, or None if the list is older than the registry's.
+
+        Raises:
+            VersionGapError: The update applies to a later version than the registry's.
+        """
+        entries, addresses, malformed_entries = self.decoder.entries(endpoint_list["targets"])
+        for index, reason in malformed_entries:
             self.counters["list_entries_malformed"] += 1
             log_events.ENDPOINT_ENTRY_MALFORMED(why=reason)
             if kind is ListKind.REPLACE and index is not None and index in self.registry.entries:
                 entries.append(self.registry.entries[index])
-        if kind is ListKind.REPLACE and any(index is None for index, _ in malformed):
-            present = {entry.endpoint for entry in entries}
-            held = self.registry.entries.items()
-            entries += [entry for index, entry in held if index not in present]
+        if kind is ListKind.REPLACE and any(index is None for index, _ in malformed_entries):
+            listed_endpoints = {entry.endpoint for entry in entries}
+            current_entries = self.registry.entries.items()
+            entries += [entry for index, entry in current_entries if index not in listed_endpoints]
         try:
-            changed = self.registry.update(kind, listed["rev"], entries, addresses, after_version)
+            changes = self.registry.update(kind, endpoint_list["rev"], entries, addresses, after_version)
         except VersionGapError:
             self.counters["lists_taken"] += 1
             raise
-        self.counters["lists_taken" if changed else "lists_outdated"] += 1
-        return changed
+        self.counters["lists_taken" if changes else "lists_outdated"] += 1
+        return changes
--- a/ravenshelf/process/relay.py
+++ b/ravenshelf/process/relay.py
@@ -1,4 +1,4 @@
-"""A relay's process: its log, its loop, its signals; and a subscriber that prints what it receives."""
+"""A relay's process, with its log, event loop and signals, and a subscriber that prints topics."""
 
 import asyncio
 import json
@@ -21,22 +21,22 @@
 from ravenshelf.operator_config.tables import Distribution, Operator
 from ravenshelf.process import logs
 
-TREE = "tree"  # name of the only upstream of a relay that is not next to the service owners
-SNAPSHOT_BURST = 0.25  # seconds of the snapshot budget that may be spent at once
+TREE = "tree"  # name of the only upstream of a relay whose parents are relays, not service owners
+SNAPSHOT_BURST = 0.25  # the snapshots sent at once may use up the budget of this many seconds
 BYTES_PER_MEGABYTE = 1e6
 WATCHER_NAME_BITS = 32
 EXIT_FAILED = 1
 EXIT_INTERRUPTED = 130
 
 
-def limits(table: Distribution) -> DistributorLimits:
-    """Return the limits that the operator file sets."""
+def distributor_limits(table: Distribution) -> DistributorLimits:
+    """Return the limits on subscribers and snapshots that the table `[distribution]` sets."""
     bytes_per_second = table.snapshot_mb_s * BYTES_PER_MEGABYTE
     return DistributorLimits(table.subscribers, bytes_per_second, bytes_per_second * SNAPSHOT_BURST)
 
 
-def answer(service: RelayService, request: dict) -> dict:
-    """Return the response to an operator's request on the admin socket."""
+def admin_response(service: RelayService, request: dict) -> dict:
+    """Return the response to a request on the admin socket: the relay's status, or an error text."""
     if request.get("ask") == "status":
         return {"status": service.status()}
     return {"error": f"ask: found {request.get('ask')!r}, expected status"}
@@ -45,11 +45,15 @@
 def _relay_service(table: Distribution, loop: asyncio.AbstractEventLoop) -> RelayService:
     upstreams = {name: [name] for name in table.parents} if table.owners else {TREE: list(table.parents)}
     node = Node(loop, clock, table.cluster, table.name, table.parents)
-    return RelayService(node, upstreams, random.Random(), limits(table), table.owners)
+    return RelayService(node, upstreams, random.Random(), distributor_limits(table), table.owners)
 
 
 async def serve(operator: Operator) -> None:
-    """Run the relay until SIGTERM or SIGINT."""
+    """Run the relay that the operator file configures until SIGTERM or SIGINT.
+
+    Raises:
+        OSError: An address can't be listened at.
+    """
     table = operator.distribution
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
@@ -59,24 +63,32 @@
     address = await service.start(table.listen)
     admin = None
     if table.admin:
-        admin = await serve_answers(lambda request: answer(service, request), table.admin)
-    figures = None
-    if operator.graphite.receivers:  # imported only where it is used, for the memory of a relay
+        admin = await serve_answers(lambda request: admin_response(service, request), table.admin)
+    metrics_export = None
+    if operator.graphite.receivers:  # imported only if it is used, to save memory
         from ravenshelf.process.relay_metrics_export import RelayMetricsExport
 
-        figures = RelayMetricsExport(operator, service, loop)
+        metrics_export = RelayMetricsExport(operator, service, loop)
     log_events.RELAY_LISTENING(name=table.name, address=address, parents=len(table.parents))
     await ended.wait()
     if admin is not None:
         admin.close()
-    if figures is not None:
-        figures.stop()
+    if metrics_export is not None:
+        metrics_export.stop()
     service.stop()
     log_events.RELAY_STOPPED(name=table.name, snapshot_bytes=service.relay.distributor.snapshot_bytes)
 
 
 def run(operator: Operator, level: str) -> int:
-    """Run the relay of the operator file; return the exit code."""
+    """Run the relay that the operator file configures, with its log and event loop.
+
+    Args:
+        operator: The operator file's tables.
+        level: Lowest level of log lines.
+
+    Returns:
+        The exit code.
+    """
     sink = logs.start(level, operator.log.format)
     try:
         uvloop.run(serve(operator))
@@ -88,8 +100,8 @@
     return code
 
 
-def printed(topic: Topic) -> str:
-    """Return a topic's state as a line of JSON."""
+def topic_as_json(topic: Topic) -> str:
+    """Return a topic's name, version and entries as a JSON object in one line."""
     document = {
         "topic": topic.name,
         "epoch": topic.version.epoch,
@@ -102,26 +114,33 @@
 async def _print_versions(parent: str, cluster: str, topics: Sequence[str], count: int) -> None:
     loop = asyncio.get_running_loop()
     done = asyncio.Event()
-    seen: list[Version] = []
+    printed_versions: list[Version] = []
 
-    def topic_changed(topic: Topic) -> None:
-        print(printed(topic), flush=True)
-        seen.append(topic.version)
-        if count and len(seen) >= count:
+    def print_topic(topic: Topic) -> None:
+        print(topic_as_json(topic), flush=True)
+        printed_versions.append(topic.version)
+        if count and len(printed_versions) >= count:
             done.set()
 
     name = f"watch-{random.getrandbits(WATCHER_NAME_BITS):08x}"
     node = Node(loop, clock, cluster, name, {parent: parent})
-    service = SubscriptionService(node, random.Random(), topic_changed)
+    service = SubscriptionService(node, random.Random(), print_topic)
     service.start(topics)
     await done.wait()
     service.stop()
 
 
 def watch(parent: str, cluster: str, topics: Sequence[str], count: int) -> int:
-    """Print each new version of the topics until interrupted or `count` are printed (0: no limit).
+    """Subscribe to topics and print each new version of them as a line of JSON.
+
+    Args:
+        parent: host:port of the relay or service owner to subscribe at.
+        cluster: Name of the cluster.
+        topics: Names of the topics.
+        count: Number of versions after which to end; 0 for no limit.
 
-    Returns the exit code. `parent`: host:port.
+    Returns:
+        The exit code; EXIT_INTERRUPTED after an interrupt from the keyboard.
     """
     try:
         uvloop.run(_print_versions(parent, cluster, topics, count))
--- a/ravenshelf/process/relay_metrics_export.py
+++ b/ravenshelf/process/relay_metrics_export.py
@@ -1,4 +1,4 @@
-"""A relay's metrics to Graphite, as `[graphite]` of the operator file configures them."""
+"""Export of a relay's metrics to Graphite, as the table `[graphite]` of the operator file configures it."""
 
 import asyncio
 import random
@@ -18,22 +18,27 @@
 
 SECOND = 1_000_000  # microseconds
 MICROSECONDS_PER_MILLISECOND = 1000
-SHORTEST_INTERVAL = 1e-3  # seconds, for rates
+SHORTEST_INTERVAL = 1e-3  # seconds; rates are not calculated over a shorter interval
 
-# keys of the timers; a receiver's is its address
+# Keys of the timers. The key of a receiver's timer is the receiver's address.
 MEASUREMENT = "figures"
 BACKGROUND = "background"
 
 
 class RelayMetricsExport:
-    """Sends the relay's metrics to all receivers, once in each interval."""
+    """Exporter that sends the relay's metrics to all receivers, at each boundary of an interval.
+
+    Args:
+        operator: The operator file's tables.
+        service: The relay that is measured.
+        loop: The event loop.
+    """
 
     def __init__(self, operator: Operator, service: RelayService, loop: asyncio.AbstractEventLoop):
-        """The first measurement is at the next boundary of an interval."""
         self.service = service
         self.table = operator.graphite
         self.clock = Clock()
-        self.timers: Timers[str] = Timers(loop, self.clock, self._due)
+        self.timers: Timers[str] = Timers(loop, self.clock, self._run_due)
         self.background = self._make_background(operator)
         self.graphite = GraphiteService(
             operator.graphite,
@@ -60,7 +65,7 @@
         )
 
     def stop(self) -> None:
-        """Close the connections to the receivers."""
+        """Stop measuring and close the connections to the receivers."""
         self.timers.stop()
         self.graphite.close()
 
@@ -68,7 +73,7 @@
         interval = self.table.every_s * SECOND
         self.timers.set(MEASUREMENT, (self.clock() // interval + 1) * interval)
 
-    def _due(self, key: str) -> None:
+    def _run_due(self, key: str) -> None:
         if key == MEASUREMENT:
             self._schedule_measurement()
             self._measure()
@@ -77,10 +82,10 @@
         else:
             self.graphite.run_due(key)
 
-    # --- metrics ---
+    # Metrics
 
     def _totals(self) -> dict[Metric, float]:
-        """Return the totals since the relay's start, by the metric of their rates."""
+        """Return the totals since the relay's start, each by the metric that exports its rate."""
         relay = self.service.relay
         return {
             metrics.RELAY_REJECTED: self.service.subscribers.rejected_count,
@@ -90,12 +95,14 @@
         }
 
     def _levels(self) -> dict[Metric, float]:
-        """Return the present values, by metric."""
+        """Return the current values, by metric."""
         relay = self.service.relay
-        connected = [client for client in relay.clients.values() if client.state is ConnectionState.CONNECTED]
+        connected_clients = [
+            client for client in relay.clients.values() if client.state is ConnectionState.CONNECTED
+        ]
         return {
             metrics.RELAY_SUBSCRIBERS: len(relay.distributor.subscribers),
-            metrics.RELAY_UPSTREAMS: len(connected),
+            metrics.RELAY_UPSTREAMS: len(connected_clients),
             metrics.RELAY_TOPICS: len(relay.topics),
         }
 
--- a/ravenshelf/process/reloading.py
+++ b/ravenshelf/process/reloading.py
@@ -1,4 +1,4 @@
-"""Reads the configuration, and the operator configuration, again while the server runs."""
+"""Reload of the configuration file and the operator file while the server runs."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -9,42 +9,51 @@
 from ravenshelf.process.timers import Timers
 from ravenshelf.state.counters import Counters
 
-if TYPE_CHECKING:  # plain serve loads none of it
+if TYPE_CHECKING:  # not loaded by `ravenshelf serve` without an operator file
     from ravenshelf.operator_config.tables import Operator
 
-READ_ATTEMPTS = 10  # a configuration that can't be used may be half written still
-READ_AGAIN_US = 500_000
+READ_ATTEMPTS = 10  # a file that is not valid may be only half written yet, so it is read again
+READ_RETRY_DELAY_US = 500_000
 
 
 class Reloader:
-    """Takes a new configuration whole or not at all; one that can't be used changes nothing.
+    """Reader that applies a new configuration as a whole; a file that is not valid changes nothing.
 
-    `read_configuration` reads the file and raises ConfigurationError; `take_configuration(new)` is called
-    with what the server goes on with. Where there is an operator configuration, `read_operator` reads it
-    and raises OperatorConfigurationError, and `take_operator(new)` is called.
+    Args:
+        current_configuration: Function that returns the configuration in force.
+        apply_configuration: Function that is called with the configuration in force after a reload.
+        timers: Deadlines of the server, for the next attempt.
+        clock: Function that returns the time in microseconds.
+        counters: Counters of reloads.
+
+    Attributes:
+        read_configuration: Function that reads the configuration file and raises ConfigurationError.
+        read_operator: Function that reads the operator file and raises OperatorConfigurationError, or None
+            without an operator file.
+        apply_operator: Function that is called with the tables of a new operator file, or None without one.
     """
 
     def __init__(
         self,
-        configuration: Callable[[], dict],
-        take_configuration: Callable[[dict], None],
+        current_configuration: Callable[[], dict],
+        apply_configuration: Callable[[dict], None],
         timers: Timers,
         clock: Callable[[], int],
         counters: Counters,
     ):
-        self.configuration = configuration
-        self.take_configuration = take_configuration
+        self.current_configuration = current_configuration
+        self.apply_configuration = apply_configuration
         self.timers = timers
         self.clock = clock
         self.counters = counters
-        self.read_configuration: Callable[[], dict] = configuration
+        self.read_configuration: Callable[[], dict] = current_configuration
         self.read_operator: Callable[[], Operator] | None = None
-        self.take_operator: Callable[[Operator], None] | None = None
+        self.apply_operator: Callable[[Operator], None] | None = None
         self.attempts_left = 0
         self.is_stopped = False
 
     def reload(self) -> None:
-        """Read both anew; a configuration that can't be used is read up to READ_ATTEMPTS times."""
+        """Read both files again; a configuration file that is not valid is read up to READ_ATTEMPTS times."""
         if self.is_stopped:
             return
         self.attempts_left = READ_ATTEMPTS
@@ -53,7 +62,7 @@
         self._reload_configuration()
 
     def retry(self) -> None:
-        """Read the configuration once more."""
+        """Read the configuration file again after an attempt that failed."""
         if not self.is_stopped:
             self.attempts_left -= 1
             self._reload_configuration()
@@ -61,28 +70,30 @@
     def _reload_configuration(self) -> None:
         self.timers.cancel(ServerDeadline.RELOAD)
         try:
-            new, waiting = apply_reload(self.configuration(), self.read_configuration())
+            new_configuration, restart_fields = apply_reload(
+                self.current_configuration(), self.read_configuration()
+            )
         except ConfigurationError as error:
             self.counters["reloads_failed"] += 1
             log_events.CONFIGURATION_REJECTED(why=str(error))
             if self.attempts_left > 1:
-                self.timers.set(ServerDeadline.RELOAD, self.clock() + READ_AGAIN_US)
+                self.timers.set(ServerDeadline.RELOAD, self.clock() + READ_RETRY_DELAY_US)
             return
         self.counters["reloads"] += 1
         log_events.CONFIGURATION_RELOADED(
-            discovery=new["discovery"],
-            waiting=f"; waits for a restart: {', '.join(waiting)}" if waiting else "",
+            discovery=new_configuration["discovery"],
+            waiting=f"; waits for a restart: {', '.join(restart_fields)}" if restart_fields else "",
         )
-        self.take_configuration(new)
+        self.apply_configuration(new_configuration)
 
     def _reload_operator(self) -> None:
         from ravenshelf.operator_config.errors import OperatorConfigurationError
 
-        assert self.read_operator is not None and self.take_operator is not None
+        assert self.read_operator is not None and self.apply_operator is not None
         try:
             operator = self.read_operator()
         except OperatorConfigurationError as error:
             self.counters["operator_rejected"] += 1
             log_events.OPERATOR_CONFIGURATION_REJECTED(why=str(error))
             return
-        self.take_operator(operator)
+        self.apply_operator(operator)
--- a/ravenshelf/process/run.py
+++ b/ravenshelf/process/run.py
@@ -1,4 +1,4 @@
-"""The process: its log, its loop, its exit code."""
+"""The server process: its log, event loop, signals and exit code."""
 
 import gc
 import signal
@@ -12,7 +12,7 @@
 from ravenshelf.process.clock import Clock
 from ravenshelf.process.control_plane import serve
 
-if TYPE_CHECKING:  # plain serve loads none of it
+if TYPE_CHECKING:  # not loaded by `ravenshelf serve` without an operator file
     from ravenshelf.operator_config.tables import Operator
 
 
@@ -24,12 +24,21 @@
     operator: "Operator | None" = None,
     read_operator: "Callable[[], Operator] | None" = None,
 ) -> int:
-    """Run a server until it has stopped and return the exit code.
+    """Run a server until it has stopped.
 
-    `operator` holds the operator file's tables, where one is named; the functions read their files anew.
+    Args:
+        configuration: A configuration that `configuration.check` has accepted.
+        read_configuration: Function that reads the configuration file; called at each SIGHUP.
+        level: Lowest level of log lines.
+        counters_every_s: Interval in seconds between log lines with the counters; 0 for none.
+        operator: The operator file's tables, or None without an operator file.
+        read_operator: Function that reads the operator file; called at each SIGHUP.
+
+    Returns:
+        The exit code.
     """
     sink = logs.start(level, operator.log.format if operator is not None else "text")
-    gc.freeze()  # what start has made stays; collections need not look at it again
+    gc.freeze()  # objects created at the start stay until the end, so garbage collections can skip them
     exit_code = 0
     try:
         uvloop.run(
@@ -46,7 +55,7 @@
     except Exception:
         log_events.SERVER_FAILED.with_traceback()
         exit_code = 1
-    # the interpreter's end gives them back to the system: one more would kill
+    # The interpreter restores the default signal handlers when it ends; a signal would then kill the process.
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1):
         signal.signal(number, signal.SIG_IGN)
     sink.finish(logs.FLUSH_TIMEOUT)
--- a/ravenshelf/process/serving.py
+++ b/ravenshelf/process/serving.py
@@ -1,4 +1,4 @@
-"""`ravenshelf serve`: its options, the files that they name, and the server that runs until SIGTERM."""
+"""The command `ravenshelf serve`: its options, the files that they name, and the server process."""
 
 import argparse
 import sys
@@ -10,21 +10,25 @@
 
 
 def options(arguments: list[str]) -> argparse.Namespace:
-    """Parse the arguments; ends the process where they are wrong."""
+    """Parse the command line; if it is not valid, print the usage and exit the process."""
     parser = argparse.ArgumentParser(
         "ravenshelf serve",
-        description="Run one pilot until SIGTERM. Its counters are "
-        "printed at the end and on SIGUSR1; SIGHUP reads the files again.",
+        description="Run a control-plane server until SIGTERM. Its counters are "
+        "logged at the end and on SIGUSR1; SIGHUP reads the files again.",
+    )
+    parser.add_argument(
+        "--config", "-c", help="Path of the configuration file; default: the value of RELAY_CONFIG."
+    )
+    parser.add_argument("--operator", "-o", help="Path of the operator file (TOML).")
+    parser.add_argument(
+        "--log-level", default="INFO", help=f"Lowest level of log lines: {', '.join(LEVELS)}."
     )
-    parser.add_argument("--config", "-c", help="The configuration; else RELAY_CONFIG names it.")
-    parser.add_argument("--operator", "-o", help="The operator file (TOML).")
-    parser.add_argument("--log-level", default="INFO", help=f"Least level of log lines: {', '.join(LEVELS)}.")
     parser.add_argument(
         "--counters-every",
         type=float,
         default=0,
         metavar="SECONDS",
-        help="Between prints of the counters; 0: none.",
+        help="Interval between log lines with the counters; 0 for none.",
     )
     parsed = parser.parse_args(arguments)
     parsed.log_level = parsed.log_level.upper()
@@ -34,18 +38,18 @@
 
 
 def report_error(error: Exception | str) -> int:
-    """Print why the server can't start and return the exit code."""
+    """Print why the server can't start, on standard error, and return the exit code EXIT_USAGE."""
     for line in str(error).splitlines():
         print(f"ravenshelf: {line}", file=sys.stderr)
     return EXIT_USAGE
 
 
 def main(arguments: list[str]) -> int:
-    """Run `ravenshelf serve` and return the exit code."""
+    """Run `ravenshelf serve` with the arguments after the command's name and return the exit code."""
     parsed = options(arguments)
     operator = None
     read_operator = None
-    if parsed.operator is not None:  # without one nothing of it is loaded
+    if parsed.operator is not None:  # without an operator file its modules are not loaded
         from pathlib import Path
 
         from ravenshelf.operator_config import reading
--- a/ravenshelf/process/timers.py
+++ b/ravenshelf/process/timers.py
@@ -1,4 +1,4 @@
-"""All deadlines of the process behind one timer of the loop."""
+"""Deadlines of the server, handled by one timer of the event loop."""
 
 import asyncio
 from collections.abc import Callable, Hashable
@@ -7,15 +7,21 @@
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.deadlines import DeadlineQueue
 
-STALL_THRESHOLD_US = 500_000  # a timer that fires so late means that the process stood still
-READ_FIRST_S = 0.02  # after a stall, sockets are read for so long before deadlines are handled
+STALL_THRESHOLD_US = 500_000  # a timer that fires this late means that the process was stalled
+READ_TIME_AFTER_STALL_S = 0.02  # after a stall, sockets are read for this long before deadlines are handled
 
 
 class Timers:
-    """Calls `handle(key, now)` for each deadline that has expired; times are microseconds of `clock`.
+    """Queue of deadlines that calls a handler for each one that has expired.
 
-    Keys for which `is_secondary` holds come after all others that expired with them. A handler that raises is
-    logged and counted; the others, and the timer, go on.
+    If the handler raises, the exception is logged and counted, and the other deadlines are still handled.
+
+    Args:
+        loop: The event loop.
+        clock: Function that returns the time in microseconds.
+        counters: Counters of handlers that raised.
+        handle: Function that is called with the key of an expired deadline and the time in microseconds.
+        is_secondary: Function that tells whether a key is handled after all others that expired with it.
     """
 
     def __init__(
@@ -34,10 +40,10 @@
         self.deadlines = DeadlineQueue()
         self.is_stopped = False
         self.loop_timer: asyncio.Handle | None = None
-        self.fires_at: int | None = None  # None where the loop's timer waits after a stall
+        self.fires_at: int | None = None  # None if no loop timer is set, or while it waits after a stall
 
     def set(self, key: Hashable, at: int) -> None:
-        """Set the key's only deadline and see that the loop's timer is early enough."""
+        """Set the key's deadline to `at`, in microseconds, in place of an earlier setting."""
         self.deadlines.set(key, at)
         self.arm()
 
@@ -46,7 +52,7 @@
         self.deadlines.cancel(key)
 
     def arm(self) -> None:
-        """Have the loop's timer fire at the earliest deadline."""
+        """Set the loop's timer to the earliest deadline, unless it already fires before that."""
         at = self.deadlines.earliest()
         if self.is_stopped or at is None:
             return
@@ -62,12 +68,13 @@
             self.loop_timer = self.loop.call_soon(self.fire)
 
     def fire(self) -> None:
-        """Handle every deadline that has expired; called by the loop."""
+        """Handle every deadline that has expired; called by the event loop."""
         now = self.clock()
         if now - (self.fires_at or now) > STALL_THRESHOLD_US:
-            # what arrived meanwhile is read first: else whoever spoke in time would be taken for silent
+            # Read messages that arrived during the stall first. Otherwise, connections that sent theirs in
+            # time would be closed as silent.
             self.fires_at = None
-            self.loop_timer = self.loop.call_later(READ_FIRST_S, self.fire)
+            self.loop_timer = self.loop.call_later(READ_TIME_AFTER_STALL_S, self.fire)
             return
         self.loop_timer = None
         self.fires_at = None
@@ -84,12 +91,12 @@
     def _handle(self, key: Hashable, now: int) -> None:
         try:
             self.handle(key, now)
-        except Exception:  # one that fails must not take the others' turn, nor the next
+        except Exception:  # a handler that fails must not prevent other deadlines from being handled
             self.counters["deadlines_failed"] += 1
             log_events.TIMER_FAILED.with_traceback(key=str(key))
 
     def stop(self) -> None:
-        """Handle nothing from now on; deadlines may still be set, to no effect."""
+        """Stop handling deadlines; setting one afterwards has no effect."""
         self.is_stopped = True
         if self.loop_timer is not None:
             self.loop_timer.cancel()
--- a/tests/process/test_control_cycle.py
+++ b/tests/process/test_control_cycle.py
@@ -78,7 +78,7 @@
     driver.run(join(0, False))
     assert [proxy for proxy, _ in driver.out] == [0] and "whole=1" in driver.out[0][1]
     driver.run(ProxyLeft(0))
-    assert not driver.out and not driver.control_cycle.joined
+    assert not driver.out and not driver.control_cycle.join_events
 
 
 def test_lines_beyond_the_charge_are_added_to_the_queue(drive_cycle):
--- a/tests/process/test_control_plane.py
+++ b/tests/process/test_control_plane.py
@@ -175,11 +175,11 @@
     [
         (
             {"azs": ["dc-north", "dc-south"]},
-            "settings.azs: expected those that this pilot serves, a, b, not dc-north, dc-south",
+            "settings.azs: expected those that this server serves, a, b, not dc-north, dc-south",
         ),
         (
             {"classes": [{"name": "toll"}, {"name": "pay"}]},
-            "settings.classes: expected those that this pilot serves, look, pay",
+            "settings.classes: expected those that this server serves, look, pay",
         ),
         ({"azs": ["a"]}, "settings.azs"),
     ],
--- a/tests/process/test_logs.py
+++ b/tests/process/test_logs.py
@@ -21,13 +21,13 @@
             return self
 
     sink = logs.Sink(write)
-    for n in range(logs.BURST + 500):
+    for n in range(logs.BURST_LINES + 500):
         sink(Line(f"{n}\n", 1.0))
     sink(Line("an error\n", 1.0, 40))
     sink(Line("later\n", 3.0))
     go.set()
     sink.finish(10)
-    assert len(written) == logs.BURST + 2 and written[-2] == "(500 lines left out) an error\n"
+    assert len(written) == logs.BURST_LINES + 2 and written[-2] == "(500 lines left out) an error\n"
     assert written[-1] == "later\n"
 
 
