--- a/ravenshelf/collectd/__init__.py
+++ b/ravenshelf/collectd/__init__.py
@@ -1,1 +1,1 @@
-"""Host loads of collectd: its binary network protocol, and which values are believed."""
+"""Host loads from collectd: decoding of its binary network protocol and validation of its values."""
--- a/ravenshelf/collectd/decisions/__init__.py
+++ b/ravenshelf/collectd/decisions/__init__.py
@@ -1,1 +1,4 @@
-"""Decisions about collectd's values: which are believed, and the host loads made of them. No I/O."""
+"""Decision logic for collectd's values: which of them are used, and the host loads derived from them.
+
+Nothing here performs I/O.
+"""
--- a/ravenshelf/collectd/decisions/host_loads.py
+++ b/ravenshelf/collectd/decisions/host_loads.py
@@ -1,111 +1,129 @@
-"""Makes host loads of collectd's values: the share of a host's processors that is busy, for each of its
-endpoints.
+"""Host loads derived from collectd's values.
 
-| case | result |
+The load of a host is the busy share of its processors' time. It is reported for each endpoint on the host.
+
+| case | handling |
 | --- | --- |
-| late or out of order: older than the newest of its series | ignored; its rate was given by what followed |
+| late or out of order: older than the newest of its series | ignored; a newer value gave the rate |
 | a duplicate | ignored; a duplicate of an authenticated packet is rejected |
-| from the future, or a host whose clock is off | its age is estimated, see host_clock |
-| not a number, out of the type's bounds | ignored |
-| a host that stops | no load; the decisions let the last one fade |
-| a host without a listed endpoint | counted; no memory is kept of it |
+| a timestamp in the future, or a host whose clock has an offset | the age is estimated, see `host_clock` |
+| a value that is not a number or outside the bounds of its type | ignored |
+| a host that stops sending | no new load; the controller lets the last one fade |
+| a host without a listed endpoint | counted, nothing is stored |
 
-Memory: at most `max_series` for each host that is listed. Times are microseconds. No I/O, the clock is passed
-in.
+Memory: at most `max_series` series for each host with a listed endpoint. Times are microseconds. Nothing here
+performs I/O; the caller passes in the time.
 """
 
 from collections.abc import Callable, Iterable, MutableMapping, Sequence
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from ravenshelf.collectd.decisions.host_clock import JUMP, HostClock
+from ravenshelf.collectd.decisions.host_clock import JUMP_THRESHOLD, HostClock
 from ravenshelf.collectd.decisions.series import MAX_GAP_INTERVALS, Series
 from ravenshelf.collectd.protocol import ABSOLUTE, GAUGE, SECOND, ValueList
 from ravenshelf.collectd.types import DataSource, Types
 
-DEFAULT_INTERVAL = 10 * SECOND  # where the sender names none
-FRESH_INTERVALS = 2.5  # for which the state of a processor counts as current
-MAX_AUTHENTICATED_SKEW = (
-    600 * SECOND
-)  # an authenticated packet further off is an old one, not a clock that is off
-MAX_SERIES = 4096
+DEFAULT_INTERVAL = 10 * SECOND  # interval of a sender that states none
+FRESH_INTERVALS = 2.5  # intervals for which a reading counts as current
+# An authenticated packet whose time differs by more is a recorded one that was sent again: such a difference
+# does not come from the host's clock.
+MAX_AUTHENTICATED_SKEW = 600 * SECOND
+MAX_SERIES = 4096  # per host
 IDLE_STATES = ("idle", "wait")
 
-ProcessorState = tuple[str, str]  # processor, state
-SeriesKey = tuple[str, str, str, str, str]  # plugin, plugin instance, type, type instance, source
+ProcessorState = tuple[str, str]  # (processor, state)
+SeriesKey = tuple[str, str, str, str, str]  # (plugin, plugin instance, type, type instance, source)
 
 
 class Reading(NamedTuple):
-    """A value and the sender's time of it."""
+    """Value or rate, and its time by the sender's clock."""
 
     time: int
     value: float
 
 
 class HostLoad(NamedTuple):
-    """How busy the host of an endpoint is: a share from 0 to 1, and how old that is."""
+    """Load of an endpoint's host and the age of this load."""
 
     endpoint: int
-    busy: float
+    busy_share: float  # from 0 to 1
     age: int
 
 
 @dataclass(slots=True)
 class Host:
-    """What is known of one listed host."""
+    """State of one host that has a listed endpoint."""
 
     clock: HostClock = field(default_factory=HostClock)
     series: dict[SeriesKey, Series] = field(default_factory=dict)
     state_rates: dict[ProcessorState, Reading] = field(default_factory=dict)
     state_percents: dict[ProcessorState, Reading] = field(default_factory=dict)
     run_queue: Reading | None = None  # runnable processes
-    newest: int = 0  # by the host's clock
-    newest_read_at: int = 0  # by our clock
-    reported: int = 0  # `newest` of the last load that was reported
+    newest_time: int = 0  # time of the newest value, by the host's clock
+    newest_measured_at: int = 0  # the same time by the server's clock
+    reported_time: int = 0  # `newest_time` when the host's load was last computed
     interval: int = DEFAULT_INTERVAL
 
-    def busy(self) -> float | None:
-        """Return the share of its processors' time that is not idle; None where it is not known."""
-        oldest_current = self.newest - FRESH_INTERVALS * self.interval
-        for estimate in (self._busy_by_rates, self._busy_by_percents, self._busy_by_run_queue):
+    def busy_share(self) -> float | None:
+        """Return the share of the processors' time that is not idle, from 0 to 1.
+
+        The share is computed from the first of these that has current readings: rates of the processor
+        states, percentages of the processor states, the run queue. It is None if none of them has.
+        """
+        oldest_current = self.newest_time - FRESH_INTERVALS * self.interval
+        for estimate in (
+            self._busy_share_by_rates,
+            self._busy_share_by_percents,
+            self._busy_share_by_run_queue,
+        ):
             share = estimate(oldest_current)
             if share is not None:
                 return share
         return None
 
-    def _busy_by_rates(self, oldest_current: float) -> float | None:
-        rates = [
+    def _busy_share_by_rates(self, oldest_current: float) -> float | None:
+        current_rates = [
             (state, reading.value)
             for (_, state), reading in self.state_rates.items()
             if reading.time >= oldest_current
         ]
-        total = sum(rate for _, rate in rates)
-        states = {state for state, _ in rates}
-        if total <= 0 or "idle" not in states or len(states) < 2:
+        total_rate = sum(rate for _, rate in current_rates)
+        states = {state for state, _ in current_rates}
+        if total_rate <= 0 or "idle" not in states or len(states) < 2:
             return None
-        return 1 - sum(rate for state, rate in rates if state in IDLE_STATES) / total
+        return 1 - sum(rate for state, rate in current_rates if state in IDLE_STATES) / total_rate
 
-    def _busy_by_percents(self, oldest_current: float) -> float | None:
-        current = [
+    def _busy_share_by_percents(self, oldest_current: float) -> float | None:
+        current_percents = [
             (state, reading.value)
             for (_, state), reading in self.state_percents.items()
             if reading.time >= oldest_current
         ]
-        active = [percent for state, percent in current if state == "active"]
-        if active:
-            return _clamped(sum(active) / len(active) / 100)
-        idle = [percent for state, percent in current if state == "idle"]
-        return _clamped(1 - sum(idle) / len(idle) / 100) if idle else None
+        active_percents = [percent for state, percent in current_percents if state == "active"]
+        if active_percents:
+            return _clamp(sum(active_percents) / len(active_percents) / 100)
+        idle_percents = [percent for state, percent in current_percents if state == "idle"]
+        return _clamp(1 - sum(idle_percents) / len(idle_percents) / 100) if idle_percents else None
 
-    def _busy_by_run_queue(self, oldest_current: float) -> float | None:
+    def _busy_share_by_run_queue(self, oldest_current: float) -> float | None:
         if self.run_queue is None or self.run_queue.time < oldest_current:
             return None
-        states = (*self.state_rates, *self.state_percents)
-        processors = {processor for processor, _ in states if processor}
+        processor_states = (*self.state_rates, *self.state_percents)
+        processors = {processor for processor, _ in processor_states if processor}
         return min(1.0, self.run_queue.value / len(processors)) if processors else None
 
-    def use(self, values: ValueList, source: str, rate: float) -> bool:
-        """Store a rate; return whether the host's load is made of it."""
+    def store_rate(self, values: ValueList, source: str, rate: float) -> bool:
+        """Store a rate if the host's load is computed from it.
+
+        Args:
+            values: The value list that the rate belongs to.
+            source: The name of the data source within the value list's type.
+            rate: The rate, or the value of a gauge.
+
+        Returns:
+            Whether the rate was stored.
+        """
         reading = Reading(values.time, rate)
         processor_state = (values.plugin_instance, values.type_instance)
         if values.plugin == "cpu" and values.type == "cpu":
@@ -118,48 +136,54 @@
             return False
         return True
 
-    def clock_was_set_back(self) -> None:
-        """Values count as new again, though their times are lower."""
-        self.newest = 0
-        self.reported = 0
+    def reset_times(self) -> None:
+        """Let values with lower timestamps count as new, after the host's clock was set back."""
+        self.newest_time = 0
+        self.reported_time = 0
 
 
-def _clamped(share: float) -> float:
+def _clamp(share: float) -> float:
     return min(1.0, max(0.0, share))
 
 
 class HostLoads:
-    """Value lists in, host loads out.
+    """Conversion of value lists to host loads.
 
-    `endpoints_of(host)` gives the listed endpoints on a host, none for an unknown one; `counters` counts what
-    is ignored.
+    `find_endpoints(host)` returns the listed endpoints on a host, an empty sequence for an unknown host.
+    `counters` counts the values that are used and those that are ignored.
     """
 
     def __init__(
         self,
-        endpoints_of: Callable[[str], Sequence[int]],
+        find_endpoints: Callable[[str], Sequence[int]],
         types: Types,
         counters: MutableMapping[str, int],
         max_series: int = MAX_SERIES,
     ) -> None:
-        self.endpoints_of = endpoints_of
+        self.find_endpoints = find_endpoints
         self.types = types
         self.counters = counters
         self.max_series = max_series
         self.hosts: dict[str, Host] = {}
 
     def add(self, now: int, value_lists: Iterable[ValueList], is_authenticated: bool) -> None:
-        """Use the value lists of a packet that arrived at `now`."""
+        """Add the value lists of a packet.
+
+        Args:
+            now: The time at which the packet arrived.
+            value_lists: The decoded value lists.
+            is_authenticated: Whether the packet was signed or encrypted by a user with a valid password.
+        """
         for values in value_lists:
             sources = self.types.get(values.type)
-            if not self.endpoints_of(values.host):
+            if not self.find_endpoints(values.host):
                 self.counters["collectd_unknown_hosts"] += 1
             elif sources is None or [source.kind for source in sources] != [
                 kind for kind, _ in values.values
             ]:
                 self.counters["collectd_type_mismatches"] += 1
             elif is_authenticated and abs(now - values.time) > MAX_AUTHENTICATED_SKEW:
-                self.counters["collectd_too_old"] += 1  # an old packet, sent by someone who kept it
+                self.counters["collectd_too_old"] += 1
             else:
                 self._add(now, values, sources)
 
@@ -172,19 +196,20 @@
             return
         is_used = False
         for source, (kind, value) in zip(sources, values.values, strict=True):
-            rate = self._rate(host, values, source.name, kind, value, interval)
-            if rate is None or not source.minimum <= rate <= source.maximum:  # false for what is not a number
+            rate = self._update_series(host, values, source.name, kind, value, interval)
+            # A rate that is not a number fails this comparison too.
+            if rate is None or not source.minimum <= rate <= source.maximum:
                 continue
-            is_used = host.use(values, source.name, rate) or is_used
+            is_used = host.store_rate(values, source.name, rate) or is_used
         if not is_used:
             return
         self.counters["collectd_values"] += 1
-        if values.time > host.newest:
-            host.newest = values.time
-            host.newest_read_at = now - age
+        if values.time > host.newest_time:
+            host.newest_time = values.time
+            host.newest_measured_at = now - age
             host.interval = interval
 
-    def _rate(
+    def _update_series(
         self, host: Host, values: ValueList, source: str, kind: int, value: float, interval: int
     ) -> float | None:
         key = (values.plugin, values.plugin_instance, values.type, values.type_instance, source)
@@ -192,11 +217,11 @@
         if series is None:
             return self._start_series(host, key, values.time, kind, value, interval)
         if values.time > series.time:
-            return series.rate(kind, value, values.time, interval)
-        if values.time < series.time - 2 * JUMP and host.clock.late_in_a_row == 0:
+            return series.add_value(kind, value, values.time, interval)
+        if values.time < series.time - 2 * JUMP_THRESHOLD and host.clock.consecutive_late_values == 0:
             series.time = values.time
             series.value = value
-            host.clock_was_set_back()
+            host.reset_times()
         elif values.time < series.time:
             self.counters["collectd_old"] += 1
         else:
@@ -214,31 +239,35 @@
             return value
         return value * SECOND / interval if kind == ABSOLUTE else None
 
-    def take_loads(self, now: int) -> list[HostLoad]:
-        """Return the loads of hosts with new values, one for each endpoint.
+    def pop_loads(self, now: int) -> list[HostLoad]:
+        """Return the loads of the hosts that have new values since the last call, one for each endpoint.
 
-        The age counts from the middle of the interval that the load is a mean of.
+        A load is a mean over an interval; its age counts from the middle of that interval.
         """
         loads = []
         for name, host in self.hosts.items():
-            if host.newest <= host.reported:
+            if host.newest_time <= host.reported_time:
                 continue
-            host.reported = host.newest
-            busy = host.busy()
-            if busy is not None:
-                age = max(0, now - host.newest_read_at) + host.interval // 2
-                loads += [HostLoad(endpoint, busy, age) for endpoint in self.endpoints_of(name)]
+            host.reported_time = host.newest_time
+            busy_share = host.busy_share()
+            if busy_share is not None:
+                age = max(0, now - host.newest_measured_at) + host.interval // 2
+                loads += [HostLoad(endpoint, busy_share, age) for endpoint in self.find_endpoints(name)]
         return loads
 
-    def take_skewed_clocks(self) -> list[tuple[str, float]]:
-        """Return hosts whose clock is newly off, or right again, by more than JUMP: (host, seconds ahead)."""
-        skewed = []
+    def pop_skewed_clocks(self) -> list[tuple[str, float]]:
+        """Return the hosts whose clock offset has changed by more than JUMP_THRESHOLD since it was returned.
+
+        Returns:
+            Pairs (host, seconds by which its clock is ahead); the seconds are negative if it is behind.
+        """
+        skewed_clocks = []
         for name, host in self.hosts.items():
-            offset = host.clock.take_new_offset()
+            offset = host.clock.pop_new_offset()
             if offset is not None:
-                skewed.append((name, -offset / SECOND))
-        return skewed
+                skewed_clocks.append((name, -offset / SECOND))
+        return skewed_clocks
 
     def remove_unlisted_hosts(self) -> None:
-        """Forget hosts that have no listed endpoint any more."""
-        self.hosts = {name: host for name, host in self.hosts.items() if self.endpoints_of(name)}
+        """Remove the state of hosts that have no listed endpoint any more."""
+        self.hosts = {name: host for name, host in self.hosts.items() if self.find_endpoints(name)}
--- a/ravenshelf/collectd/decisions/replays.py
+++ b/ravenshelf/collectd/decisions/replays.py
@@ -1,4 +1,4 @@
-"""Detects packets that are sent again by someone who kept them."""
+"""Detection of replayed packets: recorded authenticated packets that an attacker sends again."""
 
 from collections import OrderedDict
 
@@ -7,24 +7,27 @@
 
 
 class ReplayFilter:
-    """Accepts each authenticated packet once.
+    """Memory of the authenticated packets that were accepted, by digest.
 
-    Its memory is bounded: when it is full the oldest digest is forgotten; by then the values of that packet
-    are older than those of their series.
+    Its size is bounded: when it is full, the oldest digest is removed. By then the values of that packet are
+    older than the newest ones of their series, so they are ignored if the packet is replayed.
     """
 
     def __init__(self, max_digests: int = MAX_DIGESTS) -> None:
         self.max_digests = max_digests
-        self.seen: OrderedDict[int, int] = OrderedDict()  # time by digest, oldest first
+        self.arrival_times: OrderedDict[int, int] = OrderedDict()  # by digest, oldest first
 
     def is_replay(self, digest: int, now: int) -> bool:
-        """Return whether the digest was seen before, and remember it."""
-        while self.seen:
-            oldest_at = next(iter(self.seen.values()))
-            if oldest_at >= now - REPLAY_WINDOW and len(self.seen) <= self.max_digests:
+        """Return whether the digest was recorded before; record it if it was not.
+
+        `now` is in microseconds.
+        """
+        while self.arrival_times:
+            oldest_at = next(iter(self.arrival_times.values()))
+            if oldest_at >= now - REPLAY_WINDOW and len(self.arrival_times) <= self.max_digests:
                 break
-            self.seen.popitem(last=False)
-        if digest in self.seen:
+            self.arrival_times.popitem(last=False)
+        if digest in self.arrival_times:
             return True
-        self.seen[digest] = now
+        self.arrival_times[digest] = now
         return False
--- a/ravenshelf/collectd/decisions/series.py
+++ b/ravenshelf/collectd/decisions/series.py
@@ -1,31 +1,43 @@
-"""One series of values and the rates between them.
+"""Series of values of one source and the rates between them.
 
-A counter that wraps at 32 or 64 bits gives the difference over the wrap where it is under a quarter of the
-range; otherwise it was reset, and there is no rate. A DERIVE that falls was reset. There is no rate over a
-gap of several intervals: it would pass for a current one and is a mean of long ago.
+A counter that falls has either wrapped at 32 or 64 bits or was reset. It counts as wrapped if the difference
+over the wrap is under a quarter of the range; after a reset there is no rate. A DERIVE that falls was reset.
+No rate is computed over a gap of several intervals: it would count as current although it is a mean over a
+long time in the past.
 """
 
 from dataclasses import dataclass
 
 from ravenshelf.collectd.protocol import ABSOLUTE, DERIVE, GAUGE, SECOND
 
-MAX_GAP_INTERVALS = 3
-MAX_WRAP_SHARE_BITS = 2  # a difference over the wrap is under 1/4 of the range
+MAX_GAP_INTERVALS = 3  # intervals between two values up to which a rate is computed
+MAX_WRAP_SHARE_BITS = 2  # The difference over a wrap is under 1 / 2^2 of the range.
 
 
 @dataclass(slots=True)
 class Series:
-    """The newest value of one source; `time` is the sender's, in microseconds."""
+    """Newest value of one source; `time` is in microseconds of the sender's clock."""
 
     time: int
     value: float
 
-    def rate(self, kind: int, value: float, time: int, interval: int) -> float | None:
-        """Store a value; return its rate per second since the last one, or None; of a gauge the value."""
+    def add_value(self, kind: int, value: float, time: int, interval: int) -> float | None:
+        """Store a value and return the rate since the previous one.
+
+        Args:
+            kind: The kind of value, such as protocol.DERIVE.
+            value: The value.
+            time: The value's time.
+            interval: The sender's interval between values, in microseconds.
+
+        Returns:
+            The rate per second, or the value itself if it is a gauge. None if there is no rate; a value that
+            is not newer than the stored one is ignored and has none.
+        """
         if time <= self.time:
             return None
         elapsed = time - self.time
-        previous = self.value
+        previous_value = self.value
         self.time = time
         self.value = value
         if kind == GAUGE:
@@ -34,16 +46,16 @@
             return None
         if kind == ABSOLUTE:
             return value * SECOND / elapsed
-        difference = _difference(kind, previous, value)
+        difference = _difference(kind, previous_value, value)
         return None if difference is None else difference * SECOND / elapsed
 
 
-def _difference(kind: int, previous: float, value: float) -> float | None:
-    difference = value - previous
+def _difference(kind: int, previous_value: float, value: float) -> float | None:
+    difference = value - previous_value
     if difference >= 0:
         return difference
     if kind == DERIVE:
         return None
-    bits = 32 if previous < 1 << 32 else 64
+    bits = 32 if previous_value < 1 << 32 else 64
     difference += 1 << bits
     return difference if difference < 1 << (bits - MAX_WRAP_SHARE_BITS) else None
--- a/ravenshelf/collectd/listener.py
+++ b/ravenshelf/collectd/listener.py
@@ -1,4 +1,7 @@
-"""Receives collectd's datagrams and has them decoded by a background job: a flood costs a bounded queue."""
+"""Listener for collectd's datagrams, which a background job decodes.
+
+The queue of datagrams is bounded, so a flood of them cannot exhaust the memory.
+"""
 
 import asyncio
 from collections import deque
@@ -18,31 +21,32 @@
 from ravenshelf.policy.events import HostLoadSampled
 from ravenshelf.state.counters import Counters
 
-MAX_QUEUED_PACKETS = 1024  # beyond it the newest are dropped: the queue is the older half of one read
-SLICE_PACKETS = 8
-DECODE_WITHIN = 500_000  # microseconds
-REJECTION_LOG_INTERVAL = 10_000_000  # microseconds, for each reason
+# When the queue is full, further packets are dropped: the queued ones are the older half of the same burst.
+MAX_QUEUED_PACKETS = 1024
+PACKETS_PER_SLICE = 8
+DECODE_TIME_LIMIT = 500_000  # microseconds
+REJECTION_LOG_INTERVAL = 10_000_000  # microseconds between two log events with the same reason
 DECODE_JOB = "collectd.decode"
 
 
 class CollectdTable(Protocol):
-    """The keys of the operator file's `[collectd]` that are read here."""
+    """Keys of the operator file's table `[collectd]` that the listener reads."""
 
     @property
     def security(self) -> str:
-        """The lowest level that is accepted, one of security.SECURITY_LEVELS."""
+        """Lowest security level of accepted packets, one of security.SECURITY_LEVELS."""
 
     @property
     def plugins(self) -> Sequence[str]:
-        """The plugins whose values are used."""
+        """Names of the plugins whose values are used."""
 
     @property
     def types(self) -> str:
-        """The path of a types.db, or ""."""
+        """Path of a types.db file, or "" for the built-in types."""
 
 
 class QueuedPacket(NamedTuple):
-    """A packet that is not decoded yet."""
+    """Packet that waits to be decoded; `received_at` is in microseconds."""
 
     received_at: int
     sender: str
@@ -50,7 +54,7 @@
 
 
 class CollectdListener(asyncio.DatagramProtocol):
-    """The datagram endpoint; `on_host_load` gets the events."""
+    """Datagram protocol that decodes collectd's packets and passes host loads to `on_host_load`."""
 
     def __init__(
         self,
@@ -71,67 +75,74 @@
         self.clock = clock
         self.on_host_load = on_host_load
         self.replay_filter = ReplayFilter()
-        self.queued: deque[QueuedPacket] = deque()
+        self.queued_packets: deque[QueuedPacket] = deque()
         self.has_decode_job = False
         self.rejection_logged_at: dict[RejectionReason, int] = {}
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, to close it."""
+        """Store the transport; called by the event loop."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: tuple[str | Any, int]) -> None:
-        """Queue a packet."""
-        if len(self.queued) >= MAX_QUEUED_PACKETS or len(data) > MAX_PACKET_BYTES:
+        """Queue a packet to be decoded; called by the event loop.
+
+        The packet is dropped if it is too long or the queue is full.
+        """
+        if len(self.queued_packets) >= MAX_QUEUED_PACKETS or len(data) > MAX_PACKET_BYTES:
             self.counters["collectd_overflow"] += 1
             return
-        self.queued.append(QueuedPacket(self.clock(), address[0], data))
+        self.queued_packets.append(QueuedPacket(self.clock(), address[0], data))
         if not self.has_decode_job:
             self.has_decode_job = True
             self.background.offer(
-                DECODE_JOB, Priority.SIGNAL, DECODE_WITHIN, self._decode(), on_dropped=self._on_job_dropped
+                DECODE_JOB,
+                Priority.SIGNAL,
+                DECODE_TIME_LIMIT,
+                self._decode(),
+                on_dropped=self._on_job_dropped,
             )
 
     def error_received(self, error: Exception) -> None:
-        """Ignore it: nothing is sent."""
+        """Ignore the error: it can only concern a sent datagram, and the listener sends none."""
 
     def _on_job_dropped(self) -> None:
         self.has_decode_job = False
 
     def _decode(self) -> Iterator[None]:
-        while self.queued:
-            for _ in range(min(SLICE_PACKETS, len(self.queued))):
-                self._decode_packet(self.queued.popleft())
+        while self.queued_packets:
+            for _ in range(min(PACKETS_PER_SLICE, len(self.queued_packets))):
+                self._decode_packet(self.queued_packets.popleft())
             yield
         self.has_decode_job = False
-        for load in self.host_loads.take_loads(self.clock()):
+        for load in self.host_loads.pop_loads(self.clock()):
             self.counters["collectd_signals"] += 1
             self.on_host_load(HostLoadSampled(*load))
-        for host, seconds_ahead in self.host_loads.take_skewed_clocks():
+        for host, seconds_ahead in self.host_loads.pop_skewed_clocks():
             log_events.HOST_CLOCK_SKEWED(host=host, ahead=seconds_ahead)
 
     def _decode_packet(self, packet: QueuedPacket) -> None:
         try:
-            plain = security.open_packet(
+            plain_packet = security.open_packet(
                 packet.data,
-                lambda user: self.users.passwords(user, packet.received_at),
+                lambda user: self.users.valid_passwords(user, packet.received_at),
                 self.table.security,
             )
-            if plain.is_authenticated:
+            if plain_packet.is_authenticated:
                 self._check_replay(packet)
-            value_lists = protocol.decode_value_lists(plain.parts, self._is_wanted)
+            value_lists = protocol.decode_value_lists(plain_packet.parts, self._is_selected)
         except RejectedPacketError as error:
             self._on_rejected(packet, error)
             return
         self.counters["collectd_packets"] += 1
-        self.host_loads.add(packet.received_at, value_lists, plain.is_authenticated)
+        self.host_loads.add(packet.received_at, value_lists, plain_packet.is_authenticated)
 
     def _check_replay(self, packet: QueuedPacket) -> None:
         digest = xxhash.xxh64_intdigest(packet.data)
         if self.replay_filter.is_replay(digest, packet.received_at):
-            raise RejectedPacketError(RejectionReason.REPLAYED, "a packet that was accepted before")
+            raise RejectedPacketError(RejectionReason.REPLAYED, "the same packet was accepted before")
 
-    def _is_wanted(self, host: str, plugin: str) -> bool:
+    def _is_selected(self, host: str, plugin: str) -> bool:
         del host
         return plugin in self.plugins
 
@@ -144,7 +155,7 @@
             log_events.PACKET_REJECTED(peer=packet.sender, why=f"{error.reason.value}: {error}")
 
     def close(self) -> None:
-        """Stop listening and drop what is queued."""
+        """Stop listening and drop the queued packets."""
         self.background.cancel(DECODE_JOB)
         if self.transport is not None:
             self.transport.close()
--- a/ravenshelf/collectd/protocol.py
+++ b/ravenshelf/collectd/protocol.py
@@ -1,8 +1,11 @@
-"""Decodes collectd's binary network protocol, after its published description: packets into value lists.
+"""Decoder of collectd's binary network protocol: packets into value lists.
 
-A packet is a sequence of parts: type and length (16 bits each, network order; the length includes this
-header), then a body. Parts set the context of the values after them. A packet is decoded as a whole or
-rejected: after a wrong length nothing is certain, and what precedes it may belong to a packet that was cut.
+It follows the published description of the protocol. A packet is a sequence of parts. Each part has a header
+of type and length (16 bits each, in network byte order; the length includes the header) and a body. Parts set
+the context, such as the host, of the values after them.
+
+A packet is decoded as a whole or rejected. After a wrong length, the boundaries of all further parts are
+unknown, and the parts before it may belong to a packet that was truncated.
 """
 
 import enum
@@ -12,20 +15,22 @@
 
 from ravenshelf.errors import RavenshelfError
 
+# Types of parts
 HOST, TIME, PLUGIN, PLUGIN_INSTANCE, TYPE, TYPE_INSTANCE, VALUES, INTERVAL = range(8)
 TIME_HR = 0x0008
 INTERVAL_HR = 0x0009
 SIGNATURE = 0x0200
 ENCRYPTION = 0x0210
 
+# Kinds of values, and their names by number
 COUNTER, GAUGE, DERIVE, ABSOLUTE = range(4)
 KINDS = ("COUNTER", "GAUGE", "DERIVE", "ABSOLUTE")
 
 MAX_PACKET_BYTES = 65535
-MAX_TEXT_BYTES = 128  # with the zero byte at its end
-MAX_VALUES = 64
+MAX_TEXT_BYTES = 128  # including the terminating zero byte
+MAX_VALUES = 64  # per value list
 NUMBER_BYTES = 8
-VALUE_BYTES = 9  # kind and number
+VALUE_BYTES = 9  # one byte for the kind, eight for the number
 COUNT_BYTES = 2
 SECOND = 1_000_000  # microseconds
 
@@ -33,12 +38,14 @@
 _U64 = struct.Struct("!Q")
 _I64 = struct.Struct("!q")
 _DOUBLE = struct.Struct("<d")
-_VALUE_FORMATS = (_U64, _DOUBLE, _I64, _U64)  # by kind; gauges alone are little-endian
+# By kind of value. Only gauges are little-endian.
+_VALUE_FORMATS = (_U64, _DOUBLE, _I64, _U64)
+# Positions of the texts of a context, by type of part
 _TEXT_FIELDS = {HOST: 0, PLUGIN: 1, PLUGIN_INSTANCE: 2, TYPE: 3, TYPE_INSTANCE: 4}
 
 
 class RejectionReason(enum.Enum):
-    """Why a packet was rejected."""
+    """Reason for the rejection of a packet."""
 
     MALFORMED = "malformed"
     UNSIGNED = "unsigned"
@@ -49,12 +56,12 @@
 
     @property
     def counter_name(self) -> str:
-        """The reason as a part of a counter's name."""
+        """Return the reason in the form in which it is part of a counter's name."""
         return self.value.replace(" ", "_")
 
 
 class RejectedPacketError(RavenshelfError):
-    """Nothing of a packet is used; `detail` says what was found or expected."""
+    """Error that rejects a packet as a whole; `detail` says what was expected or found."""
 
     def __init__(self, reason: RejectionReason, detail: str) -> None:
         super().__init__(detail)
@@ -62,14 +69,17 @@
         self.detail = detail
 
 
-def malformed(detail: str) -> RejectedPacketError:
-    """Return the error of a packet that does not follow the protocol."""
+def malformed_packet_error(detail: str) -> RejectedPacketError:
+    """Create the error that rejects a packet because it does not follow the protocol."""
     return RejectedPacketError(RejectionReason.MALFORMED, detail)
 
 
 @dataclass(slots=True)
 class ValueList:
-    """Values that a plugin read at one time; `time` and `interval` are microseconds of the sender's clock."""
+    """Values that a plugin read at the same time.
+
+    `time` and `interval` are microseconds of the sender's clock; an interval of 0 means that none was stated.
+    """
 
     host: str
     plugin: str
@@ -81,88 +91,106 @@
     values: tuple[tuple[int, float], ...]  # (kind, value)
 
 
-def microseconds(ticks: int) -> int:
-    """Convert a high-resolution time, in units of 2^-30 s."""
+def ticks_to_microseconds(ticks: int) -> int:
+    """Convert a high-resolution time in units of 2^-30 s to microseconds, rounded to nearest."""
     return (ticks * SECOND + (1 << 29)) >> 30
 
 
-def _parts(data: bytes) -> Iterator[tuple[int, bytes]]:
-    """Yield type and body of each part."""
+def _iterate_parts(data: bytes) -> Iterator[tuple[int, bytes]]:
+    """Yield the type and body of each part; raise RejectedPacketError at a malformed one."""
     position = 0
     while position < len(data):
         remaining = len(data) - position
         if remaining < PART_HEADER.size:
-            raise malformed(f"{remaining} bytes at {position}, a part's header has {PART_HEADER.size}")
+            raise malformed_packet_error(
+                f"expected a part header of {PART_HEADER.size} bytes at {position}, found {remaining}"
+            )
         kind, size = PART_HEADER.unpack_from(data, position)
         if not PART_HEADER.size <= size <= remaining:
-            raise malformed(
-                f"part {kind:#06x} at {position} has a length of {size}, {remaining} bytes remain"
+            raise malformed_packet_error(
+                f"part {kind:#06x} at {position}: expected at least a header and "
+                f"at most {remaining} bytes, found a length of {size}"
             )
         yield kind, data[position + PART_HEADER.size : position + size]
         position += size
 
 
-def _text(kind: int, body: bytes) -> str:
+def _decode_text(kind: int, body: bytes) -> str:
     if not body or body[-1] or 0 in body[:-1] or len(body) > MAX_TEXT_BYTES:
-        raise malformed(f"part {kind:#06x}: expected up to {MAX_TEXT_BYTES - 1} bytes and a zero byte")
+        raise malformed_packet_error(
+            f"part {kind:#06x}: expected up to {MAX_TEXT_BYTES - 1} bytes and a zero byte at the end"
+        )
     try:
         return body[:-1].decode("utf-8")
     except UnicodeDecodeError as error:
-        raise malformed(f"part {kind:#06x}: expected UTF-8") from error
+        raise malformed_packet_error(f"part {kind:#06x}: expected text in UTF-8") from error
 
 
-def _number(kind: int, body: bytes) -> int:
+def _decode_number(kind: int, body: bytes) -> int:
     if len(body) != NUMBER_BYTES:
-        raise malformed(f"part {kind:#06x}: expected {NUMBER_BYTES} bytes, not {len(body)}")
+        raise malformed_packet_error(f"part {kind:#06x}: expected {NUMBER_BYTES} bytes, found {len(body)}")
     return int.from_bytes(body, "big")
 
 
-def _values(body: bytes) -> tuple[tuple[int, float], ...]:
+def _decode_values(body: bytes) -> tuple[tuple[int, float], ...]:
     count = int.from_bytes(body[:COUNT_BYTES], "big")
     if len(body) != COUNT_BYTES + VALUE_BYTES * count or not 0 < count <= MAX_VALUES:
-        raise malformed(f"{len(body)} bytes of {count} values")
+        raise malformed_packet_error(
+            f"values part: the length of {len(body)} bytes does not match a count of {count} values"
+        )
     numbers_start = COUNT_BYTES + count
     kinds = body[COUNT_BYTES:numbers_start]
     if max(kinds) > ABSOLUTE:
-        raise malformed(f"a value of kind {max(kinds)}")
+        raise malformed_packet_error(f"expected a known kind of value, found {max(kinds)}")
     return tuple(
-        (kind, _VALUE_FORMATS[kind].unpack_from(body, numbers_start + NUMBER_BYTES * position)[0])
-        for position, kind in enumerate(kinds)
+        (kind, _VALUE_FORMATS[kind].unpack_from(body, numbers_start + NUMBER_BYTES * index)[0])
+        for index, kind in enumerate(kinds)
     )
 
 
-def decode_value_lists(data: bytes, is_wanted: Callable[[str, str], bool] | None = None) -> list[ValueList]:
-    """Return the value lists of a plain packet.
+def decode_value_lists(data: bytes, is_selected: Callable[[str, str], bool] | None = None) -> list[ValueList]:
+    """Decode the value lists of a packet without signature and encryption.
 
-    Lists for whose host and plugin `is_wanted` is false are skipped. Raises RejectedPacketError.
+    Args:
+        data: The packet's parts.
+        is_selected: Called as `is_selected(host, plugin)`; value lists for which it returns False are
+            skipped. None selects all of them.
+
+    Returns:
+        The selected value lists in the order of the packet.
+
+    Raises:
+        RejectedPacketError: The packet is malformed.
     """
     texts = ["", "", "", "", ""]  # host, plugin, plugin instance, type, type instance
     time = 0
     interval = 0
-    decoded = []
-    for kind, body in _parts(data):
+    value_lists = []
+    for kind, body in _iterate_parts(data):
         if kind in _TEXT_FIELDS:
-            texts[_TEXT_FIELDS[kind]] = _text(kind, body)
+            texts[_TEXT_FIELDS[kind]] = _decode_text(kind, body)
         elif kind == TIME:
-            time = _number(kind, body) * SECOND
+            time = _decode_number(kind, body) * SECOND
         elif kind == TIME_HR:
-            time = microseconds(_number(kind, body))
+            time = ticks_to_microseconds(_decode_number(kind, body))
         elif kind == INTERVAL:
-            interval = _number(kind, body) * SECOND
+            interval = _decode_number(kind, body) * SECOND
         elif kind == INTERVAL_HR:
-            interval = microseconds(_number(kind, body))
+            interval = ticks_to_microseconds(_decode_number(kind, body))
         elif kind == VALUES:
-            values = _values(body)
+            values = _decode_values(body)
             _check_context(texts, time)
-            if is_wanted is None or is_wanted(texts[0], texts[1]):
-                decoded.append(_value_list(texts, time, interval, values))
+            if is_selected is None or is_selected(texts[0], texts[1]):
+                value_lists.append(_make_value_list(texts, time, interval, values))
         elif kind in (SIGNATURE, ENCRYPTION):
-            raise malformed("a signature or an encrypted part that is not the packet's first")
-        # other parts are notifications, or from a later version of collectd
-    return decoded
+            raise malformed_packet_error(
+                "expected a signature or an encrypted part only at the start, found one after other parts"
+            )
+        # Other parts are notifications or come from a later version of collectd.
+    return value_lists
 
 
-def _value_list(
+def _make_value_list(
     texts: list[str], time: int, interval: int, values: tuple[tuple[int, float], ...]
 ) -> ValueList:
     host, plugin, plugin_instance, type_name, type_instance = texts
@@ -172,6 +200,6 @@
 def _check_context(texts: list[str], time: int) -> None:
     host, plugin, _, type_name, _ = texts
     if not host or not plugin or not type_name:
-        raise malformed("values before a host, a plugin and a type")
+        raise malformed_packet_error("expected a host, a plugin and a type before the first values")
     if not time:
-        raise malformed("values before a time")
+        raise malformed_packet_error("expected a time before the first values")
--- a/ravenshelf/collectd/types.py
+++ b/ravenshelf/collectd/types.py
@@ -1,25 +1,29 @@
-"""types.db: which values a type has, of which kind and between which bounds. Pure."""
+"""Parser of types.db: the data sources of each type, with their kinds and bounds.
+
+Nothing here performs I/O.
+"""
 
 from typing import NamedTuple
 
 from ravenshelf.collectd.protocol import KINDS
 from ravenshelf.errors import RavenshelfError
 
-# The types that host loads are made of; the operator file names the file of an installation with other types.
+# Types that host loads are computed from. The operator file can name the types.db of an installation whose
+# types differ.
 BUILT_IN_TYPES = """\
 cpu      value:DERIVE:0:U
 load     shortterm:GAUGE:0:5000, midterm:GAUGE:0:5000, longterm:GAUGE:0:5000
 percent  value:GAUGE:0:100.1
 """
 UNBOUNDED = "U"
-MAX_SHOWN_SOURCE = 60
+MAX_SHOWN_SOURCE = 60  # characters of a malformed data source in an error message
 
 
 class TypesFileError(RavenshelfError):
-    """A malformed line of types.db; the text names file, line, what was found and expected."""
+    """Error for a malformed line of types.db; its text names file, line, and what was expected and found."""
 
     def __init__(self, file: str, line: int, expected: str, found: str) -> None:
-        super().__init__(f"{file}:{line}: expected {expected}, not {found}")
+        super().__init__(f"{file}:{line}: expected {expected}, found {found}")
         self.file = file
         self.line = line
         self.expected = expected
@@ -27,7 +31,7 @@
 
 
 class DataSource(NamedTuple):
-    """One value of a type; `kind` is a number of protocol.KINDS."""
+    """One value of a type; `kind` is an index in protocol.KINDS."""
 
     name: str
     kind: int
@@ -39,16 +43,27 @@
 
 
 def parse(text: str, file: str = "types.db") -> Types:
-    """Return the values of each type by its name; `file` is named in errors. Raises TypesFileError."""
+    """Parse the text of a types.db.
+
+    Args:
+        text: The text; a `#` starts a comment.
+        file: The file's name for error messages.
+
+    Returns:
+        The data sources of each type, by the type's name.
+
+    Raises:
+        TypesFileError: A line is malformed.
+    """
     types = {}
     for number, full_line in enumerate(text.splitlines(), 1):
         line = full_line.partition("#")[0].strip()
         if not line:
             continue
-        name, *rest = line.split(None, 1)
-        sources = rest[0].split(",") if rest else []
+        name, *source_texts = line.split(None, 1)
+        sources = source_texts[0].split(",") if source_texts else []
         if not sources:
-            raise TypesFileError(file, number, "name:KIND:least:most", f"nothing after {name}")
+            raise TypesFileError(file, number, "name:KIND:least:most", f"nothing after the name {name}")
         types[name] = tuple(_parse_source(file, number, source.strip()) for source in sources)
     return types
 
--- a/ravenshelf/collectd/users.py
+++ b/ravenshelf/collectd/users.py
@@ -1,12 +1,16 @@
-"""The users that sign or encrypt collectd packets: `user: password` lines, as in collectd's own file."""
+"""Users that sign or encrypt collectd packets.
+
+The password file has lines of the form `user: password`, as collectd's own file.
+"""
 
 from ravenshelf.errors import RavenshelfError
 
-PASSWORD_OVERLAP = 60_000_000  # microseconds for which a changed password stays valid
+# Time, in microseconds, for which the previous password of a user stays valid after a change.
+PASSWORD_OVERLAP = 60_000_000
 
 
 class UsersFileError(RavenshelfError):
-    """A password file that cannot be used; the text names file, line, what was found and expected."""
+    """Error for a password file that cannot be used; its text names the file, the line and the problem."""
 
     def __init__(self, file: str, problem: str, line: int | None = None) -> None:
         super().__init__(f"{file}: {problem}" if line is None else f"{file}:{line}: {problem}")
@@ -16,14 +20,25 @@
 
 
 def parse(text: str, file: str) -> dict[str, bytes]:
-    """Return the passwords by user; `file` is named in errors. Raises UsersFileError."""
+    """Parse the text of a password file.
+
+    Args:
+        text: The text; empty lines and lines that start with `#` are ignored.
+        file: The file's name for error messages.
+
+    Returns:
+        The passwords by user name.
+
+    Raises:
+        UsersFileError: A line is malformed or names a user a second time.
+    """
     passwords: dict[str, bytes] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.lstrip().startswith("#"):
             continue
         name, colon, password = (word.strip() for word in line.partition(":"))
         if not colon or not name or not password:
-            found = "half of it" if colon else "no colon"
+            found = "no user or no password" if colon else "no colon"
             raise UsersFileError(file, f"expected `user: password`, found {found}", number)
         if name in passwords:
             raise UsersFileError(file, f"expected each user once, found {name!r} again", number)
@@ -32,41 +47,49 @@
 
 
 def load(file: str) -> dict[str, bytes]:
-    """Read a password file; raises UsersFileError."""
+    """Read a password file and return the passwords by user name.
+
+    Raises:
+        UsersFileError: The file cannot be read, is not UTF-8 or is malformed.
+    """
     try:
-        with open(file, encoding="utf-8") as opened:
-            return parse(opened.read(), file)
+        with open(file, encoding="utf-8") as stream:
+            return parse(stream.read(), file)
     except OSError as error:
         raise UsersFileError(file, str(error.strerror)) from error
     except UnicodeDecodeError as error:
-        raise UsersFileError(file, "expected UTF-8") from error
+        raise UsersFileError(file, "expected text in UTF-8") from error
 
 
 class Users:
-    """The users that are known; a changed password stays valid for a while, until hosts have the new one."""
+    """Current users and their valid passwords.
+
+    The previous password of a user stays valid for PASSWORD_OVERLAP after a change, so that hosts that do not
+    have the new one yet are still accepted. Times are microseconds.
+    """
 
-    def __init__(self, current: dict[str, bytes]) -> None:
-        self.current = current
-        self.former: dict[str, tuple[bytes, int]] = {}  # password and the time until which it is valid
+    def __init__(self, current_passwords: dict[str, bytes]) -> None:
+        self.current_passwords = current_passwords
+        self.previous_passwords: dict[str, tuple[bytes, int]] = {}  # (password, end of its validity) by user
 
-    def update(self, current: dict[str, bytes], now: int) -> None:
-        """Use new passwords; a user who was removed is rejected at once."""
-        former = {
+    def update(self, current_passwords: dict[str, bytes], now: int) -> None:
+        """Replace the passwords; users that are not among the new ones are rejected at once."""
+        previous_passwords = {
             name: (password, valid_until)
-            for name, (password, valid_until) in self.former.items()
-            if valid_until > now and name in current
+            for name, (password, valid_until) in self.previous_passwords.items()
+            if valid_until > now and name in current_passwords
         }
-        for name, password in self.current.items():
-            if name in current and current[name] != password:
-                former[name] = (password, now + PASSWORD_OVERLAP)
-        self.former = former
-        self.current = current
-
-    def passwords(self, name: str, now: int) -> list[bytes]:
-        """Return the passwords that are valid for a user, the current one first."""
-        valid = [self.current[name]] if name in self.current else []
-        if name in self.former:
-            password, valid_until = self.former[name]
+        for name, password in self.current_passwords.items():
+            if name in current_passwords and current_passwords[name] != password:
+                previous_passwords[name] = (password, now + PASSWORD_OVERLAP)
+        self.previous_passwords = previous_passwords
+        self.current_passwords = current_passwords
+
+    def valid_passwords(self, name: str, now: int) -> list[bytes]:
+        """Return the passwords of a user that are valid at `now`, the current one first; none if unknown."""
+        passwords = [self.current_passwords[name]] if name in self.current_passwords else []
+        if name in self.previous_passwords:
+            password, valid_until = self.previous_passwords[name]
             if valid_until > now:
-                valid.append(password)
-        return valid
+                passwords.append(password)
+        return passwords
--- a/tests/collectd/test_configuration_files.py
+++ b/tests/collectd/test_configuration_files.py
@@ -16,10 +16,13 @@
 
 
 def test_a_changed_password_stays_valid_for_a_while_and_a_removed_user_is_rejected_at_once():
-    known = users.Users({"u": b"old", "v": b"v"})
-    known.update({"u": b"new"}, 0)
-    assert known.passwords("u", 59 * SECOND) == [b"new", b"old"] and known.passwords("v", 1) == []
-    assert known.passwords("u", 60 * SECOND) == [b"new"]
+    user_list = users.Users({"u": b"old", "v": b"v"})
+    user_list.update({"u": b"new"}, 0)
+    assert (
+        user_list.valid_passwords("u", 59 * SECOND) == [b"new", b"old"]
+        and user_list.valid_passwords("v", 1) == []
+    )
+    assert user_list.valid_passwords("u", 60 * SECOND) == [b"new"]
 
 
 @pytest.mark.parametrize(
--- a/tests/collectd/test_host_loads.py
+++ b/tests/collectd/test_host_loads.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ravenshelf.collectd import protocol, types
-from ravenshelf.collectd.decisions.host_clock import JUMP
+from ravenshelf.collectd.decisions.host_clock import JUMP_THRESHOLD
 from ravenshelf.collectd.decisions.host_loads import Host, HostLoads, Reading
 from ravenshelf.collectd.decisions.replays import ReplayFilter
 from ravenshelf.collectd.protocol import RejectedPacketError
@@ -31,8 +31,8 @@
         """Return busy share and age in seconds of the loads that follow, by endpoint."""
         now = round(at * SECOND)
         self.host_loads.add(now, protocol.decode_value_lists(packet), is_authenticated)
-        loads = self.host_loads.take_loads(now)
-        return {load.endpoint: (round(load.busy, 2), load.age / SECOND) for load in loads}
+        loads = self.host_loads.pop_loads(now)
+        return {load.endpoint: (round(load.busy_share, 2), load.age / SECOND) for load in loads}
 
 
 @pytest.fixture
@@ -66,7 +66,7 @@
     host.clock_offset_s = jump
     loads = [decoder.add(START + 10 * n, host.packet(START + 10 * n)) for n in range(5, 12)]
     assert loads[-1] == {0: (0.2, pytest.approx(5, abs=0.5))} and loads[-2]
-    assert [(h, round(s)) for h, s in decoder.host_loads.take_skewed_clocks()] == [("a", jump)]
+    assert [(h, round(s)) for h, s in decoder.host_loads.pop_skewed_clocks()] == [("a", jump)]
 
 
 def test_late_duplicate_and_out_of_order_packets_are_ignored(decoder):
@@ -84,12 +84,12 @@
     host = sender.SimulatedHost("a")
     for n in range(3):
         decoder.add(START + 10 * n, host.packet(START + 10 * n))
-    assert decoder.host_loads.take_loads((START + 500) * SECOND) == []
-    host = Host(newest=100 * SECOND, interval=SECOND)
+    assert decoder.host_loads.pop_loads((START + 500) * SECOND) == []
+    host = Host(newest_time=100 * SECOND, interval=SECOND)
     host.state_rates = {("0", "idle"): Reading(SECOND, 50.0), ("0", "user"): Reading(100 * SECOND, 5.0)}
-    assert host.busy() is None  # the idle state is long old: its lack is no load
+    assert host.busy_share() is None  # the idle state is long old: its lack is no load
     host.state_percents = {("0", "idle"): Reading(100 * SECOND, 30.0)}
-    assert host.busy() == pytest.approx(0.7)
+    assert host.busy_share() == pytest.approx(0.7)
 
 
 def test_ten_thousand_unlisted_hosts_cost_no_memory(decoder):
@@ -138,7 +138,7 @@
     assert not replays.is_replay(1, 601 * SECOND)
     for n in range(100):
         replays.is_replay(n, 601 * SECOND)
-    assert len(replays.seen) <= 4
+    assert len(replays.arrival_times) <= 4
     host = sender.SimulatedHost("a")
     assert (
         decoder.add(START + 7200, host.packet(START), is_authenticated=True) == {}
@@ -159,4 +159,4 @@
         with contextlib.suppress(RejectedPacketError):
             loads |= decoder.add(at, packet)
     assert loads[0][0] == pytest.approx(0.9, abs=0.02)
-    assert JUMP // SECOND > 25  # what is merely late must not pass for a clock that was set
+    assert JUMP_THRESHOLD // SECOND > 25  # what is merely late must not pass for a clock that was set
--- a/tests/collectd/test_listener.py
+++ b/tests/collectd/test_listener.py
@@ -64,11 +64,13 @@
     for _ in range(5000):
         rig.listener.datagram_received(b"\0" * 100, ("127.0.0.1", 1))
     assert (
-        len(rig.listener.queued) == MAX_QUEUED_PACKETS
+        len(rig.listener.queued_packets) == MAX_QUEUED_PACKETS
         and rig.counters["collectd_overflow"] == 5000 - MAX_QUEUED_PACKETS
     )
     rig.receive()
-    assert rig.counters["collectd_rejected_malformed"] == MAX_QUEUED_PACKETS and not rig.listener.queued
+    assert (
+        rig.counters["collectd_rejected_malformed"] == MAX_QUEUED_PACKETS and not rig.listener.queued_packets
+    )
 
 
 def test_plugins_that_are_not_configured_are_skipped():
--- a/tests/collectd/test_protocol.py
+++ b/tests/collectd/test_protocol.py
@@ -166,5 +166,5 @@
         return
     host_loads = HostLoads(lambda host: (0,), types.parse(types.BUILT_IN_TYPES), Counter())
     host_loads.add(START * SECOND, lists, False)
-    for _, busy, age in host_loads.take_loads(START * SECOND):
+    for _, busy, age in host_loads.pop_loads(START * SECOND):
         assert 0 <= busy <= 1 and age >= 0
--- a/tests/collectd/test_series.py
+++ b/tests/collectd/test_series.py
@@ -27,5 +27,5 @@
 @pytest.mark.parametrize("case, kind, first, second, elapsed, rate", RATES, ids=[row[0] for row in RATES])
 def test_the_rate_of_a_series(case, kind, first, second, elapsed, rate):
     series = Series(START * SECOND, first)
-    rate_found = series.rate(kind, second, (START + elapsed) * SECOND, 10 * SECOND)
+    rate_found = series.add_value(kind, second, (START + elapsed) * SECOND, 10 * SECOND)
     assert rate_found == (None if rate is None else pytest.approx(rate))
