--- a/ravenshelf/distribution/decisions/aggregation.py
+++ b/ravenshelf/distribution/decisions/aggregation.py
@@ -1,5 +1,4 @@
-"""Aggregation of load reports: the reports of many servers become one report for each service, zone and
-window.
+"""Aggregation of load reports from many servers into one report per service, zone and window.
 
 Each hop counts a report once: a report is identified by its reporter (a name that is unique for each
 incarnation) and its sequence number. A report that arrives after its window was flushed is counted in the
@@ -11,8 +10,8 @@
 
 from ravenshelf.distribution.messages import EndpointLoad, GroupDemand, ZoneLoadReport
 
-REPORT_WINDOW_US = 1_000_000  # microseconds
-REPORTER_EXPIRY_WINDOWS = 600  # a reporter without a report for so many windows is forgotten
+REPORT_WINDOW_US = 1_000_000
+REPORTER_EXPIRY_WINDOWS = 600  # A reporter that has sent no report for this many windows is removed.
 
 
 @dataclass
@@ -28,16 +27,18 @@
     window: int
 
 
-def add_endpoint_loads(one: EndpointLoad, other: EndpointLoad) -> EndpointLoad:
-    """Return the sum of two endpoint loads."""
+def add_endpoint_loads(first: EndpointLoad, second: EndpointLoad) -> EndpointLoad:
+    """Return the sum of two endpoint loads, field by field."""
     return EndpointLoad(
-        one.attempts + other.attempts, one.failures + other.failures, one.latency_sum + other.latency_sum
+        first.attempts + second.attempts,
+        first.failures + second.failures,
+        first.latency_sum + second.latency_sum,
     )
 
 
-def add_group_demands(one: GroupDemand, other: GroupDemand) -> GroupDemand:
-    """Return the sum of two group demands."""
-    return GroupDemand(one.requests + other.requests, one.unanswered + other.unanswered)
+def add_group_demands(first: GroupDemand, second: GroupDemand) -> GroupDemand:
+    """Return the sum of two group demands, field by field."""
+    return GroupDemand(first.requests + second.requests, first.unanswered + second.unanswered)
 
 
 def _may_always_send(_service: str) -> bool:
@@ -45,18 +46,26 @@
 
 
 class Aggregator:
-    """Sums the load reports that reach one hop until they are flushed."""
+    """Sum of the load reports that have reached one hop since the last flush."""
 
     def __init__(self, name: str):
-        """`name`: the reporter of the flushed reports, unique for each incarnation."""
+        """Create an aggregator without pending loads.
+
+        Args:
+            name: The reporter of the flushed reports, unique for each incarnation.
+        """
         self.name = name
         self.duplicate_count = 0
         self._sequence = 0
-        self._pending: dict[tuple[str, int], _PendingReport] = {}  # by service and proxy zone
+        self._pending: dict[tuple[str, int], _PendingReport] = {}  # Keys are service and proxy zone.
         self._reporters: dict[str, _Reporter] = {}
 
     def add(self, report: ZoneLoadReport) -> bool:
-        """Count a report; return False if it was counted before."""
+        """Add a report to the pending loads.
+
+        Returns:
+            False if the report is not later than the last one of its reporter, and was therefore ignored.
+        """
         reporter = self._reporters.get(report.reporter)
         if reporter is not None and report.sequence <= reporter.sequence:
             self.duplicate_count += 1
@@ -65,19 +74,22 @@
         pending = self._pending.setdefault((report.service, report.zone), _PendingReport(report.window))
         pending.window = max(pending.window, report.window)
         for name, load in report.endpoints.items():
-            known_load = pending.endpoints.get(name)
-            pending.endpoints[name] = load if known_load is None else add_endpoint_loads(known_load, load)
+            pending_load = pending.endpoints.get(name)
+            pending.endpoints[name] = load if pending_load is None else add_endpoint_loads(pending_load, load)
         for group, demand in report.groups.items():
-            known_demand = pending.groups.get(group)
+            pending_demand = pending.groups.get(group)
             pending.groups[group] = (
-                demand if known_demand is None else add_group_demands(known_demand, demand)
+                demand if pending_demand is None else add_group_demands(pending_demand, demand)
             )
         return True
 
     def flush(self, window: int, may_send: Callable[[str], bool] = _may_always_send) -> list[ZoneLoadReport]:
-        """Return the pending loads as this hop's own reports; called at the end of each window.
+        """Remove the pending loads and return them as reports of this hop, at the end of each window.
 
-        Loads of services for which `may_send` is false (their owner can't be reached) stay pending.
+        Args:
+            window: Number of the present window.
+            may_send: Returns whether the owner of a service can be reached. Loads of other services stay
+                pending.
         """
         reports = []
         for service, zone in [key for key in self._pending if may_send(key[0])]:
--- a/ravenshelf/distribution/decisions/allowance.py
+++ b/ravenshelf/distribution/decisions/allowance.py
@@ -1,9 +1,9 @@
-"""Upper bound of the share that a table may give an endpoint in slow start, whatever happens to the other
-lines.
+"""Upper bound of an endpoint's share of a table while the endpoint is in slow start.
 
-The service owner plans a share that the endpoint can carry, and allows it a little more. A server that ejects
-other lines, perhaps with an old table, would give their share to the remaining ones; the bound prevents that.
-As it bounds a share of the requests and not a number of them, it adds up over any number of servers.
+The service owner plans a share that the endpoint can carry, and permits a little more. A server that ejects
+other lines, perhaps with an old table, would move their share to the remaining lines; the bound prevents that
+the endpoint is overloaded. As it bounds a share of the requests and not a number of them, it holds for the
+sum over any number of servers.
 """
 
 from collections.abc import Collection, Mapping
@@ -11,20 +11,30 @@
 from ravenshelf.distribution.messages import TableLine
 
 
-def largest_share(planned: float, ramp: float, multiple: float) -> float:
-    """Return the upper bound of a line's share: half of the overload that the endpoint survives, times the
-    plan.
+def largest_share(planned_share: float, capacity_share: float, overload_multiple: float) -> float:
+    """Return the upper bound of a line's share of the requests, 0 to 1.
 
-    planned: its planned share of the table; ramp: the share of its capacity that it has reached, 1 when warm;
-    multiple: the load, in multiples of the present capacity, that fells an endpoint in slow start.
+    The bound is the planned share times half of the overload that the endpoint survives; a warm endpoint has
+    no bound.
+
+    Args:
+        planned_share: The line's planned share of the table, 0 to 1.
+        capacity_share: The share of its capacity that the endpoint has reached, 1 when it is warm.
+        overload_multiple: The load at which an endpoint in slow start fails, in multiples of its present
+            capacity.
     """
-    return 1.0 if ramp >= 1 else min(1.0, planned * max(1.0, multiple / 2))
+    return 1.0 if capacity_share >= 1 else min(1.0, planned_share * max(1.0, overload_multiple / 2))
 
 
 def received_shares(table: Mapping[str, TableLine], ejected: Collection[str] = ()) -> dict[str, float]:
-    """Return the share of requests that each endpoint receives.
+    """Return the share of the requests that each endpoint of a table receives, by endpoint name.
+
+    The shares add up to less than 1 where only lines with an upper bound remain; the remaining requests are
+    to be rejected.
 
-    The shares add up to less than 1 where only lines with an upper bound remain; the rest is to be rejected.
+    Args:
+        table: The lines by endpoint name.
+        ejected: Endpoints that receive nothing.
     """
     remaining = {name: line for name, line in table.items() if name not in ejected and line.weight > 0}
     received: dict[str, float] = {}
--- a/ravenshelf/distribution/decisions/backoff.py
+++ b/ravenshelf/distribution/decisions/backoff.py
@@ -1,13 +1,12 @@
-"""Backoff of dials, and the token bucket that bounds the bytes of snapshots."""
+"""Backoff of dials, and the token bucket that limits the bytes of snapshots."""
 
 import random
 
 SECOND = 1_000_000  # microseconds
-INITIAL_CEILING_US = SECOND // 2  # microseconds; doubles with each failure
-MAX_CEILING_US = (
-    2 * SECOND
-)  # a relay has a bounded number of children, so it bears one dial a second from each
-MAX_DOUBLINGS = 20  # keeps the ceiling a small number
+INITIAL_CEILING_US = SECOND // 2  # The ceiling doubles with each failure.
+# A relay has a bounded number of children, so it can handle a dial a second from each of them.
+MAX_CEILING_US = 2 * SECOND
+MAX_DOUBLINGS = 20  # Keeps the power of two small.
 
 
 class Backoff:
@@ -19,25 +18,34 @@
         initial_ceiling: int = INITIAL_CEILING_US,
         max_ceiling: int = MAX_CEILING_US,
     ):
-        """`first` and `last`: the ceilings of the first delay and of all later ones, in microseconds."""
+        """Create a backoff without failures.
+
+        Args:
+            random_source: Source of the jitter.
+            initial_ceiling: Ceiling of the first delay, in microseconds.
+            max_ceiling: Upper bound of the ceiling of all delays, in microseconds.
+        """
         self.random_source = random_source
         self.initial_ceiling = initial_ceiling
         self.max_ceiling = max_ceiling
         self.failures = 0
 
     def next_delay(self) -> int:
-        """Count a failure; return the microseconds until the next attempt."""
+        """Count a failure and return the delay until the next attempt, in microseconds."""
         ceiling = min(self.max_ceiling, self.initial_ceiling * 2 ** min(self.failures, MAX_DOUBLINGS))
         self.failures += 1
         return int(self.random_source.uniform(0, ceiling))
 
     def reset(self) -> None:
-        """An attempt has succeeded."""
+        """Start again from the initial ceiling, after an attempt has succeeded."""
         self.failures = 0
 
 
 class TokenBucket:
-    """Grants `per_second` tokens a second, and at most `burst` at once."""
+    """Rate limiter that grants `per_second` tokens a second on average, and at most `burst` at once.
+
+    Times are in microseconds.
+    """
 
     def __init__(self, per_second: float, burst: float):
         self.per_second = per_second
@@ -51,9 +59,13 @@
             self.refilled_at = now
 
     def try_consume(self, now: int, amount: float) -> bool:
-        """Take `amount` tokens, or none and return False.
+        """Consume `amount` tokens, or none if too few are available.
+
+        More than a whole burst is granted once the bucket is full; the number of tokens is then negative
+        until the bucket has been refilled.
 
-        More than a whole burst is granted once the bucket is full; the bucket then goes into debt.
+        Returns:
+            Whether the tokens were consumed.
         """
         self._refill(now)
         if self.tokens < min(amount, self.burst):
@@ -62,7 +74,7 @@
         return True
 
     def ready_at(self, now: int, amount: float) -> int:
-        """Return the time at which `try_consume` will grant `amount`, if nobody else takes any."""
+        """Return the time from which `try_consume` grants `amount`, if no tokens are consumed until then."""
         self._refill(now)
         missing = min(amount, self.burst) - self.tokens
         if missing <= 0:
--- a/ravenshelf/distribution/decisions/claims.py
+++ b/ravenshelf/distribution/decisions/claims.py
@@ -1,5 +1,8 @@
-"""Topics in which a controller describes itself: the services that it owns, and the topics it publishes for a
-shard."""
+"""Topics in which a controller describes itself.
+
+One lists the services that the controller owns; there is one more for each shard that it owns, which lists
+the topics that it publishes for the shard.
+"""
 
 from collections.abc import Iterator, Mapping
 
@@ -28,24 +31,24 @@
 
 
 def claim_entry(service: str, epoch: int) -> tuple[str, Entry]:
-    """Return the key and entry that claim a service."""
+    """Return the key and the entry that claim a service, for the topic `claims_topic`."""
     return _SERVICE_KEY_PREFIX + service, Setting(str(epoch))
 
 
 def publication_entry(topic: str) -> tuple[str, Entry]:
-    """Return the key and entry that list a topic as published, for replicas to subscribe to."""
+    """Return the key and the entry that list a topic as published, for the topic `publication_list_topic`."""
     return _TOPIC_KEY_PREFIX + topic, Setting("")
 
 
 def read_claims(controller: str, entries: Mapping[str, Entry]) -> Iterator[tuple[str, Claim]]:
-    """Yield the services that a controller claims, with the claims."""
+    """Yield the services that a controller claims, with the claims; malformed entries are ignored."""
     for key, entry in entries.items():
         if key.startswith(_SERVICE_KEY_PREFIX) and isinstance(entry, Setting) and entry.value.isdigit():
             yield key[len(_SERVICE_KEY_PREFIX) :], Claim(controller, int(entry.value))
 
 
 def read_published_topics(entries: Mapping[str, Entry]) -> Iterator[str]:
-    """Yield the topics that a controller publishes."""
+    """Yield the topics that the entries of a `publication_list_topic` list."""
     for key in entries:
         if key.startswith(_TOPIC_KEY_PREFIX):
             yield key[len(_TOPIC_KEY_PREFIX) :]
--- a/ravenshelf/distribution/decisions/client.py
+++ b/ravenshelf/distribution/decisions/client.py
@@ -1,5 +1,7 @@
-"""The subscribing side of a server, relay or replica: which parent to dial, what to request, how to recover
-from a gap."""
+"""Subscribing side of a server, relay or replica.
+
+It decides which parent to dial, what to request from it, and how to recover from lost messages.
+"""
 
 import random
 from collections.abc import MutableMapping, Sequence
@@ -20,10 +22,11 @@
     Unsubscribe,
 )
 
-SILENCE_TIMEOUT_US = 3 * SECOND  # a parent that sends nothing for so long counts as lost
+SILENCE_TIMEOUT_US = 3 * SECOND  # A parent that sends nothing for this time is regarded as lost.
 DIAL_TIMEOUT_US = 3 * SECOND
-MAX_DIGEST_MISMATCHES = 2  # heartbeats in a row; one may have crossed a subscription in transit
-PREFERRED_PARENT_RETRY_RANGE_US = (60 * SECOND, 180 * SECOND)  # until the preferred parent is tried again
+# A single mismatch is no error: a heartbeat may have crossed a subscription in transit.
+MAX_DIGEST_MISMATCHES = 2
+PREFERRED_PARENT_RETRY_RANGE_US = (60 * SECOND, 180 * SECOND)
 
 
 class ConnectionState(Enum):
@@ -36,33 +39,33 @@
 
 @dataclass(frozen=True)
 class Dial:
-    """Connect to this parent, then call `connected` or `lost`."""
+    """Action: connect to this parent, then call `connection_opened` or `connection_lost`."""
 
     parent: str
 
 
 @dataclass(frozen=True)
 class Disconnect:
-    """Close the connection, or give up the dial; `lost` must not be called for it."""
+    """Action: close the connection or cancel the dial, without calling `connection_lost` for it."""
 
 
 @dataclass(frozen=True)
 class Send:
-    """Send this message on the connection."""
+    """Action: send this message on the connection."""
 
     message: Message
 
 
 @dataclass(frozen=True)
 class TopicChanged:
-    """A topic has a new version."""
+    """Notification that a topic has a new version."""
 
     topic: str
 
 
 @dataclass(frozen=True)
 class LivenessChanged:
-    """The parent reports whether it can reach a topic's owner."""
+    """Notification whether the parent can reach a topic's owner."""
 
     topic: str
     is_live: bool
@@ -72,7 +75,10 @@
 
 
 class SubscriptionClient:
-    """Keeps `topics` up to date from one of several parents, the preferred one first."""
+    """Client that keeps topics up to date from one of several parents.
+
+    The caller performs the returned actions in order. Times are in microseconds.
+    """
 
     def __init__(
         self,
@@ -81,34 +87,43 @@
         random_source: random.Random,
         started: int = 0,
     ):
-        """`topics`: shared with the caller; `started`: time of the first dial. Raises ValueError without
-        parents."""
+        """Create a client that dials the preferred parent at its first tick.
+
+        Args:
+            parents: Names of the parents, the preferred one first.
+            topics: Topics by name, shared with the caller.
+            random_source: Source of the jitter of dials.
+            started: Time of the first dial.
+
+        Raises:
+            ValueError: No parents are given.
+        """
         if not parents:
-            raise ValueError("expected at least one parent")
+            raise ValueError("parents of a subscription client: expected one or more, found none")
         self.parents = list(parents)
         self.topics = topics
         self.random_source = random_source
         self.state = ConnectionState.WAITING
         self.parent_index = 0
-        self.held_versions = Digest()  # of the topics that are subscribed to
+        self.held_versions = Digest()  # Contains only topics that are subscribed to.
         self.backoff = Backoff(random_source)
         self.outcome_counts: dict[UpdateOutcome, int] = dict.fromkeys(UpdateOutcome, 0)
         self.resyncs = 0
         self.disconnected_since: int | None = started
-        self._deadline = started  # of the next dial, of a dial under way, or of the parent's silence
+        # Deadline of the present state: the next dial, the end of a dial under way, or the end of the time in
+        # which a connected parent must send something.
+        self._deadline = started
         self._retry_preferred_at: int | None = None
         self._resync_requested: set[str] = set()
         self._digest_mismatches = 0
 
     @property
     def parent(self) -> str:
-        """The parent that is connected or dialled, or dialled next."""
+        """Name of the parent that is connected, being dialled, or dialled next."""
         return self.parents[self.parent_index]
 
-    # --- subscriptions ---
-
     def subscribe(self, topic: str) -> list[Action]:
-        """Subscribe to a topic."""
+        """Subscribe to a topic, from its present version on; ignored if it is subscribed to."""
         if topic in self.held_versions:
             return []
         state = self.topics.setdefault(topic, Topic(topic))
@@ -116,7 +131,7 @@
         return self._send(Subscribe(topic, state.version))
 
     def unsubscribe(self, topic: str) -> list[Action]:
-        """Cancel a subscription. The topic's state stays with the caller."""
+        """Cancel a subscription; the topic's state stays in `topics`."""
         if topic not in self.held_versions:
             return []
         self.held_versions.remove(topic)
@@ -126,10 +141,8 @@
     def _send(self, message: Message) -> list[Action]:
         return [Send(message)] if self.state is ConnectionState.CONNECTED else []
 
-    # --- connection ---
-
     def connection_opened(self, now: int) -> list[Action]:
-        """The dial has succeeded: subscribe to all topics, with the versions held."""
+        """Handle a successful dial: subscribe to all topics, with the versions that are held."""
         self.state = ConnectionState.CONNECTED
         self.disconnected_since = None
         self._deadline = now + SILENCE_TIMEOUT_US
@@ -142,7 +155,7 @@
         return [Send(Subscribe(topic, version)) for topic, version in self.held_versions.versions().items()]
 
     def connection_lost(self, now: int) -> list[Action]:
-        """The connection has ended, or the dial has failed: the next parent is dialled after a backoff."""
+        """Handle the end of a connection or the failure of a dial: dial the next parent after a backoff."""
         if self.state is ConnectionState.CONNECTED:
             self.disconnected_since = now
         for topic in self.held_versions.versions():
@@ -153,13 +166,16 @@
         return []
 
     def due_at(self) -> int:
-        """Return the time at which `tick` has something to do."""
+        """Return the time from which `tick` has actions to return."""
         if self.state is ConnectionState.CONNECTED and self._retry_preferred_at is not None:
             return min(self._deadline, self._retry_preferred_at)
         return self._deadline
 
     def tick(self, now: int) -> list[Action]:
-        """Dial, or give up a dial or a parent that has been silent for too long."""
+        """Dial a parent, or leave a parent or a dial that has timed out, as far as it is due.
+
+        A connected parent that is not the preferred one is also left, for the preferred one, after a while.
+        """
         if now < self.due_at():
             return []
         if self.state is ConnectionState.WAITING:
@@ -173,15 +189,14 @@
             self._deadline = now
         return [Disconnect(), *self.tick(now)]
 
-    # --- messages of the parent ---
-
     def receive(self, now: int, message: Message) -> list[Action]:
         """Handle a message of the connected parent."""
         self._deadline = now + SILENCE_TIMEOUT_US
         if isinstance(message, Snapshot | Delta):
             return self._apply_update(message)
         if isinstance(message, Heartbeat):
-            self.backoff.reset()  # not before: a parent that ends connections at once is not available
+            # The backoff is not reset earlier, as a parent that ends connections at once is not available.
+            self.backoff.reset()
             return self._check_digest(message)
         if isinstance(message, TopicLive):
             return [LivenessChanged(message.topic, message.is_live)]
@@ -204,7 +219,7 @@
         return []
 
     def _check_digest(self, heartbeat: Heartbeat) -> list[Action]:
-        """Detect lost messages that no later message revealed."""
+        """Request a resync where the digests show lost messages that no later message revealed."""
         if heartbeat.digest == self.held_versions.value:
             self._digest_mismatches = 0
             return []
--- a/ravenshelf/distribution/decisions/digests.py
+++ b/ravenshelf/distribution/decisions/digests.py
@@ -1,5 +1,7 @@
-"""Digest of the versions that a subscriber holds: equal sets have equal digests, whatever the order of
-changes."""
+"""Digest of the versions that a subscriber holds.
+
+Equal sets of versions have equal digests, whatever the order in which the versions were recorded.
+"""
 
 import xxhash
 
@@ -13,30 +15,33 @@
 
 
 class Digest:
-    """The sum of a hash for each topic and its version, maintained incrementally. `value` is below 2**64."""
+    """Map of topics to versions, with a digest that is updated incrementally.
+
+    `value` is the sum of a hash of each topic and its version, modulo 2**64.
+    """
 
     def __init__(self) -> None:
         self.value = 0
         self._versions: dict[str, Version] = {}
 
     def set(self, topic: str, version: Version) -> None:
-        """Record that the topic is held in this version."""
+        """Record the version of a topic, in place of an earlier one."""
         self.remove(topic)
         self._versions[topic] = version
         self.value = (self.value + _hash(topic, version)) % _MODULUS
 
     def remove(self, topic: str) -> None:
-        """Record that the topic is no longer held."""
+        """Remove a topic; a topic that is not recorded is ignored."""
         version = self._versions.pop(topic, None)
         if version is not None:
             self.value = (self.value - _hash(topic, version)) % _MODULUS
 
     def get(self, topic: str) -> Version | None:
-        """Return the version held of the topic, or None."""
+        """Return the recorded version of a topic, or None."""
         return self._versions.get(topic)
 
     def versions(self) -> dict[str, Version]:
-        """Return all topics that are held, with their versions."""
+        """Return a copy of the recorded versions, by topic."""
         return dict(self._versions)
 
     def __contains__(self, topic: str) -> bool:
--- a/ravenshelf/distribution/decisions/distributed_controller.py
+++ b/ravenshelf/distribution/decisions/distributed_controller.py
@@ -1,8 +1,8 @@
-"""A server's decisions where the owner of its service decides the tables.
+"""Decisions of a server whose service's tables are decided by the service owner.
 
 Everything that protects the server's own proxies stays with the server: capacity of the control channel,
-draining, slow start, staged rollouts, admission. Only how a zone's requests are split over endpoints is
-decided by the owner, while there is one.
+draining, slow start, staged rollouts, admission. Only the split of a zone's requests over endpoints is
+decided by the owner, while the owner can be reached.
 """
 
 from collections.abc import Callable, Sequence
@@ -14,15 +14,17 @@
 from ravenshelf.policy.flow_control import ChannelFlowControl
 from ravenshelf.settings import Settings
 
-TABLE_WEIGHT_SUM = 1000.0  # sum of a table's weights, as in the server's own tables
+TABLE_WEIGHT_SUM = 1000.0  # The tables that a server decides itself have the same sum.
 SMALLEST_WEIGHT = 0.01
-MIN_COMPLETE_SHARE = 0.999  # share of the requests; less is left where only bounded lines remain
+# The shares that endpoints receive add up to less than this only where all remaining lines are bounded.
+MIN_COMPLETE_SHARE = 0.999
 
-OwnerTableLookup = Callable[[int, int], tuple[TableSource, dict[str, TableLine]]]  # by time and proxy zone
+# Returns the table to use, given the time in microseconds and the proxy zone.
+OwnerTableLookup = Callable[[int, int], tuple[TableSource, dict[str, TableLine]]]
 
 
 class DistributedController(Controller):
-    """The decisions of a server, with the split of each zone taken from the owner's table."""
+    """Controller that takes the split of each zone from the owner's table."""
 
     def __init__(
         self,
@@ -33,7 +35,15 @@
         owner_table: OwnerTableLookup,
         index_of: Callable[[str], int | None],
     ):
-        """`index_of`: returns a listed endpoint's index."""
+        """Create a controller.
+
+        Args:
+            settings: As `Controller` uses it.
+            seed: As `Controller` uses it.
+            channel: As `Controller` uses it.
+            owner_table: Returns the table to use, and its origin.
+            index_of: Returns the index of a listed endpoint by its name, or None.
+        """
         super().__init__(settings, seed, channel)
         self.owner_table = owner_table
         self.index_of = index_of
@@ -41,17 +51,22 @@
     def planned_tables(
         self, zone: int, strengths: list[dict[int, float]], needs: Sequence[float]
     ) -> list[dict[int, float]]:
-        """Return the lines of a zone's tables: the owner's for all, or the own if that can't be used."""
-        own = super().planned_tables(zone, strengths, needs)
+        """Return the lines of each of a zone's tables, as weights by endpoint index.
+
+        All tables have the owner's lines, or the lines decided here if the owner's can't be used.
+        """
+        local_tables = super().planned_tables(zone, strengths, needs)
         source, table = self.owner_table(self.now, zone)
         lines = self._lines(table) if source is not TableSource.LOCAL else {}
-        return [dict(lines) for _ in own] if lines else own
+        return [dict(lines) for _ in local_tables] if lines else local_tables
 
     def _lines(self, table: dict[str, TableLine]) -> dict[int, float]:
-        """Return the owner's table over the endpoints that are open here; empty if it can't carry all
-        requests."""
+        """Return the owner's weights of the endpoints that are open here, by endpoint index.
+
+        The result is empty if these endpoints can't receive all requests.
+        """
         indices: dict[str, int] = {}
-        closed: list[str] = []
+        unavailable: list[str] = []
         for name in table:
             index = self.index_of(name)
             if (
@@ -59,10 +74,10 @@
                 or index not in self.endpoints
                 or not self.directory.is_open(self.endpoints[index])
             ):
-                closed.append(name)
+                unavailable.append(name)
             else:
                 indices[name] = index
-        received = received_shares(table, closed)
+        received = received_shares(table, unavailable)
         if sum(received.values()) < MIN_COMPLETE_SHARE:
             return {}
         return {
@@ -71,5 +86,8 @@
         }
 
     def owner_table_changed(self) -> None:
-        """Solve in the next control cycle: the rollout reaches all proxies in some tenths of a second."""
+        """Solve in the next control cycle instead of the next solve interval.
+
+        The rollout then reaches all proxies within some tenths of a second.
+        """
         self.next_solve_at = min(self.next_solve_at, self.now)
--- a/ravenshelf/distribution/decisions/distributor.py
+++ b/ravenshelf/distribution/decisions/distributor.py
@@ -1,9 +1,9 @@
-"""The serving side of a controller or relay: who subscribes to what, and what each subscriber is sent next.
+"""Serving side of a controller or relay: subscriptions, and the next messages of each subscriber.
 
-Nothing is queued for a subscriber but the parts of one snapshot. The distributor keeps the version of each
-topic that a subscriber was last sent; when its connection has capacity, it is sent the update from that
-version to the present one. So a slow subscriber costs one version for each topic, receives fewer but larger
-deltas, and delays nobody else.
+Nothing is queued for a subscriber except the parts of one snapshot. For each topic the distributor keeps the
+version that the subscriber was sent last; when the subscriber's connection has capacity, the subscriber is
+sent the update from that version to the present one. A slow subscriber therefore takes the memory of one
+version for each topic, receives fewer but larger deltas, and does not delay other subscribers.
 """
 
 from collections import deque
@@ -26,12 +26,14 @@
 )
 
 HEARTBEAT_INTERVAL_US = SECOND
-MIN_BUDGET_WAIT_US = 10_000  # microseconds until a snapshot without budget is tried again
+MIN_BUDGET_WAIT_US = (
+    10_000  # A snapshot that exceeds the budget is tried again after this time at the earliest.
+)
 
 
 @dataclass(frozen=True)
 class DistributorLimits:
-    """Upper bounds of what a distributor serves."""
+    """Upper bounds of the subscribers and of the rate of snapshots."""
 
     max_subscribers: int = 64
     snapshot_bytes_per_second: float = 4_000_000.0
@@ -39,7 +41,7 @@
 
 
 class EncodedMessage:
-    """A message and its bytes, encoded once for all subscribers that are sent it."""
+    """A message and its bytes, which are encoded once for all subscribers of the message."""
 
     __slots__ = ("message", "payload")
 
@@ -50,36 +52,43 @@
 
 @dataclass
 class _EncodedUpdates:
-    version: Version  # of the topic
-    updates: dict[Version, list[EncodedMessage]] = field(default_factory=dict)  # by the subscriber's version
+    version: Version  # The topic's version to which the updates lead.
+    updates: dict[Version, list[EncodedMessage]] = field(default_factory=dict)  # Keys are held versions.
 
 
 @dataclass
 class _Subscriber:
     heartbeat_at: int
-    sent: Digest = field(default_factory=Digest)  # the version of each topic that it has been sent
-    dirty: dict[str, None] = field(default_factory=dict)  # topics to be examined, the oldest first
-    parts: deque[EncodedMessage] = field(default_factory=deque)  # messages to send before any other
-    not_live: set[str] = field(default_factory=set)  # topics reported to it as without a reachable owner
+    sent_versions: Digest = field(default_factory=Digest)
+    dirty_topics: dict[str, None] = field(
+        default_factory=dict
+    )  # These may have updates; the oldest is first.
+    queued_messages: deque[EncodedMessage] = field(default_factory=deque)  # These are sent before any other.
+    unreachable_topics: set[str] = field(default_factory=set)  # Reported to the subscriber as not live.
 
 
 class Distributor:
-    """Serves the topics of `topics`, which the caller keeps up to date, to subscribers."""
+    """Serves topics to subscribers. Times are in microseconds.
+
+    `topics` is shared with the caller, who keeps it up to date and reports each change.
+    """
 
     def __init__(self, topics: Mapping[str, Topic], limits: DistributorLimits = DistributorLimits()):
         self.topics = topics
         self.limits = limits
         self.subscribers: dict[str, _Subscriber] = {}
-        self.subscriptions: dict[str, dict[str, None]] = {}  # by topic: its subscribers, in order
-        self.snapshot_bytes = 0  # sent in total
-        self._not_live: set[str] = set()
+        self.subscriptions: dict[str, dict[str, None]] = {}  # Ordered subscriber names by topic.
+        self.snapshot_bytes = 0  # Total since the start.
+        self._unreachable_topics: set[str] = set()
         self._bucket = TokenBucket(limits.snapshot_bytes_per_second, limits.snapshot_burst_bytes)
-        self._encoded: dict[str, _EncodedUpdates] = {}  # by topic
-
-    # --- subscribers ---
+        self._encoded: dict[str, _EncodedUpdates] = {}
 
     def add_subscriber(self, now: int, name: str) -> bool:
-        """Accept a subscriber, replacing one of the same name; return False if the limit is reached."""
+        """Accept a subscriber in place of an earlier one of the same name.
+
+        Returns:
+            False if the limit of subscribers is reached.
+        """
         self.remove_subscriber(name)
         if len(self.subscribers) >= self.limits.max_subscribers:
             return False
@@ -87,14 +96,20 @@
         return True
 
     def remove_subscriber(self, name: str) -> list[str]:
-        """Remove a subscriber whose connection has ended; return the topics that have no subscriber left."""
+        """Remove a subscriber whose connection has ended; an unknown name is ignored.
+
+        Returns:
+            The topics that no longer have a subscriber.
+        """
         subscriber = self.subscribers.pop(name, None)
         if subscriber is None:
             return []
-        return [topic for topic in subscriber.sent.versions() if self._remove_subscription(name, topic)]
+        return [
+            topic for topic in subscriber.sent_versions.versions() if self._remove_subscription(name, topic)
+        ]
 
     def _remove_subscription(self, name: str, topic: str) -> bool:
-        """Remove a subscription; return whether the topic has no subscriber left."""
+        """Remove a subscription; return whether the topic no longer has a subscriber."""
         remaining = self.subscriptions.get(topic, {})
         remaining.pop(name, None)
         if not remaining:
@@ -102,8 +117,15 @@
         return not remaining
 
     def receive(self, name: str, message: Subscribe | Unsubscribe | Resync) -> list[str]:
-        """Handle a subscriber's message; return the topics that got their first or lost their last
-        subscriber."""
+        """Change the subscriptions of a subscriber as its message requests.
+
+        Args:
+            name: Name of a subscriber that was added.
+            message: The subscriber's message.
+
+        Returns:
+            The topics that got their first subscriber or lost their last one.
+        """
         subscriber = self.subscribers[name]
         if isinstance(message, Resync):
             return self._resync(name, subscriber, message)
@@ -111,82 +133,87 @@
             is_first = message.topic not in self.subscriptions
             self._subscribe(name, subscriber, message)
             return [message.topic] if is_first else []
-        subscriber.sent.remove(message.topic)
-        subscriber.dirty.pop(message.topic, None)
+        subscriber.sent_versions.remove(message.topic)
+        subscriber.dirty_topics.pop(message.topic, None)
         return [message.topic] if self._remove_subscription(name, message.topic) else []
 
     def _subscribe(self, name: str, subscriber: _Subscriber, message: Subscribe) -> None:
         self.subscriptions.setdefault(message.topic, {})[name] = None
-        subscriber.sent.set(message.topic, message.version)
-        subscriber.not_live.discard(message.topic)
-        subscriber.dirty[message.topic] = None
+        subscriber.sent_versions.set(message.topic, message.version)
+        subscriber.unreachable_topics.discard(message.topic)
+        subscriber.dirty_topics[message.topic] = None
 
     def _resync(self, name: str, subscriber: _Subscriber, message: Resync) -> list[str]:
-        """The subscriber's versions replace ours; topics that it does not list are unsubscribed."""
+        """Replace the recorded versions by the subscriber's, and unsubscribe topics that it does not list."""
         changed = []
-        for topic in subscriber.sent.versions():
+        for topic in subscriber.sent_versions.versions():
             if topic not in message.versions:
                 changed += self.receive(name, Unsubscribe(topic))
         for topic, version in message.versions.items():
             changed += self.receive(name, Subscribe(topic, version))
         return changed
 
-    # --- topics ---
-
     def topic_changed(self, topic: str) -> Iterator[str]:
-        """A topic has a new version; yield the subscribers that have something to pull."""
+        """Record that a topic has a new version; yield the subscribers that `pull` now has messages for."""
         for name in self.subscriptions.get(topic, ()):
-            self.subscribers[name].dirty[topic] = None
+            self.subscribers[name].dirty_topics[topic] = None
             yield name
 
-    def set_live(self, topic: str, live: bool) -> Iterator[str]:
-        """Record whether a topic's owner can be reached; yield the subscribers to be notified."""
-        if live == (topic not in self._not_live):
+    def set_live(self, topic: str, is_live: bool) -> Iterator[str]:
+        """Record whether a topic's owner can be reached.
+
+        Yields:
+            If that has changed, the subscribers that `pull` now has messages for.
+        """
+        if is_live == (topic not in self._unreachable_topics):
             return
-        if live:
-            self._not_live.discard(topic)
+        if is_live:
+            self._unreachable_topics.discard(topic)
         else:
-            self._not_live.add(topic)
+            self._unreachable_topics.add(topic)
         yield from self.topic_changed(topic)
 
     def remove_topic(self, topic: str) -> None:
-        """The topic is no longer served."""
+        """Remove the encoded updates and the liveness of a topic that is no longer served."""
         self._encoded.pop(topic, None)
-        self._not_live.discard(topic)
-
-    # --- outgoing messages ---
+        self._unreachable_topics.discard(topic)
 
     def pull(self, now: int, name: str, byte_limit: int) -> list[EncodedMessage]:
-        """Return the subscriber's next messages, about `byte_limit` bytes (at least one message, if there is
-        any)."""
+        """Return the next messages of a subscriber whose connection has capacity.
+
+        Args:
+            now: The present time.
+            name: Name of the subscriber.
+            byte_limit: No more messages are returned once their payloads reach this number of bytes, so the
+                last one may exceed it.
+        """
         subscriber = self.subscribers[name]
-        outgoing: list[EncodedMessage] = []
-        if now >= subscriber.heartbeat_at and not subscriber.parts:
+        messages: list[EncodedMessage] = []
+        if now >= subscriber.heartbeat_at and not subscriber.queued_messages:
             subscriber.heartbeat_at = now + HEARTBEAT_INTERVAL_US
-            outgoing.append(EncodedMessage(Heartbeat(subscriber.sent.value)))
-        deferred: list[str] = []  # topics whose snapshots exceed the present budget
+            messages.append(EncodedMessage(Heartbeat(subscriber.sent_versions.value)))
+        deferred_topics: list[str] = []  # Their snapshots exceed the present budget.
         pulled_bytes = 0
         while pulled_bytes < byte_limit:
-            if subscriber.parts:
-                part = subscriber.parts.popleft()
-                outgoing.append(part)
-                pulled_bytes += len(part.payload)
-            elif subscriber.dirty:
-                topic = next(iter(subscriber.dirty))
-                del subscriber.dirty[topic]
+            if subscriber.queued_messages:
+                message = subscriber.queued_messages.popleft()
+                messages.append(message)
+                pulled_bytes += len(message.payload)
+            elif subscriber.dirty_topics:
+                topic = next(iter(subscriber.dirty_topics))
+                del subscriber.dirty_topics[topic]
                 if not self._queue_updates(now, subscriber, topic):
-                    deferred.append(topic)
+                    deferred_topics.append(topic)
             else:
                 break
-        for topic in deferred:
-            subscriber.dirty[topic] = None
-        return outgoing
+        for topic in deferred_topics:
+            subscriber.dirty_topics[topic] = None
+        return messages
 
     def _queue_updates(self, now: int, subscriber: _Subscriber, topic: str) -> bool:
-        """Queue the updates of a topic as the subscriber's parts; return False if the budget does not allow
-        it yet."""
+        """Queue the updates of a topic for a subscriber; return False if the budget does not allow it yet."""
         self._queue_liveness(subscriber, topic)
-        sent_version = subscriber.sent.get(topic)
+        sent_version = subscriber.sent_versions.get(topic)
         state = self.topics.get(topic)
         if sent_version is None or state is None:
             return True
@@ -194,39 +221,42 @@
         if not updates:
             return True
         if isinstance(updates[0].message, Snapshot):
-            size = sum(len(outgoing.payload) for outgoing in updates)
+            size = sum(len(update.payload) for update in updates)
             if not self._bucket.try_consume(now, size):
                 return False
             self.snapshot_bytes += size
-        subscriber.sent.set(topic, state.version)
-        subscriber.parts.extend(updates)
+        subscriber.sent_versions.set(topic, state.version)
+        subscriber.queued_messages.extend(updates)
         return True
 
     def _queue_liveness(self, subscriber: _Subscriber, topic: str) -> None:
-        live = topic not in self._not_live
-        if live != (topic in subscriber.not_live):
+        is_live = topic not in self._unreachable_topics
+        if is_live != (topic in subscriber.unreachable_topics):
             return
-        if live:
-            subscriber.not_live.discard(topic)
+        if is_live:
+            subscriber.unreachable_topics.discard(topic)
         else:
-            subscriber.not_live.add(topic)
-        subscriber.parts.append(EncodedMessage(TopicLive(topic, live)))
+            subscriber.unreachable_topics.add(topic)
+        subscriber.queued_messages.append(EncodedMessage(TopicLive(topic, is_live)))
 
-    def _updates(self, state: Topic, held: Version) -> list[EncodedMessage]:
-        """Return the updates from a held version, encoded once while the topic's present version stands."""
+    def _updates(self, state: Topic, held_version: Version) -> list[EncodedMessage]:
+        """Return the updates from a held version, encoded once for each present version of the topic."""
         encoded = self._encoded.get(state.name)
         if encoded is None or encoded.version != state.version:
             encoded = self._encoded[state.name] = _EncodedUpdates(state.version)
-        if held not in encoded.updates:
-            encoded.updates[held] = [EncodedMessage(message) for message in state.updates_since(held)]
-        return encoded.updates[held]
+        if held_version not in encoded.updates:
+            encoded.updates[held_version] = [
+                EncodedMessage(message) for message in state.updates_since(held_version)
+            ]
+        return encoded.updates[held_version]
 
     def due_at(self, now: int, name: str) -> int:
         """Return the time of the next pull for a subscriber whose connection has capacity."""
         subscriber = self.subscribers[name]
-        if subscriber.parts:
+        if subscriber.queued_messages:
             return now
-        if subscriber.dirty:  # deferred until the snapshot budget allows them
+        # Topics that are still dirty were deferred until the snapshot budget allows them.
+        if subscriber.dirty_topics:
             return min(
                 subscriber.heartbeat_at, max(now + MIN_BUDGET_WAIT_US, self._bucket.ready_at(now, 1.0))
             )
--- a/ravenshelf/distribution/decisions/fallback.py
+++ b/ravenshelf/distribution/decisions/fallback.py
@@ -1,16 +1,18 @@
-"""Which table a server uses for one zone of its service: the owner's, the last one received, or its own."""
+"""Choice of the table that a server uses for one zone of its service.
+
+It is the owner's table, the last one received from the owner, or the table that the server decides itself.
+"""
 
 from enum import Enum
 
 from ravenshelf.distribution.decisions.backoff import SECOND
 
-LAST_TABLE_VALIDITY_US = (
-    10 * SECOND
-)  # four solve intervals; then the last table is older than the evidence it rests on
+# This is four solve intervals; after it the load reports from which the last table was computed are outdated.
+LAST_TABLE_VALIDITY_US = 10 * SECOND
 
 
 class TableSource(Enum):
-    """Whose table is in use."""
+    """Origin of the table in use."""
 
     OWNER = "owner"
     LAST_TABLE = "last table"
@@ -18,14 +20,22 @@
 
 
 class OwnerReachability:
-    """How long the service owner has been unreachable. Its table is used again once it is back."""
+    """Record of how long the service owner has been unreachable.
+
+    The owner's table is used again as soon as the owner can be reached.
+    """
 
     def __init__(self) -> None:
-        self._lost_at: int | None = None
+        self._lost_at: int | None = None  # microseconds; None while the owner can be reached
+
+    def table_source(self, now: int, is_reachable: bool) -> TableSource:
+        """Return the origin of the table to use at the time `now` (microseconds).
 
-    def table_source(self, now: int, reachable: bool) -> TableSource:
-        """Return whose table is in use now, given whether the owner can be reached."""
-        if reachable:
+        Args:
+            now: The present time.
+            is_reachable: Whether the owner can be reached at present.
+        """
+        if is_reachable:
             self._lost_at = None
             return TableSource.OWNER
         if self._lost_at is None:
--- a/ravenshelf/distribution/decisions/ownership.py
+++ b/ravenshelf/distribution/decisions/ownership.py
@@ -1,8 +1,7 @@
-"""Which controller owns a service: shards, replicas, claims with epochs, and the lease that permits
-publication.
+"""Ownership of services: shards, replicas, claims with epochs, and the lease that permits publication.
 
-Services are hashed to the shards that `leadership` assigns to the living controllers by rendezvous hashing
-and grants by leases; the term of a shard's lease is the epoch of all that its owner publishes.
+Services are hashed to shards. `leadership` assigns the shards to the living controllers by rendezvous hashing
+and grants them by leases; the term of a shard's lease is the epoch of everything that its owner publishes.
 """
 
 from collections.abc import Mapping
@@ -12,18 +11,30 @@
 
 from ravenshelf.leadership.shard_placement import ranked_members
 
-REPLICA_COUNT = 2  # controllers that hold a service's topics besides its owner
+REPLICA_COUNT = 2  # The owner of a service is not counted.
 
 
 def shard_of_service(service: str, shards: int) -> int:
-    """Return the shard of a service, the same at every controller."""
+    """Return the shard of a service, which is the same at every controller.
+
+    Args:
+        service: Name of the service.
+        shards: Number of shards.
+    """
     return xxhash.xxh64_intdigest(service.encode()) % shards
 
 
 def replica_controllers(
     shard: int, owner: int, weights: Mapping[int, float], count: int = REPLICA_COUNT
 ) -> list[int]:
-    """Return the controllers that replicate a shard, the likeliest successor first."""
+    """Return the controllers that replicate a shard's topics, the most likely successor of the owner first.
+
+    Args:
+        shard: The replicated shard.
+        owner: Member number of the shard's owner.
+        weights: Placement weights of the living controllers, by member number.
+        count: Number of controllers to return, if so many are alive.
+    """
     return [member for member in ranked_members(shard, weights) if member != owner][:count]
 
 
@@ -40,23 +51,35 @@
 
     def __init__(self) -> None:
         self._claims: dict[str, Claim] = {}
-        self._vacant: set[str] = set()  # services whose last owner has withdrawn its claim
+        self._vacant: set[str] = set()  # Services whose last owner has withdrawn its claim.
 
     def update(self, service: str, claim: Claim) -> bool:
-        """Record a claim; return whether it changes the owner of the service."""
-        known = self._claims.get(service)
+        """Record a claim unless a later one is recorded.
+
+        Returns:
+            Whether the owner of the service changes.
+        """
+        last_claim = self._claims.get(service)
         was_vacant = service in self._vacant
-        is_renewed = was_vacant and claim == known  # the same lease, which could not be renewed for a while
-        if known is not None and claim.epoch <= known.epoch and not is_renewed:
+        # A controller claims the service again after a time in which it could not renew the same lease.
+        is_renewed = was_vacant and claim == last_claim
+        if last_claim is not None and claim.epoch <= last_claim.epoch and not is_renewed:
             return False
         self._vacant.discard(service)
         self._claims[service] = claim
-        return known is None or was_vacant or known.owner != claim.owner
+        return last_claim is None or was_vacant or last_claim.owner != claim.owner
 
     def replace_claims(self, owner: str, claims: Mapping[str, Claim]) -> set[str]:
-        """Record all present claims of a controller; return the services whose owner changes.
+        """Record all present claims of a controller.
 
         A service that this controller owned and no longer claims becomes vacant.
+
+        Args:
+            owner: Name of the controller.
+            claims: All its claims, by service.
+
+        Returns:
+            The services whose owner changes.
         """
         changed = {service for service, claim in claims.items() if self.update(service, claim)}
         for service, claim in self._claims.items():
@@ -73,7 +96,7 @@
 class PublicationLease:
     """Permission to publish a service's topics until `expires_at`.
 
-    Times are of the owner's own clock, which must advance while the process is suspended.
+    Times are microseconds of the owner's own clock, which must advance while the process is suspended.
     """
 
     def __init__(self, epoch: int, expires_at: int):
@@ -81,10 +104,12 @@
         self.expires_at = expires_at
 
     def renew(self, expires_at: int) -> None:
-        """Extend the lease."""
+        """Extend the lease; an earlier time than the present end is ignored."""
         self.expires_at = max(self.expires_at, expires_at)
 
     def may_publish(self, now: int) -> bool:
-        """Return whether the lease is valid; to be checked before each write, for a process may have been
-        suspended."""
+        """Return whether the lease is valid.
+
+        Call this before each write, as the process may have been suspended since the last call.
+        """
         return now < self.expires_at
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -1,8 +1,8 @@
 """The tables of one service, decided once for all servers.
 
-The controller of each server (`policy.Controller`, KurmaCost) runs here with one proxy for each zone, which
-stands for all proxies of that zone; their load reports come up the tree. Its commands are recorded as entries
-of the zone's topic.
+The controller that each server runs without the distribution (`policy.Controller`, KurmaCost) runs here with
+one proxy for each zone, which represents all proxies of that zone; the load reports of these proxies come up
+the tree. The controller's commands are recorded as entries of the zone's topic.
 """
 
 from collections.abc import Mapping
@@ -21,20 +21,20 @@
 from ravenshelf.policy.controller import Controller
 from ravenshelf.settings import Settings
 
-# prefixes of a topic's keys
+# The prefix of a topic's key tells the type of the entry.
 ENDPOINT_PREFIX = "e:"
 LINE_PREFIX = "t:"
 LEVEL_PREFIX = "l:"
 SETTING_PREFIX = "c:"
 
-DEFAULT_NOMINAL_RATE = 1.0  # requests a second of a zone without load reports
-SHARE_DIGITS = 4  # decimal places of published shares
+DEFAULT_NOMINAL_RATE = 1.0  # A zone without load reports is assumed to have so many requests a second.
+SHARE_DIGITS = 4  # Published shares are rounded to so many decimal places.
 NO_TABLE = -1
 NO_ENDPOINT = -1
 
 
 def service_topic(service: str) -> str:
-    """Return the topic of a service's endpoints and settings, the same for all zones."""
+    """Return the topic of a service's endpoints and settings, which is the same for all zones."""
     return f"{service}@"
 
 
@@ -44,24 +44,27 @@
 
 
 class RecordedTables:
-    """Receives the commands of a `Controller` and records the present table and admission levels of each
-    zone.
+    """Command writer that records the present table and admission levels of each zone.
 
-    In the commands, the number of a proxy is that of its zone. Commands that concern one server only are
-    ignored.
+    The proxy number in a command of the planner's `Controller` is the number of a zone. Commands that concern
+    only one server are ignored.
     """
 
     def __init__(self, groups: int):
-        """`groups`: the number of traffic groups."""
+        """Create a writer without tables.
+
+        Args:
+            groups: The number of traffic groups.
+        """
         self.groups = groups
-        self.tables: dict[int, dict[int, float]] = {}  # by table and endpoint: weight
-        self.levels: dict[int, dict[int, tuple[float, int]]] = {}  # by table and group: level, retry mode
+        self.tables: dict[int, dict[int, float]] = {}  # Weight by table and endpoint.
+        self.levels: dict[int, dict[int, tuple[float, int]]] = {}  # Level and retry mode by table and group.
         self.table_of_zone: dict[int, int] = {}
         self.ejected: set[int] = set()
-        self.markers: list[int] = []  # of requested acknowledgements
+        self.markers: list[int] = []  # Markers of requested acknowledgements.
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
-        """Set a line; weight 0 removes it."""
+        """Set an endpoint's weight in a table; weight 0 removes the line."""
         lines = self.tables.setdefault(table, {})
         if weight:
             lines[endpoint] = weight
@@ -69,7 +72,7 @@
             lines.pop(endpoint, None)
 
     def clear_table(self, table: int) -> None:
-        """Empty a table."""
+        """Remove all lines and admission levels of a table."""
         self.tables[table] = {}
         self.levels[table] = {}
 
@@ -81,7 +84,7 @@
             self.ejected.discard(endpoint)
 
     def bind_proxy(self, proxy: int, table: int, groups: int = 0) -> None:  # noqa: ARG002 (one table for all groups)
-        """Have a zone use a table."""
+        """Make a zone use a table, for all traffic groups."""
         self.table_of_zone[proxy] = table
 
     def set_admission_level(self, table: int, groups: int, level: float, retry_mode: int) -> None:
@@ -91,28 +94,30 @@
             if not groups or groups >> group & 1:
                 levels[group] = (level, retry_mode)
 
-    def request_acknowledgement(self, marker: int, everyone: bool = False) -> None:  # noqa: ARG002 (always everyone)
-        """Record a requested acknowledgement; it is given at once, for the distribution has versions of its
-        own."""
+    def request_acknowledgement(self, marker: int, everyone: bool = False) -> None:  # noqa: ARG002 (always all zones)
+        """Record a marker, which is acknowledged at the end of the cycle.
+
+        The distribution has versions of its own to find lost messages.
+        """
         self.markers.append(marker)
 
     def start_timer(self, at: int, key: str) -> None:
-        """Ignored: the service owner runs a control cycle each quarter second anyway."""
+        """Do nothing: the service owner runs a control cycle each quarter of a second anyway."""
 
     def watch_endpoints(self, enabled: bool) -> None:
-        """Ignored: endpoints come from the service's own configuration."""
+        """Do nothing: endpoints come from the service's configuration."""
 
     def fetch_endpoints(self) -> None:
-        """Ignored, as `watch_endpoints`."""
+        """Do nothing: endpoints come from the service's configuration."""
 
     def check_health(self, endpoint: int) -> None:
-        """Ignored: service owners do not check health."""
+        """Do nothing: service owners do not check health."""
 
     def send_peer_message(self, peer: int | None, payload: bytes) -> None:
-        """Ignored: service owners do not gossip."""
+        """Do nothing: service owners do not gossip."""
 
     def log(self, text: str) -> None:
-        """Ignored: what a service owner decides is published in its topics."""
+        """Do nothing: the decisions of a service owner are published in its topics."""
 
     def table_lines(self, zone: int) -> dict[int, float]:
         """Return the weights of a zone's table by endpoint, without ejected endpoints."""
@@ -121,85 +126,103 @@
 
     def admission_levels(self, zone: int) -> dict[int, tuple[float, int]]:
         """Return the admission level and retry mode of each traffic group in a zone."""
-        own_table = self.table_of_zone.get(zone, NO_TABLE)
-        return {**self.levels.get(ALL_TABLES, {}), **self.levels.get(own_table, {})}
+        zone_table = self.table_of_zone.get(zone, NO_TABLE)
+        return {**self.levels.get(ALL_TABLES, {}), **self.levels.get(zone_table, {})}
 
 
 class ServicePlanner:
-    """Decides the tables of one service for the proxy zones that have subscribers."""
+    """Decisions about the tables of one service, for the proxy zones that have subscribers.
+
+    Times are in microseconds.
+    """
 
     def __init__(self, service: str, deployment: Settings, seed: int):
-        """`deployment`: its zones, traffic groups and rules apply to all services; admission levels are
-        fractions."""
+        """Create a planner without endpoints and zones.
+
+        Args:
+            service: Name of the service.
+            deployment: Zones, traffic groups and rules, which apply to all services. Admission levels are
+                fractions.
+            seed: Seed of the controller's random source.
+        """
         self.service = service
         self.endpoints: dict[str, EndpointEntry] = {}
         self.settings: dict[str, str] = {}
-        self.zones: set[int] = set()  # proxy zones with subscribers
+        self.zones: set[int] = set()  # Contains only proxy zones with subscribers.
         self._indices: dict[str, int] = {}
         self._names: list[str] = []
-        self._events: list[events.Event] = []  # for the next control cycle
+        self._pending_events: list[events.Event] = []  # These are handled in the next control cycle.
         self.tables = RecordedTables(len(deployment.traffic_groups))
         self.controller = Controller(deployment, seed)
 
-    # --- input ---
-
     def configure(
         self, endpoints: Mapping[str, EndpointEntry], settings: Mapping[str, str] | None = None
     ) -> None:
-        """Replace the service's endpoints and, unless empty, its settings."""
+        """Replace the service's endpoints and, unless `settings` is empty, its settings."""
         self.settings = dict(settings or self.settings)
         for name in [name for name in self.endpoints if name not in endpoints]:
             self.endpoints.pop(name)
         self.endpoints.update(endpoints)
-        listed = tuple(self._listed(name, entry) for name, entry in self.endpoints.items())
-        self._events.append(events.EndpointsListed(events.ListKind.REPLACE, listed))
+        listed_endpoints = tuple(self._listed_endpoint(name, entry) for name, entry in self.endpoints.items())
+        self._pending_events.append(events.EndpointsListed(events.ListKind.REPLACE, listed_endpoints))
 
-    def _listed(self, name: str, entry: EndpointEntry) -> events.ListedEndpoint:
+    def _listed_endpoint(self, name: str, entry: EndpointEntry) -> events.ListedEndpoint:
         state = events.EndpointState.READY if entry.ready else events.EndpointState.DRAINING
-        return events.ListedEndpoint(self._index(name), entry.zone, 0, 0, state, entry.weight, entry.started)
+        return events.ListedEndpoint(
+            self._index_of(name), entry.zone, 0, 0, state, entry.weight, entry.started
+        )
 
-    def _index(self, name: str) -> int:
+    def _index_of(self, name: str) -> int:
+        """Return the index of an endpoint, which is assigned at the first call."""
         if name not in self._indices:
             self._indices[name] = len(self._names)
             self._names.append(name)
         return self._indices[name]
 
     def add_zone(self, zone: int, nominal_rate: float = DEFAULT_NOMINAL_RATE) -> None:
-        """A zone has subscribers now. `nominal_rate`: its requests a second until load is reported."""
+        """Begin to decide the table of a zone, which has subscribers now.
+
+        Args:
+            zone: The proxy zone.
+            nominal_rate: Assumed requests a second of the zone until load is reported.
+        """
         if zone not in self.zones:
             self.zones.add(zone)
-            self._events.append(events.ProxyJoined(zone, zone, nominal_rate, True))
+            self._pending_events.append(events.ProxyJoined(zone, zone, nominal_rate, True))
 
     def remove_zone(self, zone: int) -> None:
-        """A zone has no subscribers any more: its tables are no longer decided."""
+        """Stop deciding the table of a zone, which has no subscribers any more."""
         if zone in self.zones:
             self.zones.discard(zone)
-            self._events.append(events.ProxyLeft(zone))
+            self._pending_events.append(events.ProxyLeft(zone))
 
     def add_report(self, report: ZoneLoadReport, window: int) -> None:
-        """Record the load that a zone's proxies report for a window of so many microseconds."""
+        """Record the load that a zone's proxies report, for the next control cycle.
+
+        Args:
+            report: The summed reports of the zone; unknown endpoints are ignored.
+            window: Length of the reported window in microseconds.
+        """
         for name, load in report.endpoints.items():
             index = self._indices.get(name)
             if index is not None:
                 succeeded = max(1, load.attempts - load.failures)
                 mean_latency = load.latency_sum // succeeded
-                self._events.append(
+                self._pending_events.append(
                     events.LoadReport(
                         report.zone, index, load.attempts, load.failures, mean_latency, window, ()
                     )
                 )
         if report.zone in self.zones:
             for group, demand in report.groups.items():
-                self._events.append(
+                self._pending_events.append(
                     events.DemandReport(report.zone, group, demand.requests, demand.unanswered, window)
                 )
 
-    # --- output ---
-
     def run_cycle(self, now: int) -> None:
-        """Run a control cycle; called each quarter second while there are subscribers."""
-        pending, self._events = self._events, []
-        self.controller.run_cycle(now, pending, self.tables)
+        """Run a control cycle; called each quarter of a second while there are subscribers."""
+        cycle_events, self._pending_events = self._pending_events, []
+        self.controller.run_cycle(now, cycle_events, self.tables)
         for marker in self.tables.markers:
             for zone in self.zones:
                 self.controller.channel.acknowledged(zone, marker, 0)
@@ -225,7 +248,7 @@
         return entries
 
     def is_warm(self, name: str) -> bool:
-        """Return whether a listed endpoint has reached its full capacity, as far as its start time tells."""
+        """Return whether a listed endpoint has reached its full capacity, according to its start time."""
         endpoint = self.controller.endpoints.get(self._indices.get(name, NO_ENDPOINT))
         if endpoint is None:
             return False
@@ -234,8 +257,10 @@
     def _line(self, index: int, weight: float, share: float) -> TableLine:
         controller = self.controller
         capacity_share = controller.slow_start.capacity_share(controller.endpoints[index], controller.now)
-        multiple = controller.settings.warm_up.overload_multiple
-        return TableLine(weight, round(largest_share(share, capacity_share, multiple), SHARE_DIGITS))
+        failing_load_multiple = controller.settings.warm_up.overload_multiple
+        return TableLine(
+            weight, round(largest_share(share, capacity_share, failing_load_multiple), SHARE_DIGITS)
+        )
 
 
 def read_table(entries: Mapping[str, Entry]) -> dict[str, TableLine]:
--- a/ravenshelf/distribution/decisions/publication.py
+++ b/ravenshelf/distribution/decisions/publication.py
@@ -1,37 +1,42 @@
-"""Publication of a topic by its owner: changes are collected and leave as one delta for each flush."""
+"""Publication of a topic by its owner: changes are collected and published as one delta for each flush."""
 
 from collections.abc import Mapping
 
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.messages import Changes, Delta, Entry, Version
 
-FLUSH_INTERVAL_US = (
-    100_000  # microseconds between two deltas of a topic: a burst of changes leaves as ten a second
-)
+FLUSH_INTERVAL_US = 100_000  # During a burst of changes ten deltas of a topic are published a second.
 
 
 class Publication:
-    """A topic at its owner, with the epoch of the owner's lease."""
+    """A topic at its owner, with the epoch of the owner's lease. Times are in microseconds."""
 
     def __init__(self, topic: Topic, epoch: int):
-        """`topic`: empty, or as the owner replicated it; then the first flush hands it over to the new epoch.
+        """Create a publication whose first flush, which is due at once, hands the topic over to the epoch.
 
-        Raises ValueError if the epoch is not later than the topic's.
+        Args:
+            topic: The topic, empty or as the owner has replicated it.
+            epoch: Epoch of the owner's lease.
+
+        Raises:
+            ValueError: The epoch is not later than the topic's.
         """
         if epoch <= topic.version.epoch:
-            raise ValueError(f"epoch {epoch} of {topic.name} is not later than {topic.version.epoch}")
+            raise ValueError(
+                f"topic {topic.name}: expected an epoch later than {topic.version.epoch}, found {epoch}"
+            )
         self.topic = topic
         self.epoch = epoch
         self._pending: Changes = {}
-        self._flush_at: int | None = 0  # the handover is due at once
+        self._flush_at: int | None = 0  # The handover is due at once.
 
     @property
     def due_at(self) -> int | None:
-        """The time of the next flush; None while nothing has changed."""
+        """Time of the next flush; None while nothing has changed."""
         return self._flush_at
 
     def put(self, now: int, key: str, entry: Entry | None) -> None:
-        """Set a key, or remove it (None); an equal entry is no change."""
+        """Set a key, or remove it (None), with the next flush; an equal entry is no change."""
         current = self._pending[key] if key in self._pending else self.topic.entries.get(key)
         if current == entry:
             return
@@ -40,14 +45,14 @@
             self._flush_at = now + FLUSH_INTERVAL_US
 
     def replace_entries(self, now: int, entries: Mapping[str, Entry]) -> None:
-        """Make the state equal to `entries`."""
+        """Make the topic's state equal to `entries` with the next flush."""
         for key in [key for key in {**self.topic.entries, **self._pending} if key not in entries]:
             self.put(now, key, None)
         for key, entry in entries.items():
             self.put(now, key, entry)
 
     def flush(self) -> Delta:
-        """Publish the pending changes as the next version."""
+        """Publish the pending changes as the next version, and return them."""
         version = self.topic.version
         next_sequence = version.sequence + 1 if version.epoch == self.epoch else 1
         next_version = Version(self.epoch, next_sequence)
--- a/ravenshelf/distribution/decisions/relay.py
+++ b/ravenshelf/distribution/decisions/relay.py
@@ -1,7 +1,8 @@
-"""A relay: one upstream subscription for each topic that any of its subscribers wants, served to all of them.
+"""A relay: subscribes upstream to each topic that has subscribers, and serves the topic to all of them.
 
-A relay next to the service owners has an upstream for each controller, and routes each topic to the one that
-claims its service with the latest epoch. All other relays have one upstream: the level of relays above.
+A relay next to the service owners has an upstream for each controller, and routes each topic to the
+controller that claims its service with the latest epoch. All other relays have one upstream: the level of
+relays above.
 """
 
 import random
@@ -24,23 +25,29 @@
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.messages import Message, Resync, Subscribe, Unsubscribe, ZoneLoadReport
 
-TOPIC_LINGER_US = 10 * SECOND  # a topic is cached for so long after its last subscriber has gone
-UPSTREAM_LOSS_TIMEOUT_US = (
-    5 * SECOND
-)  # an upstream that is disconnected for so long reaches no owner any more
-INCARNATION_BITS = 48  # random part of the reporter's name
+TOPIC_LINGER_US = 10 * SECOND  # A topic is cached for this time after its last subscriber has left.
+# Owners behind an upstream are reported as unreachable once it has been disconnected for this time.
+UPSTREAM_LOSS_TIMEOUT_US = 5 * SECOND
+INCARNATION_BITS = 48  # Size of the random part of a reporter's name.
 
 
 @dataclass
 class NodeActions:
-    """Effects of a decision: actions for upstreams by name, and subscribers that have something to pull."""
+    """Actions that follow from a decision of a relay or a service owner.
+
+    `upstream_actions` are to be performed in order, each for the named upstream. `pending_subscribers` are
+    the names of subscribers that the distributor now has messages for.
+    """
 
     upstream_actions: list[tuple[str, Action]] = field(default_factory=list)
     pending_subscribers: list[str] = field(default_factory=list)
 
 
 class Relay:
-    """Connects upstreams, reached by `clients`, with subscribers, served by `distributor`."""
+    """Decisions of a relay, without I/O. Times are in microseconds.
+
+    Upstreams are reached by `clients`; subscribers are served by `distributor`.
+    """
 
     def __init__(
         self,
@@ -51,8 +58,16 @@
         limits: DistributorLimits = DistributorLimits(),
         upstreams_are_owners: bool = False,
     ):
-        """`upstreams`: for each its parents, the preferred first. `upstreams_are_owners`: each upstream is a
-        controller and has its name."""
+        """Create a relay without topics; the first tick dials the upstreams.
+
+        Args:
+            name: Name of the relay, unique in the cluster.
+            upstreams: The parents of each upstream, the preferred one first.
+            random_source: Source of jitter, and of the random part of the reporter's name.
+            now: The present time.
+            limits: Limits of the subscribers.
+            upstreams_are_owners: Whether each upstream is a controller and has its name.
+        """
         self.topics: dict[str, Topic] = {}
         self.clients = {
             upstream: SubscriptionClient(parents, self.topics, random_source, now)
@@ -61,9 +76,9 @@
         self.distributor = Distributor(self.topics, limits)
         self.ownership = OwnershipView()
         self._upstreams_are_owners = upstreams_are_owners
-        self._routes: dict[str, str | None] = {}  # by topic: the upstream that it is subscribed from
-        self._expiring_topics: dict[str, int] = {}  # without subscribers, and until when they are cached
-        self._not_live: set[str] = set()  # topics, as reported by upstreams
+        self._routes: dict[str, str | None] = {}  # Upstream of each topic; None while it has no owner.
+        self._expiring_topics: dict[str, int] = {}  # End of the cache time of each topic without subscribers.
+        self._unreachable_topics: set[str] = set()  # Topics that their upstream has reported as not live.
         self._lost_upstreams: set[str] = set()
         self.aggregator = Aggregator(f"{name}#{random_source.getrandbits(INCARNATION_BITS):012x}")
         self._window = now // REPORT_WINDOW_US
@@ -71,16 +86,14 @@
             for owner, client in self.clients.items():
                 client.subscribe(claims_topic(owner))
 
-    # --- subscribers ---
-
     def subscriber_message_received(
         self, now: int, name: str, message: Subscribe | Unsubscribe | Resync
     ) -> NodeActions:
-        """Handle a subscriber's message."""
+        """Handle a message of a subscriber that changes its subscriptions."""
         return self._subscriptions_changed(now, self.distributor.receive(name, message))
 
     def subscriber_lost(self, now: int, name: str) -> NodeActions:
-        """A subscriber's connection has ended."""
+        """Handle the end of a subscriber's connection."""
         return self._subscriptions_changed(now, self.distributor.remove_subscriber(name))
 
     def _subscriptions_changed(self, now: int, topics: Iterable[str]) -> NodeActions:
@@ -96,8 +109,7 @@
         return actions
 
     def _route(self, topic: str, actions: NodeActions) -> None:
-        """Subscribe to the topic from the upstream of its present owner, and unsubscribe from the previous
-        one."""
+        """Subscribe to a topic at its present owner's upstream, and unsubscribe at the previous one."""
         previous = self._routes.get(topic)
         upstream = self._upstream_of(service_of_topic(topic))
         self._routes[topic] = upstream
@@ -116,10 +128,8 @@
         claim = self.ownership.claim(service)
         return claim.owner if claim is not None and claim.owner in self.clients else None
 
-    # --- load reports ---
-
     def load_report_received(self, report: ZoneLoadReport) -> None:
-        """Record a subscriber's load report; it leaves with those of the others at the end of the window."""
+        """Record a subscriber's load report; the sum of all reports is forwarded at the end of the window."""
         self.aggregator.add(report)
 
     def _forward_reports(self, now: int, actions: NodeActions) -> None:
@@ -133,10 +143,8 @@
         upstream = self._upstream_of(service)
         return upstream is not None and self.clients[upstream].state is ConnectionState.CONNECTED
 
-    # --- upstreams ---
-
     def upstream_message_received(self, now: int, upstream: str, message: Message) -> NodeActions:
-        """Handle a message of an upstream."""
+        """Handle a message of an upstream's connected parent."""
         actions = NodeActions()
         for action in self.clients[upstream].receive(now, message):
             if isinstance(action, TopicChanged):
@@ -151,40 +159,48 @@
 
     def _liveness_changed(self, change: LivenessChanged, actions: NodeActions) -> None:
         if change.is_live:
-            self._not_live.discard(change.topic)
+            self._unreachable_topics.discard(change.topic)
         else:
-            self._not_live.add(change.topic)
+            self._unreachable_topics.add(change.topic)
         actions.pending_subscribers += self.distributor.set_live(change.topic, self._is_live(change.topic))
 
     def _claims_changed(self, upstream: str, actions: NodeActions) -> None:
         claims = dict(read_claims(upstream, self.topics[claims_topic(upstream)].entries))
-        migrated = self.ownership.replace_claims(upstream, claims)
-        for topic in [topic for topic in self._routes if service_of_topic(topic) in migrated]:
+        changed_services = self.ownership.replace_claims(upstream, claims)
+        for topic in [topic for topic in self._routes if service_of_topic(topic) in changed_services]:
             self._route(topic, actions)
             actions.pending_subscribers += self.distributor.set_live(topic, self._is_live(topic))
 
     def upstream_connected(self, now: int, upstream: str) -> NodeActions:
-        """The dial has succeeded. What the previous parent reported of owners does not hold for this one."""
+        """Handle a successful dial.
+
+        The liveness of topics that the previous parent reported is discarded, as it need not hold for the
+        new parent.
+        """
         actions = NodeActions(
             [(upstream, action) for action in self.clients[upstream].connection_opened(now)]
         )
-        self._not_live.difference_update([topic for topic, name in self._routes.items() if name == upstream])
+        self._unreachable_topics.difference_update(
+            [topic for topic, name in self._routes.items() if name == upstream]
+        )
         self._lost_upstreams.discard(upstream)
         self._refresh_liveness(upstream, actions)
         return actions
 
     def _is_live(self, topic: str) -> bool:
         upstream = self._routes.get(topic)
-        return upstream is not None and upstream not in self._lost_upstreams and topic not in self._not_live
+        return (
+            upstream is not None
+            and upstream not in self._lost_upstreams
+            and topic not in self._unreachable_topics
+        )
 
     def _refresh_liveness(self, upstream: str, actions: NodeActions) -> None:
         for topic in [topic for topic, name in self._routes.items() if name == upstream]:
             actions.pending_subscribers += self.distributor.set_live(topic, self._is_live(topic))
 
-    # --- time ---
-
     def due_at(self) -> int:
-        """Return the time at which `tick` may have something to do."""
+        """Return the time from which `tick` may have something to do."""
         end_of_window = (self._window + 1) * REPORT_WINDOW_US
         deadlines = [client.due_at() for client in self.clients.values()]
         deadlines.append(end_of_window)
@@ -197,8 +213,7 @@
         return min(deadlines)
 
     def tick(self, now: int) -> NodeActions:
-        """Dial, detect lost upstreams, drop topics that nobody wants, and forward reports, as far as each is
-        due."""
+        """Dial, detect lost upstreams, drop topics without subscribers and forward reports, as far as due."""
         actions = NodeActions()
         for name, client in self.clients.items():
             actions.upstream_actions += [(name, action) for action in client.tick(now)]
@@ -207,7 +222,7 @@
             if is_lost and name not in self._lost_upstreams:
                 self._lost_upstreams.add(name)
                 self._refresh_liveness(name, actions)
-        for topic in [topic for topic, until in self._expiring_topics.items() if until <= now]:
+        for topic in [topic for topic, expires_at in self._expiring_topics.items() if expires_at <= now]:
             self._drop_topic(topic, actions)
         if now // REPORT_WINDOW_US != self._window:
             self._forward_reports(now, actions)
@@ -221,5 +236,5 @@
                 (upstream, action) for action in self.clients[upstream].unsubscribe(topic)
             ]
         self.topics.pop(topic, None)
-        self._not_live.discard(topic)
+        self._unreachable_topics.discard(topic)
         self.distributor.remove_topic(topic)
--- a/ravenshelf/distribution/decisions/service_decisions.py
+++ b/ravenshelf/distribution/decisions/service_decisions.py
@@ -1,9 +1,9 @@
-"""The services that a controller owns, each decided by a planner of its own from the load reports that come
-up the tree.
+"""Decisions about the services that a controller owns.
 
-A planner exists while a service has subscribers. After a takeover the previous owner's tables, as replicated,
-stay in use until the planner has received load reports for two solve intervals: a planner without reports
-would split evenly.
+Each service is decided by a planner of its own, from the load reports that come up the tree. A planner exists
+while the service has subscribers. After a takeover the previous owner's tables, as replicated, stay in use
+until the planner has received load reports for two solve intervals, because a planner without reports would
+split requests evenly.
 """
 
 from collections.abc import Callable, Mapping
@@ -25,13 +25,13 @@
 from ravenshelf.settings import Settings
 
 CYCLE_INTERVAL_US = SECOND // 4
-WARM_UP_WITH_REPORTS_US = 5 * SECOND  # two solve intervals with load reports
-WARM_UP_WITHOUT_REPORTS_US = 10 * SECOND  # where none arrive at all
+WARM_UP_WITH_REPORTS_US = 5 * SECOND  # This is two solve intervals.
+WARM_UP_WITHOUT_REPORTS_US = 10 * SECOND  # This applies where no load reports arrive at all.
 
 
 @dataclass(frozen=True)
 class ServiceConfiguration:
-    """Configuration of a service: its endpoints and settings by name."""
+    """Configuration of a service: its endpoints and its settings, both by name."""
 
     endpoints: Mapping[str, EndpointEntry]
     settings: Mapping[str, str]
@@ -42,27 +42,32 @@
     planner: ServicePlanner
     started_at: int
     first_report_at: int | None = None
-    inherited_tables: dict[int, dict[str, Entry]] = field(default_factory=dict)  # by zone
+    inherited_tables: dict[int, dict[str, Entry]] = field(default_factory=dict)  # Keys are zones.
     configuration: ServiceConfiguration | None = None
 
     def is_warm(self, now: int) -> bool:
-        """Return whether the planner's own tables are better than the inherited ones."""
+        """Return whether the planner's tables replace the inherited ones."""
         if self.first_report_at is not None and now - self.first_report_at >= WARM_UP_WITH_REPORTS_US:
             return True
         return now - self.started_at >= WARM_UP_WITHOUT_REPORTS_US and self.first_report_at is None
 
 
 class ServiceDecisions:
-    """Decides all services that one controller owns.
+    """Decisions about all services that one controller owns. Times are in microseconds.
 
-    Pass `content` to the `ServiceOwner`, then call `attach` with it before anything else.
+    Pass `content` to the `ServiceOwner`, then call `attach` with that owner before any other method.
     """
 
     def __init__(
         self, deployment: Settings, configuration_of: Callable[[str], ServiceConfiguration], seed: int
     ):
-        """`deployment`: as `ServicePlanner` takes it; `configuration_of` returns a service's present
-        configuration."""
+        """Create decisions without planned services.
+
+        Args:
+            deployment: Zones, traffic groups and rules, as `ServicePlanner` uses them.
+            configuration_of: Returns the present configuration of a service.
+            seed: Seed of all planners.
+        """
         self.deployment = deployment
         self.configuration_of = configuration_of
         self.seed = seed
@@ -81,10 +86,8 @@
         assert self._attached_owner is not None, "attach has not been called"
         return self._attached_owner
 
-    # --- load reports ---
-
     def add_load_report(self, report: ZoneLoadReport) -> None:
-        """Record a relay's load report."""
+        """Record a relay's load report; the planners receive it at the end of the window."""
         self.aggregator.add(report)
 
     def _apply_load_reports(self, now: int) -> None:
@@ -96,10 +99,8 @@
                     planned.first_report_at = now
                 planned.planner.add_report(report, REPORT_WINDOW_US)
 
-    # --- control cycles ---
-
     def run_cycle(self, now: int) -> None:
-        """Decide all services that have subscribers, and refresh their topics; called each CYCLE_INTERVAL."""
+        """Decide all services that have subscribers, and refresh their topics, each CYCLE_INTERVAL_US."""
         if now // REPORT_WINDOW_US != self._window:
             self._apply_load_reports(now)
         subscribed_zones = self._subscribed_zones()
@@ -109,14 +110,14 @@
             self._decide(now, service, zones)
 
     def _subscribed_zones(self) -> dict[str, set[int]]:
-        """Return the owned services with subscribers, and the zones of these."""
-        subscribed: dict[str, set[int]] = {}
+        """Return the zones that have subscribers, for each owned service with subscribers."""
+        zones_by_service: dict[str, set[int]] = {}
         for topic in self.owner.distributor.subscriptions:
             service = service_of_topic(topic)
             if service in self.owner.owned_services:
                 zone = topic[len(service) + 1 :]
-                subscribed.setdefault(service, set()).update([int(zone)] if zone.isdigit() else [])
-        return subscribed
+                zones_by_service.setdefault(service, set()).update([int(zone)] if zone.isdigit() else [])
+        return zones_by_service
 
     def _decide(self, now: int, service: str, zones: set[int]) -> None:
         planned = self._planned_service(now, service)
@@ -133,6 +134,7 @@
             self.owner.refresh(now, zone_topic(service, zone))
 
     def _planned_service(self, now: int, service: str) -> _PlannedService:
+        """Return the planned service, created if necessary, with its present configuration."""
         planned = self.planned_services.get(service)
         if planned is None:
             planned = _PlannedService(ServicePlanner(service, self.deployment, self.seed), now)
@@ -144,16 +146,14 @@
         return planned
 
     def _inherit_table(self, planned: _PlannedService, service: str, zone: int) -> None:
-        replicated = self.owner.topics.get(zone_topic(service, zone))
-        if replicated is not None and read_table(replicated.entries):
-            planned.inherited_tables[zone] = dict(replicated.entries)
-
-    # --- content of topics ---
+        replicated_topic = self.owner.topics.get(zone_topic(service, zone))
+        if replicated_topic is not None and read_table(replicated_topic.entries):
+            planned.inherited_tables[zone] = dict(replicated_topic.entries)
 
     def content(self, topic: str) -> Mapping[str, Entry] | None:
-        """Return the present state of a topic of an owned service; None while it is not known.
+        """Return the present state of a topic of an owned service, or None before the state is available.
 
-        A table is never emptied: if no endpoint is left, the last table stands.
+        A table is never emptied: if no endpoint is usable, the last table is returned.
         """
         service = service_of_topic(topic)
         planned = self.planned_services.get(service)
@@ -164,31 +164,33 @@
         return self._zone_content(planned, topic, int(topic[len(service) + 1 :]))
 
     def _last_content(self, topic: str) -> Mapping[str, Entry] | None:
-        """Return what this controller published last, or replicated."""
+        """Return the state that this controller published last, or replicated; None if it is empty."""
         state = self.owner.topics.get(topic)
         return dict(state.entries) if state is not None and state.entries else None
 
     def _zone_content(self, planned: _PlannedService, topic: str, zone: int) -> Mapping[str, Entry] | None:
-        own = planned.planner.zone_entries(zone)
+        planned_entries = planned.planner.zone_entries(zone)
         if planned.is_warm(planned.planner.controller.now):
             planned.inherited_tables.pop(zone, None)
-        inherited = planned.inherited_tables.get(zone)
-        usable = self._usable_lines(planned, inherited) if inherited is not None else {}
-        for entries in (usable, own):
+        inherited_entries = planned.inherited_tables.get(zone)
+        usable_entries = (
+            self._usable_entries(planned, inherited_entries) if inherited_entries is not None else {}
+        )
+        for entries in (usable_entries, planned_entries):
             if read_table(entries):
                 return entries
         return self._last_content(topic)
 
     @staticmethod
-    def _usable_lines(planned: _PlannedService, inherited: Mapping[str, Entry]) -> dict[str, Entry]:
-        """Return the inherited entries without endpoints that are draining, gone or restarted since."""
-        ready = {
+    def _usable_entries(planned: _PlannedService, inherited_entries: Mapping[str, Entry]) -> dict[str, Entry]:
+        """Return the inherited entries without endpoints that are draining, not listed or in slow start."""
+        ready_endpoints = {
             name
             for name, entry in read_endpoints(planned.planner.service_entries()).items()
             if entry.ready and planned.planner.is_warm(name)
         }
         return {
             key: entry
-            for key, entry in inherited.items()
-            if not isinstance(entry, TableLine) or key[len(LINE_PREFIX) :] in ready
+            for key, entry in inherited_entries.items()
+            if not isinstance(entry, TableLine) or key[len(LINE_PREFIX) :] in ready_endpoints
         }
--- a/ravenshelf/distribution/decisions/topics.py
+++ b/ravenshelf/distribution/decisions/topics.py
@@ -1,4 +1,4 @@
-"""The state of one topic: entries, version, and enough history to update a late subscriber by a delta."""
+"""State of one topic: entries, version, and the history that allows updating a late subscriber by a delta."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -6,7 +6,8 @@
 
 from ravenshelf.distribution.messages import NEVER, Changes, Delta, Entry, Snapshot, Version
 
-SNAPSHOT_PART_ENTRIES = 128  # some 5 KB: a reader of 7 KB/s receives a message each second
+# A part of some 5 KB lets a subscriber that reads 7 KB/s receive a message each second.
+SNAPSHOT_PART_ENTRIES = 128
 MIN_HISTORY_CHANGES = 16
 
 
@@ -14,95 +15,93 @@
     """Result of receiving an update of a topic."""
 
     APPLIED = "applied"
-    INCOMPLETE = "incomplete"  # a snapshot that lacks parts
-    DUPLICATE = "duplicate"  # no news
-    STALE_EPOCH = "stale epoch"  # from a deposed owner
-    GAP = "gap"  # an update in between was missed: only a resync helps
+    INCOMPLETE = "incomplete"  # The snapshot lacks parts.
+    DUPLICATE = "duplicate"  # The update is not newer than what has been received.
+    STALE_EPOCH = "stale epoch"  # The update comes from a previous owner.
+    GAP = "gap"  # An earlier update was missed; the topic needs a resync.
 
 
 @dataclass
 class _PartialSnapshot:
     version: Version
-    parts: int
-    entries: dict[int, dict[str, Entry]]  # by number of the part
+    part_count: int
+    entries: dict[int, dict[str, Entry]]  # Keys are indices of the received parts.
 
 
 class Topic:
-    """One topic as its owner, a relay or a subscriber holds it.
+    """State of one topic at its owner, a relay or a subscriber.
 
     Versions never go back within an epoch, and never to an earlier epoch. A delta is applied only if it
-    covers all changes since the version held.
+    covers all changes since the present version.
     """
 
     def __init__(self, name: str):
         self.name = name
         self.version = NEVER
         self.entries: dict[str, Entry] = {}
-        self._history: deque[Delta] = deque()  # oldest first, each begins where the one before ends
+        self._history: deque[Delta] = deque()  # Each delta begins at the version of the one before it.
         self._history_changes = 0
-        self._partial: _PartialSnapshot | None = None
+        self._partial_snapshot: _PartialSnapshot | None = None
 
     def receive(self, message: Snapshot | Delta) -> UpdateOutcome:
-        """Handle an update from the topic's upstream."""
+        """Apply an update from the topic's upstream, if it is applicable."""
         if isinstance(message, Snapshot):
             return self._receive_snapshot(message)
         return self._receive_delta(message)
 
     def discard_partial_snapshot(self) -> None:
-        """Drop an incomplete snapshot: its connection has broken."""
-        self._partial = None
-
-    # --- snapshots ---
+        """Discard the received parts of an incomplete snapshot, after its connection has ended."""
+        self._partial_snapshot = None
 
     def _receive_snapshot(self, part: Snapshot) -> UpdateOutcome:
         if part.version <= self.version:
-            return self._rejected(part.version)
-        partial = self._partial
+            return self._outcome_of_old_update(part.version)
+        partial = self._partial_snapshot
         if partial is None or partial.version < part.version:
-            partial = self._partial = _PartialSnapshot(part.version, part.part_count, {})
+            partial = self._partial_snapshot = _PartialSnapshot(part.version, part.part_count, {})
         elif partial.version > part.version:
             return UpdateOutcome.DUPLICATE
         partial.entries[part.part_index] = part.entries
-        if len(partial.entries) < partial.parts:
+        if len(partial.entries) < partial.part_count:
             return UpdateOutcome.INCOMPLETE
         entries = {
-            key: entry for number in sorted(partial.entries) for key, entry in partial.entries[number].items()
+            key: entry for index in sorted(partial.entries) for key, entry in partial.entries[index].items()
         }
         self.replace(part.version, entries)
         return UpdateOutcome.APPLIED
 
-    def _rejected(self, version: Version) -> UpdateOutcome:
-        """Return the outcome of an update that is not later than the version held."""
+    def _outcome_of_old_update(self, version: Version) -> UpdateOutcome:
+        """Return the outcome of an update whose version is not later than the present one."""
         return UpdateOutcome.STALE_EPOCH if version.epoch < self.version.epoch else UpdateOutcome.DUPLICATE
 
     def replace(self, version: Version, entries: dict[str, Entry]) -> None:
-        """Replace the complete state; the history restarts, as the changes in between are unknown."""
+        """Replace the complete state.
+
+        The history starts again from this version, as the changes in between are unknown.
+        """
         self.version = version
         self.entries = entries
-        self._partial = None
+        self._partial_snapshot = None
         self._history.clear()
         self._history_changes = 0
 
-    # --- deltas ---
-
     def _receive_delta(self, delta: Delta) -> UpdateOutcome:
         if delta.version <= self.version:
-            return self._rejected(delta.version)
+            return self._outcome_of_old_update(delta.version)
         if not self._covers(delta):
             return UpdateOutcome.GAP
         self.apply(delta)
         return UpdateOutcome.APPLIED
 
     def _covers(self, delta: Delta) -> bool:
-        """Return whether the delta holds all changes since the version held."""
-        if (
-            delta.version.epoch != self.version.epoch
-        ):  # a handover starts from exactly what the successor held
+        """Return whether the delta contains all changes since the present version."""
+        # The first delta of a new owner starts from exactly the version that the owner had replicated.
+        if delta.version.epoch != self.version.epoch:
             return delta.since == self.version
         return delta.since <= self.version and delta.since.epoch == self.version.epoch
 
     def apply(self, delta: Delta) -> None:
-        """Apply a delta that is known to cover all changes since the version held."""
+        """Apply a delta without checking that it covers all changes since the present version."""
         for key, entry in delta.changes.items():
             if entry is None:
                 self.entries.pop(key, None)
@@ -111,48 +110,56 @@
         if delta.since != self.version:
             delta = Delta(delta.topic, self.version, delta.version, delta.changes)
         self.version = delta.version
-        self._partial = None
+        self._partial_snapshot = None
         self._append_history(delta)
 
     def _append_history(self, delta: Delta) -> None:
         self._history.append(delta)
         self._history_changes += len(delta.changes) + 1
-        # beyond this limit a snapshot is as small as the delta
+        # Beyond this limit a snapshot is as small as the delta.
         while self._history_changes > max(len(self.entries), MIN_HISTORY_CHANGES):
             self._history_changes -= len(self._history.popleft().changes) + 1
 
-    # --- updates of subscribers ---
+    def updates_since(self, held_version: Version) -> list[Snapshot | Delta]:
+        """Return the updates from a subscriber's version to the present one.
+
+        They are one delta if the history goes back to that version, and otherwise a snapshot in parts.
+
+        Args:
+            held_version: The version that the subscriber holds.
 
-    def updates_since(self, held: Version) -> list[Snapshot | Delta]:
-        """Return the updates from version `held` to the present one; empty if the subscriber is as far or
-        further."""
-        if held >= self.version:
+        Returns:
+            The updates; empty if the subscriber holds the present version or a later one.
+        """
+        if held_version >= self.version:
             return []
-        delta = self._delta_since(held)
+        delta = self._delta_since(held_version)
         if delta is not None:
             return [delta]
         return [*self.snapshot()]
 
-    def _delta_since(self, held: Version) -> Delta | None:
-        first = next((number for number, delta in enumerate(self._history) if delta.since == held), None)
+    def _delta_since(self, held_version: Version) -> Delta | None:
+        first = next(
+            (index for index, delta in enumerate(self._history) if delta.since == held_version), None
+        )
         if first is None:
             return None
         changes: Changes = {}
         for delta in list(self._history)[first:]:
             changes.update(delta.changes)
-        return Delta(self.name, held, self.version, changes)
+        return Delta(self.name, held_version, self.version, changes)
 
     def snapshot(self) -> list[Snapshot]:
-        """Return the complete state, in parts."""
+        """Return the complete state in parts of at most SNAPSHOT_PART_ENTRIES entries."""
         keys = list(self.entries)
         starts = range(0, max(1, len(keys)), SNAPSHOT_PART_ENTRIES)
         return [
             Snapshot(
                 self.name,
                 self.version,
-                number,
+                index,
                 len(starts),
                 {key: self.entries[key] for key in keys[start : start + SNAPSHOT_PART_ENTRIES]},
             )
-            for number, start in enumerate(starts)
+            for index, start in enumerate(starts)
         ]
--- a/tests/distribution/test_distribution_decisions.py
+++ b/tests/distribution/test_distribution_decisions.py
@@ -202,7 +202,7 @@
 
 
 def test_an_epoch_that_is_not_later_is_rejected():
-    with pytest.raises(ValueError, match="epoch 3 of t is not later than 3"):
+    with pytest.raises(ValueError, match="topic t: expected an epoch later than 3, found 3"):
         Publication(holding(3, 1), 3)
 
 
@@ -488,7 +488,7 @@
 
 @pytest.mark.parametrize("server_count, fan_out", [(-1, 8), (5, 1)])
 def test_an_impossible_tree_is_rejected(server_count, fan_out):
-    with pytest.raises(ValueError, match="expected pilots and a fan-out of two or more"):
+    with pytest.raises(ValueError, match="expected 0 or more servers and a fan-out of 2 or more"):
         plan_relay_levels(server_count, fan_out)
 
 
