--- a/ravenshelf/commands/shared.py
+++ b/ravenshelf/commands/shared.py
@@ -60,10 +60,10 @@
 
 def ask_process(admin: Path, question: dict[str, Any]) -> dict[str, Any]:
     """Return a running process's answer; exits where there is none or it is an error."""
-    from ravenshelf.leadership.admin import ask
+    from ravenshelf.leadership.admin import send_request
 
     try:
-        answer = ask(str(admin), question)
+        answer = send_request(str(admin), question)
     except (OSError, ValueError) as error:
         raise reject(f"{admin}: expected a running process, {error}") from None
     if "error" in answer:
--- a/ravenshelf/distribution/leased_services.py
+++ b/ravenshelf/distribution/leased_services.py
@@ -1,6 +1,6 @@
 """Between leases and publication: the services of a shard are acquired and released with the shard's lease.
 
-`LeasedServices` has the interface of the proxies' adapter in `leadership.service.Leadership`.
+`LeasedServices` is the `LeaseListener` of a `Leadership` here, as `LeaseFilter` is where proxies connect.
 """
 
 from collections.abc import Callable, Iterable
@@ -52,8 +52,8 @@
         self.names = names
         self.clock = clock
         self.shards = shards
-        self.owned: dict[int, OwnedShard] = {}
-        self.present: dict[int, int] = {}  # proxies with a stream: always empty
+        self.owned_shards: dict[int, OwnedShard] = {}
+        self.connected_proxies: dict[int, int] = {}  # proxies with a stream: always empty
         self.services: set[str] = set()
         self._attached_publisher: OwnerService | None = None
         self._invalid_since: dict[int, int] = {}  # owned shards whose lease is not valid
@@ -77,27 +77,27 @@
             self.publisher.release(service)
         for service in sorted(self.services - previous):
             shard = shard_of_service(service, self.shards)
-            if shard in self.owned:
+            if shard in self.owned_shards:
                 self._acquire(service, shard)
 
     def _services_of(self, shard: int) -> list[str]:
         return sorted(service for service in self.services if shard_of_service(service, self.shards) == shard)
 
     def _acquire(self, service: str, shard: int) -> None:
-        self.publisher.acquire(service, ShardLease(self.member, shard, self.owned[shard].term))
+        self.publisher.acquire(service, ShardLease(self.member, shard, self.owned_shards[shard].term))
 
     # --- calls of Leadership ---
 
     def lease_acquired(self, shard: int, term: int, _record: bytes | None) -> None:
         """A quorum has granted the shard's lease."""
-        self.owned[shard] = OwnedShard(term)
+        self.owned_shards[shard] = OwnedShard(term)
         self._invalid_since.pop(shard, None)
         for service in self._services_of(shard):
             self._acquire(service, shard)
 
     def lease_lost(self, shard: int) -> None:
         """Another controller has the shard's lease, or it was released."""
-        self.owned.pop(shard, None)
+        self.owned_shards.pop(shard, None)
         self._invalid_since.pop(shard, None)
         for service in self._services_of(shard):
             self.publisher.release(service)
@@ -117,7 +117,7 @@
         """Withdraw the claims of services whose lease has not been valid for a while; claim them again when
         it is."""
         now = self.clock()
-        for shard in list(self.owned):
+        for shard in list(self.owned_shards):
             if self.member.permission(now, shard) is not Permission.FULL:
                 since = self._invalid_since.setdefault(shard, now)
                 if now - since >= CLAIM_WITHDRAWAL_DELAY_US:
@@ -137,8 +137,8 @@
             owner = self.member.holder(now, shard)
             if owner is None:
                 continue
-            is_other = owner != self.member.me
-            if is_other and self.member.me in replica_controllers(shard, owner, weights):
+            is_other = owner != self.member.local_member
+            if is_other and self.member.local_member in replica_controllers(shard, owner, weights):
                 self.publisher.follow_shard(shard, self.names[owner])
             elif shard in self.publisher.owner.followed_shards:
                 self.publisher.unfollow_shard(shard)
--- a/ravenshelf/leadership/admin.py
+++ b/ravenshelf/leadership/admin.py
@@ -29,14 +29,14 @@
     def status(self) -> Json:
         """The state of the member."""
 
-    def drain(self, is_draining: bool = True) -> int:
+    def drain(self, is_enabled: bool = True) -> int:
         """Hands its shards to the others; returns their count."""
 
     def hand_over(self, shards: list[int], successor: str | None) -> list[int]:
         """Releases shards; returns those that it held."""
 
 
-def answer(leadership: AdministeredMember, request: Json) -> Json:
+def handle_request(leadership: AdministeredMember, request: Json) -> Json:
     """The answer to a request. Never raises: what can't be done is an `error`."""
     command = request.get("ask")
     try:
@@ -67,10 +67,10 @@
 
 async def serve(leadership: AdministeredMember, path: str) -> asyncio.Server:
     """Answers at a Unix socket. Raises OSError."""
-    return await serve_answers(lambda request: answer(leadership, request), path)
+    return await serve_requests(lambda request: handle_request(leadership, request), path)
 
 
-async def serve_answers(answer_to: Callable[[Json], Json], path: str) -> asyncio.Server:
+async def serve_requests(answer_to: Callable[[Json], Json], path: str) -> asyncio.Server:
     """Answers requests at a Unix socket, one JSON object a line each way. Raises OSError."""
 
     async def connected(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -99,7 +99,7 @@
             return False
 
 
-def ask(path: str, request: Json, timeout_s: float = REQUEST_TIMEOUT_S) -> Json:
+def send_request(path: str, request: Json, timeout_s: float = REQUEST_TIMEOUT_S) -> Json:
     """Sends a request to a running process and returns its answer. Raises OSError where none listens."""
     with socket.socket(socket.AF_UNIX) as connection:
         connection.settimeout(timeout_s)
--- a/ravenshelf/leadership/cluster.py
+++ b/ravenshelf/leadership/cluster.py
@@ -57,15 +57,15 @@
         """Path of the Unix socket for administration; empty: none."""
 
 
-class ShardAdapter(Protocol):
-    """What acts on leases: proxies' tables (`adapter.Adapter`), or the services of a distribution tree."""
+class LeaseListener(Protocol):
+    """What acts on leases: `lease_filter.LeaseFilter` for proxies, or the services of a distribution tree."""
 
     @property
-    def owned(self) -> Mapping[int, Any]:
+    def owned_shards(self) -> Mapping[int, Any]:
         """The shards whose lease is held, each with its `gate` of waiting orders."""
 
     @property
-    def present(self) -> Mapping[int, Any]:
+    def connected_proxies(self) -> Mapping[int, Any]:
         """The proxies with a connection."""
 
     def lease_acquired(self, shard: int, term: int, packed: PackedRecord) -> None:
@@ -100,7 +100,7 @@
     agreed: AgreedSettings
 
     @property
-    def me(self) -> int:
+    def local_member(self) -> int:
         """This member's number."""
         return self.names.index(self.name)
 
--- a/ravenshelf/leadership/decisions/claims.py
+++ b/ravenshelf/leadership/decisions/claims.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from ravenshelf.leadership.decisions.effects import PackedRecord
 from ravenshelf.leadership.decisions.messages import Grant
+from ravenshelf.leadership.decisions.output import PackedRecord
 
 
 class LeaseState(Enum):
--- a/ravenshelf/leadership/decisions/member.py
+++ b/ravenshelf/leadership/decisions/member.py
@@ -7,7 +7,6 @@
 from ravenshelf.leadership.decisions.balancer import Balancer
 from ravenshelf.leadership.decisions.claims import Claim, Permission
 from ravenshelf.leadership.decisions.configuration import LeaseConfiguration
-from ravenshelf.leadership.decisions.effects import LeaseEffects, PackedRecord
 from ravenshelf.leadership.decisions.lease_holder import LeaseHolder
 from ravenshelf.leadership.decisions.messages import (
     LeaseRelease,
@@ -24,6 +23,7 @@
     StateReply,
     StateRequest,
 )
+from ravenshelf.leadership.decisions.output import LeaseOutput, PackedRecord
 from ravenshelf.leadership.decisions.peers import PeerTable, QuorumMonitor
 from ravenshelf.leadership.decisions.recovery import StateRecovery
 from ravenshelf.leadership.decisions.voter import StoredVotes, Vote, Voter
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        me: int,
+        local_member: int,
         members: int,
         configuration: LeaseConfiguration,
         stored: StoredVotes,
@@ -50,22 +50,24 @@
         recovering: bool = False,
         capacity: float = 1.0,
     ) -> None:
-        self.me = me
+        self.local_member = local_member
         self.members = members
         self.configuration = configuration
         self.capacity = capacity
-        self.draining = False
+        self.is_draining = False
         self.loop_delay_us = 0
         self.quorum = members // 2 + 1
         self.voter = Voter(configuration, stored, now, self._on_own_vote)
-        self.leases = LeaseHolder(me, members, self.quorum, configuration, self.voter, rng)
-        self.peers = PeerTable(me, members, configuration)
+        self.leases = LeaseHolder(local_member, members, self.quorum, configuration, self.voter, rng)
+        self.peers = PeerTable(local_member, members, configuration)
         self.quorum_monitor = QuorumMonitor(now, configuration)
-        self.balancer = Balancer(me, configuration, self.voter, self.leases, self.peers)
-        self.recovery = StateRecovery(me, members, self.quorum, configuration, self.voter, recovering)
+        self.balancer = Balancer(local_member, configuration, self.voter, self.leases, self.peers)
+        self.recovery = StateRecovery(
+            local_member, members, self.quorum, configuration, self.voter, recovering
+        )
         self._renew_at = now
         self._rebalance_at = now + configuration.renewal_interval_us
-        self._handlers: dict[type, Callable[[int, int, Any, LeaseEffects], None]] = {
+        self._handlers: dict[type, Callable[[int, int, Any, LeaseOutput], None]] = {
             StateRequest: self.recovery.on_request,
             StateReply: self.recovery.on_reply,
             RenewalRequest: self._on_renewal,
@@ -99,7 +101,7 @@
     @property
     def load(self) -> MemberLoad:
         """What its share depends on."""
-        return MemberLoad(self.capacity, self.draining, self.loop_delay_us)
+        return MemberLoad(self.capacity, self.is_draining, self.loop_delay_us)
 
     def held_shards(self) -> list[int]:
         """Shards whose lease it holds."""
@@ -132,35 +134,35 @@
 
     # --- calls ---
 
-    def write_record(self, now: int, shard: int, record: PackedRecord, effects: LeaseEffects) -> int | None:
+    def write_record(self, now: int, shard: int, record: PackedRecord, output: LeaseOutput) -> int | None:
         """Sends a shard's new record to the voters; returns its number, for `permission`, or None."""
-        return self.leases.write_record(now, shard, record, effects)
+        return self.leases.write_record(now, shard, record, output)
 
     def release(
-        self, now: int, shards: Iterable[int], successor: int | None, effects: LeaseEffects
+        self, now: int, shards: Iterable[int], successor: int | None, output: LeaseOutput
     ) -> list[int]:
         """Gives leases up; returns the shards of those that it had."""
-        return self.leases.release(now, shards, successor, effects)
+        return self.leases.release(now, shards, successor, output)
 
-    def tick(self, now: int, effects: LeaseEffects) -> int:
+    def tick(self, now: int, output: LeaseOutput) -> int:
         """Does what is due; returns when to be called again at the latest."""
         self.quorum_monitor.tick(now)
         if self.is_recovering:
             if now >= self._renew_at:
                 self._renew_at = now + self.configuration.renewal_interval_us
-                self.recovery.request(effects)
+                self.recovery.request(output)
             return self._renew_at
         quorum_last_contact = self.peers.quorum_last_contact(now, self.quorum)
         self.quorum_monitor.update(now, quorum_last_contact)
-        self.leases.expire(now, quorum_last_contact, effects)
+        self.leases.expire(now, quorum_last_contact, output)
         if now >= self._renew_at:
             self._renew_at = now + self.configuration.renewal_interval_us
-            self.leases.renew(now, self.load, effects)
+            self.leases.renew(now, self.load, output)
         if now >= self._rebalance_at:
             self._rebalance_at = now + self.configuration.renewal_interval_us // 2
             if now >= self.voter.quiet_until and self.quorum_monitor.is_reachable():
-                self.balancer.rebalance(now, self.weights(now), self.draining, effects)
-        due = self.leases.tick(now, effects)
+                self.balancer.rebalance(now, self.weights(now), self.is_draining, output)
+        due = self.leases.tick(now, output)
         return max(now + SHORTEST_TICK_US, min([self._renew_at, self._rebalance_at, *due]))
 
     # --- messages ---
@@ -169,16 +171,16 @@
         """A message of a member has come, whatever it says."""
         self.peers.note_contact(now, member)
 
-    def receive(self, now: int, member: int, message: Message, effects: LeaseEffects) -> None:
+    def receive(self, now: int, member: int, message: Message, output: LeaseOutput) -> None:
         """A message of a member, this one among them: its own voter is asked like the others."""
         self.note_contact(now, member)
         if self.is_recovering and not isinstance(message, (StateRequest, StateReply)):
             return
-        self._handlers[type(message)](now, member, message, effects)
+        self._handlers[type(message)](now, member, message, output)
 
-    def _on_renewal(self, now: int, member: int, request: RenewalRequest, effects: LeaseEffects) -> None:
+    def _on_renewal(self, now: int, member: int, request: RenewalRequest, output: LeaseOutput) -> None:
         self.peers.update_load(member, request.load)
-        self.voter.on_renewal(now, member, request, effects)
+        self.voter.on_renewal(now, member, request, output)
 
-    def _on_own_vote(self, shard: int, effects: LeaseEffects) -> None:
-        self.leases.end_superseded_lease(shard, effects)
+    def _on_own_vote(self, shard: int, output: LeaseOutput) -> None:
+        self.leases.end_superseded_lease(shard, output)
--- a/ravenshelf/leadership/decisions/messages.py
+++ b/ravenshelf/leadership/decisions/messages.py
@@ -77,7 +77,7 @@
     """What the share of a member depends on."""
 
     capacity: float
-    draining: bool
+    is_draining: bool
     loop_delay_us: int
 
 
--- a/ravenshelf/leadership/decisions/effects.py
+++ b/ravenshelf/leadership/decisions/output.py
@@ -13,7 +13,7 @@
 )  # a shard's record (`record.Record.pack`); None where there is none yet
 
 
-class LeaseEffects(Protocol):
+class LeaseOutput(Protocol):
     """Where decisions go. What is sent in a step leaves only once what was stored in it is on disk."""
 
     def store_vote(self, shard: int, promised: int, term: int, seq: int, record: PackedRecord) -> None:
--- a/ravenshelf/leadership/decisions/peers.py
+++ b/ravenshelf/leadership/decisions/peers.py
@@ -22,10 +22,10 @@
 class PeerTable:
     """All other members of the cluster."""
 
-    def __init__(self, me: int, members: int, configuration: LeaseConfiguration) -> None:
-        self.me = me
+    def __init__(self, local_member: int, members: int, configuration: LeaseConfiguration) -> None:
+        self.local_member = local_member
         self.configuration = configuration
-        self.peers = {member: Peer() for member in range(members) if member != me}
+        self.peers = {member: Peer() for member in range(members) if member != local_member}
 
     def note_contact(self, now: int, member: int) -> None:
         """A message of a member has come."""
@@ -47,7 +47,7 @@
 
     def weights(self, now: int, own_load: MemberLoad) -> dict[int, float]:
         """The weight of each reachable member, this one among them."""
-        weights = {self.me: self._weight(own_load)}
+        weights = {self.local_member: self._weight(own_load)}
         for member, peer in self.peers.items():
             if peer.last_contact is not None and now - peer.last_contact <= self.configuration.lease_us:
                 weights[member] = self._weight(peer.load)
@@ -55,7 +55,7 @@
 
     def _weight(self, load: MemberLoad) -> float:
         return member_weight(
-            load.capacity, load.draining, load.loop_delay_us, self.configuration.loop_delay_limit_us
+            load.capacity, load.is_draining, load.loop_delay_us, self.configuration.loop_delay_limit_us
         )
 
     def quorum_last_contact(self, now: int, quorum: int) -> int:
--- a/ravenshelf/leadership/decisions/voter.py
+++ b/ravenshelf/leadership/decisions/voter.py
@@ -5,7 +5,6 @@
 from typing import TypeAlias
 
 from ravenshelf.leadership.decisions.configuration import LeaseConfiguration
-from ravenshelf.leadership.decisions.effects import LeaseEffects, PackedRecord
 from ravenshelf.leadership.decisions.messages import (
     Grant,
     LeaseReply,
@@ -21,6 +20,7 @@
     SupersededTerm,
     WrittenRecord,
 )
+from ravenshelf.leadership.decisions.output import LeaseOutput, PackedRecord
 
 StoredVotes: TypeAlias = Mapping[
     int, tuple[int, int, int, PackedRecord]
@@ -44,14 +44,14 @@
 
 
 class Voter:
-    """`superseded(shard, effects)` is called after each promise that may end a lease of this member."""
+    """`superseded(shard, output)` is called after each promise that may end a lease of this member."""
 
     def __init__(
         self,
         configuration: LeaseConfiguration,
         stored: StoredVotes,
         now: int,
-        superseded: Callable[[int, LeaseEffects], None],
+        superseded: Callable[[int, LeaseOutput], None],
     ) -> None:
         self.configuration = configuration
         self.votes = [Vote() for _ in range(configuration.shards)]
@@ -65,10 +65,10 @@
         """Grants nothing until any lease that it may have granted before has expired."""
         self.quiet_until = now + self.configuration.quiet_period_us()
 
-    def store(self, shard: int, effects: LeaseEffects) -> None:
+    def store(self, shard: int, output: LeaseOutput) -> None:
         """Stores the shard's vote."""
         vote = self.votes[shard]
-        effects.store_vote(shard, vote.promised, vote.term, vote.seq, vote.record)
+        output.store_vote(shard, vote.promised, vote.term, vote.seq, vote.record)
 
     def recorded_votes(self) -> list[RecordedVote]:
         """All votes with a promise or a record."""
@@ -89,16 +89,16 @@
 
     # --- requests ---
 
-    def on_probe(self, now: int, member: int, request: ProbeRequest, effects: LeaseEffects) -> None:
+    def on_probe(self, now: int, member: int, request: ProbeRequest, output: LeaseOutput) -> None:
         """Replies which leases it would grant."""
         available = [
             shard
             for shard in request.shards
             if now >= self.quiet_until and self.votes[shard].is_available_to(now, member)
         ]
-        effects.send(member, ProbeReply(available))
+        output.send(member, ProbeReply(available))
 
-    def on_lease_request(self, now: int, member: int, request: LeaseRequest, effects: LeaseEffects) -> None:
+    def on_lease_request(self, now: int, member: int, request: LeaseRequest, output: LeaseOutput) -> None:
         """Grants leases in terms later than any that it promised, unless another's grant is unexpired."""
         granted: list[Grant] = []
         rejected: list[PromisedTerm] = []
@@ -111,12 +111,12 @@
             vote.promised = term
             vote.holder = member
             vote.granted_until = now + self.configuration.lease_us
-            self.store(shard, effects)
+            self.store(shard, output)
             granted.append(Grant(shard, term, vote.term, vote.seq, vote.record))
-            self._superseded(shard, effects)
-        effects.send(member, LeaseReply(granted, rejected))
+            self._superseded(shard, output)
+        output.send(member, LeaseReply(granted, rejected))
 
-    def on_record_write(self, now: int, member: int, request: RecordWrite, effects: LeaseEffects) -> None:
+    def on_record_write(self, now: int, member: int, request: RecordWrite, output: LeaseOutput) -> None:
         """Accepts records of the promised term or a later one."""
         written: list[WrittenRecord] = []
         rejected: list[SupersededTerm] = []
@@ -135,12 +135,12 @@
                 ):  # it missed the request that others granted: as if it had received it
                     vote.holder = member
                     vote.granted_until = max(vote.granted_until, now + self.configuration.lease_us)
-                self.store(shard, effects)
-                self._superseded(shard, effects)
+                self.store(shard, output)
+                self._superseded(shard, output)
             written.append(WrittenRecord(shard, term, seq))
-        effects.send(member, RecordWriteReply(written, rejected))
+        output.send(member, RecordWriteReply(written, rejected))
 
-    def on_renewal(self, now: int, member: int, request: RenewalRequest, effects: LeaseEffects) -> None:
+    def on_renewal(self, now: int, member: int, request: RenewalRequest, output: LeaseOutput) -> None:
         """Renews grants of the promised term or a later one."""
         renewed: list[int] = []
         rejected: list[SupersededTerm] = []
@@ -149,15 +149,15 @@
             if term > vote.promised and vote.is_available_to(now, member):
                 # a quorum granted it while this voter was unreachable: it would never learn of it otherwise
                 vote.promised = term
-                self.store(shard, effects)
-                self._superseded(shard, effects)
+                self.store(shard, output)
+                self._superseded(shard, output)
             if term == vote.promised and vote.is_available_to(now, member):
                 vote.holder = member
                 vote.granted_until = now + self.configuration.lease_us
                 renewed.append(shard)
             elif term < vote.promised:
                 rejected.append(SupersededTerm(shard, term, vote.promised))
-        effects.send(member, RenewalReply(request.number, renewed, rejected))
+        output.send(member, RenewalReply(request.number, renewed, rejected))
 
     def end_grant(self, member: int, shard: int, term: int) -> bool:
         """The holder has released the lease. True: this voter had granted it in that term."""
--- a/ravenshelf/leadership/gate.py
+++ b/ravenshelf/leadership/gate.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class WaitingOrder:
+class WaitingCommand:
     """An order for a proxy. `seq` is the number of the record that it waits for."""
 
     proxy: int
@@ -53,7 +53,7 @@
         self.record = record
         self.seq = 0
         self.committed_seq = 0
-        self.waiting: dict[int, deque[WaitingOrder]] = {}  # by proxy
+        self.waiting: dict[int, deque[WaitingCommand]] = {}  # by proxy
         self.overflowed: set[int] = set()  # proxies with more orders than may wait
 
     def submit(self, proxy: int, message: Any, requirements: RecordRequirements) -> bool:
@@ -68,7 +68,7 @@
         is_recorded = requirements.is_met_by(self.record)
         recorded_seq = NO_RECORD if requirements.is_empty() else self.seq
         seq = recorded_seq if is_recorded else NOT_RECORDED
-        queue.append(WaitingOrder(proxy, message, requirements, seq))
+        queue.append(WaitingCommand(proxy, message, requirements, seq))
         return not is_recorded
 
     def extended_record(self, warming_since: Mapping[str, int]) -> Record:
@@ -94,7 +94,7 @@
             if order.seq == NOT_RECORDED and order.requirements.is_met_by(record):
                 order.seq = seq
 
-    def lowered_record(self, sent: Iterable[WaitingOrder]) -> Record | None:
+    def lowered_record(self, sent: Iterable[WaitingCommand]) -> Record | None:
         """The record after orders that admit less were sent, or None where it stays.
 
         A successor must not admit what an earlier, higher level still on record would.
@@ -129,8 +129,8 @@
         return must_extend
 
     def take_permitted(
-        self, committed_seq: int, is_permitted: Callable[[WaitingOrder], bool]
-    ) -> list[WaitingOrder]:
+        self, committed_seq: int, is_permitted: Callable[[WaitingCommand], bool]
+    ) -> list[WaitingCommand]:
         """Takes out what is sent now that a quorum has the record up to `committed_seq`.
 
         Of each proxy in order, up to the first order that is not permitted: it waits, and those after it.
@@ -149,7 +149,7 @@
         self.overflowed.discard(proxy)
         self.waiting.pop(proxy, None)
 
-    def _orders(self) -> Iterable[WaitingOrder]:
+    def _orders(self) -> Iterable[WaitingCommand]:
         return (order for queue in self.waiting.values() for order in queue)
 
     def __len__(self) -> int:
--- a/ravenshelf/leadership/adapter.py
+++ b/ravenshelf/leadership/lease_filter.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from ravenshelf.leadership.decisions import Member, Permission
-from ravenshelf.leadership.gate import RecordRequirements, ShardGate, WaitingOrder
+from ravenshelf.leadership.gate import RecordRequirements, ShardGate, WaitingCommand
 from ravenshelf.leadership.inheritance import InheritedState
 from ravenshelf.leadership.record import Record, UnreadableRecordError
 from ravenshelf.leadership.shard_placement import shard_of_proxy
@@ -20,7 +20,7 @@
 INHERITED_RETRY_MODE_LIMIT = 1  # of a level that a complete table would otherwise reset
 
 
-class EncodedOrder(NamedTuple):
+class EncodedCommand(NamedTuple):
     """A message as it is written to a proxy, and the marker that the proxy acknowledges."""
 
     message: bytes
@@ -38,7 +38,7 @@
         self.inherited = InheritedState(now, record.copy(), list_version)
 
 
-class Adapter:
+class LeaseFilter:
     """Filters events on their way to the decisions, and orders on their way to the proxies.
 
     `report_event` hands an event to the control cycle; `write(proxy, message, marker, term)` writes to a
@@ -69,9 +69,9 @@
         self.groups = groups
         self.counters = counters
         self.shards = member.configuration.shards
-        self.present: dict[int, ProxyJoined] = {}  # every proxy with a connection here
-        self.bound: set[int] = set()  # those that the decisions know
-        self.owned: dict[int, HeldShard] = {}
+        self.connected_proxies: dict[int, ProxyJoined] = {}  # every proxy with a connection here
+        self.bound_proxies: set[int] = set()  # those that the decisions know
+        self.owned_shards: dict[int, HeldShard] = {}
         self._report_event = report_event
         self._write = write
         self._write_record = write_record
@@ -86,13 +86,13 @@
     def passes(self, event: Event) -> bool:
         """Takes in an event; returns whether the decisions are to have it now."""
         if isinstance(event, ProxyJoined):
-            self.present[event.proxy] = event
-            if self._shard_of(event.proxy) not in self.owned:
+            self.connected_proxies[event.proxy] = event
+            if self._shard_of(event.proxy) not in self.owned_shards:
                 return False
-            self.bound.add(event.proxy)
+            self.bound_proxies.add(event.proxy)
         elif isinstance(event, ProxyLeft):
-            self.present.pop(event.proxy, None)
-            self.bound.discard(event.proxy)
+            self.connected_proxies.pop(event.proxy, None)
+            self.bound_proxies.discard(event.proxy)
         elif isinstance(event, EndpointsListed):
             self._endpoints_listed(event)
         return True
@@ -103,7 +103,7 @@
             for entry in event.entries
             if entry.state is EndpointState.READY
         ]
-        for shard, held in self.owned.items():
+        for shard, held in self.owned_shards.items():
             held.inherited.endpoints_listed(self._list_version(), ready)
             undrained = [endpoint for endpoint in ready if not held.inherited.is_drained(endpoint)]
             if held.gate.end_drains(undrained):
@@ -117,7 +117,7 @@
     def lease_acquired(self, shard: int, term: int, packed: bytes | None) -> None:
         """The lease is held and a quorum has the record: the shard's proxies are bound."""
         record = self._unpack(packed)
-        held = self.owned.get(shard)
+        held = self.owned_shards.get(shard)
         if held is not None:  # held all the time, now in a later term: waiting orders are sent in that
             held.term = term
             if held.gate.begin_term(record):
@@ -125,11 +125,11 @@
             self._send_permitted_of(shard)
             return
         held = HeldShard(term, record, self.clock(), self._list_version())
-        self.owned[shard] = held
+        self.owned_shards[shard] = held
         self._restore_warm_up(held.inherited.warming_since())
-        for proxy, joined in list(self.present.items()):
-            if self._shard_of(proxy) == shard and proxy not in self.bound:
-                self.bound.add(proxy)
+        for proxy, joined in list(self.connected_proxies.items()):
+            if self._shard_of(proxy) == shard and proxy not in self.bound_proxies:
+                self.bound_proxies.add(proxy)
                 self._report_event(joined._replace(is_fresh=False))
 
     def _unpack(self, packed: bytes | None) -> Record:
@@ -141,10 +141,10 @@
 
     def lease_lost(self, shard: int) -> None:
         """The decisions forget the shard's proxies; waiting orders are dropped."""
-        if self.owned.pop(shard, None) is None:
+        if self.owned_shards.pop(shard, None) is None:
             return
-        for proxy in [proxy for proxy in self.bound if self._shard_of(proxy) == shard]:
-            self.bound.discard(proxy)
+        for proxy in [proxy for proxy in self.bound_proxies if self._shard_of(proxy) == shard]:
+            self.bound_proxies.discard(proxy)
             self._report_event(ProxyLeft(proxy, True))
 
     # --- orders on their way to the proxies ---
@@ -155,7 +155,7 @@
         Endpoints stay ejected that a later list than ours drained, and load that an earlier holder shed is
         admitted step by step.
         """
-        held = self.owned.get(self._shard_of(proxy))
+        held = self.owned_shards.get(self._shard_of(proxy))
         now = self.clock()
         if held is None or held.inherited.has_ended(now):
             return
@@ -196,12 +196,12 @@
     def submit(self, proxy: int, parts: list[MessagePart], message: bytes, marker: int | None) -> None:
         """Takes an order; it is sent when and if it is permitted."""
         shard = self._shard_of(proxy)
-        held = self.owned.get(shard)
+        held = self.owned_shards.get(shard)
         if held is None:
             self.counters["orders_without_lease"] += 1
             return
         requirements = self._requirements(held, parts)
-        if held.gate.submit(proxy, EncodedOrder(message, marker), requirements):
+        if held.gate.submit(proxy, EncodedCommand(message, marker), requirements):
             self._extend_record(shard, held)
         self._send_permitted_of(shard)
 
@@ -227,11 +227,11 @@
 
     def send_permitted(self) -> None:
         """Sends what may be sent of all shards."""
-        for shard in list(self.owned):
+        for shard in list(self.owned_shards):
             self._send_permitted_of(shard)
 
     def _send_permitted_of(self, shard: int) -> None:
-        held = self.owned.get(shard)
+        held = self.owned_shards.get(shard)
         if held is None:
             return
         claim = self.member.claims[shard]
@@ -239,7 +239,7 @@
             return
         now = self.clock()
 
-        def is_permitted(order: WaitingOrder) -> bool:
+        def is_permitted(order: WaitingCommand) -> bool:
             permission = self.member.permission(now, shard, order.seq)
             if permission is Permission.REPEAT_ONLY:
                 return order.requirements.is_met_by(held.gate.record)
@@ -255,7 +255,7 @@
                 held.gate.record_written(record, seq)
         self._bind_overflowed(shard, held)
 
-    def _send(self, shard: int, held: HeldShard, order: WaitingOrder) -> None:
+    def _send(self, shard: int, held: HeldShard, order: WaitingCommand) -> None:
         # asked again: this process may have been paused since the order was looked at
         if self.member.permission(self.clock(), shard, order.seq) is None:
             self.counters["orders_not_permitted"] += 1
@@ -270,16 +270,16 @@
             return
         for proxy in list(held.gate.overflowed):
             held.gate.discard(proxy)
-            if proxy in self.bound:
+            if proxy in self.bound_proxies:
                 self._report_event(ProxyLeft(proxy, True))
-                self._report_event(self.present[proxy]._replace(is_fresh=False))
+                self._report_event(self.connected_proxies[proxy]._replace(is_fresh=False))
 
     def proxy_count(self, shards: Iterable[int]) -> int:
         """How many connected proxies are in these shards."""
         wanted = set(shards)
-        return sum(self._shard_of(proxy) in wanted for proxy in self.present)
+        return sum(self._shard_of(proxy) in wanted for proxy in self.connected_proxies)
 
 
-def with_term(message: bytes, term: int) -> bytes:
+def add_term(message: bytes, term: int) -> bytes:
     """The order with its term, by which a proxy rejects orders of an earlier one."""
     return b"CONFIG term=%d" % term + message.removeprefix(b"CONFIG")
--- a/ravenshelf/leadership/link.py
+++ b/ravenshelf/leadership/link.py
@@ -23,7 +23,7 @@
 UNSENT_LIMIT_BYTES = 4 * 1024 * 1024  # a member that reads so slowly counts as unreachable
 
 
-def frame(message: Any) -> bytes:
+def encode_frame(message: Any) -> bytes:
     """The frame of a message, given as it is on the wire."""
     return net_frames.pack(msgspec.msgpack.encode(message))
 
@@ -70,7 +70,7 @@
         if self.end is not None:
             transport.abort()
             return
-        transport.write(frame(self.hello))
+        transport.write(encode_frame(self.hello))
 
     def received(self, data: bytes) -> None:
         """Decodes and hands on messages; content that is no message ends the connection."""
--- a/ravenshelf/leadership/peer_connections.py
+++ b/ravenshelf/leadership/peer_connections.py
@@ -79,7 +79,7 @@
 
     def start_dialling(self) -> None:
         """Keeps a connection to each member with a higher number."""
-        for member in range(self.membership.me + 1, len(self.membership.names)):
+        for member in range(self.membership.local_member + 1, len(self.membership.names)):
             self._dialling[member] = self.loop.create_task(self._keep_dialling(member))
 
     async def _keep_dialling(self, member: int) -> None:
--- a/ravenshelf/leadership/service.py
+++ b/ravenshelf/leadership/service.py
@@ -16,7 +16,7 @@
     AgreedSettings,
     ClusterMembership,
     LeadershipSettings,
-    ShardAdapter,
+    LeaseListener,
     clock,
     lease_configuration,
 )
@@ -39,11 +39,11 @@
 class Leadership:
     """Runs a `Member`. `stopped(reason)` is called where this control-plane server can't go on.
 
-    `settings` is the operator file's `[leadership]`, `folder` that of its `[store]`. `adapter` must be set
-    before `start`. It stands for the effects of the member (`LeaseEffects`).
+    `settings` is the operator file's `[leadership]`, `folder` that of its `[store]`. `lease_listener` must be
+    set before `start`. It stands for the effects of the member (`LeaseOutput`).
     """
 
-    adapter: ShardAdapter
+    lease_listener: LeaseListener
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         """A member alone has nobody to recover from."""
         is_recovering = len(self.names) > 1 and not self.store.is_voting
         return Member(
-            self.membership.me,
+            self.membership.local_member,
             len(self.names),
             self.configuration,
             self.store.votes,
@@ -110,16 +110,16 @@
         self._outbox.send(member, message)
 
     def lease_changed(self, shard: int, state: LeaseState, term: int, record: PackedRecord) -> None:
-        """Counts and logs the change, and hands it to the adapter."""
+        """Counts and logs the change, and hands it to the lease listener."""
         self.counters[f"shards_{state.value}"] += 1
         if state is LeaseState.HELD:
             log_events.LEASE_ACQUIRED(shard=shard, term=term)
-            self.adapter.lease_acquired(shard, term, record)
+            self.lease_listener.lease_acquired(shard, term, record)
         elif state is LeaseState.EXPIRED:
             log_events.LEASE_EXPIRED(shard=shard, term=term)
-        elif state is LeaseState.IDLE and shard in self.adapter.owned:
+        elif state is LeaseState.IDLE and shard in self.lease_listener.owned_shards:
             log_events.LEASE_LOST(shard=shard, term=term)
-            self.adapter.lease_lost(shard)
+            self.lease_listener.lease_lost(shard)
 
     # --- steps ---
 
@@ -135,7 +135,7 @@
             self._outbox.flush()
             while self._to_self:
                 message = self._to_self.popleft()
-                self.member.receive(clock(), self.membership.me, message, self)
+                self.member.receive(clock(), self.membership.local_member, message, self)
                 self._outbox.flush()
         finally:
             self._is_in_step = False
@@ -144,7 +144,7 @@
     def _deliver(self, messages: list[OutgoingMessage]) -> None:
         frames: dict[int, bytes] = {}  # a message to several members is encoded once
         for member, message in messages:
-            if member == self.membership.me:
+            if member == self.membership.local_member:
                 self._to_self.append(message)
                 continue
             link = self.connections.links.get(member)
@@ -165,7 +165,7 @@
             return
         self._deliver(messages)
         self._step(lambda: None)
-        self.adapter.send_permitted()
+        self.lease_listener.send_permitted()
 
     # --- messages of other members (`MessageReceiver`) ---
 
@@ -176,7 +176,7 @@
     def message_handled(self, message: list) -> None:
         """A record that a quorum has now may permit orders."""
         if message[0] == message_codec.KIND_OF_TYPE[RecordWriteReply]:
-            self.adapter.send_permitted()
+            self.lease_listener.send_permitted()
 
     def _receive_in_step(self, member: int, message: list) -> None:
         now = clock()
@@ -205,7 +205,7 @@
         next_tick_at = self._step(lambda: self.member.tick(now, self))
         self.connections.close_silent(now)
         self._report_quorum(now)
-        self.adapter.send_permitted()
+        self.lease_listener.send_permitted()
         wait_s = max(SHORTEST_WAIT_S, min(LONGEST_WAIT_S, (next_tick_at - clock()) / SECOND))
         expected = self.loop.time() + wait_s
         self._timer = self.loop.call_at(expected, self._timer_fired, expected)
@@ -216,7 +216,7 @@
             return
         self._is_quorum_lost = is_lost
         log_event = log_events.QUORUM_LOST if is_lost else log_events.QUORUM_REGAINED
-        log_event(shards=len(self.adapter.owned))
+        log_event(shards=len(self.lease_listener.owned_shards))
 
     def _timer_fired(self, expected: float) -> None:
         delay_us = max(0.0, self.loop.time() - expected) * SECOND
@@ -252,18 +252,18 @@
             clock(),
             self.member,
             self.membership,
-            self.adapter,
+            self.lease_listener,
             self.connections.links,
             self.connections.incarnations,
             self._loop_delay_us,
         )
 
-    def drain(self, is_draining: bool = True) -> int:
+    def drain(self, is_enabled: bool = True) -> int:
         """Has no weight from now on: shards go to the others at the rate of rebalancing.
 
         Returns their count.
         """
-        self.member.draining = is_draining
+        self.member.is_draining = is_enabled
         return len(self.member.held_shards())
 
     def hand_over(self, shards: list[int], successor: str | None) -> list[int]:
--- a/ravenshelf/leadership/shard_placement.py
+++ b/ravenshelf/leadership/shard_placement.py
@@ -15,9 +15,9 @@
 SMALLEST_SHARE = 0.05
 
 
-def member_weight(capacity: float, draining: bool, loop_delay_us: int, loop_delay_limit_us: int) -> float:
+def member_weight(capacity: float, is_draining: bool, loop_delay_us: int, loop_delay_limit_us: int) -> float:
     """The weight of a member: none while it drains, the less the later its event loop is."""
-    if draining or capacity <= 0:
+    if is_draining or capacity <= 0:
         return 0.0
     if loop_delay_us <= loop_delay_limit_us:
         return capacity
--- a/ravenshelf/leadership/status.py
+++ b/ravenshelf/leadership/status.py
@@ -6,7 +6,7 @@
 from collections.abc import Container, Mapping
 from typing import Any
 
-from ravenshelf.leadership.cluster import ClusterMembership, ShardAdapter
+from ravenshelf.leadership.cluster import ClusterMembership, LeaseListener
 from ravenshelf.leadership.decisions import LeaseState, Member
 
 
@@ -14,7 +14,7 @@
     now: int,
     member: Member,
     membership: ClusterMembership,
-    adapter: ShardAdapter,
+    lease_listener: LeaseListener,
     connected: Container[int],
     incarnations: Mapping[int, int],
     loop_delay_us: float,
@@ -26,13 +26,13 @@
         "cluster": membership.cluster,
         "recovering": member.is_recovering,
         "alone": member.is_quorum_lost(now),
-        "draining": member.draining,
+        "draining": member.is_draining,
         "late_ms": round(loop_delay_us / 1000, 1),
-        "proxies": len(adapter.present),
-        "held_orders": sum(len(shard.gate) for shard in adapter.owned.values()),
+        "proxies": len(lease_listener.connected_proxies),
+        "held_orders": sum(len(shard.gate) for shard in lease_listener.owned_shards.values()),
         "members": _members(now, member, membership, connected, incarnations),
         "unowned": _unheld_shards(now, member, membership),
-        "shards": _claimed_shards(now, member, adapter),
+        "shards": _claimed_shards(now, member, lease_listener),
     }
 
 
@@ -48,8 +48,10 @@
     return [
         {
             "name": name,
-            "met": number == membership.me or number in connected,
-            "incarnation": membership.incarnation if number == membership.me else incarnations.get(number, 0),
+            "met": number == membership.local_member or number in connected,
+            "incarnation": membership.incarnation
+            if number == membership.local_member
+            else incarnations.get(number, 0),
             "weight": round(weights.get(number, 0.0), 2),
             "shards": holders.count(number),
         }
@@ -72,7 +74,7 @@
     ]
 
 
-def _claimed_shards(now: int, member: Member, adapter: ShardAdapter) -> list[dict[str, Any]]:
+def _claimed_shards(now: int, member: Member, lease_listener: LeaseListener) -> list[dict[str, Any]]:
     return [
         {
             "shard": shard,
@@ -80,7 +82,7 @@
             "term": claim.term,
             "record": claim.seq,
             "lease_ms": max(0, (claim.valid_until - now) // 1000) if claim.state is LeaseState.HELD else 0,
-            "proxies": adapter.proxy_count([shard]),
+            "proxies": lease_listener.proxy_count([shard]),
         }
         for shard, claim in enumerate(member.claims)
         if claim.state is not LeaseState.IDLE
--- a/ravenshelf/process/controller.py
+++ b/ravenshelf/process/controller.py
@@ -49,7 +49,7 @@
         )
         shards = operator.leadership.shards
         self.leases = LeasedServices(self.leadership.member, self.leadership.names, clock, shards)
-        self.leadership.adapter = cast(Any, self.leases)  # has the calls of Leadership, but not its class
+        self.leadership.lease_listener = cast(Any, self.leases)  # has its methods, but not its type
         self.decisions = ServiceDecisions(
             settings, self.services.__getitem__, random_source.getrandbits(SEED_BITS)
         )
--- a/ravenshelf/process/operations/leases.py
+++ b/ravenshelf/process/operations/leases.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from ravenshelf import log_events
-from ravenshelf.leadership.adapter import Adapter, with_term
 from ravenshelf.leadership.cluster import clock
+from ravenshelf.leadership.lease_filter import LeaseFilter, add_term
 from ravenshelf.leadership.service import Leadership
 from ravenshelf.operator_config.tables import Operator
 from ravenshelf.policy.events import EndpointsListed, ListKind
@@ -33,7 +33,7 @@
             random_source,
             self._on_failed,
         )
-        self.adapter = Adapter(
+        self.lease_filter = LeaseFilter(
             self.leadership.member,
             clock,
             server.control_cycle.group_names,
@@ -47,9 +47,9 @@
             warming_since=self._recent_starts,
             restore_warm_up=self._restore_warm_up,
         )
-        self.leadership.adapter = self.adapter
-        server.admission_gate = self.adapter
-        server.control_cycle.admission_gate = self.adapter
+        self.leadership.lease_listener = self.lease_filter
+        server.admission_gate = self.lease_filter
+        server.control_cycle.admission_gate = self.lease_filter
 
     def _on_failed(self, reason: str) -> None:
         self.server.failure = reason
@@ -58,7 +58,7 @@
     def _write(self, proxy: int, message: bytes, marker: int | None, term: int) -> None:
         acceptor = self.server.acceptor
         if acceptor.checks_terms(proxy):
-            acceptor.write(proxy, with_term(message, term), marker)
+            acceptor.write(proxy, add_term(message, term), marker)
         else:
             acceptor.write(proxy, message, marker)
 
@@ -106,7 +106,7 @@
         """Return the state of the leases, and the records and commits that were written."""
         from ravenshelf.graphite import metrics
 
-        waiting_commands = sum(len(owned.gate) for owned in self.adapter.owned.values())
+        waiting_commands = sum(len(owned.gate) for owned in self.lease_filter.owned_shards.values())
         levels: dict[metrics.Metric, float] = {
             metrics.SHARDS_OWNED: len(self.leadership.member.held_shards()),
             metrics.MEMBERS_CONNECTED: 1 + len(self.leadership.connections.links),
--- a/ravenshelf/process/relay.py
+++ b/ravenshelf/process/relay.py
@@ -16,7 +16,7 @@
 from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.relay_service import RelayService
 from ravenshelf.distribution.subscription_service import SubscriptionService
-from ravenshelf.leadership.admin import serve_answers
+from ravenshelf.leadership.admin import serve_requests
 from ravenshelf.leadership.cluster import clock
 from ravenshelf.operator_config.tables import Distribution, Operator
 from ravenshelf.process import logs
@@ -59,7 +59,7 @@
     address = await service.start(table.listen)
     admin = None
     if table.admin:
-        admin = await serve_answers(lambda request: answer(service, request), table.admin)
+        admin = await serve_requests(lambda request: answer(service, request), table.admin)
     figures = None
     if operator.graphite.receivers:  # imported only where it is used, for the memory of a relay
         from ravenshelf.process.relay_metrics_export import RelayMetricsExport
--- a/standins/controllers/cluster.py
+++ b/standins/controllers/cluster.py
@@ -126,6 +126,6 @@
             member.sync_limit_us = SYNC_LIMIT_US
             member.pending_fault = None
             member.start_unless_alive()
-            member.member.draining = False
+            member.member.is_draining = False
             member.member.loop_delay_us = 0
         self.record(FaultsEnded(self.seconds()))
--- a/standins/controllers/faults.py
+++ b/standins/controllers/faults.py
@@ -114,9 +114,9 @@
             return
 
         def end() -> None:
-            member.member.draining = False
+            member.member.is_draining = False
 
-        member.member.draining = True
+        member.member.is_draining = True
         self._later(duration, end)
 
     def _overload_loop(self, member: SimulatedMember, duration: int) -> None:
--- a/standins/controllers/member.py
+++ b/standins/controllers/member.py
@@ -68,7 +68,7 @@
 
 
 class SimulatedMember:
-    """Runs a `Member` and stands for its effects (`LeaseEffects`)."""
+    """Runs a `Member` and stands for its effects (`LeaseOutput`)."""
 
     member: Member
 
--- a/standins/installation.py
+++ b/standins/installation.py
@@ -122,9 +122,9 @@
 
     def admin(self, name: str, question: dict[str, Any]) -> dict[str, Any]:
         """Ask a server on its admin socket."""
-        from ravenshelf.leadership.admin import ask
+        from ravenshelf.leadership.admin import send_request
 
-        return ask(f"{self.folder / name}.sock", question)
+        return send_request(f"{self.folder / name}.sock", question)
 
     async def stop(self) -> None:
         """End all proxies and processes, suspended ones too."""
--- a/tests/distribution/test_controller_processes.py
+++ b/tests/distribution/test_controller_processes.py
@@ -205,7 +205,7 @@
 class LapsingMember:
     """A member whose lease is good or not as the test says."""
 
-    me = 0
+    local_member = 0
 
     def __init__(self):
         self.good = True
--- a/tests/leadership/test_cluster_processes.py
+++ b/tests/leadership/test_cluster_processes.py
@@ -169,7 +169,7 @@
     context.verify_mode = ssl.CERT_NONE
     with pytest.raises((ssl.SSLError, ConnectionError, asyncio.IncompleteReadError)):
         reader, writer = await asyncio.open_connection(host, int(port), ssl=context)
-        writer.write(links.frame(["hello", 1, "loopback", "c2", 99, [16, 600_000, 3]]))
+        writer.write(links.encode_frame(["hello", 1, "loopback", "c2", 99, [16, 600_000, 3]]))
         await reader.readexactly(1)
         await reader.readexactly(10_000)
 
--- a/tests/leadership/test_member.py
+++ b/tests/leadership/test_member.py
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize(
     "attribute, most_kept",
-    [pytest.param("loop_delay_us", 1, id="late event loop"), pytest.param("draining", 0, id="draining")],
+    [pytest.param("loop_delay_us", 1, id="late event loop"), pytest.param("is_draining", 0, id="draining")],
 )
 def test_a_late_or_draining_member_hands_its_shards_over(attribute, most_kept):
     cluster = ThreeMembers(shards=12, stability_period_us=SECOND).run(6)
--- a/tests/leadership/test_peer_connections.py
+++ b/tests/leadership/test_peer_connections.py
@@ -10,7 +10,7 @@
 
 from ravenshelf.leadership import link as links
 from ravenshelf.leadership import message_codec
-from ravenshelf.leadership.adapter import with_term
+from ravenshelf.leadership.lease_filter import add_term
 from ravenshelf.leadership.service import Leadership
 from ravenshelf.operator_config.decoding import decode
 from ravenshelf.operator_config.errors import OperatorConfigurationError
@@ -93,7 +93,7 @@
 @given(st.lists(st.binary(max_size=40)), st.integers(1, 9))
 @settings(max_examples=150, deadline=None)
 def test_frames_are_complete_however_they_are_split(bodies, size):
-    data = b"".join(links.frame(["m", body]) for body in bodies)
+    data = b"".join(links.encode_frame(["m", body]) for body in bodies)
     frames = links.Frames()
     received = []
     for start in range(0, len(data), size):
@@ -126,7 +126,7 @@
 
 
 def test_an_order_has_its_term_first():
-    order = with_term(b"CONFIG whole=1 lines=a:1\r\n", 130)
+    order = add_term(b"CONFIG whole=1 lines=a:1\r\n", 130)
     assert order == b"CONFIG term=130 whole=1 lines=a:1\r\n"
 
 
--- a/tests/store/test_stored_data_of_earlier_versions.py
+++ b/tests/store/test_stored_data_of_earlier_versions.py
@@ -100,7 +100,7 @@
 def test_a_frame_is_decoded_and_encodes_to_the_same_bytes(name):
     data = (STORED / f"{name}.frame").read_bytes()
     assert link.Frames().feed(data) == [MESSAGES[name]]
-    assert link.frame(MESSAGES[name]) == data
+    assert link.encode_frame(MESSAGES[name]) == data
 
 
 @pytest.mark.parametrize("name", sorted(MESSAGES.keys() - {"hello"}))
--- a/tools/make_stored_fixtures.py
+++ b/tools/make_stored_fixtures.py
@@ -15,7 +15,7 @@
 
 from ravenshelf.leadership import message_codec
 from ravenshelf.leadership.decisions import LeaseConfiguration, LeaseState, Member, Message
-from ravenshelf.leadership.link import frame
+from ravenshelf.leadership.link import encode_frame
 from ravenshelf.leadership.record import Record
 from ravenshelf.store import journal as journals
 from ravenshelf.store.journal import Journal
@@ -60,7 +60,7 @@
     """Three members play a seeded exchange: every decision in order, with messages as frames.
 
     A member is cut off, one starts again with an empty disk, records are written, shards are handed over. It
-    stands for the disk and the network of all three (`LeaseEffects`), which are ideal.
+    stands for the disk and the network of all three (`LeaseOutput`), which are ideal.
     """
 
     def __init__(self) -> None:
@@ -106,7 +106,7 @@
         return b"".join(self.lines)
 
     def _hand_over_first(self, member: Member) -> None:
-        member.release(self.now, member.held_shards()[:1], (member.me + 1) % 3, self)
+        member.release(self.now, member.held_shards()[:1], (member.local_member + 1) % 3, self)
 
     def _write_records(self) -> None:
         for number in range(3):
@@ -167,7 +167,7 @@
     write_journal(folder / "journal")
     (folder / "record.msgpack").write_bytes(RECORD.pack())
     for name, message in MESSAGES.items():
-        (folder / f"{name}.frame").write_bytes(frame(message))
+        (folder / f"{name}.frame").write_bytes(encode_frame(message))
     (folder / "exchange.bin").write_bytes(play_exchange())
 
 
