--- a/ravenshelf/process/controller.py
+++ b/ravenshelf/process/controller.py
@@ -57,8 +57,8 @@
         )
         shards = operator.leadership.shards
         self.leases = LeasedServices(self.leadership.member, self.leadership.names, clock, shards)
-        # LeasedServices has the methods that Leadership calls on its adapter, but is not a subclass of it.
-        self.leadership.adapter = cast(Any, self.leases)
+        # LeasedServices has the methods that Leadership calls on its lease listener, but is not a subclass.
+        self.leadership.lease_listener = cast(Any, self.leases)
         self.decisions = ServiceDecisions(
             settings, self.services.__getitem__, random_source.getrandbits(SEED_BITS)
         )
