--- a/ravenshelf/distribution/decisions/distributed_controller.py
+++ b/ravenshelf/distribution/decisions/distributed_controller.py
@@ -39,10 +39,10 @@
         self.index_of = index_of
 
     def planned_tables(
-        self, zone: int, strengths: list[dict[int, float]], needs: Sequence[float]
+        self, zone: int, effective_weights: list[dict[int, float]], partition_demand: Sequence[float]
     ) -> list[dict[int, float]]:
         """Return the lines of a zone's tables: the owner's for all, or the own if that can't be used."""
-        own = super().planned_tables(zone, strengths, needs)
+        own = super().planned_tables(zone, effective_weights, partition_demand)
         source, table = self.owner_table(self.now, zone)
         lines = self._lines(table) if source is not TableSource.LOCAL else {}
         return [dict(lines) for _ in own] if lines else own
@@ -57,7 +57,7 @@
             if (
                 index is None
                 or index not in self.endpoints
-                or not self.directory.is_open(self.endpoints[index])
+                or not self.directory.is_usable(self.endpoints[index])
             ):
                 closed.append(name)
             else:
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -91,7 +91,7 @@
             if not groups or groups >> group & 1:
                 levels[group] = (level, retry_mode)
 
-    def request_acknowledgement(self, marker: int, everyone: bool = False) -> None:  # noqa: ARG002 (always everyone)
+    def request_acknowledgement(self, marker: int, all_proxies: bool = False) -> None:  # noqa: ARG002 (always everyone)
         """Record a requested acknowledgement; it is given at once, for the distribution has versions of its
         own."""
         self.markers.append(marker)
@@ -202,7 +202,7 @@
         self.controller.run_cycle(now, pending, self.tables)
         for marker in self.tables.markers:
             for zone in self.zones:
-                self.controller.channel.acknowledged(zone, marker, 0)
+                self.controller.channel.record_acknowledgement(zone, marker, 0)
         self.tables.markers.clear()
 
     def service_entries(self) -> dict[str, Entry]:
--- a/ravenshelf/graphite/interval.py
+++ b/ravenshelf/graphite/interval.py
@@ -92,10 +92,10 @@
             endpoint_zone: The zone of the endpoint that it is about.
             objectives: The latency objective of each traffic group, in microseconds.
         """
-        succeeded = report.attempts - report.failed
+        succeeded = report.attempts - report.failures
         zone_totals = self.attempts.setdefault(endpoint_zone, AttemptTotals())
         zone_totals.attempts += report.attempts
-        zone_totals.failed += report.failed
+        zone_totals.failed += report.failures
         zone_totals.latency_sum += succeeded * report.mean_latency
         earlier_attempts = self.endpoint_attempts.get(report.endpoint, 0.0)
         self.endpoint_attempts[report.endpoint] = earlier_attempts + report.attempts
--- a/ravenshelf/graphite/points.py
+++ b/ravenshelf/graphite/points.py
@@ -135,10 +135,10 @@
             listed_endpoints: The endpoints of the current endpoint list; others get no points of their own.
         """
         self._add_channel(controller, queue_limit)
-        own_demand = controller.demand().own
+        own_demand = controller.demand().local_rates
         yield
         zone_health_scores: dict[int, list[float]] = defaultdict(list)
-        weights = controller.strengths()
+        weights = controller.effective_weights_by_zone()
         yield
         for count, endpoint in enumerate(controller.usable_endpoints(), 1):
             score = endpoint.health_score(self.now)
@@ -155,18 +155,18 @@
             if zone_health_scores[zone]:
                 mean_health = sum(zone_health_scores[zone]) / len(zone_health_scores[zone])
                 self.add(metrics.ZONE_HEALTH, mean_health, zone=name)
-            for target, spill_share in enumerate(controller.spill.shares[zone]):
+            for target, spill_share in enumerate(controller.spill_planner.shares[zone]):
                 if target != zone:
                     self.add(metrics.ZONE_SPILL, spill_share, zone=name, to=self.names.zones[target])
 
     def _add_channel(self, controller: Controller, queue_limit: float) -> None:
         channel = controller.channel
-        delivered_lines = channel.pace * max(0, self.now - channel.now) / SECOND
+        delivered_lines = channel.rate * max(0, self.now - channel.now) / SECOND
         queued_lines = max(0.0, channel.queued_lines - delivered_lines)
         bound_proxies = sum(proxy.table is not None for proxy in list(controller.proxies.values()))
         self.add(metrics.CHANNEL_QUEUE, queued_lines)
         self.add(metrics.CHANNEL_QUEUE_UTILIZATION, queued_lines / queue_limit if queue_limit else 0.0)
-        self.add(metrics.CHANNEL_RATE, channel.pace)
+        self.add(metrics.CHANNEL_RATE, channel.rate)
         self.add(metrics.PROXIES_CONNECTED, len(controller.proxies))
         self.add(metrics.PROXIES_BOUND, bound_proxies)
 
--- a/ravenshelf/policy/admission.py
+++ b/ravenshelf/policy/admission.py
@@ -48,21 +48,26 @@
         self._service_time = service_time
         weights_tell_size = settings.weight_kind != "none"
         self.capacity_estimate = INITIAL_CAPACITY if weights_tell_size else UNLIMITED_CAPACITY
-        self.carried = 0.0
-        self.health_discount = 1.0
+        self.carried_load = 0.0
+        self.idle_health_factor = 1.0
         self._calm_load = 0.0  # reported load over weight, in calm
 
     def admitted_share(
-        self, now: int, strength: float, demand: float, usable: Collection[Endpoint], learn: bool
+        self,
+        now: int,
+        total_effective_weight: float,
+        demand: float,
+        usable: Collection[Endpoint],
+        learn: bool,
     ) -> float:
         """The share of demand (requests per second) that endpoints of a total strength can carry.
 
         With `learn` the capacity estimate is adapted to what endpoints report.
         """
         self._service_time.update(now)
-        if not self._service_time.seconds or not demand or not strength:
+        if not self._service_time.seconds or not demand or not total_effective_weight:
             return 1.0
-        load = demand * self._service_time.seconds / strength * self.health_discount
+        load = demand * self._service_time.seconds / total_effective_weight * self.idle_health_factor
         if learn:
             self._learn(now, load, usable)
         return min(1.0, self.capacity_estimate / load)
@@ -72,10 +77,10 @@
         reported = _median_reported_load(now, usable)
         is_calm = miss_share < CALM_MISS_SHARE
         if is_calm:
-            self.carried = max(self.carried * CARRIED_DECAY, min(load, self.capacity_estimate))
+            self.carried_load = max(self.carried_load * CARRIED_DECAY, min(load, self.capacity_estimate))
             self._calm_load = max(self._calm_load * CALM_LOAD_DECAY, reported or 0.0)
         is_idle = reported is not None and reported <= IDLE_LOAD_FACTOR * self._calm_load + IDLE_LOAD_MARGIN
-        self.health_discount = _health_discount(now, usable) if is_idle else 1.0
+        self.idle_health_factor = _idle_health_factor(now, usable) if is_idle else 1.0
         is_unloaded = is_calm or (reported is not None and reported <= self._calm_load)
         if is_unloaded and load > NEAR_CAPACITY_SHARE * self.capacity_estimate:
             self.capacity_estimate *= INCREASE_FACTOR
@@ -84,8 +89,8 @@
 
     def _decrease(self, load: float, miss_share: float) -> None:
         present = min(self.capacity_estimate, load)
-        self.carried = self.carried or present / FIRST_CARRIED_DIVISOR
-        least = min(1.0, LEAST_OF_CARRIED - miss_share / 2) * self.carried
+        self.carried_load = self.carried_load or present / FIRST_CARRIED_DIVISOR
+        least = min(1.0, LEAST_OF_CARRIED - miss_share / 2) * self.carried_load
         self.capacity_estimate = max(least, DECREASE_FACTOR * present)
 
     def levels(self, now: int, admitted: float, proxies: Collection[Proxy]) -> dict[int, float]:
@@ -136,6 +141,6 @@
     return median([load / reports for reports, load in totals if reports > MINIMUM_REPORTS])
 
 
-def _health_discount(now: int, usable: Collection[Endpoint]) -> float:
+def _idle_health_factor(now: int, usable: Collection[Endpoint]) -> float:
     scores = [endpoint.health_score(now) for endpoint in usable]
     return median_or(scores, 1.0) ** HEALTH_DISCOUNT_EXPONENT
--- a/ravenshelf/policy/commands.py
+++ b/ravenshelf/policy/commands.py
@@ -69,7 +69,7 @@
     def set_admission_level(self, table: int, groups: int, level: float, retry_mode: int) -> None:
         """Set a table's admission level and retry mode for the traffic groups of a bit mask."""
 
-    def request_acknowledgement(self, marker: int, everyone: bool = False) -> None:
+    def request_acknowledgement(self, marker: int, all_proxies: bool = False) -> None:
         """Have the proxies written to in this cycle (or all of them) acknowledge it under a marker."""
 
     def start_timer(self, at: int, key: str) -> None:
--- a/ravenshelf/policy/controller.py
+++ b/ravenshelf/policy/controller.py
@@ -13,8 +13,8 @@
 
 from ravenshelf.policy.admission import AdmissionControl
 from ravenshelf.policy.demand import DemandEstimator, ZoneDemand
+from ravenshelf.policy.effective_weights import EffectiveWeights
 from ravenshelf.policy.ejections import EjectionControl
-from ravenshelf.policy.endpoint_strengths import EndpointStrengths
 from ravenshelf.policy.endpoint_watch import EndpointWatch
 from ravenshelf.policy.endpoints import HOST_LOAD_SPAN, Endpoint, EndpointDirectory
 from ravenshelf.policy.events import (
@@ -102,7 +102,7 @@
         self.slow_start = SlowStart(settings.warm_up, self.service_time)
         self.miss_bound = MissBound(self.latency_objective)
         self.latency_gaps = ZoneLatencyGaps(self.zone_count)
-        self.endpoint_strengths = EndpointStrengths(
+        self.effective_weights = EffectiveWeights(
             self.directory,
             self.slow_start,
             self.miss_bound,
@@ -111,8 +111,8 @@
         )
         self.demand_estimator = DemandEstimator(settings.service, self.zone_count)
         self.admission = AdmissionControl(settings, self.service_time)
-        self.spill = SpillPlanner(self.zone_count)
-        self.watch = EndpointWatch(settings.discovery == "on_request", self.random_source)
+        self.spill_planner = SpillPlanner(self.zone_count)
+        self.endpoint_watch = EndpointWatch(settings.discovery == "on_request", self.random_source)
 
     def _make_tables(self, settings: Settings, channel: ChannelFlowControl) -> None:
         self.partitions = Partitions(settings, self.zone_count, self.directory)
@@ -146,7 +146,7 @@
             if handler is not None:
                 handler(event)
         self.next_solve_at = self.next_solve_at or now + SOLVE_INTERVAL
-        self.watch.run(now, writer)
+        self.endpoint_watch.run(now, writer)
         self._serve_new_proxies_and_list(writer)
         if now >= self.next_solve_at:
             self.next_solve_at = now + SOLVE_INTERVAL
@@ -160,13 +160,13 @@
 
     def _serve_new_proxies_and_list(self, writer: CommandWriter) -> None:
         tables = self.tables
-        unbound = list(tables.users[None])
+        unbound = list(tables.proxies_by_table[None])
         if any(self.proxies[index].partition is None for index in unbound):
             self.partitions.assign_proxies(self.now, self.proxies)
         if self.list_urgency or any(self._lacks_table(index) for index in unbound):
             urgency = self.list_urgency or URGENT
             self.list_urgency = ORDINARY
-            tables.deferred = {}
+            tables.deferred_tables = {}
             self.plan(writer, urgency)
         pending = self.ejections.pending()
         # a table costs less than to eject all that has left one by one
@@ -179,8 +179,8 @@
         return self.tables.current_table(self.proxies[index]) is None
 
     def _retry_deferred_tables(self, writer: CommandWriter) -> None:
-        deferred = self.tables.deferred
-        self.tables.deferred = {}
+        deferred = self.tables.deferred_tables
+        self.tables.deferred_tables = {}
         if deferred:  # these alone: weights that drift while a queue drains would keep it full
             self.plan(writer, max(deferred.values()), deferred)
 
@@ -189,27 +189,27 @@
     def on_endpoints_listed(self, event: EndpointsListed) -> None:
         """Take over an endpoint list."""
         self.list_urgency = max(self.list_urgency, self.directory.apply_list(event))
-        self.watch.list_received(event.kind is ListKind.RESTORED)
+        self.endpoint_watch.record_list(event.kind is ListKind.RESTORED)
 
     def on_watch_failed(self, _: WatchFailed) -> None:
         """Poll the registry again after a backoff."""
-        self.watch.poll_failed(self.now)
+        self.endpoint_watch.record_poll_failure(self.now)
 
     def on_proxy_joined(self, event: ProxyJoined) -> None:
         """Take in a proxy; one that had joined already starts anew."""
         self._remove_proxy(event.proxy, True)
         zone = min(event.zone, self.zone_count - 1)
-        proxy = Proxy(zone, event.usual_rate, len(self.settings.traffic_groups))
+        proxy = Proxy(zone, event.nominal_rate, len(self.settings.traffic_groups))
         self.tables.add_proxy(event.proxy, proxy)
-        self.channel.proxy_joined(event.proxy)
+        self.channel.record_connection(event.proxy)
 
     def on_proxy_left(self, event: ProxyLeft) -> None:
         """Forget a proxy."""
-        self._remove_proxy(event.proxy, event.ended_here)
+        self._remove_proxy(event.proxy, event.is_ended_by_server)
 
-    def _remove_proxy(self, index: int, ended_here: bool) -> None:
+    def _remove_proxy(self, index: int, is_ended_by_server: bool) -> None:
         self.tables.remove_proxy(index)
-        self.channel.proxy_left(index, ended_here)
+        self.channel.record_disconnection(index, is_ended_by_server)
 
     def on_load_report(self, event: LoadReport) -> None:
         """Learn from what one zone's proxies observed of an endpoint; others and empty ones are ignored."""
@@ -220,7 +220,7 @@
         now = self.now
         latency = event.mean_latency
         zone = min(event.zone, self.zone_count - 1)
-        failed = min(max(event.failed, 0), attempts)
+        failed = min(max(event.failures, 0), attempts)
         succeeded = attempts - failed
         endpoint.attempts.add(now, attempts, failed)
         if len(event.load) > self._active_column:
@@ -230,7 +230,7 @@
         missed = failed + succeeded * min(1.0, latency / self.latency_objective) ** LATENCY_MISS_EXPONENT
         endpoint.misses.add(now, attempts, missed)
         self.service_time.add(now, succeeded, latency)
-        if zone == endpoint.zone and zone in self.spill.loads:
+        if zone == endpoint.zone and zone in self.spill_planner.loads:
             self._learn_curve(endpoint, attempts, failed, latency)
 
     def _learn_latency(self, endpoint: Endpoint, zone: int, succeeded: int, latency: int) -> None:
@@ -246,8 +246,10 @@
         if self.miss_bound.value:
             late = (attempts - failed) * min(1.0, latency / self.miss_bound.value) ** CURVE_MISS_EXPONENT
         health = endpoint.health_score(self.now)
-        load = self.spill.loads[endpoint.zone]
-        self.spill.curves[endpoint.zone].add(self.now, load, health * attempts, health * (failed + late))
+        load = self.spill_planner.loads[endpoint.zone]
+        self.spill_planner.curves[endpoint.zone].add(
+            self.now, load, health * attempts, health * (failed + late)
+        )
 
     def on_demand_report(self, event: DemandReport) -> None:
         """Learn a proxy's demand; reports of other proxies are ignored."""
@@ -265,17 +267,17 @@
 
     def on_batch_acknowledged(self, event: BatchAcknowledged) -> None:
         """Pass an acknowledgement on to flow control."""
-        self.channel.acknowledged(event.proxy, event.marker, event.elapsed)
+        self.channel.record_acknowledgement(event.proxy, event.marker, event.elapsed)
 
     # --- estimates ---
 
     def usable_endpoints(self) -> list[Endpoint]:
         """The endpoints that tables may hold."""
-        return self.directory.usable()
+        return self.directory.list_usable()
 
-    def strengths(self) -> list[dict[int, float]]:
+    def effective_weights_by_zone(self) -> list[dict[int, float]]:
         """For each zone: strength by endpoint, see `EndpointStrengths`."""
-        return self.endpoint_strengths.by_zone(self.now, self.proxies, self.partitions.counts)
+        return self.effective_weights.by_zone(self.now, self.proxies, self.partitions.counts)
 
     def demand(self) -> ZoneDemand:
         """Requests per second by zone: of the own proxies, and of all."""
@@ -283,7 +285,7 @@
 
     # --- planning ---
 
-    def plan(self, writer: CommandWriter, urgency: int, only: Collection[int] = ()) -> None:
+    def plan(self, writer: CommandWriter, urgency: int, selected_tables: Collection[int] = ()) -> None:
         """Decide spill, admission and tables anew, and write what changes.
 
         With an urgency, tables in use change in place; `only` restricts that to some tables. Without one,
@@ -292,27 +294,29 @@
         now = self.now
         zones = {proxy.zone for proxy in self.proxies.values()}
         self.slow_start.align_returning_zones(zones, self.usable_endpoints(), now)
-        strengths = self.strengths()
+        effective_weights = self.effective_weights_by_zone()
         demand = self.demand()
         capacity, listed_weight = self._capacity_by_zone()
         admitted = self.admission.admitted_share(
             now,
-            sum(sum(of_zone.values()) for of_zone in strengths),
-            sum(demand.total),
+            sum(sum(of_zone.values()) for of_zone in effective_weights),
+            sum(demand.total_rates),
             self.usable_endpoints(),
             not urgency,
         )
-        admitted_demand = [requests * admitted for requests in demand.total]
+        admitted_demand = [requests * admitted for requests in demand.total_rates]
         self.latency_gaps.update(now)
-        stretch = self.latency_gaps.stretch(self.miss_bound.value)
-        self.spill.update(now, admitted_demand, capacity, listed_weight, stretch)
-        levels = self.admission.levels(now, admitted * sum(demand.own), self.proxies.values())
+        load_factors = self.latency_gaps.load_factors(self.miss_bound.value)
+        self.spill_planner.update(now, admitted_demand, capacity, listed_weight, load_factors)
+        levels = self.admission.levels(now, admitted * sum(demand.local_rates), self.proxies.values())
         if not urgency:
-            self._log_state(bool(levels), admitted, self.spill.spilling_zones(admitted_demand), writer)
-        if not only:
+            self._log_state(
+                bool(levels), admitted, self.spill_planner.spilling_zones(admitted_demand), writer
+            )
+        if not selected_tables:
             for table in list(self.tables.lines):
                 self.tables.write_levels(table, levels, writer)
-        self._renew_tables(strengths, levels, writer, urgency, only)
+        self._renew_tables(effective_weights, levels, writer, urgency, selected_tables)
 
     def _capacity_by_zone(self) -> tuple[list[float], list[float]]:
         """Weight by zone: of what endpoints can carry now, and as listed."""
@@ -336,32 +340,36 @@
 
     def _renew_tables(
         self,
-        strengths: list[dict[int, float]],
+        effective_weights: list[dict[int, float]],
         levels: Mapping[int, float],
         writer: CommandWriter,
         urgency: int,
-        only: Collection[int],
+        selected_tables: Collection[int],
     ) -> None:
         """Bring all tables to their planned lines; first those that were written longest ago.
 
         There may be room for a few only, again and again.
         """
-        needs = self.partitions.needs(self.now, self.proxies)
+        partition_demand = self.partitions.partition_demand(self.now, self.proxies)
         planned = [
             ((zone, partition), lines)
             for zone in sorted({proxy.zone for proxy in self.proxies.values()})
-            for partition, lines in enumerate(self.planned_tables(zone, strengths, needs[zone]))
+            for partition, lines in enumerate(
+                self.planned_tables(zone, effective_weights, partition_demand[zone])
+            )
             if lines
         ]
         planned.sort(key=lambda one: self.tables.last_written_at(one[0]))
-        for place, lines in planned:
-            self.tables.renew(self.now, place, lines, levels, writer, urgency, only)
+        for partition_key, lines in planned:
+            self.tables.renew(self.now, partition_key, lines, levels, writer, urgency, selected_tables)
 
     def planned_tables(
-        self, zone: int, strengths: list[dict[int, float]], needs: Sequence[float]
+        self, zone: int, effective_weights: list[dict[int, float]], partition_demand: Sequence[float]
     ) -> list[dict[int, float]]:
         """The lines (weight by endpoint) of a zone's tables, one for each partition.
 
         `strengths` is by zone and endpoint, `needs` requests per second by partition.
         """
-        return self.partitions.planned_tables(self.spill.shares[zone], strengths, needs)
+        return self.partitions.planned_tables(
+            self.spill_planner.shares[zone], effective_weights, partition_demand
+        )
--- a/ravenshelf/policy/demand.py
+++ b/ravenshelf/policy/demand.py
@@ -13,8 +13,8 @@
 class ZoneDemand(NamedTuple):
     """Requests per second by zone: of the own proxies, and of all proxies of the deployment."""
 
-    own: list[float]
-    total: list[float]
+    local_rates: list[float]
+    total_rates: list[float]
 
 
 class DemandEstimator:
@@ -31,16 +31,18 @@
 
     def by_zone(self, now: int, proxies: Mapping[int, Proxy]) -> ZoneDemand:
         """The demand at a time in microseconds, of the joined proxies by index."""
-        own = [0.0] * self._zone_count
+        local_rates = [0.0] * self._zone_count
         for proxy in proxies.values():
-            own[proxy.zone] += proxy.total_demand(now)
+            local_rates[proxy.zone] += proxy.total_demand(now)
         missing = self._missing_proxies(proxies)
-        known_rate = sum(proxy.usual_rate for proxy in proxies.values()) if self._join_by_zone else sum(own)
+        known_rate = (
+            sum(proxy.nominal_rate for proxy in proxies.values()) if self._join_by_zone else sum(local_rates)
+        )
         missing_count = max(0, self._proxy_count - len(proxies))
         joined_count = max(1, len(proxies))
         scale = missing_count * known_rate / joined_count / max(sum(missing), SMALLEST_DIVISOR)
-        total = [known + scale * part for known, part in zip(own, missing, strict=True)]
-        return ZoneDemand(own, total)
+        total_rates = [known + scale * part for known, part in zip(local_rates, missing, strict=True)]
+        return ZoneDemand(local_rates, total_rates)
 
     def _missing_proxies(self, proxies: Mapping[int, Proxy]) -> list[float]:
         """By zone: proxies that have not joined here, or only their proportions."""
--- a/ravenshelf/policy/endpoint_strengths.py
+++ b/ravenshelf/policy/effective_weights.py
@@ -24,7 +24,7 @@
 FAILING_HEALTH = 0.6  # median of the warm endpoints of a failing zone
 
 
-class EndpointStrengths:
+class EffectiveWeights:
     """Computes the strengths of all usable endpoints.
 
     `outlier_after` is the failures in a row after which a proxy avoids an endpoint (0: never).
@@ -51,12 +51,12 @@
 
         Endpoints that are withheld for warming up are left out.
         """
-        usable = self._directory.usable()
+        usable = self._directory.list_usable()
         quality = self._quality(now, usable)
         ramp = {endpoint: self._slow_start.capacity_share(endpoint, now) for endpoint in usable}
         warm = self._warm_by_zone(quality, ramp)
         withholds = self._zones_that_withhold(now, warm, proxies, partition_counts)
-        strengths: list[dict[int, float]] = [{} for _ in range(self._zone_count)]
+        effective_weights: list[dict[int, float]] = [{} for _ in range(self._zone_count)]
         for endpoint, value in quality.items():
             share = ramp[endpoint]
             of_zone = warm[endpoint.zone]
@@ -64,14 +64,14 @@
             if share < 1:
                 if self._is_withheld(share, middle, bool(of_zone), withholds[endpoint.zone]):
                     continue
-                value = min(value, middle) / self._caution(endpoint, now)
-            strengths[endpoint.zone][endpoint.index] = endpoint.weight * share * value
-        return strengths
+                value = min(value, middle) / self._cold_share_divisor(endpoint, now)
+            effective_weights[endpoint.zone][endpoint.index] = endpoint.weight * share * value
+        return effective_weights
 
-    def _caution(self, endpoint: Endpoint, now: int) -> float:
+    def _cold_share_divisor(self, endpoint: Endpoint, now: int) -> float:
         """A server knows no capacity of what started before its own first report."""
         if endpoint.started_at < (self._miss_bound.first_report_at or now):
-            return self._slow_start.caution
+            return self._slow_start.cold_share_divisor
         return 1.0
 
     def _is_withheld(self, share: float, middle: float, has_warm: bool, zone_withholds: bool) -> bool:
@@ -93,7 +93,7 @@
         self, now: int, warm: list[list[float]], proxies: Mapping[int, Proxy], partition_counts: list[int]
     ) -> list[bool]:
         """Whether, by zone, a proxy would eject a failing endpoint before load reports tell of it."""
-        rates = [max(proxy.usual_rate, sum(proxy.demand(now) or ())) for proxy in proxies.values()]
+        rates = [max(proxy.nominal_rate, sum(proxy.demand(now) or ())) for proxy in proxies.values()]
         rate_of_a_request = sum(rate * rate for rate in rates) / (sum(rates) or 1)
         return [
             len(of_zone) >= MINIMUM_WARM_ENDPOINTS
--- a/ravenshelf/policy/ejections.py
+++ b/ravenshelf/policy/ejections.py
@@ -25,7 +25,7 @@
         return [
             endpoint
             for endpoint in self._directory.by_index.values()
-            if self._directory.is_open(endpoint) == endpoint.is_ejected
+            if self._directory.is_usable(endpoint) == endpoint.is_ejected
         ]
 
     def update(self, pending: Iterable[Endpoint], writer: CommandWriter) -> None:
@@ -34,18 +34,18 @@
         An endpoint is readmitted once no deferred table holds it at its old weight.
         """
         tables = self._tables
-        deferred = set().union(*(tables.lines.get(table, ()) for table in tables.deferred))
+        deferred = set().union(*(tables.lines.get(table, ()) for table in tables.deferred_tables))
         for endpoint in [one for one in pending if not (one.is_ejected and one.index in deferred)]:
             proxies = self._proxies_that_hold(endpoint.index)
-            if tables.channel.fits(1, proxies, URGENT if endpoint.is_ejected else WITHDRAWAL):
+            if tables.channel.has_capacity(1, proxies, URGENT if endpoint.is_ejected else WITHDRAWAL):
                 endpoint.is_ejected = not endpoint.is_ejected
                 writer.set_ejected(endpoint.index, endpoint.is_ejected)
                 tables.channel.charge(proxies, 1)
 
     def _proxies_that_hold(self, endpoint: int) -> list[int]:
         """First the proxies that are not bound yet: their tables are not known."""
-        holding = list(self._tables.users[None])
+        holding = list(self._tables.proxies_by_table[None])
         for table, lines in self._tables.lines.items():
             if endpoint in lines:
-                holding += self._tables.users[table]
+                holding += self._tables.proxies_by_table[table]
         return holding
--- a/ravenshelf/policy/endpoint_watch.py
+++ b/ravenshelf/policy/endpoint_watch.py
@@ -24,14 +24,14 @@
         self.failed_polls = 0
         self._random_source = random_source
 
-    def poll_failed(self, now: int) -> None:
+    def record_poll_failure(self, now: int) -> None:
         """Poll again after a random backoff, or as late as a silent poll is repeated."""
         self.failed_polls = min(self.failed_polls + 1, MAXIMUM_BACKOFF_EXPONENT)
         latest = (self.retry_at or now) + FAILED_POLL_MARGIN
         backoff = round(SECOND * 2**self.failed_polls * self._random_source.uniform(*BACKOFF_SHARES))
         self.retry_at = min(latest, now + backoff)
 
-    def list_received(self, is_restored: bool) -> None:
+    def record_list(self, is_restored: bool) -> None:
         """A list came; one that was only restored from memory leaves the poll due."""
         if not is_restored:
             self.retry_at = 0
--- a/ravenshelf/policy/endpoints.py
+++ b/ravenshelf/policy/endpoints.py
@@ -2,7 +2,7 @@
 
 from ravenshelf.policy.decayed_totals import DecayedTotals
 from ravenshelf.policy.events import EndpointsListed, EndpointState, ListedEndpoint, ListKind
-from ravenshelf.policy.urgency import NEEDED, ORDINARY, URGENT
+from ravenshelf.policy.urgency import ENDPOINT_LOSS, ORDINARY, URGENT
 from ravenshelf.settings import SECOND
 
 READY = EndpointState.READY  # a member of an enumeration is slow to look up
@@ -73,7 +73,7 @@
         self._zone_count = zone_count
         self._removal_is_not_binding = removal_is_not_binding
 
-    def is_open(self, endpoint: Endpoint) -> bool:
+    def is_usable(self, endpoint: Endpoint) -> bool:
         """Whether tables may hold an endpoint.
 
         Where removal is not binding, an endpoint that has gone stays open until it was ejected.
@@ -83,9 +83,9 @@
         has_gone = endpoint.state is GONE
         return has_gone and not endpoint.is_ejected and self._removal_is_not_binding
 
-    def usable(self) -> list[Endpoint]:
+    def list_usable(self) -> list[Endpoint]:
         """The endpoints that tables may hold."""
-        return [endpoint for endpoint in self.by_index.values() if self.is_open(endpoint)]
+        return [endpoint for endpoint in self.by_index.values() if self.is_usable(endpoint)]
 
     def apply_list(self, event: EndpointsListed) -> int:
         """Take over a list; gives the urgency of what it changes (`ORDINARY`: nothing changed)."""
@@ -98,7 +98,7 @@
         for endpoint in self.by_index.values():
             if endpoint.index not in listed and endpoint.state is not GONE:
                 endpoint.state = GONE
-                urgency = NEEDED
+                urgency = ENDPOINT_LOSS
         return urgency
 
     def _apply_entry(self, entry: ListedEndpoint) -> int:
@@ -109,7 +109,7 @@
         if entry.started_at > endpoint.started_at:
             endpoint.started_at = entry.started_at
             endpoint.forget_reports()
-            urgency = NEEDED
+            urgency = ENDPOINT_LOSS
         if endpoint.slot is None:
             endpoint.slot = self._free_slot(entry.zone)
         endpoint.zone = min(entry.zone, self._zone_count - 1)
@@ -117,7 +117,7 @@
         endpoint.weight = max(entry.weight, MINIMUM_WEIGHT)
         if endpoint.state != entry.state:
             endpoint.state = entry.state
-            urgency = max(urgency, URGENT if entry.state is READY else NEEDED)
+            urgency = max(urgency, URGENT if entry.state is READY else ENDPOINT_LOSS)
         return urgency
 
     def _free_slot(self, zone: int) -> int:
--- a/ravenshelf/policy/events.py
+++ b/ravenshelf/policy/events.py
@@ -78,7 +78,7 @@
 
     proxy: int
     zone: int
-    usual_rate: float  # requests per second; 0: unknown
+    nominal_rate: float  # requests per second; 0: unknown
     is_fresh: bool  # it holds no table that a control plane sent
 
 
@@ -87,7 +87,7 @@
     """A proxy's stream has ended."""
 
     proxy: int
-    ended_here: bool = False  # this server ended it, so what was queued for it still counts as queued
+    is_ended_by_server: bool = False  # this server ended it, so what was queued for it still counts as queued
 
 
 @event
@@ -97,7 +97,7 @@
     zone: int
     endpoint: int
     attempts: int
-    failed: int
+    failures: int
     mean_latency: int  # of the attempts that succeeded
     window: int
     load: tuple[float, ...]  # in the order of the settings' telemetry columns; empty: not reported
@@ -128,7 +128,7 @@
     """A health check has ended."""
 
     endpoint: int
-    answered: bool
+    is_answered: bool
     elapsed: int
     load: tuple[float, ...]
 
@@ -162,7 +162,7 @@
     """A slice of the key space was assigned to this server, or taken from it."""
 
     slice: int
-    assigned: bool
+    is_assigned: bool
 
 
 @event
--- a/ravenshelf/policy/flow_control.py
+++ b/ravenshelf/policy/flow_control.py
@@ -29,13 +29,13 @@
 SLOWEST_FACTOR = 10  # usual pace over the slowest that the channel falls to
 UNACKNOWLEDGED_TIMEOUT = 20 * SECOND  # microseconds after which an unacknowledged batch may count as gone
 COUNT_WINDOW_MARGIN = 1.05  # of the counting window, as messages are written after they are ordered
-MINIMUM_PACE_SHARE = 0.05  # of the usual pace
-PACE_RECOVERY_SHARE = 0.1  # of the way back to the usual pace, per timely acknowledgement
+MINIMUM_RATE_SHARE = 0.05  # of the usual pace
+RATE_RECOVERY_SHARE = 0.1  # of the way back to the usual pace, per timely acknowledgement
 
 # by urgency
 MAXIMUM_QUEUE_SECONDS = (0.7, 1.5, 1.5, 4.0, 1e9)  # seconds of queue behind which a change would be stale
 QUEUE_SHARES = (0.45, 0.65, 0.65, 0.75, 0.88)  # of the queue limit, for the estimated queue
-UNPROVED_SHARES = (0.85, 0.85, 0.85, 0.9, 0.95)  # of the queue limit, for what may be queued at any pace
+UNCONFIRMED_SHARES = (0.85, 0.85, 0.85, 0.9, 0.95)  # of the queue limit, for what may be queued at any pace
 MESSAGE_SHARES = (0.6, 0.7, 0.8, 0.8, 1.0)  # of a proxy's messages per counting window
 
 
@@ -100,8 +100,8 @@
     """
 
     def __init__(self, service: ServiceSettings):
-        self.usual_pace = max(1.0, service.lines_per_second or UNLIMITED_LINES)
-        self.pace = self.usual_pace
+        self.nominal_rate = max(1.0, service.lines_per_second or UNLIMITED_LINES)
+        self.rate = self.nominal_rate
         self.message_overhead = DEFAULT_MESSAGE_OVERHEAD
         if service.message_overhead_lines is not None:
             self.message_overhead = service.message_overhead_lines
@@ -109,13 +109,13 @@
         self.messages_limit = service.messages_per_proxy_limit
         self.count_window = service.message_count_window_us
         self.longest_delivery = service.longest_delivery_us
-        self.slowest_line_time = SLOWEST_FACTOR / self.usual_pace * SECOND  # microseconds per line
+        self.slowest_line_time = SLOWEST_FACTOR / self.nominal_rate * SECOND  # microseconds per line
 
         self.now = 0
         self.queued_lines = 0.0
         self.batch_number = 0
         self.batches: deque[DispatchedBatch] = deque()
-        self.unproved_total = 0.0  # lines of `batches`
+        self.unconfirmed_total = 0.0  # lines of `batches`
         self.next_position = 0.0
         self.earliest_idle = 0.0  # when the channel is through with everything, at its usual pace
         self.latest_idle = 0.0  # the same at its slowest pace
@@ -123,7 +123,9 @@
         self.cycle_lines = 0.0  # their sum
         self.sent_times: dict[int | None, deque[int]] = {}  # times of recent messages, by proxy
         self._batches_by_number: dict[int, DispatchedBatch] = {}
-        self._proofs: list[tuple[int, float]] = []  # (batch number, position) that has certainly passed
+        self._confirmed_positions: list[
+            tuple[int, float]
+        ] = []  # (batch number, position) that has certainly passed
         self._join_order: defaultdict[int | None, int] = defaultdict(int)  # the order of writing in a cycle
         self._join_counter = count()
 
@@ -132,7 +134,7 @@
 
         Lines whose acknowledgement is overdue do not leave by time alone.
         """
-        self.queued_lines = max(0.0, self.queued_lines - self.pace * (now - self.now) / SECOND)
+        self.queued_lines = max(0.0, self.queued_lines - self.rate * (now - self.now) / SECOND)
         self.now = now
         self._retire_passed_batches()
         overdue_at = now - self.longest_delivery
@@ -143,43 +145,46 @@
         certain = overdue - self.batches[0].acknowledged_lines if overdue else 0.0
         self.queued_lines = max(self.queued_lines, certain)
 
-    def unproved_lines(self) -> float:
+    def unconfirmed_lines(self) -> float:
         """Lines that may be queued whatever the pace; of the oldest batch, those not acknowledged."""
         if not self.batches:
             return 0.0
-        return self.unproved_total - self.batches[0].acknowledged_lines
+        return self.unconfirmed_total - self.batches[0].acknowledged_lines
 
     def _has_passed(self, batch: DispatchedBatch) -> bool:
         return not (
             batch.acknowledged_lines < batch.length
             and batch.latest_end >= self.now - self.longest_delivery
             and not any(
-                number > batch.number and position >= batch.end_position for number, position in self._proofs
+                number > batch.number and position >= batch.end_position
+                for number, position in self._confirmed_positions
             )
         )
 
     def _retire_passed_batches(self) -> None:
         while self.batches and self._has_passed(self.batches[0]):
             passed = self.batches.popleft()
-            self.unproved_total -= passed.total_lines
+            self.unconfirmed_total -= passed.total_lines
             if self.batches:
                 oldest = self.batches[0]
                 slowest_end = self.now + oldest.length * self.slowest_line_time
                 oldest.latest_end = min(oldest.latest_end, slowest_end)
             self._batches_by_number.pop(passed.number, None)
-        self._proofs = [proof for proof in self._proofs if self.batches and proof[0] > self.batches[0].number]
-        self.queued_lines = min(self.queued_lines, self.unproved_lines())
+        self._confirmed_positions = [
+            proof for proof in self._confirmed_positions if self.batches and proof[0] > self.batches[0].number
+        ]
+        self.queued_lines = min(self.queued_lines, self.unconfirmed_lines())
 
-    def fits(self, lines: float, proxies: Collection[int], urgency: int) -> bool:
+    def has_capacity(self, lines: float, proxies: Collection[int], urgency: int) -> bool:
         """Whether so many lines to each of the proxies fit into the channel, at an urgency."""
         new_messages = sum(proxy not in self.cycle_charges for proxy in proxies)
         overhead = new_messages * (self.message_overhead + MARKER_LINES)
         asked = self.cycle_lines + len(proxies) * lines + overhead
-        if self.queued_lines + self.cycle_lines > self.usual_pace * MAXIMUM_QUEUE_SECONDS[urgency]:
+        if self.queued_lines + self.cycle_lines > self.nominal_rate * MAXIMUM_QUEUE_SECONDS[urgency]:
             return False
         if self.queued_lines + asked > self.queue_limit * QUEUE_SHARES[urgency]:
             return False
-        if self.unproved_lines() + asked > self.queue_limit * UNPROVED_SHARES[urgency]:
+        if self.unconfirmed_lines() + asked > self.queue_limit * UNCONFIRMED_SHARES[urgency]:
             return False
         messages = round(self.messages_limit * MESSAGE_SHARES[urgency]) or UNLIMITED_MESSAGES
         return all(
@@ -228,7 +233,7 @@
         self.earliest_idle = max(self.earliest_idle, now)
         self.latest_idle = max(self.latest_idle, now)
         batch = DispatchedBatch(self.batch_number, now, lines, self.next_position, self.earliest_idle)
-        self.earliest_idle += batch.total_lines * SECOND / self.usual_pace
+        self.earliest_idle += batch.total_lines * SECOND / self.nominal_rate
         self.latest_idle = min(
             self.latest_idle + batch.total_lines * self.slowest_line_time,
             now + self.queue_limit * self.slowest_line_time,
@@ -239,11 +244,11 @@
     def _enqueue(self, batch: DispatchedBatch) -> None:
         self.batches.append(batch)
         self.next_position = batch.end_position
-        self.unproved_total += batch.total_lines
+        self.unconfirmed_total += batch.total_lines
         self.queued_lines += batch.total_lines
         batch.queued_lines = self.queued_lines
 
-    def acknowledged(self, proxy: int, marker: int, elapsed: int) -> None:
+    def record_acknowledgement(self, proxy: int, marker: int, elapsed: int) -> None:
         """A proxy has applied the batch of a marker, so long after it was dispatched.
 
         Markers that no batch waits for are ignored.
@@ -254,38 +259,42 @@
         batch.acknowledged_lines += batch.lines.pop(proxy, 0)
         lines_behind = batch.lines_behind.get(proxy, batch.end_position)
         batch.latest_end = min(batch.latest_end, self.now + lines_behind * self.slowest_line_time)
-        self._add_proof(batch.number, batch.start_position)
+        self._confirm_position(batch.number, batch.start_position)
         self._retire_passed_batches()
-        self._learn_pace(batch.queued_lines, elapsed)
+        self._learn_rate(batch.queued_lines, elapsed)
 
-    def _add_proof(self, batch_number: int, passed: float) -> None:
-        if any(number >= batch_number and position >= passed for number, position in self._proofs):
+    def _confirm_position(self, batch_number: int, passed: float) -> None:
+        if any(
+            number >= batch_number and position >= passed for number, position in self._confirmed_positions
+        ):
             return
-        self._proofs = [proof for proof in self._proofs if proof[0] > batch_number or proof[1] > passed]
-        self._proofs.append((batch_number, passed))
+        self._confirmed_positions = [
+            proof for proof in self._confirmed_positions if proof[0] > batch_number or proof[1] > passed
+        ]
+        self._confirmed_positions.append((batch_number, passed))
 
-    def _learn_pace(self, queued_lines: float, elapsed: int) -> None:
+    def _learn_rate(self, queued_lines: float, elapsed: int) -> None:
         """The true pace shows in how long a message took, against what was queued before it."""
         if not queued_lines:
             return
         queue_time = elapsed - self.longest_delivery
-        if queue_time > 0 and queued_lines / queue_time * SECOND < self.pace:
+        if queue_time > 0 and queued_lines / queue_time * SECOND < self.rate:
             measured = queued_lines / queue_time * SECOND
-            self.pace = max(MINIMUM_PACE_SHARE * self.usual_pace, measured)
-        elif elapsed < self.longest_delivery + queued_lines / self.usual_pace * SECOND:
-            self.pace += (self.usual_pace - self.pace) * PACE_RECOVERY_SHARE
+            self.rate = max(MINIMUM_RATE_SHARE * self.nominal_rate, measured)
+        elif elapsed < self.longest_delivery + queued_lines / self.nominal_rate * SECOND:
+            self.rate += (self.nominal_rate - self.rate) * RATE_RECOVERY_SHARE
 
-    def proxy_joined(self, proxy: int) -> None:
+    def record_connection(self, proxy: int) -> None:
         """A proxy has opened a connection: its messages are counted anew, and written after the others'."""
         self.sent_times[proxy] = deque()
         self._join_order[proxy] = next(self._join_counter)
 
-    def proxy_left(self, proxy: int, ended_here: bool = False) -> None:
+    def record_disconnection(self, proxy: int, is_ended_by_server: bool = False) -> None:
         """A proxy's connection has ended, and what was queued for it is dropped.
 
         Where this server ended the connection (`ended_here`) it stays counted.
         """
-        if ended_here:
+        if is_ended_by_server:
             for batch in self.batches:
                 batch.lines[None] = batch.lines.get(None, 0) + batch.lines.pop(proxy, 0)
         self.sent_times.pop(proxy, None)
@@ -301,4 +310,4 @@
         self.earliest_idle -= lines * self.slowest_line_time
         if batch.earliest_start > self.now:  # else they may have left already
             batch.total_lines -= lines
-            self.unproved_total -= lines
+            self.unconfirmed_total -= lines
--- a/ravenshelf/policy/latency_bounds.py
+++ b/ravenshelf/policy/latency_bounds.py
@@ -67,7 +67,7 @@
                 if abs(gap - self._gaps[sender][receiver]) > MINIMUM_GAP_CHANGE:
                     self._gaps[sender][receiver] = gap
 
-    def stretch(self, miss_bound: int | None) -> Sequence[Sequence[float]]:
+    def load_factors(self, miss_bound: int | None) -> Sequence[Sequence[float]]:
         """By sender and receiver: the factor on the load that the sender sees, for the time the gap takes."""
         bound = miss_bound or UNKNOWN_BOUND
         return [[1 / max(MINIMUM_TIME_LEFT, 1 - gap / bound) for gap in row] for row in self._gaps]
--- a/ravenshelf/policy/partition_shares.py
+++ b/ravenshelf/policy/partition_shares.py
@@ -7,16 +7,16 @@
 MINIMUM_BORROWED = 1e-6  # of all needs, by which a table borrows where nothing is spare
 
 
-def partition_shares(needs: Sequence[float], strengths: Sequence[float]) -> list[list[float]]:
+def partition_shares(table_demands: Sequence[float], partition_weights: Sequence[float]) -> list[list[float]]:
     """Shares of each table's requests by partition: first its own partition, then what others can spare.
 
     `needs` is requests per second by table, `strengths` the weight of endpoints by partition (not all 0);
     table and partition of one index belong together. Rows (tables) sum to 1.
     """
-    total_strength = sum(strengths)
-    total_need = sum(needs) or 1
-    relative_needs = [need / total_need for need in needs]
-    spare = [(1 + OVERLOAD_ALLOWANCE) * strength / total_strength for strength in strengths]
+    total_strength = sum(partition_weights)
+    total_need = sum(table_demands) or 1
+    relative_needs = [need / total_need for need in table_demands]
+    spare = [(1 + OVERLOAD_ALLOWANCE) * weight / total_strength for weight in partition_weights]
     rows = []
     for own, need in enumerate(relative_needs):
         row = [0.0] * len(spare)
@@ -25,7 +25,7 @@
         rows.append(row)
     for row, need in zip(rows, relative_needs, strict=True):
         _borrow(row, need, spare)
-    even = [strength / total_strength for strength in strengths]
+    even = [weight / total_strength for weight in partition_weights]
     return [
         [part / sum(row) for part in row] if need else even
         for row, need in zip(rows, relative_needs, strict=True)
--- a/ravenshelf/policy/partitions.py
+++ b/ravenshelf/policy/partitions.py
@@ -30,14 +30,14 @@
 
     def assign_proxies(self, now: int, proxies: Mapping[int, Proxy]) -> None:
         """Assign each new proxy to the partition of its zone that has least to carry, heavy proxies first."""
-        needs = self.needs(now, proxies)
+        partition_demand = self.partition_demand(now, proxies)
         unassigned = [proxy for proxy in proxies.values() if proxy.partition is None]
-        for proxy in sorted(unassigned, key=lambda proxy: -proxy.usual_rate):
-            of_zone = needs[proxy.zone]
+        for proxy in sorted(unassigned, key=lambda proxy: -proxy.nominal_rate):
+            of_zone = partition_demand[proxy.zone]
             proxy.partition = min(range(len(of_zone)), key=of_zone.__getitem__)
-            of_zone[proxy.partition] += proxy.usual_rate
+            of_zone[proxy.partition] += proxy.nominal_rate
 
-    def needs(self, now: int, proxies: Mapping[int, Proxy]) -> list[list[float]]:
+    def partition_demand(self, now: int, proxies: Mapping[int, Proxy]) -> list[list[float]]:
         """Requests per second by zone and partition.
 
         Proxies that are still to join count evenly over their zone's partitions.
@@ -45,19 +45,19 @@
         expected = max(self._expected_proxies, len(proxies)) / self._zone_count
         self._fix_counts(expected)
         joined = Counter(proxy.zone for proxy in proxies.values())
-        mean_rate = sum(proxy.usual_rate for proxy in proxies.values()) / max(1, len(proxies))
-        needs = []
+        mean_rate = sum(proxy.nominal_rate for proxy in proxies.values()) / max(1, len(proxies))
+        partition_demand = []
         for zone, count in enumerate(self.counts):
             partitions = count or 1
             missing = max(0, expected - joined[zone])
-            needs.append([missing * mean_rate / partitions] * partitions)
+            partition_demand.append([missing * mean_rate / partitions] * partitions)
         for proxy in proxies.values():
             if proxy.partition is not None:
-                needs[proxy.zone][proxy.partition] += proxy.total_demand(now)
-        return needs
+                partition_demand[proxy.zone][proxy.partition] += proxy.total_demand(now)
+        return partition_demand
 
     def _fix_counts(self, expected_proxies: float) -> None:
-        endpoints = Counter(endpoint.zone for endpoint in self._directory.usable())
+        endpoints = Counter(endpoint.zone for endpoint in self._directory.list_usable())
         for zone in range(self._zone_count):
             if not self.counts[zone] and endpoints[zone]:
                 by_endpoints = endpoints[zone] // MINIMUM_ENDPOINTS
@@ -67,28 +67,28 @@
     def planned_tables(
         self,
         spill_shares: Sequence[float],
-        strengths: Sequence[Mapping[int, float]],
-        needs: Sequence[float],
+        effective_weights: Sequence[Mapping[int, float]],
+        partition_demand: Sequence[float],
     ) -> list[dict[int, float]]:
         """The lines (weight by endpoint) of each table of one zone.
 
         `spill_shares` is the zone's row, `strengths` by zone and endpoint, `needs` by partition.
         """
-        tables: list[dict[int, float]] = [{} for _ in needs]
-        for share, of_zone in zip(spill_shares, strengths, strict=True):
+        tables: list[dict[int, float]] = [{} for _ in partition_demand]
+        for share, of_zone in zip(spill_shares, effective_weights, strict=True):
             if share <= 0:
                 continue
-            partitions = self._split(of_zone, len(needs))
+            partitions = self._split(of_zone, len(partition_demand))
             totals = [sum(partition.values()) for partition in partitions]
             if any(totals):
-                for table, row in zip(tables, partition_shares(needs, totals), strict=True):
+                for table, row in zip(tables, partition_shares(partition_demand, totals), strict=True):
                     _add_lines(table, share, row, partitions, totals)
         return tables
 
-    def _split(self, strengths: Mapping[int, float], count: int) -> list[dict[int, float]]:
+    def _split(self, effective_weights: Mapping[int, float], count: int) -> list[dict[int, float]]:
         partitions: list[dict[int, float]] = [{} for _ in range(count)]
-        for index, strength in strengths.items():
-            partitions[_slot(self._directory.by_index[index]) % count][index] = strength
+        for index, effective_weight in effective_weights.items():
+            partitions[_slot(self._directory.by_index[index]) % count][index] = effective_weight
         return partitions
 
 
@@ -108,6 +108,6 @@
     for part, partition, total in zip(row, partitions, totals, strict=True):
         if part:
             scale = TABLE_TOTAL * spill_share * part
-            for index, strength in partition.items():
-                weight = round(scale * strength / total, WEIGHT_DECIMALS)
+            for index, effective_weight in partition.items():
+                weight = round(scale * effective_weight / total, WEIGHT_DECIMALS)
                 table[index] = max(MINIMUM_LINE_WEIGHT, weight)
--- a/ravenshelf/policy/proxies.py
+++ b/ravenshelf/policy/proxies.py
@@ -20,15 +20,15 @@
         "_demand_read_at",
         "_groups",
         "_reports",
+        "nominal_rate",
         "partition",
         "table",
-        "usual_rate",
         "zone",
     )
 
-    def __init__(self, zone: int, usual_rate: float, groups: int):
+    def __init__(self, zone: int, nominal_rate: float, groups: int):
         self.zone = zone
-        self.usual_rate = usual_rate
+        self.nominal_rate = nominal_rate
         self.table: int | None = None
         self.partition: int | None = None
         self._groups = groups
@@ -63,4 +63,4 @@
 
     def total_demand(self, now: int) -> float:
         """Requests per second of all groups: as reported, or else the usual rate."""
-        return sum(self.demand(now) or [self.usual_rate])
+        return sum(self.demand(now) or [self.nominal_rate])
--- a/ravenshelf/policy/slow_start.py
+++ b/ravenshelf/policy/slow_start.py
@@ -23,8 +23,8 @@
 
     def __init__(self, warm_up: WarmUpSettings, service_time: ServiceTimeEstimator):
         overload = max(MINIMUM_OVERLOAD, warm_up.overload_multiple - 1)
-        self.caution = max(1.0, OVERLOAD_MARGIN / overload)
-        self._cold_share = warm_up.cold_capacity_share / self.caution
+        self.cold_share_divisor = max(1.0, OVERLOAD_MARGIN / overload)
+        self._cold_share = warm_up.cold_capacity_share / self.cold_share_divisor
         self._duration = min(MAXIMUM_WARM_UP, warm_up.warm_after_us or MAXIMUM_WARM_UP)
         self._service_time = service_time
 
--- a/ravenshelf/policy/spill_planning.py
+++ b/ravenshelf/policy/spill_planning.py
@@ -25,7 +25,7 @@
         demand: Sequence[float],
         capacity: Sequence[float],
         listed_weight: Sequence[float],
-        stretch: Sequence[Sequence[float]],
+        load_factors: Sequence[Sequence[float]],
     ) -> None:
         """Solve anew for demand (requests per second), capacity and listed weight by zone.
 
@@ -33,7 +33,7 @@
         """
         unknown = self._curve_while_cold(demand, capacity, listed_weight)
         fitted = [self._fit(now, curve) or unknown for curve in self.curves]
-        self.shares = solve_spill(demand, capacity, fitted, stretch)
+        self.shares = solve_spill(demand, capacity, fitted, load_factors)
         loads = [
             sum(requests * row[zone] for requests, row in zip(demand, self.shares, strict=True))
             for zone in self._zones
--- a/ravenshelf/policy/spill_solver.py
+++ b/ravenshelf/policy/spill_solver.py
@@ -22,7 +22,7 @@
     demand: Sequence[float],
     capacity: Sequence[float],
     curves: Sequence[list[Point] | None],
-    stretch: Sequence[Sequence[float]],
+    load_factors: Sequence[Sequence[float]],
 ) -> list[list[float]]:
     """Spill shares: row by sending zone, column by serving zone; each row sums to 1.
 
@@ -30,7 +30,7 @@
     curve by zone (None or empty: nothing observed), `stretch[sender][receiver]` a factor on the load that a
     sender sees, for the latency between the zones.
     """
-    return KurmaCostSolver(demand, capacity, curves, stretch).solve()
+    return KurmaCostSolver(demand, capacity, curves, load_factors).solve()
 
 
 class KurmaCostSolver:
@@ -41,12 +41,12 @@
         demand: Sequence[float],
         capacity: Sequence[float],
         curves: Sequence[list[Point] | None],
-        stretch: Sequence[Sequence[float]],
+        load_factors: Sequence[Sequence[float]],
     ):
         self._demand = demand
         self._capacity = capacity
         self._curves = curves
-        self._stretch = stretch
+        self._load_factors = load_factors
         self._zones = range(len(demand))
         self._live_zones = [zone for zone in self._zones if capacity[zone] > 0]
         self._load = list(demand)  # requests per second that each zone serves
@@ -74,10 +74,10 @@
 
     def _least_loaded_for(self, sender: int) -> int:
         more = self._quantum * self._demand[sender]
-        stretch = self._stretch[sender]
+        load_factors = self._load_factors[sender]
         return min(
             self._live_zones,
-            key=lambda zone: (self._load[zone] + more) / self._capacity[zone] * stretch[zone],
+            key=lambda zone: (self._load[zone] + more) / self._capacity[zone] * load_factors[zone],
         )
 
     def _reach_target(self) -> None:
@@ -153,7 +153,12 @@
         curve = self._curves[zone]
         if not curve:
             return 0.0
-        load = DEMAND_MARGIN * (self._load[zone] + more) / self._capacity[zone] * self._stretch[sender][zone]
+        load = (
+            DEMAND_MARGIN
+            * (self._load[zone] + more)
+            / self._capacity[zone]
+            * self._load_factors[sender][zone]
+        )
         return read_curve(curve, load)
 
     def _possible_moves(self, senders: Sequence[int]) -> list[Pair]:
--- a/ravenshelf/policy/staged_rollout.py
+++ b/ravenshelf/policy/staged_rollout.py
@@ -25,7 +25,7 @@
     def step(self, writer: CommandWriter) -> None:
         """Take one step in every zone, if any former table is in use."""
         tables = self._tables
-        if any(tables.users[table ^ 1] for table in tables.current.values()):
+        if any(tables.proxies_by_table[table ^ 1] for table in tables.current_tables.values()):
             for zone in range(self._zone_count):
                 self._step_zone(zone, writer)
 
--- a/ravenshelf/policy/weight_tables.py
+++ b/ravenshelf/policy/weight_tables.py
@@ -27,7 +27,7 @@
 TABLE_TOTAL = 1000  # the weights of a table add up to this
 DOMINANT_LINE_FACTOR = 2  # requests that the greatest line refuses are tried again at the others
 
-Place = tuple[int, int]  # zone, partition
+PartitionKey = tuple[int, int]  # zone, partition
 Lines = dict[int, float]  # weight by endpoint
 
 
@@ -53,9 +53,9 @@
         self.lines: dict[int, Lines] = {}
         self.levels: dict[int, dict[int, float]] = {}
         self.written_at: dict[int, int] = {}
-        self.users: defaultdict[int | None, dict[int, None]] = defaultdict(dict)
-        self.current: dict[Place, int] = {}
-        self.deferred: dict[int, int] = {}
+        self.proxies_by_table: defaultdict[int | None, dict[int, None]] = defaultdict(dict)
+        self.current_tables: dict[PartitionKey, int] = {}
+        self.deferred_tables: dict[int, int] = {}
         self._directory = directory
         self._slow_start = slow_start
         self._zone_count = zone_count
@@ -66,23 +66,23 @@
     def add_proxy(self, index: int, proxy: Proxy) -> None:
         """A proxy has joined; it uses no table yet."""
         self.proxies[index] = proxy
-        self.users[None][index] = None
+        self.proxies_by_table[None][index] = None
 
     def remove_proxy(self, index: int) -> None:
         """A proxy has left; others are ignored."""
         proxy = self.proxies.pop(index, None)
         if proxy is not None:
-            del self.users[proxy.table][index]
+            del self.proxies_by_table[proxy.table][index]
 
     def current_table(self, proxy: Proxy) -> int | None:
         """The table that a proxy should use; None as long as its place has none."""
         if proxy.partition is None:
             return None
-        return self.current.get((proxy.zone, proxy.partition))
+        return self.current_tables.get((proxy.zone, proxy.partition))
 
-    def last_written_at(self, place: Place) -> int:
+    def last_written_at(self, partition_key: PartitionKey) -> int:
         """When a place's current table was written; 0: never."""
-        table = self.current.get(place)
+        table = self.current_tables.get(partition_key)
         return self.written_at.get(table, 0) if table is not None else 0
 
     def bind(self, index: int, table: int | None, writer: CommandWriter, urgency: int) -> bool:
@@ -92,25 +92,25 @@
             return False
         ejections = sum(self._directory.by_index[endpoint].is_ejected for endpoint in lines)
         cost = 1 + len(self.levels.get(table, ())) + len(lines) + ejections
-        if not self.channel.fits(cost, [index], urgency):
+        if not self.channel.has_capacity(cost, [index], urgency):
             return False
         writer.bind_proxy(index, table)
         self.channel.charge([index], cost)
         proxy = self.proxies[index]
-        del self.users[proxy.table][index]
-        self.users[table][index] = None
+        del self.proxies_by_table[proxy.table][index]
+        self.proxies_by_table[table][index] = None
         proxy.table = table
         return True
 
     def renew(
         self,
         now: int,
-        place: Place,
+        partition_key: PartitionKey,
         lines: Lines,
         levels: Mapping[int, float],
         writer: CommandWriter,
         urgency: int,
-        only: Collection[int],
+        selected_tables: Collection[int],
     ) -> None:
         """Bring a place's tables to planned lines.
 
@@ -118,20 +118,22 @@
         `only`, where it is not empty). Else a staged rollout begins, if enough has moved and none is under
         way.
         """
-        table = self.current.setdefault(place, 2 * (place[0] + self._zone_count * place[1]))
+        table = self.current_tables.setdefault(
+            partition_key, 2 * (partition_key[0] + self._zone_count * partition_key[1])
+        )
         other = table ^ 1
         known = self.lines.get(table)
         if urgency or not known:
-            for changed in (table, other) if self.users[other] else (table,):
-                if not only or changed in only:
+            for changed in (table, other) if self.proxies_by_table[other] else (table,):
+                if not selected_tables or changed in selected_tables:
                     self.write(now, changed, lines, writer, urgency or URGENT)
-        elif not self.users[other] and _moved_share(known, lines) >= MINIMUM_TABLE_CHANGE:
-            self._begin_rollout(now, place, other, lines, levels, writer)
+        elif not self.proxies_by_table[other] and _moved_share(known, lines) >= MINIMUM_TABLE_CHANGE:
+            self._begin_rollout(now, partition_key, other, lines, levels, writer)
 
     def _begin_rollout(
         self,
         now: int,
-        place: Place,
+        partition_key: PartitionKey,
         table: int,
         lines: Lines,
         levels: Mapping[int, float],
@@ -142,7 +144,7 @@
         self.levels[table] = {}
         self.write_levels(table, levels, writer)
         self.write(now, table, lines, writer, ORDINARY)
-        self.current[place] = table
+        self.current_tables[partition_key] = table
 
     def write(self, now: int, table: int, lines: Lines, writer: CommandWriter, urgency: int) -> None:
         """Change a table to planned lines (at least one), charging every proxy that uses it.
@@ -151,12 +153,12 @@
         meanwhile: these leave at once. A table is never empty in between.
         """
         known = self.lines.setdefault(table, {})
-        users = self.users[table]
+        users = self.proxies_by_table[table]
         changes = _changed_lines(known, lines, MINIMUM_LINE_CHANGE if users else 0.0)
-        if users and not self.channel.fits(len(changes), users, urgency):
-            self.deferred[table] = max(self.deferred.get(table, ORDINARY), urgency)
+        if users and not self.channel.has_capacity(len(changes), users, urgency):
+            self.deferred_tables[table] = max(self.deferred_tables.get(table, ORDINARY), urgency)
             changes = self._changes_while_deferred(now, known, lines, changes)
-            if not changes or not self.channel.fits(len(changes), users, WITHDRAWAL):
+            if not changes or not self.channel.has_capacity(len(changes), users, WITHDRAWAL):
                 return
         for endpoint, weight in changes:
             writer.set_weight(table, endpoint, weight)
@@ -172,7 +174,7 @@
         open_lines = {
             endpoint: weight
             for endpoint, weight in known.items()
-            if self._directory.is_open(self._directory.by_index[endpoint])
+            if self._directory.is_usable(self._directory.by_index[endpoint])
         }
         overloaded = self._overloaded_cold_lines(now, open_lines, lines)
         if len(overloaded) < len(open_lines):
@@ -203,12 +205,12 @@
         A group that is not named admits everything.
         """
         known = self.levels.setdefault(table, {})
-        users = self.users[table]
+        users = self.proxies_by_table[table]
         for group in range(self._groups):
             old = known.get(group, UNLIMITED_LEVEL)
             new = levels.get(group, UNLIMITED_LEVEL)
             if abs(old - new) > MINIMUM_LEVEL_CHANGE * min(old, new):
-                if users and not self.channel.fits(1, users, URGENT):
+                if users and not self.channel.has_capacity(1, users, URGENT):
                     return
                 writer.set_admission_level(table, 1 << group, new, RETRY_MODE)
                 self.channel.charge(users, 1)
--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -163,10 +163,10 @@
         It is done as far as the channel has capacity, and not in the message that brings a proxy its table:
         when all proxies join at once, twice the lines would overfill the channel.
         """
-        if not channel.fits(1, (), False):
+        if not channel.has_capacity(1, (), False):
             return
         for proxy, endpoints in self.proxy_tables.proxies_to_reconcile():
-            if channel.fits(len(endpoints), [proxy], False):
+            if channel.has_capacity(len(endpoints), [proxy], False):
                 self.proxy_tables.confirm_ejections(proxy, endpoints)
                 channel.charge([proxy], len(endpoints))
 
--- a/ravenshelf/simulator/decode.py
+++ b/ravenshelf/simulator/decode.py
@@ -80,8 +80,8 @@
 
 
 def _proxy_joined(_: EndpointIndex, values: list[str]) -> events.ProxyJoined:
-    usual_rate = 0.0 if values[0] == NOTHING else _number(values[0])
-    return events.ProxyJoined(int(values[3]), int(values[2]), usual_rate, _flag(values[1]))
+    nominal_rate = 0.0 if values[0] == NOTHING else _number(values[0])
+    return events.ProxyJoined(int(values[3]), int(values[2]), nominal_rate, _flag(values[1]))
 
 
 def _proxy_left(_: EndpointIndex, values: list[str]) -> events.ProxyLeft:
@@ -93,7 +93,7 @@
         zone=int(values[0]),
         endpoint=endpoint_index(values[2]),
         attempts=int(values[5]),
-        failed=int(values[1]),
+        failures=int(values[1]),
         mean_latency=decode_time(values[3]),
         window=decode_time(values[4]),
         load=_load(values[6]),
--- a/ravenshelf/simulator/encode.py
+++ b/ravenshelf/simulator/encode.py
@@ -39,9 +39,9 @@
         """See `CommandWriter`."""
         self.lines.append(f"set_level {self._instance} {level:.6g} {groups} {table} {retry_mode}")
 
-    def request_acknowledgement(self, marker: int, everyone: bool = False) -> None:
+    def request_acknowledgement(self, marker: int, all_proxies: bool = False) -> None:
         """See `CommandWriter`."""
-        self.lines.append(f"mark {self._instance} {marker} {int(everyone)}")
+        self.lines.append(f"mark {self._instance} {marker} {int(all_proxies)}")
 
     def start_timer(self, at: int, key: str) -> None:
         """See `CommandWriter`."""
--- a/ravenshelf/state/proxy_tables.py
+++ b/ravenshelf/state/proxy_tables.py
@@ -154,10 +154,10 @@
             levels[group] = AdmissionLevel(level, retry_mode)
             self.changes.level_groups.setdefault(table, set()).add(group)
 
-    def request_acknowledgement(self, marker: int, everyone: bool = False) -> None:
+    def request_acknowledgement(self, marker: int, all_proxies: bool = False) -> None:
         """See `CommandWriter`."""
         self.changes.marker = marker
-        self.changes.marker_for_everyone = everyone
+        self.changes.marker_for_everyone = all_proxies
 
     # --- commands that are carried out after the messages ---
 
--- a/standins/fleet/trace.py
+++ b/standins/fleet/trace.py
@@ -114,6 +114,6 @@
         for server in self.world.living_servers():
             controller = server.cycle.controller
             endpoint = controller.endpoints.get(server.endpoint_registry.index_by_name.get(self.name, -1))
-            if endpoint is not None and controller.directory.is_open(endpoint):
+            if endpoint is not None and controller.directory.is_usable(endpoint):
                 found.append(controller.slow_start.capacity_share(endpoint, controller.now))
         return tuple(sorted(found))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -147,7 +147,7 @@
 
     def line_share(self, index, zone=0):
         """Weight of an endpoint in the table that a zone's proxies are led to, as a share."""
-        lines = self.writer.tables[self.controller.tables.current[zone, 0]]
+        lines = self.writer.tables[self.controller.tables.current_tables[zone, 0]]
         return lines.get(index, 0.0) / sum(lines.values())
 
 
@@ -246,19 +246,19 @@
     """A transport that records what is written and how it was ended."""
 
     def __init__(self, unsent=0):
-        self.written, self.ended, self.unsent, self.paused = b"", None, unsent, False
+        self.sent_data, self.closing_method, self.unsent, self.paused = b"", None, unsent, False
 
     def write(self, data):
-        self.written += data
+        self.sent_data += data
 
     def abort(self):
-        self.ended = "abort"
+        self.closing_method = "abort"
 
     def close(self):
-        self.ended = "close"
+        self.closing_method = "close"
 
     def write_eof(self):
-        self.ended = "eof"
+        self.closing_method = "eof"
 
     def pause_reading(self):
         self.paused = True
@@ -267,7 +267,7 @@
         self.paused = False
 
     def is_closing(self):
-        return self.ended is not None
+        return self.closing_method is not None
 
     def get_write_buffer_size(self):
         return self.unsent
@@ -285,20 +285,20 @@
 
 
 class AcceptorDriver:
-    """A connection acceptor, with a clock set by hand; `told` holds the events that it published."""
+    """A connection acceptor with a clock set by hand, and the events that it published."""
 
     def __init__(self, slots=64, reserve=4):
-        self.now, self.told, self.counters, self.deadlines = 0, [], Counters(), DeadlineQueue()
-        self.reader = StreamDecoder(decode_settings(SETTINGS), {"s-1": 0, "s-2": 1}.get)
+        self.now, self.published_events, self.counters, self.deadlines = 0, [], Counters(), DeadlineQueue()
+        self.decoder = StreamDecoder(decode_settings(SETTINGS), {"s-1": 0, "s-2": 1}.get)
         self.slots = SlotTable(slots)
         self.acceptor = ConnectionAcceptor(
-            self.reader,
+            self.decoder,
             self.slots,
             reserve,
             self.deadlines,
             self.counters,
             lambda: self.now,
-            self.told.append,
+            self.published_events.append,
             lambda call: call(),
         )
         self.buffers = BufferPool()
--- a/tests/distribution/test_distributed_controller.py
+++ b/tests/distribution/test_distributed_controller.py
@@ -143,7 +143,7 @@
     for quarter in range(80):
         now += SECOND // 4
         local_controller.run_cycle(now, list(events) if quarter % 4 == 0 else [], kept)
-    assert server.controller.spill.shares == local_controller.spill.shares
+    assert server.controller.spill_planner.shares == local_controller.spill_planner.shares
     lines = {
         endpoint: weight
         for endpoint, weight in kept.tables[kept.bound[0]].items()
--- a/tests/distribution/test_distribution_decisions.py
+++ b/tests/distribution/test_distribution_decisions.py
@@ -574,7 +574,9 @@
     assert set(read_table(calm.zone_entries(0))) == {"e0", "e1", "e2", "e3"}
     spilled = {name for name in read_table(failing.zone_entries(0)) if name >= "e4"}
     assert spilled and not {name for name in read_table(failing.zone_entries(1)) if name < "e4"}
-    assert failing.controller.spill.shares != solve_spill([1, 1], [1, 1], [None, None], [[1, 1], [1, 1]])
+    assert failing.controller.spill_planner.shares != solve_spill(
+        [1, 1], [1, 1], [None, None], [[1, 1], [1, 1]]
+    )
     assert len(read_endpoints(calm.service_entries())) == 8
 
 
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -45,7 +45,7 @@
     c.eof_received()
     c.connection_lost(None)
     assert ended == [c] and c.end is end and c.body == body
-    assert c.transport.written.startswith(b"GET /x HTTP/1.1\r\nHost: 127.0.0.1:1\r\n")
+    assert c.transport.sent_data.startswith(b"GET /x HTTP/1.1\r\nHost: 127.0.0.1:1\r\n")
 
 
 def test_other_ends_of_a_call():
@@ -55,7 +55,7 @@
     c, ended = call()
     c.close(ConnectionEnd.SILENT)
     feed(c, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")  # too late
-    assert c.end is ConnectionEnd.SILENT and len(ended) == 1 and c.transport.ended == "abort"
+    assert c.end is ConnectionEnd.SILENT and len(ended) == 1 and c.transport.closing_method == "abort"
     c, ended = call()
     feed(c, b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n" + b"x" * (BODY_LIMIT_BYTES + 1))
     assert c.end is ConnectionEnd.TOO_LONG and len(ended) == 1
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -20,7 +20,9 @@
     driver = drive()
     driver.run(30, busy_fleet)
     levels = {
-        g: v for (t, g), v in driver.writer.levels.items() if t == driver.controller.tables.current[0, 0]
+        g: v
+        for (t, g), v in driver.writer.levels.items()
+        if t == driver.controller.tables.current_tables[0, 0]
     }
     assert levels[1][0] < 200 and levels[1][0] <= levels.get(2, (1e6, 1))[0]
     # only after proof: no effect twice
@@ -58,8 +60,8 @@
                 + [DemandReport(i, g, 7, 0, SECOND) for i in range(4) for g in (0, 1)]
             ),
         )
-    parts = [driver.controller.admission.health_discount, 1.0]
-    assert least <= min(parts) and (driver.controller.admission.health_discount < 1) == (in_flight == 2)
+    parts = [driver.controller.admission.idle_health_factor, 1.0]
+    assert least <= min(parts) and (driver.controller.admission.idle_health_factor < 1) == (in_flight == 2)
 
 
 @pytest.mark.parametrize("failed, least, most", [(16, 0.9, 1.01), (95, 0.5, 0.8)], ids=["a hang?", "a jam"])
@@ -82,7 +84,11 @@
             + [DemandReport(i, g, 7, 0, SECOND) for i in range(4) for g in (0, 1)]
         ),
     )
-    assert least <= driver.controller.admission.capacity_estimate / driver.controller.admission.carried < most
+    assert (
+        least
+        <= driver.controller.admission.capacity_estimate / driver.controller.admission.carried_load
+        < most
+    )
 
 
 def test_a_server_that_was_never_calm_does_not_shed_ever_more(drive):
--- a/tests/policy/test_endpoint_strengths.py
+++ b/tests/policy/test_effective_weights.py
@@ -1,4 +1,4 @@
-"""Endpoint strengths: health, latency, busy machines and cold endpoints inside a zone."""
+"""Effective weights: health, latency, busy machines and cold endpoints inside a zone."""
 
 import pytest
 from conftest import load_report
--- a/tests/policy/test_ejections.py
+++ b/tests/policy/test_ejections.py
@@ -38,8 +38,8 @@
 def test_a_returned_endpoint_is_readmitted_once_no_deferred_table_holds_it_at_its_old_weight(drive):
     driver = drive()
     driver.run(2, lambda second: [load_report(z, i) for z, i in ((0, 0), (0, 1), (1, 2), (1, 3))])
-    table = driver.controller.tables.current[0, 0]
-    driver.controller.tables.write = lambda *rest: driver.controller.tables.deferred.setdefault(
+    table = driver.controller.tables.current_tables[0, 0]
+    driver.controller.tables.write = lambda *rest: driver.controller.tables.deferred_tables.setdefault(
         table, 2
     )  # no room for any table
     driver.send(endpoint_list("grrr", kind=ListKind.UPDATE))
--- a/tests/policy/test_endpoint_watch.py
+++ b/tests/policy/test_endpoint_watch.py
@@ -22,14 +22,14 @@
     waits = []
     for _ in range(5):
         driver.send(WatchFailed())
-        waits.append((driver.controller.watch.retry_at - driver.now) / SECOND)
+        waits.append((driver.controller.endpoint_watch.retry_at - driver.now) / SECOND)
         driver.run(5)  # it asks again meanwhile
     assert all(least <= wait <= 2 * least for least, wait in zip((0.5, 1, 2, 2, 2), waits, strict=True))
     assert len({wait for wait in waits[2:]}) == 3  # drawn anew each time
     driver.send(EndpointsListed(ListKind.UPDATE, ()))
-    assert not driver.controller.watch.retry_at
+    assert not driver.controller.endpoint_watch.retry_at
     driver.send(WatchFailed())
-    assert driver.controller.watch.retry_at - driver.now <= SECOND
+    assert driver.controller.endpoint_watch.retry_at - driver.now <= SECOND
 
 
 def test_a_poll_that_nobody_answered_is_repeated_six_seconds_after_it_began_at_the_latest(drive):
@@ -38,9 +38,9 @@
     for _ in range(4):
         driver.send(WatchFailed())
         driver.run(4.25)
-        began = driver.now = driver.controller.watch.retry_at or driver.now
+        began = driver.now = driver.controller.endpoint_watch.retry_at or driver.now
         driver.send()
         assert ("watch_endpoints", (True,)) in driver.writer.calls[-3:]
         driver.now = began + 5 * SECOND
         driver.send(WatchFailed())
-        assert driver.controller.watch.retry_at <= began + 6 * SECOND
+        assert driver.controller.endpoint_watch.retry_at <= began + 6 * SECOND
--- a/tests/policy/test_flow_control.py
+++ b/tests/policy/test_flow_control.py
@@ -20,17 +20,19 @@
     )
     kept = type("Marks", (), {"request_acknowledgement": lambda self, number: None})()
     assert (
-        not channel.fits(60, [1], False) and channel.fits(60, [1], True) and not channel.fits(90, [1], True)
+        not channel.has_capacity(60, [1], False)
+        and channel.has_capacity(60, [1], True)
+        and not channel.has_capacity(90, [1], True)
     )
     for n in range(4):
-        assert channel.fits(1, [1], True)
+        assert channel.has_capacity(1, [1], True)
         channel.charge([1], 1)
         channel.commit_cycle(n * SECOND, kept)
         channel.advance((n + 1) * SECOND)
-    assert not channel.fits(1, [1], True)  # what is left of the six is for withdrawals
-    assert channel.fits(1, [1], 2)
+    assert not channel.has_capacity(1, [1], True)  # what is left of the six is for withdrawals
+    assert channel.has_capacity(1, [1], 2)
     channel.advance(30 * SECOND)
-    assert channel.fits(1, [1], True)
+    assert channel.has_capacity(1, [1], True)
 
 
 def test_withdrawals_keep_to_the_messages_of_a_proxy_too(drive):
@@ -65,9 +67,9 @@
         channel.charge([n], 20)
         channel.commit_cycle(n * 6000, orders)
     assert len(set(marks)) == 600
-    before = channel.unproved_lines()
-    channel.acknowledged(10, marks[10], 900_000)
-    assert before - channel.unproved_lines() == 11 * 24 and channel.queued_lines > 400 * 24
+    before = channel.unconfirmed_lines()
+    channel.record_acknowledgement(10, marks[10], 900_000)
+    assert before - channel.unconfirmed_lines() == 11 * 24 and channel.queued_lines > 400 * 24
 
 
 def test_channel_learns_a_slow_pace_from_its_acknowledgements():
@@ -82,8 +84,8 @@
     channel.charge(range(20), 46)
     channel.commit_cycle(0, type("Marks", (), {"request_acknowledgement": lambda self, number: None})())
     channel.advance(SECOND)
-    channel.acknowledged(0, 1, 10 * SECOND)
-    assert channel.pace < 150
+    channel.record_acknowledgement(0, 1, 10 * SECOND)
+    assert channel.rate < 150
 
 
 def test_what_is_not_acknowledged_is_still_queued_whatever_the_pace():
@@ -104,7 +106,7 @@
     assert channel.queued_lines == 750  # not answered for yet, and need not be
     channel.advance(10 * SECOND)
     assert channel.queued_lines == 1000  # the channel stands still, or nearly
-    channel.acknowledged(3, 2, 10 * SECOND)
+    channel.record_acknowledgement(3, 2, 10 * SECOND)
     channel.advance(10 * SECOND)
     assert channel.queued_lines == 450  # what was ordered before it has passed, answered for or not
     channel.advance(21 * SECOND)
@@ -145,7 +147,7 @@
     )
     for waiting, free in ((900, (0, 1, 3, 4)), (1200, (1, 3, 4)), (3000, (3, 4)), (7000, (4,))):
         channel.record_uncharged_lines(waiting - channel.queued_lines)
-        assert tuple(u for u in (0, 1, 3, 4) if channel.fits(10, [1], u)) == free
+        assert tuple(u for u in (0, 1, 3, 4) if channel.has_capacity(10, [1], u)) == free
 
 
 def test_what_is_queued_for_a_connection_that_the_server_ended_stays_counted_when_the_next_one_breaks(drive):
@@ -155,17 +157,17 @@
     driver = drive(proxies=3)
     channel = driver.controller.channel
     driver.send(ProxyJoined(3, 1, 10.0, True))  # in the same instant: its bind waits behind the others'
-    waited = channel.unproved_lines()
+    waited = channel.unconfirmed_lines()
     assert channel.batches[-1].lines[3] and channel.batches[-1].earliest_start > driver.now
     driver.send(ProxyLeft(3, True), ProxyJoined(3, 1, 10.0, True))
-    assert channel.unproved_lines() > waited  # bound on the next stream
+    assert channel.unconfirmed_lines() > waited  # bound on the next stream
     driver.send(ProxyLeft(3))
-    assert channel.unproved_lines() >= waited
+    assert channel.unconfirmed_lines() >= waited
 
 
 def test_a_connection_that_breaks_twice_between_two_cycles_frees_its_lines_once(drive):
     once, twice = drive(), drive()
     once.send(ProxyLeft(0), ProxyJoined(0, 0, 10.0, True))
     twice.send(*[ProxyLeft(0), ProxyJoined(0, 0, 10.0, True)] * 2)
-    for name in ("queued_lines", "unproved_total", "next_position", "earliest_idle"):
+    for name in ("queued_lines", "unconfirmed_total", "next_position", "earliest_idle"):
         assert getattr(once.controller.channel, name) == getattr(twice.controller.channel, name), name
--- a/tests/policy/test_flow_control_model.py
+++ b/tests/policy/test_flow_control_model.py
@@ -83,16 +83,16 @@
         if n % 20 == 0 and n // 20 in self.broken:
             for proxy in chance.sample(range(PROXIES), PROXIES * 7 // 10):
                 self.true.broke(proxy)
-                channel.proxy_left(proxy)
+                channel.record_disconnection(proxy)
                 self.answers = [a for a in self.answers if a[1].proxy != proxy]
         channel.advance(now)
         for at, m in [a for a in self.answers if a[0] <= now]:
-            channel.acknowledged(m.proxy, m.mark, at - m.entered)
+            channel.record_acknowledgement(m.proxy, m.mark, at - m.entered)
         self.answers = [a for a in self.answers if a[0] > now]
         sent: dict[int, int] = {}
         for _ in range(chance.choice((1, 3, 80))):
             proxy, lines = chance.randrange(PROXIES), chance.choice((4, 12, 50))
-            if channel.fits(lines, [proxy], chance.choice((0, 3, 4))):
+            if channel.has_capacity(lines, [proxy], chance.choice((0, 3, 4))):
                 channel.charge([proxy], lines)
                 sent[proxy] = sent.get(proxy, 0) + lines
         channel.commit_cycle(now, self)
@@ -115,9 +115,9 @@
 class Marks250(ChannelFlowControl):
     """Numbers that come again while their first round waits."""
 
-    def acknowledged(self, proxy, mark, took):
+    def record_acknowledgement(self, proxy, mark, took):
         again = self.batch_number - (self.batch_number - mark) % 250
-        super().acknowledged(proxy, again, took)
+        super().record_acknowledgement(proxy, again, took)
 
 
 class NoHeads(ChannelFlowControl):
@@ -129,9 +129,9 @@
 class DropsAtTheUsualPace(ChannelFlowControl):
     """What breaks is taken for ordered at the usual pace, though the channel may have been slow."""
 
-    def proxy_left(self, proxy):
+    def record_disconnection(self, proxy):
         before, free = self.next_position, self.earliest_idle
-        super().proxy_left(proxy)
+        super().record_disconnection(proxy)
         self.next_position, self.earliest_idle = (
             before - (before - self.next_position) / SLOWEST_FACTOR,
             free - (free - self.earliest_idle) / SLOWEST_FACTOR,
@@ -141,9 +141,9 @@
 class AnyAnswerProves(ChannelFlowControl):
     """An answer taken as proof of all that was ordered before it, whatever broke in between."""
 
-    def proxy_left(self, proxy):
+    def record_disconnection(self, proxy):
         placed = self.next_position
-        super().proxy_left(proxy)
+        super().record_disconnection(proxy)
         self.next_position = placed
 
 
@@ -171,44 +171,44 @@
     channel = ChannelFlowControl(SETTINGS)
     first = ordered(channel, range(100))
     for proxy in range(40, 90):  # what they had waiting makes room for what comes next
-        channel.proxy_left(proxy)
+        channel.record_disconnection(proxy)
     second = ordered(channel, range(200, 400), 2)
     now = 4 * SECOND
     channel.advance(now)
     for mark, proxies in (first, [*range(39), *range(90, 100)]), (second, range(200, 400)):
         for proxy in proxies:  # all but one of the first
-            channel.acknowledged(proxy, mark, SECOND)
-    assert channel.unproved_lines() > 1000  # the last of it may lie behind what was answered for
+            channel.record_acknowledgement(proxy, mark, SECOND)
+    assert channel.unconfirmed_lines() > 1000  # the last of it may lie behind what was answered for
     channel.advance(now + SETTINGS.longest_delivery_us + 24 * SECOND // 150 + 1)
-    assert channel.unproved_lines() == channel.queued_lines == 0
+    assert channel.unconfirmed_lines() == channel.queued_lines == 0
 
 
 def test_what_nobody_answers_for_waits_as_long_as_the_slowest_channel_takes():
     channel = ChannelFlowControl(SETTINGS)
     ordered(channel, range(2), 7)  # 22 lines: at a tenth of the pace they pass in 150 ms
     channel.advance(20 * SECOND)
-    assert channel.unproved_lines() == 22  # yet nothing is taken for gone before 20 s
+    assert channel.unconfirmed_lines() == 22  # yet nothing is taken for gone before 20 s
     channel.advance(21 * SECOND + 1)
-    assert not channel.unproved_lines()
+    assert not channel.unconfirmed_lines()
     ordered(channel, range(240), 96)  # 24,000 lines take 160 s
     began = channel.now
     channel.advance(began + 155 * SECOND)
-    assert channel.unproved_lines() == 24_000
+    assert channel.unconfirmed_lines() == 24_000
     channel.advance(began + 162 * SECOND)
-    assert not channel.unproved_lines()
+    assert not channel.unconfirmed_lines()
 
 
 def test_what_is_dropped_with_a_stream_counts_until_it_is_sure_not_to_have_left():
     channel = ChannelFlowControl(SETTINGS)
     channel.charge([1, 2], 96)
     channel.commit_cycle(0, type("Marks", (), {"request_acknowledgement": lambda self, number: None})())
-    channel.proxy_left(1)
+    channel.record_disconnection(1)
     assert (
-        channel.queued_lines == channel.unproved_lines() == 200
+        channel.queued_lines == channel.unconfirmed_lines() == 200
     )  # it may have left, and wait for what is older
     channel.record_uncharged_lines(20)
-    assert channel.unproved_lines() == 220  # written beyond the charge: no answer takes it out
+    assert channel.unconfirmed_lines() == 220  # written beyond the charge: no answer takes it out
     channel.charge([1, 2], 96)
     channel.commit_cycle(0, type("Marks", (), {"request_acknowledgement": lambda self, number: None})())
-    channel.proxy_left(1)
-    assert channel.unproved_lines() == 320  # this one can't have left yet
+    channel.record_disconnection(1)
+    assert channel.unconfirmed_lines() == 320  # this one can't have left yet
--- a/tests/policy/test_miss_curves.py
+++ b/tests/policy/test_miss_curves.py
@@ -36,7 +36,7 @@
     driver.run(10, lambda second: answers)
     driver.run(8, lambda second: [load_report(0, i, attempts=20, failed=20) for i in (0, 1)])
     assert driver.line_share(2) + driver.line_share(3) > 0.4  # its flows go where no failure was heard of
-    at = driver.controller.spill.curves[0].buckets
+    at = driver.controller.spill_planner.curves[0].buckets
     assert sum(d.read(driver.now)[1] for d in at.values()) < 0.5 * sum(
         d.read(driver.now)[0] for d in at.values()
     )
--- a/tests/policy/test_weight_tables.py
+++ b/tests/policy/test_weight_tables.py
@@ -41,7 +41,7 @@
     driver.controller.channel.record_uncharged_lines(0.7 * driver.controller.channel.queue_limit)
     driver.send(endpoint_list("rrdr", kind=ListKind.UPDATE))
     assert (
-        2 in driver.writer.ejected and driver.controller.tables.deferred
+        2 in driver.writer.ejected and driver.controller.tables.deferred_tables
     )  # the withdrawal goes, tables wait for their turn
 
 
@@ -49,12 +49,12 @@
     driver = drive()
     driver.run(2, lambda second: [load_report(z, i) for z, i in ((0, 0), (0, 1), (1, 2), (1, 3))])
     c = driver.controller
-    c.tables.deferred = {c.tables.current[0, 0]: 1}
+    c.tables.deferred_tables = {c.tables.current_tables[0, 0]: 1}
     written, write = [], c.tables.write
     c.tables.write = lambda now, table, *rest: (written.append(table), write(now, table, *rest))
     c.next_solve_at = driver.now + 10 * SECOND
     driver.run(0.5)
-    assert written == [c.tables.current[0, 0]] and not c.tables.deferred
+    assert written == [c.tables.current_tables[0, 0]] and not c.tables.deferred_tables
 
 
 def test_who_uses_a_table_is_known_without_a_look_at_all_proxies(drive):
@@ -74,9 +74,9 @@
         scanned = {}
         for index, one in driver.controller.proxies.items():
             scanned.setdefault(one.table, []).append(index)
-        assert {t: sorted(users) for t, users in driver.controller.tables.users.items() if users} == {
-            t: sorted(users) for t, users in scanned.items()
-        }
+        assert {
+            t: sorted(users) for t, users in driver.controller.tables.proxies_by_table.items() if users
+        } == {t: sorted(users) for t, users in scanned.items()}
 
 
 def fleet_of_small_tables(drive, **service):
@@ -150,7 +150,7 @@
 
     def watched_write(now, table, lines, writer, urgency):
         write(now, table, lines, writer, urgency)
-        if table not in controller.tables.deferred:
+        if table not in controller.tables.deferred_tables:
             written.add(table)
 
     controller.tables.write = watched_write
@@ -215,7 +215,7 @@
         )
     )
     left = {k for k in driver.writer.tables[table] if k not in driver.writer.ejected}
-    assert table in driver.controller.tables.deferred and left == {dominant}
+    assert table in driver.controller.tables.deferred_tables and left == {dominant}
     driver.run(8, lambda second: [load_report(i // 24, i) for i in range(48) if i not in draining])
     assert any(
         cold in driver.writer.tables[t] for t in set(driver.writer.bound.values())
--- a/tests/process/test_acceptor.py
+++ b/tests/process/test_acceptor.py
@@ -51,7 +51,7 @@
 def test_messages_become_events(drive_acceptor, first, line, call):
     e = drive_acceptor()
     e.connect(*([first] if first else []), line)
-    assert e.told[-1] == call and not e.counters["unreadable"]
+    assert e.published_events[-1] == call and not e.counters["unreadable"]
 
 
 SPOILT = ["", "nan", "-3", "[1]", "s-zz", "1e+30", "38654705664"]
@@ -95,15 +95,15 @@
     e = drive_acceptor()
     other = e.connect(JOIN.replace("proxy=1", "proxy=3"))
     bad = e.connect(*([first] if first else []))
-    before = list(e.told)
+    before = list(e.published_events)
     feed(bad, line.encode("latin-1") + b"\r\n" + JOIN.encode() + b"\r\n")  # nothing after it counts either
     feed(bad, JOIN.encode() + b"\r\n")  # nor does what lay in the socket still
     assert (
         bad.end is ConnectionEnd.UNREADABLE
-        and bad.transport.ended == "abort"
+        and bad.transport.closing_method == "abort"
         and e.counters["unreadable"] == 1
     )
-    assert e.told[len(before) :] == ([ProxyLeft(1)] if first == JOIN else [])
+    assert e.published_events[len(before) :] == ([ProxyLeft(1)] if first == JOIN else [])
     assert other.end is None and len(e.slots) == 1
 
 
@@ -144,10 +144,10 @@
     e = drive_acceptor()
     c = e.connect(first)
     e.acceptor.write(1, b"", 7)
-    before = list(e.told)
+    before = list(e.published_events)
     good = [RATE] if first == JOIN else [LOAD, RATE]
     feed(c, "".join(s + "\r\n" for s in [*good, line, *good]).encode())
-    assert [type(event) for event in e.told[len(before) :]] == [
+    assert [type(event) for event in e.published_events[len(before) :]] == [
         DemandReport if s == RATE else LoadReport for s in good
     ] * 2
     assert c.end is None and sum(n for name, n in e.counters.items() if name.startswith("malformed_")) == (
@@ -161,7 +161,7 @@
     e.acceptor.write(1, b"", 7)
     e.now += 700_000
     feed(c, b"ACK proxy=1 mark=7 took_ms=700\r\nACK proxy=1 mark=7 took_ms=700\r\n")
-    assert e.told[1:] == [BatchAcknowledged(1, 7, 700_000)] and e.counters["acks_unexpected"] == 1
+    assert e.published_events[1:] == [BatchAcknowledged(1, 7, 700_000)] and e.counters["acks_unexpected"] == 1
 
 
 @pytest.mark.parametrize(
@@ -186,7 +186,7 @@
 def test_a_load_report_of_an_unknown_endpoint_is_skipped(drive_acceptor):
     e = drive_acceptor()
     collector = e.connect("SOURCE zone=a", LOAD.replace("s-1", "s-9"))
-    assert not e.told and collector.end is None and e.counters["reports_of_unknown"] == 1
+    assert not e.published_events and collector.end is None and e.counters["reports_of_unknown"] == 1
 
 
 @pytest.mark.parametrize("size", [1, 3, 7, 4096])
@@ -195,13 +195,13 @@
     stream = e.connect()
     for start in range(0, len(text), size):
         feed(stream, text[start : start + size])
-    assert [type(event) for event in e.told] == [
+    assert [type(event) for event in e.published_events] == [
         ProxyJoined,
         DemandReport,
-    ] and stream.transport.written == b"PONG\r\n" * 2
+    ] and stream.transport.sent_data == b"PONG\r\n" * 2
     feed(stream, JOIN[:9].encode())
     stream.connection_lost(None)  # half a message is none
-    assert e.told[-1] == ProxyLeft(1) and len(e.slots) == 0
+    assert e.published_events[-1] == ProxyLeft(1) and len(e.slots) == 0
 
 
 @pytest.mark.parametrize(
@@ -217,7 +217,9 @@
     e = drive_acceptor()
     stream = e.connect(*first)
     feed(stream, b"RATE " + b"x" * (size - 5))
-    assert stream.end is end and (e.told[-1:] == [ProxyLeft(1)]) == (end is not None and bool(first))
+    assert stream.end is end and (e.published_events[-1:] == [ProxyLeft(1)]) == (
+        end is not None and bool(first)
+    )
 
 
 @pytest.mark.parametrize(
@@ -228,33 +230,36 @@
     stream = e.connect(JOIN)
     stream.connection_lost(lost)
     stream.connection_lost(lost)
-    assert stream.end is end and e.told == [ProxyJoined(1, 0, 21.5, True), ProxyLeft(1)]
+    assert stream.end is end and e.published_events == [ProxyJoined(1, 0, 21.5, True), ProxyLeft(1)]
 
 
 def test_a_proxy_belongs_to_its_newest_stream(drive_acceptor):
     e = drive_acceptor()
     old, new = e.connect(JOIN), e.connect(JOIN.replace("fresh=1", "fresh=0"))
     e.acceptor.write(1, b"x", 7)
-    told = list(e.told)
-    assert new.transport.written == b"x" and not old.transport.written and old.end is None
+    told = list(e.published_events)
+    assert new.transport.sent_data == b"x" and not old.transport.sent_data and old.end is None
     feed(old, (RATE + "\r\nACK proxy=1 mark=7 took_ms=5\r\n" + JOIN + "\r\nPING\r\n").encode())
-    assert e.told == told and e.counters["stale"] == 3 and old.transport.written == b"PONG\r\n"
+    assert e.published_events == told and e.counters["stale"] == 3 and old.transport.sent_data == b"PONG\r\n"
     feed(
         new,
         b"ACK proxy=1 mark=8 took_ms=5\r\nACK proxy=1 mark=7 took_ms=5\r\nACK proxy=1 mark=7 took_ms=5\r\n",
     )
-    assert e.told[len(told) :] == [BatchAcknowledged(1, 7, 5000)] and e.counters["acks_unexpected"] == 2
+    assert (
+        e.published_events[len(told) :] == [BatchAcknowledged(1, 7, 5000)]
+        and e.counters["acks_unexpected"] == 2
+    )
     old.connection_lost(None)
-    assert len(e.told) == len(told) + 1 and e.acceptor.streams == {1: new}
+    assert len(e.published_events) == len(told) + 1 and e.acceptor.streams == {1: new}
 
 
 def test_a_stream_that_joins_again_is_bound_again(drive_acceptor):
     e = drive_acceptor()
     stream = e.connect(JOIN, JOIN)
     # the stream has not broken: what waits for it goes on counting
-    assert [type(e.told[n]) for n in (0, 2)] == [ProxyJoined, ProxyJoined] and e.told[1:-1] == [
-        ProxyLeft(1, True)
-    ]
+    assert [type(e.published_events[n]) for n in (0, 2)] == [ProxyJoined, ProxyJoined] and e.published_events[
+        1:-1
+    ] == [ProxyLeft(1, True)]
     assert e.acceptor.streams == {1: stream}
 
 
@@ -262,7 +267,7 @@
     e = drive_acceptor()
     stream = e.connect(JOIN, unsent=300_000)
     e.acceptor.write(1, b"x", None)
-    assert stream.end is ConnectionEnd.UNREAD and e.told[-1] == ProxyLeft(
+    assert stream.end is ConnectionEnd.UNREAD and e.published_events[-1] == ProxyLeft(
         1, True
     )  # what waits for it stays counted
 
@@ -309,6 +314,6 @@
     e.pass_time(20)
     feed(old, LOAD.encode() + b"\r\n")
     e.pass_time(20)
-    assert old.end is None and [type(event) for event in e.told] == [LoadReport]
+    assert old.end is None and [type(event) for event in e.published_events] == [LoadReport]
     e.pass_time(11)
     assert old.end is ConnectionEnd.SILENT and new.end is None
--- a/tests/process/test_control_cycle.py
+++ b/tests/process/test_control_cycle.py
@@ -176,7 +176,7 @@
     driver.run(join(0), join(1))
     channel, waited = (
         driver.control_cycle.controller.channel,
-        driver.control_cycle.controller.channel.unproved_lines(),
+        driver.control_cycle.controller.channel.unconfirmed_lines(),
     )
     assert waited
     driver.control_cycle.controller.ejections.update = lambda pending, writer: (
@@ -185,11 +185,11 @@
     assert driver.run(EndpointsListed(ListKind.UPDATE, ())) is None
     assert (
         driver.control_cycle.controller.channel is channel
-        and channel.unproved_lines() == waited
+        and channel.unconfirmed_lines() == waited
         and not channel.cycle_charges
     )
     driver.run()
     tickets = [int(text.split("ticket=")[1].split()[0]) for _, text in driver.out]
-    assert set(tickets) == {2} and channel.unproved_lines() > waited
+    assert set(tickets) == {2} and channel.unconfirmed_lines() > waited
     driver.run(BatchAcknowledged(0, 2, 1000), BatchAcknowledged(1, 2, 1000))
-    assert not channel.unproved_lines()
+    assert not channel.unconfirmed_lines()
--- a/tests/process/test_endings.py
+++ b/tests/process/test_endings.py
@@ -148,7 +148,9 @@
     stream = e.connect("SUBSCRIBE proxy=1 zone=a weight=1 fresh=1")
     e.acceptor.write(1, b"CONFIG ticket=7\r\n", 7)
     feed(stream, b"SUBSCRIBE proxy=1 zone=a weight=1 fresh=1\r\nACK proxy=1 mark=7 took_ms=1\r\n")
-    assert e.told[-1] == BatchAcknowledged(1, 7, 1000) and e.told[1] == ProxyLeft(1, True)
+    assert e.published_events[-1] == BatchAcknowledged(1, 7, 1000) and e.published_events[1] == ProxyLeft(
+        1, True
+    )
 
 
 def test_streams_of_vanished_machines_keep_no_live_proxy_out(drive_acceptor):
@@ -173,7 +175,7 @@
     assert (
         newcomer.end is None
         and streams[3].end is ConnectionEnd.NO_CAPACITY
-        and e.told[-1] == ProxyLeft(3, True)
+        and e.published_events[-1] == ProxyLeft(3, True)
     )
     assert e.connect("SOURCE zone=a").end is None and streams[1].end is ConnectionEnd.NO_CAPACITY
     assert streams[0].end is streams[2].end is None
--- a/tests/process/test_schedules.py
+++ b/tests/process/test_schedules.py
@@ -199,10 +199,10 @@
             if stream.end is not None:
                 del self.proxies[number]
                 continue
-            *said, rest = stream.transport.written[at:].split(b"\r\n")
+            *said, rest = stream.transport.sent_data[at:].split(b"\r\n")
             if rest:
                 self.wrong.append("a message ends half-way")
-            self.proxies[number] = stream, len(stream.transport.written)
+            self.proxies[number] = stream, len(stream.transport.sent_data)
             for line in said:
                 words = dict(word.partition("=")[::2] for word in line.decode().split()[1:])
                 table, out = self.tables[number]
@@ -225,7 +225,7 @@
         if any(c.end is not None for c in server.connections.items.values()):
             self.wrong.append("a slot without an owner")
         due = (
-            server.control_cycle.controller.watch.retry_at
+            server.control_cycle.controller.endpoint_watch.retry_at
             or ServerDeadline.WATCH in server.timers.deadlines
             or WatchFailed() in server.control_cycle.events
         )
@@ -302,7 +302,7 @@
         heard = bool(self.alive())
         self.server.stop()
         for number, (stream, at) in self.proxies.items():
-            said = stream.transport.written[at:].decode()
+            said = stream.transport.sent_data[at:].decode()
             holds = self.tables[number][0].get(serving[0]) and serving[0] not in self.tables[number][1]
             if (
                 heard
--- a/tests/standins/test_fleet_simulation.py
+++ b/tests/standins/test_fleet_simulation.py
@@ -13,7 +13,7 @@
     """Asks again after a fixed time, as every other pilot does."""
 
     def on_watch_failed(self, event):
-        self.watch.retry_at = self.now + SECOND
+        self.endpoint_watch.retry_at = self.now + SECOND
 
 
 class NoRamp(Controller):
@@ -46,16 +46,18 @@
 class SpillsBackAndForth(Controller):
     """Sends a zone's flows to and fro, all pilots at one time."""
 
-    def plan(self, writer, urgency, only=()):
-        super().plan(writer, urgency, only)
+    def plan(self, writer, urgency, selected_tables=()):
+        super().plan(writer, urgency, selected_tables)
         away = self.now // (5 * SECOND) % 2
-        self.spill.shares = [
+        self.spill_planner.shares = [
             [float(j == (i + away) % self.zone_count) for j in range(self.zone_count)]
             for i in range(self.zone_count)
         ]
-        needs = self.partitions.needs(self.now, self.proxies)
+        partition_demand = self.partitions.partition_demand(self.now, self.proxies)
         for z in range(self.zone_count):
-            for n, lines in enumerate(self.planned_tables(z, self.strengths(), needs[z])):
+            for n, lines in enumerate(
+                self.planned_tables(z, self.effective_weights_by_zone(), partition_demand[z])
+            ):
                 self.tables.renew(self.now, (z, n), lines, {}, writer, 1, ())
 
 
