--- a/ravenshelf/distribution/decisions/distributed_controller.py
+++ b/ravenshelf/distribution/decisions/distributed_controller.py
@@ -49,13 +49,13 @@
         self.index_of = index_of
 
     def planned_tables(
-        self, zone: int, strengths: list[dict[int, float]], needs: Sequence[float]
+        self, zone: int, effective_weights: list[dict[int, float]], partition_demand: Sequence[float]
     ) -> list[dict[int, float]]:
         """Return the lines of each of a zone's tables, as weights by endpoint index.
 
         All tables have the owner's lines, or the lines decided here if the owner's can't be used.
         """
-        local_tables = super().planned_tables(zone, strengths, needs)
+        local_tables = super().planned_tables(zone, effective_weights, partition_demand)
         source, table = self.owner_table(self.now, zone)
         lines = self._lines(table) if source is not TableSource.LOCAL else {}
         return [dict(lines) for _ in local_tables] if lines else local_tables
@@ -72,7 +72,7 @@
             if (
                 index is None
                 or index not in self.endpoints
-                or not self.directory.is_open(self.endpoints[index])
+                or not self.directory.is_usable(self.endpoints[index])
             ):
                 unavailable.append(name)
             else:
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -94,7 +94,7 @@
             if not groups or groups >> group & 1:
                 levels[group] = (level, retry_mode)
 
-    def request_acknowledgement(self, marker: int, everyone: bool = False) -> None:  # noqa: ARG002 (always all zones)
+    def request_acknowledgement(self, marker: int, all_proxies: bool = False) -> None:  # noqa: ARG002 (always all zones)
         """Record a marker, which is acknowledged at the end of the cycle.
 
         The distribution has versions of its own to find lost messages.
@@ -225,7 +225,7 @@
         self.controller.run_cycle(now, cycle_events, self.tables)
         for marker in self.tables.markers:
             for zone in self.zones:
-                self.controller.channel.acknowledged(zone, marker, 0)
+                self.controller.channel.record_acknowledgement(zone, marker, 0)
         self.tables.markers.clear()
 
     def service_entries(self) -> dict[str, Entry]:
