--- a/tests/collectd/test_listener.py
+++ b/tests/collectd/test_listener.py
@@ -1,4 +1,4 @@
-"""The listener: packets become events, a flood costs a bounded queue."""
+"""Listener for collectd: conversion of packets to events, replays, and the bound of its queue."""
 
 from ravenshelf.background.decisions import JobQueue
 from ravenshelf.background.scheduler import BackgroundScheduler
@@ -14,15 +14,15 @@
 START = 1_700_000_000
 
 
-class ListenerRig:
-    """A listener with the clock of the test, whose only listed host is h."""
+class ListenerHarness:
+    """Listener whose clock the test controls; the only host with a listed endpoint is "h"."""
 
     def __init__(self, **table):
         self.now, self.events, self.counters = START * SECOND, [], Counters()
         self.background = BackgroundScheduler(
             JobQueue(64, 20_000, 900_000, SECOND),
             lambda: self.now,
-            lambda at: None,
+            lambda time: None,
             lambda: False,
             self.counters,
         )
@@ -48,33 +48,37 @@
             self.background.run_turn()
 
 
-def test_signed_packets_become_events_and_a_replay_does_not():
-    rig, host = ListenerRig(security="sign"), sender.SimulatedHost("h")
-    packets = [sender.sign(host.packet(START + n), "u", "pw") for n in (0, 10, 20)]
-    rig.receive(packets[0])
-    rig.receive(packets[1], seconds=10)
-    assert [type(event) for event in rig.events] == [HostLoadSampled]
-    rig.receive(packets[1], packets[0], host.packet(START + 30), seconds=10)
-    assert len(rig.events) == 1
-    assert rig.counters["collectd_rejected_replayed"] == 2 and rig.counters["collectd_rejected_unsigned"] == 1
+def test_signed_packets_become_events_and_replayed_ones_are_rejected():
+    harness, host = ListenerHarness(security="sign"), sender.SimulatedHost("h")
+    packets = [sender.sign(host.packet(START + second), "u", "pw") for second in (0, 10, 20)]
+    harness.receive(packets[0])
+    harness.receive(packets[1], seconds=10)
+    assert [type(event) for event in harness.events] == [HostLoadSampled]
+    harness.receive(packets[1], packets[0], host.packet(START + 30), seconds=10)
+    assert len(harness.events) == 1
+    assert (
+        harness.counters["collectd_rejected_replayed"] == 2
+        and harness.counters["collectd_rejected_unsigned"] == 1
+    )
 
 
-def test_a_flood_costs_a_bounded_queue():
-    rig = ListenerRig()
+def test_packets_beyond_the_limit_of_the_queue_are_dropped_and_counted():
+    harness = ListenerHarness()
     for _ in range(5000):
-        rig.listener.datagram_received(b"\0" * 100, ("127.0.0.1", 1))
+        harness.listener.datagram_received(b"\0" * 100, ("127.0.0.1", 1))
     assert (
-        len(rig.listener.queued_packets) == MAX_QUEUED_PACKETS
-        and rig.counters["collectd_overflow"] == 5000 - MAX_QUEUED_PACKETS
+        len(harness.listener.queued_packets) == MAX_QUEUED_PACKETS
+        and harness.counters["collectd_overflow"] == 5000 - MAX_QUEUED_PACKETS
     )
-    rig.receive()
+    harness.receive()
     assert (
-        rig.counters["collectd_rejected_malformed"] == MAX_QUEUED_PACKETS and not rig.listener.queued_packets
+        harness.counters["collectd_rejected_malformed"] == MAX_QUEUED_PACKETS
+        and not harness.listener.queued_packets
     )
 
 
-def test_plugins_that_are_not_configured_are_skipped():
-    rig, host = ListenerRig(plugins=["load"]), sender.SimulatedHost("h")
-    for n in (0, 10):
-        rig.receive(host.packet(START + n), seconds=10)
-    assert not rig.events and not rig.listener.host_loads.hosts
+def test_values_of_plugins_that_are_not_configured_are_skipped():
+    harness, host = ListenerHarness(plugins=["load"]), sender.SimulatedHost("h")
+    for second in (0, 10):
+        harness.receive(host.packet(START + second), seconds=10)
+    assert not harness.events and not harness.listener.host_loads.hosts
--- a/tests/collectd/test_protocol.py
+++ b/tests/collectd/test_protocol.py
@@ -1,4 +1,7 @@
-"""The decoder against packets that are made independently of it, and which packets are rejected."""
+"""Decoder of collectd packets, and the reasons for which packets are rejected.
+
+The packets are encoded by a test double that shares no code with the decoder.
+"""
 
 import struct
 from collections import Counter
@@ -16,18 +19,18 @@
 START = 1_700_000_000
 
 
-def known(name):
+def find_passwords(name):
     return {"u": [b"pw"], "v": [b"other"]}.get(name, [])
 
 
-def rejection(data, required_level="none"):
-    with pytest.raises(RejectedPacketError) as rejected:
-        plain = security.open_packet(data, known, required_level)
-        protocol.decode_value_lists(plain.parts)
-    return rejected.value.reason.value
+def rejection_reason(data, required_level="none"):
+    with pytest.raises(RejectedPacketError) as error_info:
+        plain_packet = security.open_packet(data, find_passwords, required_level)
+        protocol.decode_value_lists(plain_packet.parts)
+    return error_info.value.reason.value
 
 
-def test_all_parts_and_kinds_are_read():
+def test_all_types_of_parts_and_kinds_of_values_are_decoded():
     packet = (
         sender.encode_text(sender.HOST, "h")
         + sender.encode_number(sender.TIME, START)
@@ -44,17 +47,23 @@
         + sender.encode_number(sender.INTERVAL_HR, sender.high_resolution(2.5))
         + sender.encode_values((sender.GAUGE, 3.0))
     )
-    first, second = protocol.decode_value_lists(packet)
-    assert (first.host, first.plugin, first.plugin_instance, first.type, first.type_instance) == (
+    first_list, second_list = protocol.decode_value_lists(packet)
+    assert (
+        first_list.host,
+        first_list.plugin,
+        first_list.plugin_instance,
+        first_list.type,
+        first_list.type_instance,
+    ) == (
         "h",
         "p",
         "pi",
         "t",
         "ti",
     )
-    assert first.values == ((0, 2**64 - 1), (1, -1.5), (2, -7), (3, 9))
-    assert (first.time, first.interval) == (START * SECOND, 10 * SECOND)
-    assert (second.time, second.interval) == (START * SECOND + SECOND // 2, 2_500_000)
+    assert first_list.values == ((0, 2**64 - 1), (1, -1.5), (2, -7), (3, 9))
+    assert (first_list.time, first_list.interval) == (START * SECOND, 10 * SECOND)
+    assert (second_list.time, second_list.interval) == (START * SECOND + SECOND // 2, 2_500_000)
 
 
 PACKETS = {
@@ -67,35 +76,38 @@
 
 @pytest.mark.parametrize("name", PACKETS)
 def test_a_complete_packet_is_decoded(name):
-    plain = security.open_packet(PACKETS[name], known, "none")
-    assert len(protocol.decode_value_lists(plain.parts)) == 6 and plain.is_authenticated == (
+    plain_packet = security.open_packet(PACKETS[name], find_passwords, "none")
+    assert len(protocol.decode_value_lists(plain_packet.parts)) == 6 and plain_packet.is_authenticated == (
         name in ("signed", "encrypted")
     )
 
 
 @pytest.mark.parametrize("name", PACKETS)
-def test_a_packet_cut_at_any_byte_is_rejected_or_a_complete_shorter_one(name):
+def test_a_packet_truncated_at_any_byte_is_rejected_or_decodes_to_fewer_value_lists(name):
     packet = PACKETS[name]
-    complete = protocol.decode_value_lists(security.open_packet(packet, known, "none").parts)
-    for cut in range(len(packet)):
+    all_value_lists = protocol.decode_value_lists(security.open_packet(packet, find_passwords, "none").parts)
+    for length in range(len(packet)):
         try:
-            decoded = protocol.decode_value_lists(security.open_packet(packet[:cut], known, "none").parts)
+            value_lists = protocol.decode_value_lists(
+                security.open_packet(packet[:length], find_passwords, "none").parts
+            )
         except RejectedPacketError:
             continue
-        assert (
-            name in ("plain", "low resolution") and decoded == complete[: len(decoded)]
-        )  # cut between two parts
+        # The packet was truncated between two parts.
+        assert name in ("plain", "low resolution") and value_lists == all_value_lists[: len(value_lists)]
 
 
-@pytest.mark.parametrize("by", [-1, 1])
-def test_a_length_of_a_part_that_is_wrong_by_one_is_rejected(by):
-    packet, at, parts = PACKETS["plain"], 0, 0
-    while at < len(packet):
-        size = struct.unpack_from("!H", packet, at + 2)[0]
-        bad = packet[: at + 2] + struct.pack("!H", size + by) + packet[at + 4 :]
-        assert rejection(bad) == "malformed"
-        at, parts = at + size, parts + 1
-    assert parts == 20
+@pytest.mark.parametrize("length_error", [-1, 1])
+def test_a_part_whose_length_is_wrong_by_one_is_rejected(length_error):
+    packet, position, part_count = PACKETS["plain"], 0, 0
+    while position < len(packet):
+        size = struct.unpack_from("!H", packet, position + 2)[0]
+        malformed_packet = (
+            packet[: position + 2] + struct.pack("!H", size + length_error) + packet[position + 4 :]
+        )
+        assert rejection_reason(malformed_packet) == "malformed"
+        position, part_count = position + size, part_count + 1
+    assert part_count == 20
 
 
 @pytest.mark.parametrize(
@@ -127,25 +139,25 @@
         "signed where encryption is required",
         "signed with another user's password",
         "signed by an unknown user",
-        "signed and altered",
+        "signed and changed afterwards",
         "signed and the user replaced",
         "encrypted with another user's password",
         "encrypted by an unknown user",
-        "bytes behind an encrypted part",
-        "an encrypted part behind plain ones",
+        "bytes after an encrypted part",
+        "an encrypted part after plain ones",
         "empty",
         "values without a type",
         "a zero byte inside a text",
         "a text that is not UTF-8",
     ],
 )
-def test_a_packet_is_rejected_with_its_reason(packet, required_level, reason):
-    assert rejection(packet, required_level) == reason
+def test_a_packet_is_rejected_with_the_expected_reason(packet, required_level, reason):
+    assert rejection_reason(packet, required_level) == reason
 
 
-def test_without_the_user_and_a_required_level_a_signed_packet_counts_as_plain():
-    plain = security.open_packet(sender.sign(PACKETS["plain"], "w", "pw"), known, "none")
-    assert plain.parts == PACKETS["plain"] and not plain.is_authenticated
+def test_a_signed_packet_of_an_unknown_user_counts_as_plain_if_no_level_is_required():
+    plain_packet = security.open_packet(sender.sign(PACKETS["plain"], "w", "pw"), find_passwords, "none")
+    assert plain_packet.parts == PACKETS["plain"] and not plain_packet.is_authenticated
 
 
 @given(
@@ -153,18 +165,18 @@
     | st.tuples(st.sampled_from(sorted(PACKETS)), st.integers(0, 400), st.integers(0, 255))
 )
 @settings(max_examples=400, deadline=None)
-def test_no_bytes_make_the_decoder_fail_otherwise_than_by_rejecting(data):
+def test_arbitrary_bytes_are_decoded_or_rejected_without_any_other_error(data):
     if not isinstance(data, bytes):
-        name, at, byte = data
+        name, position, byte = data
         packet = bytearray(PACKETS[name])
-        packet[at % len(packet)] = byte
+        packet[position % len(packet)] = byte
         data = bytes(packet)
     try:
-        plain = security.open_packet(data, known, "none")
-        lists = protocol.decode_value_lists(plain.parts)
+        plain_packet = security.open_packet(data, find_passwords, "none")
+        value_lists = protocol.decode_value_lists(plain_packet.parts)
     except RejectedPacketError:
         return
     host_loads = HostLoads(lambda host: (0,), types.parse(types.BUILT_IN_TYPES), Counter())
-    host_loads.add(START * SECOND, lists, False)
-    for _, busy, age in host_loads.pop_loads(START * SECOND):
-        assert 0 <= busy <= 1 and age >= 0
+    host_loads.add(START * SECOND, value_lists, False)
+    for _, busy_share, age in host_loads.pop_loads(START * SECOND):
+        assert 0 <= busy_share <= 1 and age >= 0
--- a/tests/graphite/exporting.py
+++ b/tests/graphite/exporting.py
@@ -1,4 +1,4 @@
-"""Helpers for tests of the export: a service whose time passes only where the test says so."""
+"""Helpers for tests of the Graphite export: a service whose clock the test controls."""
 
 import asyncio
 import random
@@ -15,15 +15,15 @@
 START_S = 1_700_000_000
 
 
-class ExportRig:
-    """A Graphite service with a clock and timers of the test's."""
+class ExportHarness:
+    """Graphite service with a clock and timers that the test controls."""
 
     def __init__(self, resolve=resolve_name, **table):
         self.now, self.deadlines, self.counters = START_S * SECOND, DeadlineQueue(), Counters()
         self.background = BackgroundScheduler(
             JobQueue(1000, 50_000, 900_000, SECOND),
             lambda: self.now,
-            lambda at: self.deadlines.set("background", at),
+            lambda time: self.deadlines.set("background", time),
             lambda: False,
             self.counters,
         )
@@ -32,7 +32,7 @@
             random.Random(5),
             loop=asyncio.get_running_loop(),
             clock=lambda: self.now,
-            wake_at=lambda receiver, at: self.deadlines.set(receiver, at),
+            wake_at=lambda receiver, time: self.deadlines.set(receiver, time),
             background=self.background,
             resolve=resolve,
         )
@@ -42,24 +42,29 @@
             self.background.run_turn() if key == "background" else self.service.run_due(key)
 
     async def wait_until(self, condition, timeout_s=20.0):
-        """Real time passes for sockets, the clock by a few milliseconds; fails where it never holds."""
+        """Run what is due until the condition holds; raise TimeoutError after `timeout_s` of real time.
+
+        The clock advances by 2 ms in each round, while sockets need real time.
+        """
         async with asyncio.timeout(timeout_s):
             while not condition():
                 self.run_due()
                 await asyncio.sleep(0.001)
                 self.now += 2000
 
-    async def advance(self, seconds, step=1.0, do=lambda: None):
-        for _ in range(round(seconds / step)):
-            self.now += round(step * SECOND)
-            do()
+    async def advance(self, seconds, step_s=1.0, on_step=lambda: None):
+        for _ in range(round(seconds / step_s)):
+            self.now += round(step_s * SECOND)
+            on_step()
             for _ in range(4):
                 self.run_due()
                 await asyncio.sleep(0.001)
 
-    def measure(self, count=50, importance=1, of="a"):
+    def measure(self, count=50, importance=1, path_group="a"):
         time = interval_boundary(self.now, self.service.table.every_s)
-        self.service.export(time, importance, [(f"p.{of}.{n}", float(n)) for n in range(count)])
+        self.service.export(
+            time, importance, [(f"p.{path_group}.{number}", float(number)) for number in range(count)]
+        )
         return time
 
     def state(self, receiver):
@@ -78,5 +83,5 @@
     return asyncio.run(asyncio.wait_for(test, 60))
 
 
-def has_all(receiver, time, count=50, of="a"):
-    return all((f"p.{of}.{n}", time) in receiver.points for n in range(count))
+def has_all_points(receiver, time, count=50, path_group="a"):
+    return all((f"p.{path_group}.{number}", time) in receiver.points for number in range(count))
--- a/tests/graphite/test_collector.py
+++ b/tests/graphite/test_collector.py
@@ -1,4 +1,4 @@
-"""Events and messages become metrics."""
+"""Computation of metrics from events and messages."""
 
 import pytest
 
@@ -26,15 +26,18 @@
 )
 
 
-class Observed:
-    """A collector with four ready endpoints in two zones and a proxy in each zone."""
+class CollectorHarness:
+    """Collector that has observed four ready endpoints in two zones and a proxy in each zone."""
 
     def __init__(self):
         self.now, self.collector = 0, MetricsCollector(SETTINGS, "p", 0)
         self.observe(
             EndpointsListed(
                 ListKind.RESTORED,
-                tuple(ListedEndpoint(e, e // 2, 0, 0, EndpointState.READY, 1.0, 0) for e in range(4)),
+                tuple(
+                    ListedEndpoint(endpoint, endpoint // 2, 0, 0, EndpointState.READY, 1.0, 0)
+                    for endpoint in range(4)
+                ),
             )
         )
         for proxy in (0, 1):
@@ -43,26 +46,26 @@
     def observe(self, event):
         self.collector.on_event(event, self.now)
 
-    def close_interval(self, seconds=10):
+    def end_interval(self, seconds=10):
         self.now += seconds * SECOND
         points = {}
         for _ in self.collector.close_interval(
-            self.now, None, (), lambda importance, made: points.update(made)
+            self.now, None, (), lambda importance, new_points: points.update(new_points)
         ):
             pass
         return {path[2:]: value for path, value in points.items()}
 
 
 @pytest.fixture
-def observed():
-    return Observed()
+def harness():
+    return CollectorHarness()
 
 
-def test_requests_within_the_objective_are_estimated_as_the_page_says(observed):
-    observed.observe(LoadReport(0, 0, 100, 0, 100_000, SECOND, ()))
-    observed.observe(DemandReport(0, 0, 200, 20, 5 * SECOND))
-    observed.observe(DemandReport(0, 1, 50, 0, 5 * SECOND))
-    points = observed.close_interval()
+def test_requests_within_the_objective_are_estimated_by_the_documented_formula(harness):
+    harness.observe(LoadReport(0, 0, 100, 0, 100_000, SECOND, ()))
+    harness.observe(DemandReport(0, 0, 200, 20, 5 * SECOND))
+    harness.observe(DemandReport(0, 1, 50, 0, 5 * SECOND))
+    points = harness.end_interval()
     assert points["group.read.demand_per_s"] == 20 and points["group.read.failed_per_s"] == 2
     assert points["group.read.succeeded_per_s"] == 18
     assert points["group.read.within_objective_per_s"] == pytest.approx(18 * (1 - 2.718281828**-1))
@@ -70,42 +73,41 @@
     assert points["reports.received_per_s"] == 0.3 and points["reports.age_ms.max"] == pytest.approx(
         2500, rel=0.02
     )
-    again = observed.close_interval()
-    assert (
-        again["group.read.demand_per_s"] == 0 and "reports.age_ms.max" not in again
-    )  # no reports: no point, not 0
+    next_points = harness.end_interval()
+    # Without reports a distribution has no point, rather than a point with the value 0.
+    assert next_points["group.read.demand_per_s"] == 0 and "reports.age_ms.max" not in next_points
 
 
-def test_requests_above_the_admission_level_count_as_rejected(observed):
-    observed.collector.admission_level = lambda proxy, group: {0: 30.0, 1: 1e6}[group]
-    observed.observe(DemandReport(0, 0, 200, 0, 5 * SECOND))
-    observed.observe(DemandReport(0, 1, 200, 0, 5 * SECOND))
-    points = observed.close_interval()
+def test_requests_above_the_admission_level_count_as_rejected(harness):
+    harness.collector.admission_level = lambda proxy, group: {0: 30.0, 1: 1e6}[group]
+    harness.observe(DemandReport(0, 0, 200, 0, 5 * SECOND))
+    harness.observe(DemandReport(0, 1, 200, 0, 5 * SECOND))
+    points = harness.end_interval()
     assert points["group.read.rejected_per_s"] == 5 and points["group.pay.rejected_per_s"] == 0
     assert points["group.read.succeeded_per_s"] == 15
 
 
-def test_a_drain_lasts_until_the_last_proxy_has_acknowledged(observed):
-    observed.observe(
+def test_a_drain_lasts_until_the_last_proxy_has_acknowledged(harness):
+    harness.observe(
         EndpointsListed(ListKind.UPDATE, (ListedEndpoint(1, 0, 0, 0, EndpointState.DRAINING, 1.0, 0),))
     )
-    observed.collector.on_message(0, [MessagePart(ejected=[1])], 7)
-    observed.collector.on_message(1, [MessagePart(ejected=[1])], 7)
-    observed.now += 200_000
-    observed.observe(BatchAcknowledged(0, 7, 100))
-    points = observed.close_interval(0)
+    harness.collector.on_message(0, [MessagePart(ejected=[1])], 7)
+    harness.collector.on_message(1, [MessagePart(ejected=[1])], 7)
+    harness.now += 200_000
+    harness.observe(BatchAcknowledged(0, 7, 100))
+    points = harness.end_interval(0)
     assert (points["drains.started"], points["drains.pending"]) == (
         1,
         1,
     ) and "drains.duration_ms.max" not in points
-    observed.now += 300_000
-    observed.observe(BatchAcknowledged(1, 7, 100))
-    points = observed.close_interval(0)
+    harness.now += 300_000
+    harness.observe(BatchAcknowledged(1, 7, 100))
+    points = harness.end_interval(0)
     assert points["drains.pending"] == 0 and points["drains.duration_ms.max"] == pytest.approx(500, rel=0.02)
 
 
-def test_a_drain_that_ends_with_its_proxy_or_by_a_return_has_no_duration(observed):
-    observed.observe(
+def test_a_drain_that_ends_because_a_proxy_left_or_the_endpoint_is_ready_has_no_duration(harness):
+    harness.observe(
         EndpointsListed(
             ListKind.UPDATE,
             (
@@ -114,14 +116,14 @@
             ),
         )
     )
-    observed.collector.on_message(0, [MessagePart(ejected=[1, 2])], 7)
-    observed.observe(
-        ProxyLeft(0, True)
-    )  # ended by the server: the decisions get this event too, the metrics are the same
-    observed.collector.on_message(1, [MessagePart(ejected=[1])], 8)
-    observed.observe(
+    harness.collector.on_message(0, [MessagePart(ejected=[1, 2])], 7)
+    # The server closed this connection itself. The controller receives the event in this case too, and the
+    # metrics are the same.
+    harness.observe(ProxyLeft(0, True))
+    harness.collector.on_message(1, [MessagePart(ejected=[1])], 8)
+    harness.observe(
         EndpointsListed(ListKind.UPDATE, (ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 1.0, 0),))
     )
-    points = observed.close_interval()
+    points = harness.end_interval()
     assert points["drains.pending"] == 0 and "drains.duration_ms.max" not in points
     assert points["endpoints.ready"] == 3 and points["endpoints.draining"] == 0
--- a/tests/graphite/test_connection_policy.py
+++ b/tests/graphite/test_connection_policy.py
@@ -1,4 +1,4 @@
-"""When a receiver is connected to, given up, and when its share fails over."""
+"""Policy of a receiver's connection: attempts, backoff, stalls and failover."""
 
 import random
 from itertools import pairwise
@@ -21,23 +21,24 @@
 
 
 @pytest.fixture
-def connected(policy):
+def connected_policy(policy):
     assert policy.next_action(0) is ConnectionAction.CONNECT
     policy.mark_connected(0)
     return policy
 
 
-def test_a_receiver_that_rejects_for_an_hour_is_tried_seldom_and_never_more_often_than_allowed():
-    policy, connects, now = ReceiverConnectionPolicy(0, random.Random(3)), [], 0
+def test_attempts_at_a_receiver_that_rejects_for_an_hour_are_limited_but_continue():
+    policy, connect_times, now = ReceiverConnectionPolicy(0, random.Random(3)), [], 0
     while now < HOUR:
         now = max(now, policy.next_action_at())
         if policy.next_action(now) is ConnectionAction.CONNECT:
-            connects.append(now)
+            connect_times.append(now)
             policy.mark_failed(now + 1000)
-    for n in range(len(connects) - 10):
-        assert connects[n + 10] - connects[n] >= 60 * SECOND
-    assert 60 < len(connects) < 300  # about one in half a minute: it is not forgotten either
-    pauses = [later - earlier for earlier, later in pairwise(connects)]
+    for index in range(len(connect_times) - 10):
+        assert connect_times[index + 10] - connect_times[index] >= 60 * SECOND
+    # There is about one attempt per half minute, so the receiver is still tried after an hour.
+    assert 60 < len(connect_times) < 300
+    pauses = [later - earlier for earlier, later in pairwise(connect_times)]
     assert max(pauses) <= 61 * SECOND
 
 
@@ -51,31 +52,31 @@
     assert len(backoffs) > 10
 
 
-def test_a_batch_that_is_not_taken_stalls_the_connection_then_ends_it(connected):
-    connected.mark_batch_written(1 * SECOND)
-    connected.mark_batch_written(4 * SECOND)  # a later batch must not put the limit off
-    assert connected.next_action(6 * SECOND - 1) is None
-    assert connected.next_action(6 * SECOND) is ConnectionAction.REPORT_STALL
-    assert connected.state is ReceiverState.STALLED
-    assert connected.next_action(16 * SECOND) is ConnectionAction.DISCONNECT
+def test_a_batch_that_is_not_flushed_stalls_the_connection_then_ends_it(connected_policy):
+    connected_policy.mark_batch_written(1 * SECOND)
+    connected_policy.mark_batch_written(4 * SECOND)  # A later batch must not extend the limit.
+    assert connected_policy.next_action(6 * SECOND - 1) is None
+    assert connected_policy.next_action(6 * SECOND) is ConnectionAction.REPORT_STALL
+    assert connected_policy.state is ReceiverState.STALLED
+    assert connected_policy.next_action(16 * SECOND) is ConnectionAction.DISCONNECT
 
 
-def test_a_stalled_connection_that_reads_again_is_connected(connected):
-    connected.mark_batch_written(0)
-    connected.next_action(5 * SECOND)
-    connected.mark_flushed(6 * SECOND)
-    assert connected.state is ReceiverState.CONNECTED and connected.next_action_at() is None
+def test_a_stalled_connection_is_connected_again_after_a_flush(connected_policy):
+    connected_policy.mark_batch_written(0)
+    connected_policy.next_action(5 * SECOND)
+    connected_policy.mark_flushed(6 * SECOND)
+    assert connected_policy.state is ReceiverState.CONNECTED and connected_policy.next_action_at() is None
 
 
-def test_a_connection_that_does_not_open_is_given_up(policy):
+def test_an_attempt_ends_after_the_connect_timeout(policy):
     policy.next_action(0)
     assert policy.next_action(3 * SECOND) is ConnectionAction.DISCONNECT
 
 
-def test_a_share_fails_over_late_and_recovers_later(connected):
-    connected.mark_failed(100 * SECOND)
-    assert connected.has_share(109 * SECOND)
-    assert not connected.has_share(110 * SECOND)
-    connected.mark_connected(120 * SECOND)
-    assert not connected.has_share(139 * SECOND)
-    assert connected.has_share(140 * SECOND)
+def test_a_share_fails_over_and_recovers_only_after_a_delay(connected_policy):
+    connected_policy.mark_failed(100 * SECOND)
+    assert connected_policy.has_share(109 * SECOND)
+    assert not connected_policy.has_share(110 * SECOND)
+    connected_policy.mark_connected(120 * SECOND)
+    assert not connected_policy.has_share(139 * SECOND)
+    assert connected_policy.has_share(140 * SECOND)
--- a/tests/graphite/test_queue.py
+++ b/tests/graphite/test_queue.py
@@ -1,4 +1,4 @@
-"""What is queued for a receiver: what is sent next, what is sent again and what is dropped."""
+"""Queue of points for a receiver: order of sending, retransmission and dropping."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -6,55 +6,56 @@
 from ravenshelf.graphite.decisions.queue import SECOND, Batch, PointQueue
 
 
-def points(count):
-    return [(f"a.{n}", float(n)) for n in range(count)]
+def make_points(count):
+    return [(f"a.{number}", float(number)) for number in range(count)]
 
 
 def test_the_least_important_points_are_dropped_first_and_of_them_the_oldest():
     queue = PointQueue(max_points=100, backfill_rate=10)
     for time in (10, 20, 30):
         for importance in (0, 1, 2):
-            assert not queue.add(Batch(time, importance, points(10)))
-    dropped = queue.add(Batch(40, 0, points(30)))
-    assert [(b.time, b.importance) for b in dropped] == [(10, 2), (20, 2)]
-    dropped = queue.add(Batch(50, 0, points(60)))
+            assert not queue.add(Batch(time, importance, make_points(10)))
+    dropped_batches = queue.add(Batch(40, 0, make_points(30)))
+    assert [(batch.time, batch.importance) for batch in dropped_batches] == [(10, 2), (20, 2)]
+    dropped_batches = queue.add(Batch(50, 0, make_points(60)))
     expected = [(30, 2), (10, 1), (20, 1), (30, 1), (10, 0), (20, 0)]
-    assert [(b.time, b.importance) for b in dropped] == expected
+    assert [(batch.time, batch.importance) for batch in dropped_batches] == expected
     assert queue.point_count == 100 and queue.dropped_points == 80
 
 
 def test_current_points_are_sent_before_old_ones_and_old_ones_at_the_backfill_rate():
     queue = PointQueue(max_points=1000, backfill_rate=10)
     for time in range(10, 60, 10):
-        queue.add(Batch(time, 1, points(10)))
-    queue.add(Batch(60, 0, points(10)))
+        queue.add(Batch(time, 1, make_points(10)))
+    queue.add(Batch(60, 0, make_points(10)))
     assert queue.pop_next(0, 60).time == 60
-    assert queue.pop_next(0, 60).time == 10  # one batch may be taken ahead of the rate
+    assert queue.pop_next(0, 60).time == 10  # One batch may be sent ahead of the rate.
     assert queue.pop_next(0, 60) is None
     assert queue.next_pop_at(0) == SECOND + 1
     assert queue.pop_next(SECOND + 1, 60).time == 20
-    queue.add(Batch(70, 2, points(5)))
+    queue.add(Batch(70, 2, make_points(5)))
     assert queue.pop_next(SECOND + 1, 70).time == 70
 
 
-def test_what_may_have_been_received_in_part_is_sent_again_as_a_whole_and_first():
+def test_unconfirmed_batches_are_queued_again_and_do_not_go_to_other_receivers():
     queue = PointQueue(max_points=1000, backfill_rate=1000)
     for time in (10, 20, 30):
-        queue.add(Batch(time, 1, points(10)))
+        queue.add(Batch(time, 1, make_points(10)))
     first, second = queue.pop_next(0, 30), queue.pop_next(0, 30)
     assert (first.time, second.time) == (30, 10)
     queue.requeue_unconfirmed()
-    assert [b.time for b in queue.queued_batches[1]] == [10, 20, 30] and queue.point_count == 30
-    assert [b.time for b in queue.remove_all()] == [20]  # the other two may be there in part
+    assert [batch.time for batch in queue.queued_batches[1]] == [10, 20, 30] and queue.point_count == 30
+    # The receiver may have parts of the other two batches.
+    assert [batch.time for batch in queue.remove_all()] == [20]
 
 
-def test_what_the_system_took_long_ago_counts_as_received():
+def test_batches_that_were_flushed_long_ago_count_as_received():
     queue = PointQueue(max_points=100, backfill_rate=10)
-    queue.add(Batch(10, 1, points(10)))
+    queue.add(Batch(10, 1, make_points(10)))
     queue.pop_next(0, 10)
     queue.mark_flushed(SECOND)
     assert queue.point_count == 10 and not queue.confirm(10 * SECOND)
-    assert [b.time for b in queue.confirm(11 * SECOND)] == [10] and queue.point_count == 0
+    assert [batch.time for batch in queue.confirm(11 * SECOND)] == [10] and queue.point_count == 0
     queue.requeue_unconfirmed()
     assert not any(queue.queued_batches)
 
@@ -73,25 +74,25 @@
 
 @given(STEPS)
 @settings(max_examples=150, deadline=None)
-def test_the_limit_holds_and_no_point_is_lost_uncounted(steps):
-    queue, now, added, removed = PointQueue(max_points=100, backfill_rate=50), 0, 0, 0
+def test_the_limit_holds_and_every_removed_point_is_counted(steps):
+    queue, now, added_points, removed_points = PointQueue(max_points=100, backfill_rate=50), 0, 0, 0
     for step, importance, size in steps:
         now += SECOND
         if step == "add":
-            queue.add(Batch(now // SECOND, importance, points(size)))
-            added += size
+            queue.add(Batch(now // SECOND, importance, make_points(size)))
+            added_points += size
         elif step == "pop_next":
             queue.pop_next(now, now // SECOND - 3)
         elif step == "mark_flushed":
             queue.mark_flushed(now)
-            removed += sum(map(len, queue.confirm(now + 10 * SECOND)))
+            removed_points += sum(map(len, queue.confirm(now + 10 * SECOND)))
         elif step == "requeue_unconfirmed":
             queue.requeue_unconfirmed()
         elif step == "remove_all":
-            removed += sum(map(len, queue.remove_all()))
+            removed_points += sum(map(len, queue.remove_all()))
         else:
-            removed += sum(map(len, queue.remove_old(now // SECOND - 2, 5)))
-        in_queue = sum(len(b) for batches in queue.queued_batches for b in batches)
-        in_queue += sum(map(len, queue.unconfirmed_batches))
-        assert in_queue == queue.point_count <= 100
-        assert added - removed - queue.dropped_points == in_queue
+            removed_points += sum(map(len, queue.remove_old(now // SECOND - 2, 5)))
+        counted_points = sum(len(batch) for batches in queue.queued_batches for batch in batches)
+        counted_points += sum(map(len, queue.unconfirmed_batches))
+        assert counted_points == queue.point_count <= 100
+        assert added_points - removed_points - queue.dropped_points == counted_points
