--- a/ravenshelf/leadership/decisions/__init__.py
+++ b/ravenshelf/leadership/decisions/__init__.py
@@ -1,17 +1,19 @@
 """Decisions of one control-plane server among several: shard leases that a quorum grants. No I/O, no clock.
 
 Every member is a voter for every shard and may hold the leases of some. For each shard a voter stores the
-term that it promised and the record that it accepted; in memory it has to whom and until when it granted a
-lease. A lease holder needs grants of a quorum in one term. A grant names the length of the lease, which
-each side counts on its own clock: the holder from when it sent the request, less the drift of clocks, the
-voters from when they granted. So at most one member holds a shard's lease at a time, however messages are
-lost, duplicated or delayed, while clocks drift apart by `LeaseConfiguration.clock_drift` at most.
+term that it promised and the record that it accepted. In memory it keeps the member that it granted the
+lease to, and the end of that grant. A lease holder needs grants of a quorum in one term. Holder and voters
+each measure the length of the lease on their own clocks: the holder from the moment when it sent the
+request, less the possible drift of the clocks, and the voters from the moment of their grant. So at most one
+member holds a shard's lease at a time, even if messages are lost, duplicated or delayed, as long as clocks
+drift apart by at most `LeaseConfiguration.clock_drift`.
 
-Before a lease holder sends an order that must not be sent twice, the order is on the shard's record with a
-quorum (`Member.write_record`, `Member.permission`). A member that requests the lease later reads a quorum,
-so it begins from that record: it writes what it read under its own term before its first order. This is
-Paxos for one register a shard, with the term as ballot; it rests on any two quorums having a voter in
-common. `tests/leadership` and `benchmarks.leases` compare it with a checker.
+Some commands must not be sent twice. Before a lease holder sends such a command, a quorum has accepted a
+shard record that contains it (`Member.write_record`, `Member.permission`). A member that requests the lease
+later reads the records of a quorum and continues from the newest one: it writes that record under its own
+term before its first command. This is Paxos for one register per shard, with the term as ballot; it relies
+on any two quorums having a voter in common. `tests/leadership` and `benchmarks.leases` check it against a
+checker.
 
 Times are microseconds of a clock that also counts while the machine is suspended. Members are numbers from 0.
 """
--- a/ravenshelf/leadership/decisions/balancer.py
+++ b/ravenshelf/leadership/decisions/balancer.py
@@ -1,4 +1,4 @@
-"""Which shards this member requests from those without a holder, and which it hands over to rebalance."""
+"""Selection of the shards that a member requests, and of those that it hands over to rebalance."""
 
 from typing import NamedTuple
 
@@ -14,10 +14,10 @@
 
 
 class Successor(NamedTuple):
-    """Whom a released shard is left to, and until when. Microseconds."""
+    """The member that a released shard is reserved for, and the end of the reservation in microseconds."""
 
     member: int
-    until: int
+    reserved_until: int
 
 
 class Balancer:
@@ -34,69 +34,80 @@
         self.local_member = local_member
         self.configuration = configuration
         self.successors: dict[int, Successor] = {}
-        self.unheld_since: dict[int, int] = {}  # shard: since when no holder is known
+        # by shard: since when this member has seen no holder
+        self.unheld_since: dict[int, int] = {}
         self._voter = voter
         self._leases = leases
         self._peers = peers
-        self._handovers = TokenBucket(configuration.handovers_per_second)
-        self._takeovers = TokenBucket(configuration.takeovers_per_second)
+        self._handover_bucket = TokenBucket(configuration.handovers_per_second)
+        self._takeover_bucket = TokenBucket(configuration.takeovers_per_second)
 
     def holder(self, now: int, shard: int) -> int | None:
-        """Which member holds a shard's lease, as far as this voter knows."""
+        """Return the member that holds a shard's lease according to the local voter, or None."""
         if self._leases.claims[shard].state in GRANTED_STATES:
             return self.local_member
         vote = self._voter.votes[shard]
-        # a grant to this member may be of a request that failed
+        # a grant to this member doesn't count, because the request may have failed at the other voters
         is_held_by_other = vote.holder not in (None, self.local_member) and now < vote.granted_until
         return vote.holder if is_held_by_other else None
 
     def rebalance(self, now: int, weights: dict[int, float], is_draining: bool, output: LeaseOutput) -> None:
-        """Requests shards without a holder, and hands over what other members should have."""
+        """Request shards without a holder, and hand over shards that other members should hold.
+
+        Args:
+            now: The present time, microseconds.
+            weights: The weight of each reachable member, this one included.
+            is_draining: True if this member requests no shards.
+            output: Receives the messages and the changes of state.
+        """
         holders = [self.holder(now, shard) for shard in range(self.configuration.shards)]
-        wanted = place_shards(holders, weights)
+        target_holders = place_shards(holders, weights)
         self.unheld_since = {
             shard: self.unheld_since.get(shard, now) for shard, member in enumerate(holders) if member is None
         }
-        self._take_over(now, wanted, is_draining, output)
-        self._hand_over(now, wanted, output)
+        self._take_over(now, target_holders, is_draining, output)
+        self._hand_over(now, target_holders, output)
 
-    def _take_over(self, now: int, wanted: list[int | None], is_draining: bool, output: LeaseOutput) -> None:
-        # members may know of different holders and each leave a shard to another: after two leases any
-        # requests it
-        patience_us = 2 * self.configuration.lease_us
+    def _take_over(
+        self, now: int, target_holders: list[int | None], is_draining: bool, output: LeaseOutput
+    ) -> None:
+        # Members may see different holders, so that each expects another one to request a shard. After two
+        # lease lengths without a holder any member requests it.
+        placement_timeout_us = 2 * self.configuration.lease_us
         candidates = [
             shard
             for shard, since in self.unheld_since.items()
-            if (wanted[shard] == self.local_member or now - since > patience_us)
+            if (target_holders[shard] == self.local_member or now - since > placement_timeout_us)
             and self._leases.claims[shard].state is LeaseState.IDLE
             and now >= self._leases.claims[shard].retry_at
-            and self._is_left_to_this_member(now, shard)
+            and self._may_take_over(now, shard)
             and not is_draining
         ]
-        self._leases.probe(now, candidates[: self._takeovers.take(now, len(candidates))], output)
+        self._leases.probe(now, candidates[: self._takeover_bucket.consume(now, len(candidates))], output)
 
-    def _hand_over(self, now: int, wanted: list[int | None], output: LeaseOutput) -> None:
-        handovers: dict[int, list[int]] = {}
-        for shard, member in enumerate(wanted):
+    def _hand_over(self, now: int, target_holders: list[int | None], output: LeaseOutput) -> None:
+        shards_by_successor: dict[int, list[int]] = {}
+        for shard, member in enumerate(target_holders):
             if member is None or member == self.local_member:
                 continue
             is_held = self._leases.claims[shard].state is LeaseState.HELD
             if is_held and self._peers.is_stable(now, member):
-                handovers.setdefault(member, []).append(shard)
-        for member, shards in handovers.items():
-            allowed = self._handovers.take(now, len(shards))
-            self._leases.release(now, shards[:allowed], member, output)
+                shards_by_successor.setdefault(member, []).append(shard)
+        for member, shards in shards_by_successor.items():
+            allowed_count = self._handover_bucket.consume(now, len(shards))
+            self._leases.release(now, shards[:allowed_count], member, output)
 
-    def _is_left_to_this_member(self, now: int, shard: int) -> bool:
+    def _may_take_over(self, now: int, shard: int) -> bool:
+        """Return whether the shard is not reserved for another member."""
         successor = self.successors.get(shard)
-        return successor is None or successor.member == self.local_member or now >= successor.until
+        return successor is None or successor.member == self.local_member or now >= successor.reserved_until
 
     def on_release(self, now: int, member: int, message: LeaseRelease, output: LeaseOutput) -> None:
-        """A holder has released leases; a successor that it named requests them at once."""
+        """Handle the release of leases by their holder: a named successor requests them at once."""
         for shard, term, successor in message.released:
             if not self._voter.end_grant(member, shard, term) or successor is None:
                 continue
             self.successors[shard] = Successor(successor, now + 2 * self.configuration.renewal_interval_us)
             is_idle = self._leases.claims[shard].state is LeaseState.IDLE
-            if successor == self.local_member and is_idle and self._takeovers.take(now, 1):
+            if successor == self.local_member and is_idle and self._takeover_bucket.consume(now, 1):
                 self._leases.probe(now, [shard], output)
--- a/ravenshelf/leadership/decisions/claims.py
+++ b/ravenshelf/leadership/decisions/claims.py
@@ -1,4 +1,4 @@
-"""A member's own part of one shard: the state of the lease that it holds or requests."""
+"""The state of the lease that a member holds or requests for one shard."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -8,21 +8,26 @@
 
 
 class LeaseState(Enum):
-    """Where a member stands with a shard's lease. The values are those of the status and of counters."""
+    """The state of a member's lease of a shard. The values appear in the status and in counter names."""
 
     IDLE = "none"
-    PROBING = "probing"  # asks whether a quorum would grant
-    REQUESTING = "asking"  # has asked for grants in a new term
-    ESTABLISHING = "settling"  # granted; the record is written under the new term
+    # voters were asked whether they would grant the lease
+    PROBING = "probing"
+    # grants were requested in a new term
+    REQUESTING = "asking"
+    # a quorum has granted the lease, and the record is being written under the new term
+    ESTABLISHING = "settling"
     HELD = "owner"
-    EXPIRED = "lapsed"  # was held; no quorum renewed it
+    # the lease was held, but no quorum renewed it in time
+    EXPIRED = "lapsed"
 
 
 class Permission(Enum):
-    """Which orders may be sent for a shard."""
+    """Which commands may be sent for a shard."""
 
     FULL = "granting"
-    REPEAT_ONLY = "keeping"  # only what repeats known tables
+    # only commands that repeat previous tables
+    REPEAT_ONLY = "keeping"
 
 
 PENDING_STATES = (LeaseState.PROBING, LeaseState.REQUESTING, LeaseState.ESTABLISHING)
@@ -32,27 +37,46 @@
 
 @dataclass(slots=True)
 class Claim:
-    """Times are microseconds by the member's own clock; voters are member numbers."""
+    """The lease of one shard as its holder sees it. Times are microseconds of the member's own clock.
+
+    Attributes:
+        state: The state of the lease.
+        term: The term of the latest request.
+        requested_at: When the lease was requested in this term. Its length counts from here.
+        valid_until: When the lease expires.
+        retry_at: When a pending request is abandoned, or when the next one may follow.
+        available_voters: Voters that replied to the probe that they would grant the lease.
+        grants: The grants in this term, by voter.
+        renewed_by: The voters that accepted a renewal, by the renewal's number.
+        seq: The number of the newest record in this term.
+        committed_seq: The number of the newest record that a quorum has accepted.
+        record: The newest record.
+        accepted_seqs: The number of the newest record that each voter has accepted.
+        record_sent_at: When the newest record was last sent.
+        highest_promised_term: The latest term that a voter reported as promised.
+        advance_term_at: When to request the lease in a later term, because a voter has promised one; 0 if
+            this is not necessary.
+    """
 
     state: LeaseState = LeaseState.IDLE
     term: int = 0
-    requested_at: int = 0  # when the lease was requested in this term: it counts from here
+    requested_at: int = 0
     valid_until: int = 0
     retry_at: int = 0
-    available_at: set[int] = field(default_factory=set)  # voters that would grant
-    grants: dict[int, Grant] = field(default_factory=dict)  # voter: its grant
-    renewed_by: dict[int, set[int]] = field(default_factory=dict)  # number of a renewal: voters that took it
-    seq: int = 0  # of the newest record
-    committed_seq: int = 0  # of the newest record that a quorum has
+    available_voters: set[int] = field(default_factory=set)
+    grants: dict[int, Grant] = field(default_factory=dict)
+    renewed_by: dict[int, set[int]] = field(default_factory=dict)
+    seq: int = 0
+    committed_seq: int = 0
     record: PackedRecord = None
-    written_seq: dict[int, int] = field(default_factory=dict)  # voter: newest record that it has
-    written_at: int = 0  # when the newest record was last sent
-    highest_promised: int = 0  # the latest term that a voter reported to have promised
-    advance_term_at: int = 0  # when to request a later term, for voters that promised one (0: no need)
+    accepted_seqs: dict[int, int] = field(default_factory=dict)
+    record_sent_at: int = 0
+    highest_promised_term: int = 0
+    advance_term_at: int = 0
 
     def reset_replies(self) -> None:
-        """Forgets what voters replied in the term before."""
+        """Discard what voters replied in the previous term."""
         self.grants = {}
         self.renewed_by = {}
-        self.written_seq = {}
+        self.accepted_seqs = {}
         self.advance_term_at = 0
--- a/ravenshelf/leadership/decisions/lease_holder.py
+++ b/ravenshelf/leadership/decisions/lease_holder.py
@@ -1,4 +1,4 @@
-"""Acquires, renews, releases and loses leases of shards, and writes their records."""
+"""Acquisition, renewal, release and expiry of shard leases, and the writing of shard records."""
 
 import random
 from collections.abc import Iterable, Sequence
@@ -34,19 +34,28 @@
 
 
 class LeaseHolder:
-    """The claims of one member, by shard. `rng` spreads retries."""
+    """The leases that one member holds or requests, one claim for each shard.
+
+    Args:
+        local_member: The number of the member that holds or requests the leases.
+        member_count: The size of the cluster.
+        quorum: How many voters have to grant or renew a lease, or accept a record.
+        configuration: Durations and the number of shards.
+        voter: The voter of the same member.
+        rng: Draws the retry delays, so that members don't retry at the same time.
+    """
 
     def __init__(
         self,
         local_member: int,
-        members: int,
+        member_count: int,
         quorum: int,
         configuration: LeaseConfiguration,
         voter: Voter,
         rng: random.Random,
     ) -> None:
         self.local_member = local_member
-        self.members = members
+        self.member_count = member_count
         self.quorum = quorum
         self.configuration = configuration
         self.claims = [Claim() for _ in range(configuration.shards)]
@@ -54,95 +63,99 @@
         self._rng = rng
         self._renewals = RenewalLog()
 
-    # --- what it holds ---
-
     def held_shards(self) -> list[int]:
-        """Shards whose lease it holds."""
+        """Return the shards whose lease this member holds."""
         return [shard for shard, claim in enumerate(self.claims) if claim.state is LeaseState.HELD]
 
     def is_valid(self, now: int, shard: int, seq: int) -> bool:
-        """Whether the lease is valid and a quorum has the shard's record up to `seq`."""
+        """Return whether the lease is valid and a quorum has accepted the shard's record number `seq`."""
         claim = self.claims[shard]
         return claim.state is LeaseState.HELD and now < claim.valid_until and claim.committed_seq >= seq
 
-    def has_latest_known_term(self, shard: int) -> bool:
-        """Whether it holds or held the lease and knows of no promise of a later term."""
+    def has_latest_term(self, shard: int) -> bool:
+        """Return whether this member holds the lease, or held it last as far as it can tell.
+
+        False as soon as this member's own voter, or a reply of another one, shows a promise of a later term.
+        """
         claim = self.claims[shard]
         if claim.state not in (LeaseState.HELD, LeaseState.EXPIRED):
             return False
-        return max(self._voter.votes[shard].promised, claim.highest_promised) <= claim.term
-
-    # --- records ---
+        return max(self._voter.votes[shard].promised_term, claim.highest_promised_term) <= claim.term
 
     def write_record(self, now: int, shard: int, record: PackedRecord, output: LeaseOutput) -> int | None:
-        """Sends a shard's new record to the voters; returns its number, or None without a valid lease."""
+        """Send a shard's new record to all voters.
+
+        Returns:
+            The number of the record, which counts up from 1 in each term; None without a valid lease.
+        """
         claim = self.claims[shard]
         if claim.state is not LeaseState.HELD or now >= claim.valid_until:
             return None
         claim.seq += 1
         claim.record = record
-        self._send_record(now, shard, claim, output, range(self.members))
+        self._send_record(now, shard, claim, output, range(self.member_count))
         return claim.seq
 
     def _send_record(
         self, now: int, shard: int, claim: Claim, output: LeaseOutput, voters: Iterable[int]
     ) -> None:
-        claim.written_at = now
+        claim.record_sent_at = now
         for member in voters:
             output.send(member, RecordWrite([ShardRecord(shard, claim.term, claim.seq, claim.record)]))
 
     def on_record_write_reply(
         self, now: int, member: int, reply: RecordWriteReply, output: LeaseOutput
     ) -> None:
-        """A voter has accepted or rejected records: the first one that a quorum has establishes the lease."""
+        """Count the records that a voter has accepted.
+
+        The lease is held from the moment when a quorum has accepted the first record of its term.
+        """
         for shard, term, seq in reply.written:
             claim = self.claims[shard]
             if claim.term != term or claim.state not in GRANTED_STATES:
                 continue
-            claim.written_seq[member] = max(seq, claim.written_seq.get(member, 0))
-            newest = sorted(claim.written_seq.values(), reverse=True)
-            if len(newest) >= self.quorum:
-                claim.committed_seq = max(claim.committed_seq, newest[self.quorum - 1])
+            claim.accepted_seqs[member] = max(seq, claim.accepted_seqs.get(member, 0))
+            descending_seqs = sorted(claim.accepted_seqs.values(), reverse=True)
+            if len(descending_seqs) >= self.quorum:
+                claim.committed_seq = max(claim.committed_seq, descending_seqs[self.quorum - 1])
             is_established = claim.state is LeaseState.ESTABLISHING and claim.committed_seq >= 1
             if is_established and now < claim.valid_until:
                 self._set_state(shard, LeaseState.HELD, output)
         self._on_superseded_terms(now, reply.rejected)
 
-    # --- acquire ---
-
     def probe(self, now: int, shards: Sequence[int], output: LeaseOutput) -> None:
-        """Asks whether a quorum would grant, before anyone promises.
+        """Ask all voters whether they would grant leases, before any voter promises a term.
 
-        A member that knows too little of who holds what, as after a partition, would otherwise have its own
-        voter promise terms that lock the present holder out.
+        A member that doesn't know the present holders, for example after a network partition, would
+        otherwise make its own voter promise terms that lock the present holder out.
         """
         for shard in shards:
             claim = self.claims[shard]
             claim.state = LeaseState.PROBING
-            claim.available_at = set()
+            claim.available_voters = set()
             claim.retry_at = now + self._retry_delay()
         if shards:
             self._broadcast(ProbeRequest(list(shards)), output)
 
     def on_probe_reply(self, now: int, member: int, reply: ProbeReply, output: LeaseOutput) -> None:
-        """Requests the leases that a quorum would grant."""
-        ready: list[int] = []
+        """Request the leases that a quorum of voters would grant."""
+        available_shards: list[int] = []
         for shard in reply.available:
             claim = self.claims[shard]
             if claim.state is LeaseState.PROBING:
-                claim.available_at.add(member)
-                if len(claim.available_at) >= self.quorum:
-                    ready.append(shard)
-        if ready:
-            self._request(now, ready, output)
+                claim.available_voters.add(member)
+                if len(claim.available_voters) >= self.quorum:
+                    available_shards.append(shard)
+        if available_shards:
+            self._request(now, available_shards, output)
 
     def _request(self, now: int, shards: Sequence[int], output: LeaseOutput) -> None:
-        """Requests leases, each in a term later than any that it knows of."""
+        """Request leases, each in a term later than any that this member has seen for the shard."""
         terms: list[ShardTerm] = []
         for shard in shards:
             claim = self.claims[shard]
-            latest = max(claim.term, claim.highest_promised, self._voter.votes[shard].promised)
-            claim.term = (latest // TERM_STRIDE + 1) * TERM_STRIDE + self.local_member
+            latest_term = max(claim.term, claim.highest_promised_term, self._voter.votes[shard].promised_term)
+            claim.term = (latest_term // TERM_STRIDE + 1) * TERM_STRIDE + self.local_member
             claim.requested_at = now
             claim.valid_until = 0
             claim.retry_at = now + self._retry_delay()
@@ -154,7 +167,10 @@
         self._broadcast(LeaseRequest(terms), output)
 
     def on_lease_reply(self, now: int, member: int, reply: LeaseReply, output: LeaseOutput) -> None:
-        """Counts grants; a rejection says which term the next request has to exceed."""
+        """Count the grants of a voter, and note the promised terms that its rejections contain.
+
+        The next request for a rejected shard uses a later term than the promised one.
+        """
         for grant in reply.granted:
             claim = self.claims[grant.shard]
             if claim.state is not LeaseState.REQUESTING or claim.term != grant.term:
@@ -162,25 +178,23 @@
             claim.grants[member] = grant
             if len(claim.grants) >= self.quorum:
                 self._establish(now, grant.shard, claim, output)
-        for shard, promised in reply.rejected:
+        for shard, promised_term in reply.rejected:
             claim = self.claims[shard]
-            claim.highest_promised = max(claim.highest_promised, promised)
+            claim.highest_promised_term = max(claim.highest_promised_term, promised_term)
 
     def _establish(self, now: int, shard: int, claim: Claim, output: LeaseOutput) -> None:
-        """A quorum has granted: its newest record is written under the new term, before any order."""
-        newest = max(claim.grants.values(), key=lambda grant: (grant.accepted_term, grant.seq))
+        """Write the newest record of the granting quorum under the new term, before any command is sent."""
+        newest_grant = max(claim.grants.values(), key=lambda grant: (grant.accepted_term, grant.seq))
         claim.valid_until = claim.requested_at + self.configuration.usable_lease_us()
-        claim.record = newest.record
+        claim.record = newest_grant.record
         claim.seq = 1
         claim.committed_seq = 0
         claim.state = LeaseState.ESTABLISHING
         claim.retry_at = claim.valid_until
-        self._send_record(now, shard, claim, output, range(self.members))
-
-    # --- renew, expire, release ---
+        self._send_record(now, shard, claim, output, range(self.member_count))
 
     def renew(self, now: int, load: MemberLoad, output: LeaseOutput) -> None:
-        """Sends a heartbeat: renews all leases, and reports the load."""
+        """Send a heartbeat to all members, which renews all granted leases and reports the load."""
         terms = {
             shard: claim.term for shard, claim in enumerate(self.claims) if claim.state in GRANTED_STATES
         }
@@ -189,7 +203,7 @@
         self._broadcast(RenewalRequest(renewal.number, shard_terms, load), output)
 
     def on_renewal_reply(self, now: int, member: int, reply: RenewalReply, _output: LeaseOutput) -> None:
-        """A lease is valid for longer once a quorum has renewed it."""
+        """Count the renewals of a voter, and extend each lease that a quorum has renewed."""
         renewal = self._renewals.find(reply.number)
         if renewal is not None:
             usable_lease_us = self.configuration.usable_lease_us()
@@ -200,52 +214,70 @@
         self._on_superseded_terms(now, reply.rejected)
 
     def expire(self, now: int, quorum_last_contact: int, output: LeaseOutput) -> None:
-        """Ends leases that nobody renewed; once a quorum is back they are requested in a later term."""
-        held = LeaseState.HELD  # bound once: this runs for every shard at every tick
-        expired = LeaseState.EXPIRED
+        """Mark leases that were not renewed in time as expired.
+
+        An expired lease becomes idle once a quorum has been reachable after its expiry; it can then be
+        requested again, in a later term.
+        """
+        # the states are looked up once, because this loop runs over every shard at every tick
+        held_state = LeaseState.HELD
+        expired_state = LeaseState.EXPIRED
         for shard, claim in enumerate(self.claims):
             state = claim.state
-            if state is held:
+            if state is held_state:
                 if now >= claim.valid_until:
-                    self._set_state(shard, expired, output)
-            elif state is expired and quorum_last_contact > claim.valid_until:
+                    self._set_state(shard, expired_state, output)
+            elif state is expired_state and quorum_last_contact > claim.valid_until:
                 self._set_state(shard, LeaseState.IDLE, output)
 
     def release(
         self, now: int, shards: Iterable[int], successor: int | None, output: LeaseOutput
     ) -> list[int]:
-        """Gives leases up: orders end at once, then the voters are notified. Returns the shards."""
-        released: list[ReleasedLease] = []
+        """Release leases: sending of commands ends at once, and the voters are notified.
+
+        Args:
+            now: Microseconds of this member's clock.
+            shards: Shards whose lease is released; those without a claim are skipped.
+            successor: The member that is to acquire the leases, or None for any.
+            output: Receives the messages and the changes of state.
+
+        Returns:
+            The released shards, without those that had no claim.
+        """
+        released_leases: list[ReleasedLease] = []
         for shard in shards:
             claim = self.claims[shard]
             if claim.state is LeaseState.IDLE:
                 continue
-            released.append(ReleasedLease(shard, claim.term, successor))
+            released_leases.append(ReleasedLease(shard, claim.term, successor))
             self._set_state(shard, LeaseState.IDLE, output)
             claim.retry_at = now + self.configuration.renewal_interval_us
-        if released:
-            self._broadcast(LeaseRelease(released), output)
-        return [lease.shard for lease in released]
-
-    # --- time ---
+        if released_leases:
+            self._broadcast(LeaseRelease(released_leases), output)
+        return [lease.shard for lease in released_leases]
 
     def tick(self, now: int, output: LeaseOutput) -> list[int]:
-        """Gives up requests without an answer, sends records again; returns when each claim is due next."""
-        idle = LeaseState.IDLE  # bound once: this runs for every shard at every tick
-        held = LeaseState.HELD
-        due = []
+        """Abandon requests that were not granted in time, and resend records that are not committed.
+
+        Returns:
+            When each claim needs the next tick, microseconds; nothing for claims that are idle or expired.
+        """
+        # the states are looked up once, because this loop runs over every shard at every tick
+        idle_state = LeaseState.IDLE
+        held_state = LeaseState.HELD
+        due_times = []
         for shard, claim in enumerate(self.claims):
             state = claim.state
-            if state is idle:
+            if state is idle_state:
                 continue
             is_committed = claim.committed_seq >= claim.seq
-            if state is held and is_committed and not claim.advance_term_at:
-                due.append(claim.valid_until)  # the usual case: there is nothing to do
+            if state is held_state and is_committed and not claim.advance_term_at:
+                due_times.append(claim.valid_until)  # nothing to do, which is the most frequent case
                 continue
-            next_due = self._tick_claim(now, shard, claim, output)
-            if next_due is not None:
-                due.append(next_due)
-        return due
+            next_due_at = self._tick_claim(now, shard, claim, output)
+            if next_due_at is not None:
+                due_times.append(next_due_at)
+        return due_times
 
     def _tick_claim(self, now: int, shard: int, claim: Claim, output: LeaseOutput) -> int | None:
         if claim.state in PENDING_STATES and now >= claim.retry_at:
@@ -254,36 +286,35 @@
         if claim.state is LeaseState.HELD and claim.advance_term_at and now >= claim.advance_term_at:
             self._request(now, [shard], output)
         is_uncommitted = claim.state in GRANTED_STATES and claim.committed_seq < claim.seq
-        if is_uncommitted and now - claim.written_at >= self.configuration.retry_delay_us:
-            behind = [m for m in range(self.members) if claim.written_seq.get(m, 0) < claim.seq]
-            self._send_record(now, shard, claim, output, behind)
+        if is_uncommitted and now - claim.record_sent_at >= self.configuration.retry_delay_us:
+            lagging_voters = [
+                voter for voter in range(self.member_count) if claim.accepted_seqs.get(voter, 0) < claim.seq
+            ]
+            self._send_record(now, shard, claim, output, lagging_voters)
         if claim.state in PENDING_STATES:
             return claim.retry_at
         return claim.valid_until if claim.state is LeaseState.HELD else None
 
-    # --- later terms ---
-
     def _on_superseded_terms(self, now: int, rejected: Iterable[SupersededTerm]) -> None:
-        """A voter has promised a later term than ours.
+        """Schedule a request in a later term for leases that a voter rejected.
 
-        Alone it can't end the lease, a quorum decides that; but its renewals no longer count, so after a
-        while the lease is requested in a still later term.
+        The voter has promised a later term than that of the lease. One voter alone doesn't end the lease,
+        since a quorum decides; but it doesn't renew it any more either. A request in a still later term,
+        sent after one to two lease lengths, makes it count again.
         """
-        for shard, term, promised in rejected:
+        for shard, term, promised_term in rejected:
             claim = self.claims[shard]
-            claim.highest_promised = max(claim.highest_promised, promised)
+            claim.highest_promised_term = max(claim.highest_promised_term, promised_term)
             if claim.state is LeaseState.HELD and claim.term == term and not claim.advance_term_at:
                 lease_us = self.configuration.lease_us
                 claim.advance_term_at = now + lease_us + self._rng.randrange(lease_us)
 
     def end_superseded_lease(self, shard: int, output: LeaseOutput) -> None:
-        """Ends the lease where this member's own voter has promised a later term."""
+        """End the lease if this member's own voter has promised a later term."""
         claim = self.claims[shard]
-        if claim.state in TERM_STATES and self._voter.votes[shard].promised > claim.term:
+        if claim.state in TERM_STATES and self._voter.votes[shard].promised_term > claim.term:
             self._set_state(shard, LeaseState.IDLE, output)
 
-    # --- common ---
-
     def _set_state(self, shard: int, state: LeaseState, output: LeaseOutput) -> None:
         claim = self.claims[shard]
         if claim.state is state:
@@ -291,7 +322,7 @@
         claim.state = state
         if state is LeaseState.IDLE:
             claim.reset_replies()
-            claim.available_at = set()
+            claim.available_voters = set()
         output.lease_changed(shard, state, claim.term, claim.record)
 
     def _retry_delay(self) -> int:
@@ -299,5 +330,5 @@
         return delay + self._rng.randrange(delay)
 
     def _broadcast(self, message: Message, output: LeaseOutput) -> None:
-        for member in range(self.members):
+        for member in range(self.member_count):
             output.send(member, message)
--- a/ravenshelf/leadership/decisions/member.py
+++ b/ravenshelf/leadership/decisions/member.py
@@ -1,4 +1,4 @@
-"""A member: voter, lease holder, balancing and recovery together."""
+"""One member of a cluster, composed of its voter, lease holder, balancer and recovery."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -32,38 +32,47 @@
 
 
 class Member:
-    """One member of a cluster.
-
-    `stored` is what the disk had. `recovering`: the disk does not say that the member votes, so it votes
-    for nothing until it has read a quorum of the others. `capacity`, `draining` and `loop_delay_us` may be
-    set at any time.
+    """One member of a cluster. All times are microseconds of its own clock.
+
+    The attributes `capacity`, `is_draining` and `loop_delay_us` may be set at any time.
+
+    Args:
+        local_member: This member's number.
+        member_count: The size of the cluster.
+        configuration: The durations and rates, equal at all members.
+        stored: The votes that were read from disk.
+        now: The present time.
+        rng: Draws the retry delays.
+        is_recovering: True if the disk does not say that this member votes. It then reads the votes of a
+            quorum of the others before it votes itself.
+        capacity: This member's weight, in proportion to that of the others.
     """
 
     def __init__(
         self,
         local_member: int,
-        members: int,
+        member_count: int,
         configuration: LeaseConfiguration,
         stored: StoredVotes,
         now: int,
         rng: random.Random,
-        recovering: bool = False,
+        is_recovering: bool = False,
         capacity: float = 1.0,
     ) -> None:
         self.local_member = local_member
-        self.members = members
+        self.member_count = member_count
         self.configuration = configuration
         self.capacity = capacity
         self.is_draining = False
         self.loop_delay_us = 0
-        self.quorum = members // 2 + 1
-        self.voter = Voter(configuration, stored, now, self._on_own_vote)
-        self.leases = LeaseHolder(local_member, members, self.quorum, configuration, self.voter, rng)
-        self.peers = PeerTable(local_member, members, configuration)
+        self.quorum = member_count // 2 + 1
+        self.voter = Voter(configuration, stored, now, self._on_local_promise)
+        self.leases = LeaseHolder(local_member, member_count, self.quorum, configuration, self.voter, rng)
+        self.peers = PeerTable(local_member, member_count, configuration)
         self.quorum_monitor = QuorumMonitor(now, configuration)
         self.balancer = Balancer(local_member, configuration, self.voter, self.leases, self.peers)
         self.recovery = StateRecovery(
-            local_member, members, self.quorum, configuration, self.voter, recovering
+            local_member, member_count, self.quorum, configuration, self.voter, is_recovering
         )
         self._renew_at = now
         self._rebalance_at = now + configuration.renewal_interval_us
@@ -81,71 +90,87 @@
             LeaseRelease: self.balancer.on_release,
         }
 
-    # --- state ---
-
     @property
     def claims(self) -> list[Claim]:
-        """This member's part of each shard."""
+        """The state of this member's leases, by shard."""
         return self.leases.claims
 
     @property
     def votes(self) -> list[Vote]:
-        """The voter's part of each shard."""
+        """The state of this member's voter, by shard."""
         return self.voter.votes
 
     @property
     def is_recovering(self) -> bool:
-        """Whether it reads the state of others before it votes."""
+        """Whether this member still reads the votes of the others and doesn't vote yet."""
         return self.recovery.is_active
 
     @property
     def load(self) -> MemberLoad:
-        """What its share depends on."""
+        """What this member reports to the others, and what its weight is computed from."""
         return MemberLoad(self.capacity, self.is_draining, self.loop_delay_us)
 
     def held_shards(self) -> list[int]:
-        """Shards whose lease it holds."""
+        """Return the shards whose lease this member holds."""
         return self.leases.held_shards()
 
     def weights(self, now: int) -> dict[int, float]:
-        """The weight of each reachable member, this one among them."""
+        """Return the weight of each reachable member, this one included."""
         return self.peers.weights(now, self.load)
 
     def holder(self, now: int, shard: int) -> int | None:
-        """Which member holds a shard's lease, as far as this one knows."""
+        """Return the member that holds a shard's lease according to this one, or None."""
         return self.balancer.holder(now, shard)
 
     def is_quorum_lost(self, now: int) -> bool:
-        """Whether no quorum is reachable, for so long that it is no pause of this process."""
+        """Return whether a quorum has been unreachable for longer than a pause of this process explains."""
         return self.quorum_monitor.is_lost(now)
 
     def permission(self, now: int, shard: int, seq: int = 0) -> Permission | None:
-        """Which orders may be sent; to be asked after an order is encoded, with the record that it needs.
+        """Return which commands may be sent for a shard.
+
+        Call this after a command is encoded, immediately before it is sent, since encoding takes time.
+
+        Args:
+            now: The present time.
+            shard: The shard of the proxy that the command is for.
+            seq: The number of the record that the command requires; 0 for none.
 
-        FULL: the lease is valid. REPEAT_ONLY: it expired because no quorum is reachable, and no later term
-        is known; what repeats known tables may be sent, nothing that admits a request or a retry. None:
-        nothing.
+        Returns:
+            FULL while the lease is valid. REPEAT_ONLY if it expired because no quorum is reachable and no
+            later term was seen: commands that repeat previous tables may be sent, but none that admits
+            additional requests or retries. None if nothing may be sent.
         """
         if self.leases.is_valid(now, shard, seq):
             return Permission.FULL
-        if self.leases.has_latest_known_term(shard) and self.is_quorum_lost(now):
+        if self.leases.has_latest_term(shard) and self.is_quorum_lost(now):
             return Permission.REPEAT_ONLY
         return None
 
-    # --- calls ---
-
     def write_record(self, now: int, shard: int, record: PackedRecord, output: LeaseOutput) -> int | None:
-        """Sends a shard's new record to the voters; returns its number, for `permission`, or None."""
+        """Send a shard's new record to all voters.
+
+        Returns:
+            The number of the record, as `permission` expects it; None without a valid lease.
+        """
         return self.leases.write_record(now, shard, record, output)
 
     def release(
         self, now: int, shards: Iterable[int], successor: int | None, output: LeaseOutput
     ) -> list[int]:
-        """Gives leases up; returns the shards of those that it had."""
+        """Release leases to the member `successor`, or to any member if it is None.
+
+        Returns:
+            The released shards, without those that had no claim.
+        """
         return self.leases.release(now, shards, successor, output)
 
     def tick(self, now: int, output: LeaseOutput) -> int:
-        """Does what is due; returns when to be called again at the latest."""
+        """Renew, expire and request leases as far as this is due.
+
+        Returns:
+            The time by which `tick` has to be called again.
+        """
         self.quorum_monitor.tick(now)
         if self.is_recovering:
             if now >= self._renew_at:
@@ -162,17 +187,19 @@
             self._rebalance_at = now + self.configuration.renewal_interval_us // 2
             if now >= self.voter.quiet_until and self.quorum_monitor.is_reachable():
                 self.balancer.rebalance(now, self.weights(now), self.is_draining, output)
-        due = self.leases.tick(now, output)
-        return max(now + SHORTEST_TICK_US, min([self._renew_at, self._rebalance_at, *due]))
-
-    # --- messages ---
+        due_times = self.leases.tick(now, output)
+        return max(now + SHORTEST_TICK_US, min([self._renew_at, self._rebalance_at, *due_times]))
 
     def note_contact(self, now: int, member: int) -> None:
-        """A message of a member has come, whatever it says."""
+        """Record that a message of a member arrived, whatever its content."""
         self.peers.note_contact(now, member)
 
     def receive(self, now: int, member: int, message: Message, output: LeaseOutput) -> None:
-        """A message of a member, this one among them: its own voter is asked like the others."""
+        """Handle a message of a member.
+
+        This member sends requests to its own voter in the same way as to the others, so `member` may be the
+        local one. While recovering, only messages of the recovery are handled.
+        """
         self.note_contact(now, member)
         if self.is_recovering and not isinstance(message, (StateRequest, StateReply)):
             return
@@ -182,5 +209,5 @@
         self.peers.update_load(member, request.load)
         self.voter.on_renewal(now, member, request, output)
 
-    def _on_own_vote(self, shard: int, output: LeaseOutput) -> None:
+    def _on_local_promise(self, shard: int, output: LeaseOutput) -> None:
         self.leases.end_superseded_lease(shard, output)
--- a/ravenshelf/leadership/decisions/messages.py
+++ b/ravenshelf/leadership/decisions/messages.py
@@ -1,33 +1,33 @@
-"""Messages between members, one type for each; `leadership.message_codec` encodes them.
+"""Messages between members, one type per message; `leadership.message_codec` encodes them.
 
-The fields and their order are those of the wire. A shard, a member and a term are numbers.
+The fields and their order are those of the wire. Shards, members and terms are numbers.
 """
 
 from typing import NamedTuple, TypeAlias
 
 
 class RecordedVote(NamedTuple):
-    """What a voter stores of one shard: its promise, and the record that it accepted."""
+    """What a voter stores for one shard: its promise, and the record that it accepted."""
 
     shard: int
-    promised: int
-    term: int
-    seq: int
+    promised_term: int
+    accepted_term: int
+    accepted_seq: int
     record: bytes | None
 
 
 class ShardTerm(NamedTuple):
-    """A shard and the term that a member requests or holds its lease in."""
+    """A shard, and the term in which a member requests or holds its lease."""
 
     shard: int
     term: int
 
 
 class PromisedTerm(NamedTuple):
-    """A rejected lease request: the term that the voter has promised, or promised to another member."""
+    """A rejected lease request, and the term that the voter has promised for the shard."""
 
     shard: int
-    promised: int
+    promised_term: int
 
 
 class SupersededTerm(NamedTuple):
@@ -35,7 +35,7 @@
 
     shard: int
     term: int
-    promised: int
+    promised_term: int
 
 
 class Grant(NamedTuple):
@@ -58,7 +58,7 @@
 
 
 class WrittenRecord(NamedTuple):
-    """A record that a voter has accepted."""
+    """The identity of a record that a voter has accepted."""
 
     shard: int
     term: int
@@ -66,7 +66,7 @@
 
 
 class ReleasedLease(NamedTuple):
-    """A lease that its holder gives up, and the member that is to take it over (None: any)."""
+    """A lease that its holder released, and the member that is to acquire it (None: any)."""
 
     shard: int
     term: int
@@ -74,7 +74,7 @@
 
 
 class MemberLoad(NamedTuple):
-    """What the share of a member depends on."""
+    """What a member's weight is computed from."""
 
     capacity: float
     is_draining: bool
@@ -82,17 +82,17 @@
 
 
 class StateRequest(NamedTuple):
-    """A member whose disk was empty requests the votes of another."""
+    """A request for all votes, sent by a member whose disk was empty."""
 
 
 class StateReply(NamedTuple):
-    """All votes of a voter; None from one that is recovering itself."""
+    """All votes of a voter; None if the voter is recovering itself."""
 
     votes: list[RecordedVote] | None
 
 
 class RenewalRequest(NamedTuple):
-    """Heartbeat: renews the leases held, and reports the member's load."""
+    """A heartbeat, which renews the sender's leases and reports its load."""
 
     number: int
     terms: list[ShardTerm]
@@ -100,7 +100,7 @@
 
 
 class RenewalReply(NamedTuple):
-    """Shards whose lease the voter has renewed, and those where it promised a later term."""
+    """The shards whose lease the voter has renewed, and those for which it promised a later term."""
 
     number: int
     renewed: list[int]
@@ -108,7 +108,7 @@
 
 
 class ProbeRequest(NamedTuple):
-    """Asks whether a voter would grant leases; nobody promises anything."""
+    """A question whether a voter would grant leases; the voter promises nothing."""
 
     shards: list[int]
 
@@ -120,33 +120,33 @@
 
 
 class LeaseRequest(NamedTuple):
-    """Requests leases, each in a new term."""
+    """A request for leases, each in a new term."""
 
     terms: list[ShardTerm]
 
 
 class LeaseReply(NamedTuple):
-    """Leases that the voter has granted, and those that it has not."""
+    """The leases that the voter has granted, and those that it has rejected."""
 
     granted: list[Grant]
     rejected: list[PromisedTerm]
 
 
 class RecordWrite(NamedTuple):
-    """A lease holder writes records."""
+    """Records that a lease holder writes."""
 
     records: list[ShardRecord]
 
 
 class RecordWriteReply(NamedTuple):
-    """Records that the voter has accepted, and those where it promised a later term."""
+    """The records that the voter has accepted, and those for which it promised a later term."""
 
     written: list[WrittenRecord]
     rejected: list[SupersededTerm]
 
 
 class LeaseRelease(NamedTuple):
-    """A holder has given up leases."""
+    """The leases that their holder has released."""
 
     released: list[ReleasedLease]
 
--- a/ravenshelf/leadership/decisions/output.py
+++ b/ravenshelf/leadership/decisions/output.py
@@ -1,4 +1,4 @@
-"""The seam through which decisions act."""
+"""The interface that decisions call to store votes, send messages and report changes of leases."""
 
 from __future__ import annotations
 
@@ -8,22 +8,24 @@
     from ravenshelf.leadership.decisions.claims import LeaseState
     from ravenshelf.leadership.decisions.messages import Message
 
-PackedRecord: TypeAlias = (
-    bytes | None
-)  # a shard's record (`record.Record.pack`); None where there is none yet
+# a shard's record as `record.Record.pack` returns it; None while the shard has no record yet
+PackedRecord: TypeAlias = bytes | None
 
 
 class LeaseOutput(Protocol):
-    """Where decisions go. What is sent in a step leaves only once what was stored in it is on disk."""
+    """Stores, sends and reports what decisions produce.
+
+    A message that a step sends must not leave before everything that the step stored is on disk.
+    """
 
     def store_vote(self, shard: int, promised: int, term: int, seq: int, record: PackedRecord) -> None:
-        """Stores a voter's part of a shard."""
+        """Store a shard's vote: its promised term, and the term, number and bytes of its record."""
 
     def store_voting(self) -> None:
-        """Stores that this member votes from now on, also after its next start."""
+        """Store that this member votes from now on, also after its next start."""
 
     def send(self, member: int, message: Message) -> None:
-        """Sends a message to a member; it may be this one."""
+        """Send a message to a member, which may be the local one."""
 
     def lease_changed(self, shard: int, state: LeaseState, term: int, record: PackedRecord) -> None:
-        """The state of this member's lease of a shard has changed."""
+        """Handle a change of the state of this member's lease of a shard."""
--- a/ravenshelf/leadership/decisions/peers.py
+++ b/ravenshelf/leadership/decisions/peers.py
@@ -1,4 +1,4 @@
-"""What a member knows of the others: who is reachable, with what load, and whether a quorum is."""
+"""Reachability and load of the other members, and the reachability of a quorum."""
 
 from dataclasses import dataclass
 
@@ -6,13 +6,13 @@
 from ravenshelf.leadership.decisions.messages import MemberLoad
 from ravenshelf.leadership.shard_placement import member_weight
 
-NEVER = -1  # in place of a time
-UNKNOWN_LOAD = MemberLoad(1.0, False, 0)  # until a member has reported its own
+NEVER = -1  # stands in for the time of a contact that has not happened
+UNKNOWN_LOAD = MemberLoad(1.0, False, 0)  # assumed until a member has reported its load
 
 
 @dataclass(slots=True)
 class Peer:
-    """Another member. Times are microseconds by this member's clock."""
+    """Another member. Times are microseconds of the local member's clock."""
 
     last_contact: int | None = None
     reachable_since: int = 0
@@ -20,15 +20,15 @@
 
 
 class PeerTable:
-    """All other members of the cluster."""
+    """All other members of the cluster, by number."""
 
-    def __init__(self, local_member: int, members: int, configuration: LeaseConfiguration) -> None:
+    def __init__(self, local_member: int, member_count: int, configuration: LeaseConfiguration) -> None:
         self.local_member = local_member
         self.configuration = configuration
-        self.peers = {member: Peer() for member in range(members) if member != local_member}
+        self.peers = {member: Peer() for member in range(member_count) if member != local_member}
 
     def note_contact(self, now: int, member: int) -> None:
-        """A message of a member has come."""
+        """Record that a message of a member arrived; one from the local member is ignored."""
         peer = self.peers.get(member)
         if peer is None:
             return
@@ -37,17 +37,17 @@
         peer.last_contact = now
 
     def update_load(self, member: int, load: MemberLoad) -> None:
-        """A member has reported its load."""
+        """Record the load that a member has reported."""
         if member in self.peers:
             self.peers[member].load = load
 
     def is_stable(self, now: int, member: int) -> bool:
-        """Whether a member is reachable for long enough to be handed shards of others."""
+        """Return whether a member has been reachable for long enough to receive shards from others."""
         return now - self.peers[member].reachable_since >= self.configuration.stability_period_us
 
-    def weights(self, now: int, own_load: MemberLoad) -> dict[int, float]:
-        """The weight of each reachable member, this one among them."""
-        weights = {self.local_member: self._weight(own_load)}
+    def weights(self, now: int, local_load: MemberLoad) -> dict[int, float]:
+        """Return the weight of each reachable member, the local one included."""
+        weights = {self.local_member: self._weight(local_load)}
         for member, peer in self.peers.items():
             if peer.last_contact is not None and now - peer.last_contact <= self.configuration.lease_us:
                 weights[member] = self._weight(peer.load)
@@ -59,7 +59,10 @@
         )
 
     def quorum_last_contact(self, now: int, quorum: int) -> int:
-        """When a quorum, this member included, was last heard from; `NEVER` where it has not been."""
+        """Return the latest time by which a whole quorum, this member included, had been in contact.
+
+        `NEVER` if a quorum has not been in contact yet; `now` if this member alone is a quorum.
+        """
         if quorum < 2:
             return now
         times = sorted(
@@ -70,7 +73,7 @@
 
 
 class QuorumMonitor:
-    """Whether a quorum is reachable, told apart from pauses of this process itself."""
+    """Detects that no quorum is reachable, and distinguishes this from pauses of its own process."""
 
     def __init__(self, now: int, configuration: LeaseConfiguration) -> None:
         self.configuration = configuration
@@ -78,9 +81,10 @@
         self.last_tick = now
 
     def tick(self, now: int) -> None:
-        """Called at each tick.
+        """Detect a pause of this process; called at each tick.
 
-        A pause of this process says nothing of messages that had no answer meanwhile.
+        While the process was paused, no reply could be handled. So missing replies don't show that the quorum
+        was unreachable, and the time without one is counted from the end of the pause.
         """
         was_paused = now - self.last_tick > self.configuration.lease_us
         if was_paused and self.unreachable_since is not None:
@@ -88,21 +92,22 @@
         self.last_tick = now
 
     def update(self, now: int, quorum_last_contact: int) -> None:
-        """Takes in when a quorum was last heard from."""
+        """Update the reachability from the last contact with a quorum (`NEVER` for none)."""
         if now - quorum_last_contact <= self.configuration.lease_us and quorum_last_contact >= 0:
             self.unreachable_since = None
         elif self.unreachable_since is None:
-            # from now on, not from the last message: this process may be the one that was paused
+            # counted from now and not from the last message, because this process may have been paused
             self.unreachable_since = now
 
     def is_reachable(self) -> bool:
-        """Whether a quorum was heard from within the last lease."""
+        """Return whether a quorum was in contact within the last lease length."""
         return self.unreachable_since is None
 
     def is_lost(self, now: int) -> bool:
-        """Whether a quorum is unreachable for so long that it is no pause of this process.
+        """Return whether a quorum has been unreachable for too long to be a pause of this process.
 
-        Renewals that were sent after the last message of a quorum have had no answer for two leases.
+        That is the case when renewals that were sent after the last contact with a quorum have had no reply
+        for two lease lengths.
         """
         lease_us = self.configuration.lease_us
         is_running = now - self.last_tick <= lease_us
--- a/ravenshelf/leadership/decisions/recovery.py
+++ b/ravenshelf/leadership/decisions/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of a member whose disk is empty: it votes for nothing until it has read a quorum of the others."""
+"""Recovery of a member whose disk is empty: it doesn't vote before it has the votes of a quorum of others."""
 
 from ravenshelf.leadership.decisions.configuration import LeaseConfiguration
 from ravenshelf.leadership.decisions.messages import RecordedVote, StateReply, StateRequest
@@ -7,19 +7,23 @@
 
 
 class StateRecovery:
-    """`is_active`: the disk does not say that this member votes (it is empty, or a recovery did not end)."""
+    """Reads the votes of the other members, and answers their requests for votes.
+
+    `is_active` is True as long as the disk does not say that this member votes: the disk was empty, or an
+    earlier recovery did not complete.
+    """
 
     def __init__(
         self,
         local_member: int,
-        members: int,
+        member_count: int,
         quorum: int,
         configuration: LeaseConfiguration,
         voter: Voter,
         is_active: bool,
     ) -> None:
         self.local_member = local_member
-        self.members = members
+        self.member_count = member_count
         self.quorum = quorum
         self.configuration = configuration
         self.is_active = is_active
@@ -27,29 +31,30 @@
         self._replies: dict[int, list[RecordedVote] | None] = {}
 
     def request(self, output: LeaseOutput) -> None:
-        """Requests the state of all others."""
-        for member in range(self.members):
+        """Request the votes of all other members."""
+        for member in range(self.member_count):
             if member != self.local_member:
                 output.send(member, StateRequest())
 
     def on_request(self, _now: int, member: int, _request: StateRequest, output: LeaseOutput) -> None:
-        """Replies with all votes, or that there are none to rely on here either."""
+        """Reply with all votes, or with None while this member is recovering itself."""
         output.send(member, StateReply(None if self.is_active else self._voter.recorded_votes()))
 
     def on_reply(self, now: int, member: int, reply: StateReply, output: LeaseOutput) -> None:
-        """Votes again once a quorum of the others is read.
+        """Adopt the votes of a quorum of the other members, and end the recovery.
 
-        Any quorum that accepted something without this member has a voter among them. Where all others have
-        nothing either, this is the first start of the cluster.
+        Every quorum that accepted something without this member has a voter in common with those that are
+        read here. If all other members reply and none of them has any vote, this is the first start of the
+        cluster, and the recovery ends as well.
         """
         if not self.is_active or member == self.local_member:
             return
         self._replies[member] = reply.votes
-        known = [votes for votes in self._replies.values() if votes is not None]
-        is_first_start = not any(known) and len(self._replies) == self.members - 1
-        if len(known) < self.quorum and not is_first_start:
+        available_votes = [votes for votes in self._replies.values() if votes is not None]
+        is_first_start = not any(available_votes) and len(self._replies) == self.member_count - 1
+        if len(available_votes) < self.quorum and not is_first_start:
             return
-        for votes in known:
+        for votes in available_votes:
             for recorded in votes:
                 self._voter.merge(recorded)
         for recorded in self._voter.recorded_votes():
--- a/ravenshelf/leadership/decisions/renewals.py
+++ b/ravenshelf/leadership/decisions/renewals.py
@@ -1,47 +1,53 @@
-"""Renewals that a member has sent: a lease counts from when the renewal was sent, not from its replies."""
+"""Renewals that a member has sent. A lease counts from when the renewal was sent, not from the replies."""
 
 from collections import deque
 from dataclasses import dataclass
 
 from ravenshelf.leadership.decisions.claims import Claim
 
-RENEWALS_REMEMBERED = 12  # a reply to an older renewal counts for nothing
+RENEWAL_LOG_SIZE = 12  # replies to older renewals are ignored
 
 
 @dataclass(slots=True)
 class Renewal:
-    """A renewal, and the terms that it renewed. Times are microseconds of the member's clock."""
+    """A renewal that was sent.
+
+    Attributes:
+        number: Its number, as the replies repeat it.
+        sent_at: When it was sent, microseconds of the member's clock.
+        terms: The renewed term by shard.
+    """
 
     number: int
     sent_at: int
-    terms: dict[int, int]  # shard: term
+    terms: dict[int, int]
 
 
 class RenewalLog:
-    """The newest renewals, numbered in their order."""
+    """The newest renewals, numbered consecutively."""
 
     def __init__(self) -> None:
         self._last_number = 0
-        self._renewals: deque[Renewal] = deque(maxlen=RENEWALS_REMEMBERED)
+        self._renewals: deque[Renewal] = deque(maxlen=RENEWAL_LOG_SIZE)
 
     def add(self, now: int, terms: dict[int, int]) -> Renewal:
-        """A renewal that is sent now."""
+        """Add a renewal that is sent now, and return it with its number."""
         self._last_number += 1
         renewal = Renewal(self._last_number, now, terms)
         self._renewals.append(renewal)
         return renewal
 
     def find(self, number: int) -> Renewal | None:
-        """The renewal that a reply names, or None for one that is too old."""
+        """Return the renewal with this number, or None if it has been dropped from the log."""
         return next((renewal for renewal in self._renewals if renewal.number == number), None)
 
 
 def count_renewal(claim: Claim, renewal: Renewal, voter: int, quorum: int, usable_lease_us: int) -> None:
-    """A voter has renewed a claim's lease: it is valid for longer once a quorum has."""
+    """Count a voter's renewal of a claim's lease, and extend the lease once a quorum has renewed it."""
     voters = claim.renewed_by.setdefault(renewal.number, set())
     voters.add(voter)
     if len(voters) >= quorum:
         claim.valid_until = max(claim.valid_until, renewal.sent_at + usable_lease_us)
-    outdated = [number for number in claim.renewed_by if number < renewal.number - RENEWALS_REMEMBERED]
-    for number in outdated:
+    outdated_numbers = [number for number in claim.renewed_by if number < renewal.number - RENEWAL_LOG_SIZE]
+    for number in outdated_numbers:
         del claim.renewed_by[number]
--- a/ravenshelf/leadership/decisions/token_bucket.py
+++ b/ravenshelf/leadership/decisions/token_bucket.py
@@ -1,21 +1,21 @@
-"""A rate limit."""
+"""Rate limit of handovers and takeovers."""
 
 from ravenshelf.leadership.decisions.configuration import SECOND
 
 
 class TokenBucket:
-    """So many tokens a second, and a second's worth of them at most."""
+    """A token bucket that is refilled at `per_second` and holds at most the tokens of one second."""
 
     def __init__(self, per_second: float) -> None:
         self.per_second = per_second
         self.tokens = per_second
         self.refilled_at = 0
 
-    def take(self, now: int, count: int) -> int:
-        """Takes up to `count` tokens; returns how many there were. `now` in microseconds."""
+    def consume(self, now: int, count: int) -> int:
+        """Remove up to `count` tokens at the time `now` in microseconds, and return how many there were."""
         refill = self.per_second * max(0, now - self.refilled_at) / SECOND
         self.tokens = min(self.per_second, self.tokens + refill)
         self.refilled_at = now
-        taken = min(count, int(self.tokens))
-        self.tokens -= taken
-        return taken
+        consumed = min(count, int(self.tokens))
+        self.tokens -= consumed
+        return consumed
--- a/ravenshelf/leadership/decisions/voter.py
+++ b/ravenshelf/leadership/decisions/voter.py
@@ -1,4 +1,4 @@
-"""A voter: promises, grants of leases, and accepted records. It decides for every shard."""
+"""The voter of a member: it promises terms, grants leases and accepts records, for every shard."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -22,75 +22,89 @@
 )
 from ravenshelf.leadership.decisions.output import LeaseOutput, PackedRecord
 
-StoredVotes: TypeAlias = Mapping[
-    int, tuple[int, int, int, PackedRecord]
-]  # shard: (promised, term, seq, record)
+# by shard: promised term, term and number of the accepted record, the record
+StoredVotes: TypeAlias = Mapping[int, tuple[int, int, int, PackedRecord]]
 
 
 @dataclass(slots=True)
 class Vote:
-    """A voter's part of one shard. `holder` and `granted_until` are in memory only."""
-
-    promised: int = 0
-    term: int = 0  # of the accepted record
-    seq: int = 0  # of the accepted record
+    """The state of a voter for one shard. `holder` and `granted_until` are in memory only.
+
+    Attributes:
+        promised_term: The latest promised term; requests and records of earlier terms are rejected.
+        accepted_term: The term of the accepted record.
+        accepted_seq: The number of the accepted record in that term.
+        record: The accepted record.
+        holder: The member with the latest grant, or None.
+        granted_until: When that grant expires, microseconds of this member's clock.
+    """
+
+    promised_term: int = 0
+    accepted_term: int = 0
+    accepted_seq: int = 0
     record: PackedRecord = None
     holder: int | None = None
-    granted_until: int = 0  # by this member's clock
+    granted_until: int = 0
 
     def is_available_to(self, now: int, member: int) -> bool:
-        """Whether no other member has an unexpired grant."""
+        """Return whether no other member has an unexpired grant."""
         return self.holder in (None, member) or now >= self.granted_until
 
 
 class Voter:
-    """`superseded(shard, output)` is called after each promise that may end a lease of this member."""
+    """The votes of one member, by shard.
+
+    Args:
+        configuration: Durations and the number of shards.
+        stored: The votes that were read from disk.
+        now: The present time, microseconds.
+        on_promise: Called with the shard and the output after each promise, because a promise may end a
+            lease of this member.
+    """
 
     def __init__(
         self,
         configuration: LeaseConfiguration,
         stored: StoredVotes,
         now: int,
-        superseded: Callable[[int, LeaseOutput], None],
+        on_promise: Callable[[int, LeaseOutput], None],
     ) -> None:
         self.configuration = configuration
         self.votes = [Vote() for _ in range(configuration.shards)]
-        for shard, (promised, term, seq, record) in stored.items():
-            self.votes[shard] = Vote(promised, term, seq, record)
+        for shard, (promised_term, term, seq, record) in stored.items():
+            self.votes[shard] = Vote(promised_term, term, seq, record)
         self.quiet_until = 0
         self.begin_quiet_period(now)
-        self._superseded = superseded
+        self._on_promise = on_promise
 
     def begin_quiet_period(self, now: int) -> None:
-        """Grants nothing until any lease that it may have granted before has expired."""
+        """Grant nothing until every lease that this voter may have granted before its start has expired."""
         self.quiet_until = now + self.configuration.quiet_period_us()
 
     def store(self, shard: int, output: LeaseOutput) -> None:
-        """Stores the shard's vote."""
+        """Store the shard's vote on disk."""
         vote = self.votes[shard]
-        output.store_vote(shard, vote.promised, vote.term, vote.seq, vote.record)
+        output.store_vote(shard, vote.promised_term, vote.accepted_term, vote.accepted_seq, vote.record)
 
     def recorded_votes(self) -> list[RecordedVote]:
-        """All votes with a promise or a record."""
+        """Return the votes of all shards with a promise or an accepted record."""
         return [
-            RecordedVote(shard, vote.promised, vote.term, vote.seq, vote.record)
+            RecordedVote(shard, vote.promised_term, vote.accepted_term, vote.accepted_seq, vote.record)
             for shard, vote in enumerate(self.votes)
-            if vote.promised or vote.seq
+            if vote.promised_term or vote.accepted_seq
         ]
 
     def merge(self, recorded: RecordedVote) -> None:
-        """Takes over a promise or record of another voter where it is later."""
+        """Adopt a promise or a record of another voter if it is later than the local one."""
         vote = self.votes[recorded.shard]
-        vote.promised = max(vote.promised, recorded.promised)
-        if (recorded.term, recorded.seq) > (vote.term, vote.seq):
-            vote.term = recorded.term
-            vote.seq = recorded.seq
+        vote.promised_term = max(vote.promised_term, recorded.promised_term)
+        if (recorded.accepted_term, recorded.accepted_seq) > (vote.accepted_term, vote.accepted_seq):
+            vote.accepted_term = recorded.accepted_term
+            vote.accepted_seq = recorded.accepted_seq
             vote.record = recorded.record
 
-    # --- requests ---
-
     def on_probe(self, now: int, member: int, request: ProbeRequest, output: LeaseOutput) -> None:
-        """Replies which leases it would grant."""
+        """Reply which leases this voter would grant now; nothing is promised."""
         available = [
             shard
             for shard in request.shards
@@ -99,70 +113,74 @@
         output.send(member, ProbeReply(available))
 
     def on_lease_request(self, now: int, member: int, request: LeaseRequest, output: LeaseOutput) -> None:
-        """Grants leases in terms later than any that it promised, unless another's grant is unexpired."""
+        """Grant each lease whose term is later than the promised one, unless another member holds a grant."""
         granted: list[Grant] = []
         rejected: list[PromisedTerm] = []
         for shard, term in request.terms:
             vote = self.votes[shard]
             is_available = vote.is_available_to(now, member)
-            if term <= vote.promised or not is_available or now < self.quiet_until:
-                rejected.append(PromisedTerm(shard, vote.promised))
+            if term <= vote.promised_term or not is_available or now < self.quiet_until:
+                rejected.append(PromisedTerm(shard, vote.promised_term))
                 continue
-            vote.promised = term
+            vote.promised_term = term
             vote.holder = member
             vote.granted_until = now + self.configuration.lease_us
             self.store(shard, output)
-            granted.append(Grant(shard, term, vote.term, vote.seq, vote.record))
-            self._superseded(shard, output)
+            granted.append(Grant(shard, term, vote.accepted_term, vote.accepted_seq, vote.record))
+            self._on_promise(shard, output)
         output.send(member, LeaseReply(granted, rejected))
 
     def on_record_write(self, now: int, member: int, request: RecordWrite, output: LeaseOutput) -> None:
-        """Accepts records of the promised term or a later one."""
+        """Accept records of the promised term or a later one."""
         written: list[WrittenRecord] = []
         rejected: list[SupersededTerm] = []
         for shard, term, seq, record in request.records:
             vote = self.votes[shard]
-            if term < vote.promised:
-                rejected.append(SupersededTerm(shard, term, vote.promised))
+            if term < vote.promised_term:
+                rejected.append(SupersededTerm(shard, term, vote.promised_term))
                 continue
-            if (term, seq) > (vote.term, vote.seq):
-                vote.promised = term
-                vote.term = term
-                vote.seq = seq
+            if (term, seq) > (vote.accepted_term, vote.accepted_seq):
+                vote.promised_term = term
+                vote.accepted_term = term
+                vote.accepted_seq = seq
                 vote.record = record
-                if (
-                    vote.holder != member
-                ):  # it missed the request that others granted: as if it had received it
+                if vote.holder != member:
+                    # this voter missed the request that a quorum granted: it acts as if it had granted it
                     vote.holder = member
                     vote.granted_until = max(vote.granted_until, now + self.configuration.lease_us)
                 self.store(shard, output)
-                self._superseded(shard, output)
+                self._on_promise(shard, output)
             written.append(WrittenRecord(shard, term, seq))
         output.send(member, RecordWriteReply(written, rejected))
 
     def on_renewal(self, now: int, member: int, request: RenewalRequest, output: LeaseOutput) -> None:
-        """Renews grants of the promised term or a later one."""
+        """Renew grants of the promised term or a later one."""
         renewed: list[int] = []
         rejected: list[SupersededTerm] = []
         for shard, term in request.terms:
             vote = self.votes[shard]
-            if term > vote.promised and vote.is_available_to(now, member):
-                # a quorum granted it while this voter was unreachable: it would never learn of it otherwise
-                vote.promised = term
+            if term > vote.promised_term and vote.is_available_to(now, member):
+                # A quorum granted this term while this voter was unreachable. The lease request is not sent
+                # again, so the voter has to adopt the term from the renewal.
+                vote.promised_term = term
                 self.store(shard, output)
-                self._superseded(shard, output)
-            if term == vote.promised and vote.is_available_to(now, member):
+                self._on_promise(shard, output)
+            if term == vote.promised_term and vote.is_available_to(now, member):
                 vote.holder = member
                 vote.granted_until = now + self.configuration.lease_us
                 renewed.append(shard)
-            elif term < vote.promised:
-                rejected.append(SupersededTerm(shard, term, vote.promised))
+            elif term < vote.promised_term:
+                rejected.append(SupersededTerm(shard, term, vote.promised_term))
         output.send(member, RenewalReply(request.number, renewed, rejected))
 
     def end_grant(self, member: int, shard: int, term: int) -> bool:
-        """The holder has released the lease. True: this voter had granted it in that term."""
+        """End the grant of a lease that its holder has released.
+
+        Returns:
+            True if this voter had granted the lease to that member in that term.
+        """
         vote = self.votes[shard]
-        if vote.promised != term or vote.holder != member:
+        if vote.promised_term != term or vote.holder != member:
             return False
         vote.holder = None
         vote.granted_until = 0
--- a/ravenshelf/leadership/status.py
+++ b/ravenshelf/leadership/status.py
@@ -63,7 +63,7 @@
     return [
         {
             "shard": shard,
-            "promised": vote.promised,
+            "promised": vote.promised_term,
             "granted": membership.names[vote.holder] if vote.holder is not None else "",
             "lease_ms": max(0, (vote.granted_until - now) // 1000),
             "state": member.claims[shard].state.value,
--- a/tests/leadership/test_member.py
+++ b/tests/leadership/test_member.py
@@ -90,7 +90,7 @@
 
 
 def test_a_member_with_an_empty_disk_reads_a_quorum_before_it_votes(cluster):
-    promised = [vote.promised for vote in cluster.members[2].votes]
+    promised = [vote.promised_term for vote in cluster.members[2].votes]
     restarted = cluster.restart_with_empty_disk(2, seed=9)
     cluster.partitioned |= {(0, 2), (2, 0)}
     cluster.run(3)
@@ -98,7 +98,7 @@
     cluster.partitioned.clear()
     cluster.run(1)
     assert not restarted.is_recovering
-    assert all(vote.promised >= before for vote, before in zip(restarted.votes, promised, strict=True))
+    assert all(vote.promised_term >= before for vote, before in zip(restarted.votes, promised, strict=True))
 
 
 def test_a_cluster_starts_for_the_first_time_once_all_members_are_there():
@@ -115,7 +115,7 @@
 def test_a_stray_promise_makes_the_holder_request_a_later_term(cluster):
     holder = cluster.holder(0)
     vote = cluster.members[(holder + 1) % 3].votes[0]
-    vote.promised += 5 * TERM_STRIDE
+    vote.promised_term += 5 * TERM_STRIDE
     cluster.run(6)
     assert len(cluster.holders(0)) == 1
-    assert cluster.members[cluster.holder(0)].claims[0].term == vote.promised
+    assert cluster.members[cluster.holder(0)].claims[0].term == vote.promised_term
