--- a/ravenshelf/process/serving.py
+++ b/ravenshelf/process/serving.py
@@ -9,7 +9,7 @@
 EXIT_USAGE = 2
 
 
-def options(arguments: list[str]) -> argparse.Namespace:
+def parse_options(arguments: list[str]) -> argparse.Namespace:
     """Parse the command line; if it is not valid, print the usage and exit the process."""
     parser = argparse.ArgumentParser(
         "ravenshelf serve",
@@ -46,7 +46,7 @@
 
 def main(arguments: list[str]) -> int:
     """Run `ravenshelf serve` with the arguments after the command's name and return the exit code."""
-    parsed = options(arguments)
+    parsed = parse_options(arguments)
     operator = None
     read_operator = None
     if parsed.operator is not None:  # without an operator file its modules are not loaded
--- a/tests/process/registry_doubles.py
+++ b/tests/process/registry_doubles.py
@@ -1,4 +1,4 @@
-"""Calls to the endpoint registry and to endpoints that a test answers by hand."""
+"""A registry client and health checks whose HTTP calls are recorded and answered by the test."""
 
 import json
 import random
@@ -21,28 +21,33 @@
 
 
 class RecordedCall:
-    """A call that was opened; the test says what comes back."""
+    """An open call, whose response the test sends."""
 
     def __init__(self, path, done, on_line, timeout_us, address=None):
         self.path, self.done, self.on_line, self.address = path, done, on_line, address
         self.end, self.status, self.body = None, 200, b""
 
-    def says(self, rev, *targets, all=False):
-        self.on_line(self, json.dumps({"rev": rev, "all": all, "targets": targets}).encode())
+    def send_list(self, version, *targets, is_complete=False):
+        self.on_line(self, json.dumps({"rev": version, "all": is_complete, "targets": targets}).encode())
 
     def close(self, end):
         if self.end is None:
             self.end = end
             self.done(self)
 
-    def answers(self, rev, *targets, all=True):
-        self.body = json.dumps({"rev": rev, "all": all, "targets": targets}).encode()
+    def respond(self, version, *targets, is_complete=True):
+        self.body = json.dumps({"rev": version, "all": is_complete, "targets": targets}).encode()
         self.close(ConnectionEnd.ANSWERED)
 
 
-class Service:
-    def __init__(self, pushed=False):
-        self.calls, self.told, self.again = [], [], []
+class RegistryClientDriver:
+    """A registry client and health checks with a manual clock, on a list with the ready endpoint s-1.
+
+    `events` holds the published events; of an endpoint list, only its kind and the endpoints' states.
+    """
+
+    def __init__(self, is_pushed=False):
+        self.calls, self.events, self.watch_delays_us = [], [], []
         self.now = 0
         self.registry = EndpointRegistry(lambda: self.now, lambda index: False)
         settings = decode_settings(SETTINGS)
@@ -53,41 +58,41 @@
             {0: "127.0.0.1:9"},
         )
 
-        def news(event):
-            if isinstance(event, EndpointsListed):  # of an entry only what tells the cases apart
+        def record_event(event):
+            if isinstance(event, EndpointsListed):
                 event = (event.kind, [(entry.endpoint, entry.state) for entry in event.entries])
-            self.told.append(event)
+            self.events.append(event)
 
         self.counters = Counters()
-        self.discovery = RegistryClient(
+        self.registry_client = RegistryClient(
             self.registry,
             EndpointListDecoder(settings, self.registry.index_of, self.registry.index_by_name.get),
             self.counters,
             self,
-            news,
-            self.again.append,
-            pushed,
+            record_event,
+            self.watch_delays_us.append,
+            is_pushed,
             random.Random(5),
         )
-        self.extended = []
-        self.probes = HealthChecks(
+        self.extended_calls = []
+        self.health_checks = HealthChecks(
             settings,
             self.registry,
             self.counters,
             self,
-            self.told.append,
+            self.events.append,
             lambda: 0,
         )
 
-    def open(self, *said):
-        self.calls.append(RecordedCall(*said))
+    def open(self, *arguments):
+        self.calls.append(RecordedCall(*arguments))
         return self.calls[-1]
 
     def extend(self, call, timeout_us):
-        self.extended.append(call)
+        self.extended_calls.append(call)
 
-    def watched(self):
-        """A watch that has spoken: of s-2, in version 6."""
-        self.discovery.watch_endpoints(True)
-        self.calls[-1].says(6, target("s-2"))
+    def open_answered_watch(self):
+        """Return an open watch that has sent version 6 with the new endpoint s-2."""
+        self.registry_client.watch_endpoints(True)
+        self.calls[-1].send_list(6, target("s-2"))
         return self.calls[-1]
--- a/tests/process/server_doubles.py
+++ b/tests/process/server_doubles.py
@@ -1,4 +1,4 @@
-"""A loop and a clock set by hand, the configuration of a server, and its process."""
+"""An event loop with a manual clock, a server's configuration, its process, and a client of it."""
 
 import os
 import socket
@@ -11,34 +11,37 @@
 
 
 class ManualLoop:
-    """Calls wait until the test lets them go; `late` seconds pass before the next one is played."""
+    """An event loop whose time passes only in `run_for`."""
 
     def __init__(self):
-        self.now, self.waiting, self.calls = 1000 * SECOND, [], []
+        self.now, self.pending_callbacks, self.calls = 1000 * SECOND, [], []
 
     def create_future(self):
         return type("Future", (), {"done": lambda self: False})()
 
-    def call_later(self, wait, what):
-        handle = type("Handle", (), {"cancel": lambda h: self.waiting.remove((at, what))})()
-        at = self.now + wait * 1e6
-        self.waiting.append((at, what))
+    def call_later(self, delay, callback):
+        handle = type(
+            "Handle", (), {"cancel": lambda handle: self.pending_callbacks.remove((at, callback))}
+        )()
+        at = self.now + delay * 1e6
+        self.pending_callbacks.append((at, callback))
         return handle
 
-    def call_soon(self, what, *values):
-        return self.call_later(0, lambda: what(*values))
+    def call_soon(self, callback, *arguments):
+        return self.call_later(0, lambda: callback(*arguments))
 
-    def create_task(self, dialing):
-        dialing.close()
+    def create_task(self, coroutine):
+        coroutine.close()
         return type("Task", (), {"cancel": lambda self: None})()
 
-    def play(self, seconds, late=0.0):
+    def run_for(self, seconds, delay=0.0):
+        """Run the callbacks that are due within `seconds`; the first runs `delay` seconds late."""
         end = self.now + seconds * 1e6
-        while self.waiting and min(at for at, _ in self.waiting) <= end:
-            at, what = min(self.waiting, key=lambda w: w[0])
-            self.waiting.remove((at, what))
-            self.now, late = int(max(self.now, at)) + 1 + round(late * 1e6), 0.0
-            what()
+        while self.pending_callbacks and min(at for at, _ in self.pending_callbacks) <= end:
+            at, callback = min(self.pending_callbacks, key=lambda pending: pending[0])
+            self.pending_callbacks.remove((at, callback))
+            self.now, delay = int(max(self.now, at)) + 1 + round(delay * 1e6), 0.0
+            callback()
         self.now = max(self.now, int(end))
 
 
@@ -54,28 +57,28 @@
 
 
 class LineClient:
-    """A connection to the pilot, read line by line."""
+    """A connection to the server that sends and receives lines."""
 
     def __init__(self, port):
         self.socket = socket.create_connection(("127.0.0.1", port), timeout=20)
         self.file = self.socket.makefile("rb")
 
-    def say(self, *said):
-        self.socket.sendall(b"".join(s.encode() + b"\r\n" for s in said))
+    def send(self, *lines):
+        self.socket.sendall(b"".join(line.encode() + b"\r\n" for line in lines))
         return self
 
-    def hear(self):
+    def receive(self):
         return self.file.readline().decode().strip()
 
 
 def start_program(file):
-    """Starts the pilot at a port that the system gives, and waits until it says which."""
-    running = subprocess.Popen(
+    """Start a server on a free port and wait until it listens; return the process and the port."""
+    process = subprocess.Popen(
         [sys.executable, "-m", "ravenshelf", "serve"],
         stderr=subprocess.PIPE,
         text=True,
         env=os.environ | {"RELAY_CONFIG": str(file)},
     )
-    while "serves at" not in (line := running.stderr.readline()):
-        assert running.poll() is None, line
-    return running, int(line.rpartition(":")[2])
+    while "serves at" not in (line := process.stderr.readline()):
+        assert process.poll() is None, line
+    return process, int(line.rpartition(":")[2])
--- a/tests/process/test_acceptor.py
+++ b/tests/process/test_acceptor.py
@@ -1,4 +1,4 @@
-"""Accepted connections: what their messages become, and how they end."""
+"""The connection acceptor: the events that messages become, malformed messages, and ends of connections."""
 
 import re
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    "first, line, call",
+    "first_message, line, event",
     [
         (None, JOIN, ProxyJoined(1, 0, 21.5, True)),
         (None, JOIN + " colour=blue", ProxyJoined(1, 0, 21.5, True)),
@@ -48,17 +48,17 @@
         (JOIN, RATE.replace("19", "0").replace("failed=0", "failed=1"), DemandReport(1, 1, 0, 1, 1_000_000)),
     ],
 )
-def test_messages_become_events(drive_acceptor, first, line, call):
-    e = drive_acceptor()
-    e.connect(*([first] if first else []), line)
-    assert e.published_events[-1] == call and not e.counters["unreadable"]
+def test_messages_become_events(drive_acceptor, first_message, line, event):
+    driver = drive_acceptor()
+    driver.connect(*([first_message] if first_message else []), line)
+    assert driver.published_events[-1] == event and not driver.counters["unreadable"]
 
 
-SPOILT = ["", "nan", "-3", "[1]", "s-zz", "1e+30", "38654705664"]
+INVALID_VALUES = ["", "nan", "-3", "[1]", "s-zz", "1e+30", "38654705664"]
 
 
 @pytest.mark.parametrize(
-    "first, line",
+    "first_message, line",
     [
         (None, "HELLO proxy=1"),
         (None, ""),
@@ -91,81 +91,87 @@
         ("SOURCE zone=a", "CONFIG out=s-1"),
     ],
 )
-def test_an_unreadable_line_ends_only_its_connection(drive_acceptor, first, line):
-    e = drive_acceptor()
-    other = e.connect(JOIN.replace("proxy=1", "proxy=3"))
-    bad = e.connect(*([first] if first else []))
-    before = list(e.published_events)
-    feed(bad, line.encode("latin-1") + b"\r\n" + JOIN.encode() + b"\r\n")  # nothing after it counts either
-    feed(bad, JOIN.encode() + b"\r\n")  # nor does what lay in the socket still
+def test_an_unreadable_line_ends_only_its_connection(drive_acceptor, first_message, line):
+    driver = drive_acceptor()
+    other_stream = driver.connect(JOIN.replace("proxy=1", "proxy=3"))
+    unreadable_connection = driver.connect(*([first_message] if first_message else []))
+    events_before = list(driver.published_events)
+    # Lines after the unreadable one are ignored, and so is data that was still in the socket.
+    feed(unreadable_connection, line.encode("latin-1") + b"\r\n" + JOIN.encode() + b"\r\n")
+    feed(unreadable_connection, JOIN.encode() + b"\r\n")
     assert (
-        bad.end is ConnectionEnd.UNREADABLE
-        and bad.transport.closing_method == "abort"
-        and e.counters["unreadable"] == 1
+        unreadable_connection.end is ConnectionEnd.UNREADABLE
+        and unreadable_connection.transport.closing_method == "abort"
+        and driver.counters["unreadable"] == 1
     )
-    assert e.published_events[len(before) :] == ([ProxyLeft(1)] if first == JOIN else [])
-    assert other.end is None and len(e.slots) == 1
+    assert driver.published_events[len(events_before) :] == ([ProxyLeft(1)] if first_message == JOIN else [])
+    assert other_stream.end is None and len(driver.slots) == 1
 
 
-def spoil(line, name, value):
+def with_value(line, name, value):
     return re.sub(rf" {name}=\S+", "" if value is None else f" {name}={value}", line)
 
 
 @pytest.mark.parametrize(
-    "first, line",
+    "first_message, line",
     [
         *[
-            (JOIN, spoil(RATE, name, value))
+            (JOIN, with_value(RATE, name, value))
             for name in ("proxy", "class", "tries", "failed", "span_ms")
-            for value in (None, *SPOILT)
+            for value in (None, *INVALID_VALUES)
         ],
         *[
-            ("SOURCE zone=a", spoil(LOAD, name, value))
+            ("SOURCE zone=a", with_value(LOAD, name, value))
             for name in ("zone", "tries", "failed", "mean_ms", "span_ms")
-            for value in (None, *SPOILT)
+            for value in (None, *INVALID_VALUES)
         ],
         *[
-            (JOIN, spoil("ACK proxy=1 mark=7 took_ms=3.5", name, value))
+            (JOIN, with_value("ACK proxy=1 mark=7 took_ms=3.5", name, value))
             for name in ("proxy", "mark", "took_ms")
-            for value in (None, *SPOILT)
+            for value in (None, *INVALID_VALUES)
         ],
-        ("SOURCE zone=a", spoil(LOAD, "server", None)),
-        ("SOURCE zone=a", spoil(LOAD, "zone", "b")),
-        ("SOURCE zone=a", spoil(LOAD, "failed", "213")),
-        ("SOURCE zone=a", spoil(LOAD, "span_ms", "0")),
-        ("SOURCE zone=a", spoil(LOAD, "mean_ms", "90000")),
+        ("SOURCE zone=a", with_value(LOAD, "server", None)),
+        ("SOURCE zone=a", with_value(LOAD, "zone", "b")),
+        ("SOURCE zone=a", with_value(LOAD, "failed", "213")),
+        ("SOURCE zone=a", with_value(LOAD, "span_ms", "0")),
+        ("SOURCE zone=a", with_value(LOAD, "mean_ms", "90000")),
         ("SOURCE zone=a", "ACK proxy=1 mark=7 took_ms=1"),
         (JOIN, "ACK proxy=1 mark=7 took_ms=1500"),
         (JOIN, "ACK proxy=1 mark=7"),
         (JOIN, "RATE proxy=1 class=pay trACK proxy=1 mark=7"),
     ],
 )
-def test_a_malformed_message_is_skipped_and_its_neighbours_count(drive_acceptor, first, line):
-    e = drive_acceptor()
-    c = e.connect(first)
-    e.acceptor.write(1, b"", 7)
-    before = list(e.published_events)
-    good = [RATE] if first == JOIN else [LOAD, RATE]
-    feed(c, "".join(s + "\r\n" for s in [*good, line, *good]).encode())
-    assert [type(event) for event in e.published_events[len(before) :]] == [
-        DemandReport if s == RATE else LoadReport for s in good
+def test_a_malformed_message_is_skipped_and_the_messages_around_it_are_handled(
+    drive_acceptor, first_message, line
+):
+    driver = drive_acceptor()
+    connection = driver.connect(first_message)
+    driver.acceptor.write(1, b"", 7)
+    events_before = list(driver.published_events)
+    valid_messages = [RATE] if first_message == JOIN else [LOAD, RATE]
+    feed(connection, "".join(text + "\r\n" for text in [*valid_messages, line, *valid_messages]).encode())
+    assert [type(event) for event in driver.published_events[len(events_before) :]] == [
+        DemandReport if text == RATE else LoadReport for text in valid_messages
     ] * 2
-    assert c.end is None and sum(n for name, n in e.counters.items() if name.startswith("malformed_")) == (
-        0 if e.counters["acks_unexpected"] or e.counters["stale"] else 1
-    )
+    assert connection.end is None and sum(
+        count for name, count in driver.counters.items() if name.startswith("malformed_")
+    ) == (0 if driver.counters["acks_unexpected"] or driver.counters["stale"] else 1)
 
 
 def test_a_marker_is_acknowledged_once_and_in_time(drive_acceptor):
-    e = drive_acceptor()
-    c = e.connect(JOIN)
-    e.acceptor.write(1, b"", 7)
-    e.now += 700_000
-    feed(c, b"ACK proxy=1 mark=7 took_ms=700\r\nACK proxy=1 mark=7 took_ms=700\r\n")
-    assert e.published_events[1:] == [BatchAcknowledged(1, 7, 700_000)] and e.counters["acks_unexpected"] == 1
+    driver = drive_acceptor()
+    connection = driver.connect(JOIN)
+    driver.acceptor.write(1, b"", 7)
+    driver.now += 700_000
+    feed(connection, b"ACK proxy=1 mark=7 took_ms=700\r\nACK proxy=1 mark=7 took_ms=700\r\n")
+    assert (
+        driver.published_events[1:] == [BatchAcknowledged(1, 7, 700_000)]
+        and driver.counters["acks_unexpected"] == 1
+    )
 
 
 @pytest.mark.parametrize(
-    "first, piece, end",
+    "first_message, data, end",
     [
         (None, b"\x16\x03\x01", ConnectionEnd.UNREADABLE),
         (None, b"GET /", ConnectionEnd.UNREADABLE),
@@ -177,35 +183,37 @@
         (JOIN, b"RATEproxy=1 ", ConnectionEnd.UNREADABLE),
     ],
 )
-def test_a_line_that_cannot_become_a_message_ends_the_connection(drive_acceptor, first, piece, end):
-    c = drive_acceptor().connect(*([first] if first else []))
-    feed(c, piece)
-    assert c.end is end
+def test_a_partial_line_that_begins_no_message_ends_the_connection(drive_acceptor, first_message, data, end):
+    connection = drive_acceptor().connect(*([first_message] if first_message else []))
+    feed(connection, data)
+    assert connection.end is end
 
 
 def test_a_load_report_of_an_unknown_endpoint_is_skipped(drive_acceptor):
-    e = drive_acceptor()
-    collector = e.connect("SOURCE zone=a", LOAD.replace("s-1", "s-9"))
-    assert not e.published_events and collector.end is None and e.counters["reports_of_unknown"] == 1
+    driver = drive_acceptor()
+    collector = driver.connect("SOURCE zone=a", LOAD.replace("s-1", "s-9"))
+    assert (
+        not driver.published_events and collector.end is None and driver.counters["reports_of_unknown"] == 1
+    )
 
 
 @pytest.mark.parametrize("size", [1, 3, 7, 4096])
 def test_lines_arrive_in_pieces_or_many_at_once(drive_acceptor, size):
-    e, text = drive_acceptor(), f"PING\r\n{JOIN}\r\n{RATE}\r\nPING\r\n".encode()
-    stream = e.connect()
+    driver, text = drive_acceptor(), f"PING\r\n{JOIN}\r\n{RATE}\r\nPING\r\n".encode()
+    stream = driver.connect()
     for start in range(0, len(text), size):
         feed(stream, text[start : start + size])
-    assert [type(event) for event in e.published_events] == [
+    assert [type(event) for event in driver.published_events] == [
         ProxyJoined,
         DemandReport,
     ] and stream.transport.sent_data == b"PONG\r\n" * 2
     feed(stream, JOIN[:9].encode())
-    stream.connection_lost(None)  # half a message is none
-    assert e.published_events[-1] == ProxyLeft(1) and len(e.slots) == 0
+    stream.connection_lost(None)  # half a message is dropped
+    assert driver.published_events[-1] == ProxyLeft(1) and len(driver.slots) == 0
 
 
 @pytest.mark.parametrize(
-    "first, size, end",
+    "first_messages, size, end",
     [
         ((), 4_000, None),
         ((), 4_100, ConnectionEnd.TOO_LONG),
@@ -213,107 +221,121 @@
         ((JOIN,), 1_060_000, ConnectionEnd.TOO_LONG),
     ],
 )
-def test_a_message_without_end_is_bounded(drive_acceptor, first, size, end):
-    e = drive_acceptor()
-    stream = e.connect(*first)
+def test_the_length_of_an_unfinished_message_is_limited(drive_acceptor, first_messages, size, end):
+    driver = drive_acceptor()
+    stream = driver.connect(*first_messages)
     feed(stream, b"RATE " + b"x" * (size - 5))
-    assert stream.end is end and (e.published_events[-1:] == [ProxyLeft(1)]) == (
-        end is not None and bool(first)
+    assert stream.end is end and (driver.published_events[-1:] == [ProxyLeft(1)]) == (
+        end is not None and bool(first_messages)
     )
 
 
 @pytest.mark.parametrize(
-    "lost, end", [(None, ConnectionEnd.CLOSED), (ConnectionResetError(), ConnectionEnd.RESET)]
+    "error, end", [(None, ConnectionEnd.CLOSED), (ConnectionResetError(), ConnectionEnd.RESET)]
 )
-def test_the_end_of_a_stream_is_published_once(drive_acceptor, lost, end):
-    e = drive_acceptor()
-    stream = e.connect(JOIN)
-    stream.connection_lost(lost)
-    stream.connection_lost(lost)
-    assert stream.end is end and e.published_events == [ProxyJoined(1, 0, 21.5, True), ProxyLeft(1)]
+def test_the_end_of_a_stream_is_published_once(drive_acceptor, error, end):
+    driver = drive_acceptor()
+    stream = driver.connect(JOIN)
+    stream.connection_lost(error)
+    stream.connection_lost(error)
+    assert stream.end is end and driver.published_events == [ProxyJoined(1, 0, 21.5, True), ProxyLeft(1)]
 
 
 def test_a_proxy_belongs_to_its_newest_stream(drive_acceptor):
-    e = drive_acceptor()
-    old, new = e.connect(JOIN), e.connect(JOIN.replace("fresh=1", "fresh=0"))
-    e.acceptor.write(1, b"x", 7)
-    told = list(e.published_events)
-    assert new.transport.sent_data == b"x" and not old.transport.sent_data and old.end is None
-    feed(old, (RATE + "\r\nACK proxy=1 mark=7 took_ms=5\r\n" + JOIN + "\r\nPING\r\n").encode())
-    assert e.published_events == told and e.counters["stale"] == 3 and old.transport.sent_data == b"PONG\r\n"
+    driver = drive_acceptor()
+    old_connection, new_connection = driver.connect(JOIN), driver.connect(JOIN.replace("fresh=1", "fresh=0"))
+    driver.acceptor.write(1, b"x", 7)
+    events_before = list(driver.published_events)
+    assert (
+        new_connection.transport.sent_data == b"x"
+        and not old_connection.transport.sent_data
+        and old_connection.end is None
+    )
+    feed(old_connection, (RATE + "\r\nACK proxy=1 mark=7 took_ms=5\r\n" + JOIN + "\r\nPING\r\n").encode())
+    assert (
+        driver.published_events == events_before
+        and driver.counters["stale"] == 3
+        and old_connection.transport.sent_data == b"PONG\r\n"
+    )
     feed(
-        new,
+        new_connection,
         b"ACK proxy=1 mark=8 took_ms=5\r\nACK proxy=1 mark=7 took_ms=5\r\nACK proxy=1 mark=7 took_ms=5\r\n",
     )
     assert (
-        e.published_events[len(told) :] == [BatchAcknowledged(1, 7, 5000)]
-        and e.counters["acks_unexpected"] == 2
+        driver.published_events[len(events_before) :] == [BatchAcknowledged(1, 7, 5000)]
+        and driver.counters["acks_unexpected"] == 2
     )
-    old.connection_lost(None)
-    assert len(e.published_events) == len(told) + 1 and e.acceptor.streams == {1: new}
+    old_connection.connection_lost(None)
+    assert len(driver.published_events) == len(events_before) + 1 and driver.acceptor.streams == {
+        1: new_connection
+    }
 
 
 def test_a_stream_that_joins_again_is_bound_again(drive_acceptor):
-    e = drive_acceptor()
-    stream = e.connect(JOIN, JOIN)
-    # the stream has not broken: what waits for it goes on counting
-    assert [type(e.published_events[n]) for n in (0, 2)] == [ProxyJoined, ProxyJoined] and e.published_events[
-        1:-1
-    ] == [ProxyLeft(1, True)]
-    assert e.acceptor.streams == {1: stream}
-
-
-def test_unread_messages_are_bounded(drive_acceptor):
-    e = drive_acceptor()
-    stream = e.connect(JOIN, unsent=300_000)
-    e.acceptor.write(1, b"x", None)
-    assert stream.end is ConnectionEnd.UNREAD and e.published_events[-1] == ProxyLeft(
-        1, True
-    )  # what waits for it stays counted
-
-
-@pytest.mark.parametrize("said", [b"", b"PING\r\n", b"SUBSCRIBE proxy=1 zo"])
-def test_an_unidentified_connection_is_closed_in_time(drive_acceptor, said):
-    e = drive_acceptor()
-    stream, collector, stranger = e.connect(JOIN), e.connect("SOURCE zone=a"), e.connect()
+    driver = drive_acceptor()
+    stream = driver.connect(JOIN, JOIN)
+    # The stream is intact, so the lines queued for it still count as queued.
+    assert [type(driver.published_events[index]) for index in (0, 2)] == [
+        ProxyJoined,
+        ProxyJoined,
+    ] and driver.published_events[1:-1] == [ProxyLeft(1, True)]
+    assert driver.acceptor.streams == {1: stream}
+
+
+def test_the_amount_of_unread_messages_is_limited(drive_acceptor):
+    driver = drive_acceptor()
+    stream = driver.connect(JOIN, unsent=300_000)
+    driver.acceptor.write(1, b"x", None)
+    # The lines queued for the stream still count as queued.
+    assert stream.end is ConnectionEnd.UNREAD and driver.published_events[-1] == ProxyLeft(1, True)
+
+
+@pytest.mark.parametrize("data", [b"", b"PING\r\n", b"SUBSCRIBE proxy=1 zo"])
+def test_an_unidentified_connection_is_closed_in_time(drive_acceptor, data):
+    driver = drive_acceptor()
+    stream, collector, unidentified_connection = (
+        driver.connect(JOIN),
+        driver.connect("SOURCE zone=a"),
+        driver.connect(),
+    )
     for _ in range(2):
-        feed(stranger, said)
-        e.pass_time(0.7)
-        assert stranger.end is None
-    e.pass_time(0.2)
+        feed(unidentified_connection, data)
+        driver.pass_time(0.7)
+        assert unidentified_connection.end is None
+    driver.pass_time(0.2)
     assert (
-        stranger.end is ConnectionEnd.SILENT
+        unidentified_connection.end is ConnectionEnd.SILENT
         and stream.end is None
         and collector.end is None
-        and len(e.slots) == 2
+        and len(driver.slots) == 2
     )
 
 
 def test_superseded_connections_are_closed_first_then_old_unidentified_ones(drive_acceptor):
-    e = drive_acceptor(slots=6, reserve=5)
-    old, new = e.connect(JOIN), e.connect(JOIN)
-    first = e.connect()
-    assert old.end is ConnectionEnd.NO_CAPACITY and e.acceptor.streams == {1: new}
-    second = e.connect()
-    assert first.end is None  # it may be about to join
-    e.pass_time(1.1)
-    third = e.connect()
-    assert first.end is ConnectionEnd.NO_CAPACITY and second.end is None
-    more = [e.connect() for _ in range(4)]
+    driver = drive_acceptor(slots=6, reserve=5)
+    old_connection, new_connection = driver.connect(JOIN), driver.connect(JOIN)
+    first_unidentified = driver.connect()
+    assert old_connection.end is ConnectionEnd.NO_CAPACITY and driver.acceptor.streams == {1: new_connection}
+    second_unidentified = driver.connect()
+    assert first_unidentified.end is None  # it may be about to join
+    driver.pass_time(1.1)
+    third_unidentified = driver.connect()
+    assert first_unidentified.end is ConnectionEnd.NO_CAPACITY and second_unidentified.end is None
+    later_connections = [driver.connect() for _ in range(4)]
     assert (
-        second.end is ConnectionEnd.NO_CAPACITY
-        and third.end is None
-        and not any(m.end for m in more)
-        and new.end is None
+        second_unidentified.end is ConnectionEnd.NO_CAPACITY
+        and third_unidentified.end is None
+        and not any(connection.end for connection in later_connections)
+        and new_connection.end is None
     )
 
 
 def test_a_superseded_collector_is_closed_when_it_is_silent(drive_acceptor):
-    e = drive_acceptor()
-    old, new = e.connect("SOURCE zone=a"), e.connect("SOURCE zone=a")
-    e.pass_time(20)
-    feed(old, LOAD.encode() + b"\r\n")
-    e.pass_time(20)
-    assert old.end is None and [type(event) for event in e.published_events] == [LoadReport]
-    e.pass_time(11)
-    assert old.end is ConnectionEnd.SILENT and new.end is None
+    driver = drive_acceptor()
+    old_connection, new_connection = driver.connect("SOURCE zone=a"), driver.connect("SOURCE zone=a")
+    driver.pass_time(20)
+    feed(old_connection, LOAD.encode() + b"\r\n")
+    driver.pass_time(20)
+    assert old_connection.end is None and [type(event) for event in driver.published_events] == [LoadReport]
+    driver.pass_time(11)
+    assert old_connection.end is ConnectionEnd.SILENT and new_connection.end is None
--- a/tests/process/test_configuration.py
+++ b/tests/process/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a server reads."""
+"""The configuration file of a server: errors and environment variables."""
 
 import json
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, told",
+    "change, error",
     [
         ({"listen": "here"}, "listen: expected host:port"),
         ({"discovery": None}, "discovery: expected host:port"),
@@ -27,23 +27,23 @@
         ({"known": {"rev": 4}}, "known: expected"),
     ],
 )
-def test_an_invalid_configuration_names_the_field(tmp_path, change, told):
+def test_an_invalid_configuration_names_the_field(tmp_path, change, error):
     file = tmp_path / "config.json"
     file.write_text(json.dumps(CONFIGURATION | change))
     with pytest.raises(
-        configuration.ConfigurationError, match=f"^{told}".replace("[", r"\[").replace("]", r"\]")
+        configuration.ConfigurationError, match=f"^{error}".replace("[", r"\[").replace("]", r"\]")
     ):
         configuration.read(str(file), {})
 
 
 @pytest.mark.parametrize(
-    "text, told", [(None, "config.json: No such file"), ("{", "expected JSON"), ("[]", "expected an object")]
+    "text, error", [(None, "config.json: No such file"), ("{", "expected JSON"), ("[]", "expected an object")]
 )
-def test_a_missing_or_unreadable_configuration_is_rejected(tmp_path, text, told):
+def test_a_missing_or_unreadable_configuration_is_rejected(tmp_path, text, error):
     file = tmp_path / "config.json"
     if text is not None:
         file.write_text(text)
-    with pytest.raises(configuration.ConfigurationError, match=told):
+    with pytest.raises(configuration.ConfigurationError, match=error):
         configuration.read(None, {"RELAY_CONFIG": str(file)})
     with pytest.raises(configuration.ConfigurationError, match="RELAY_CONFIG"):
         configuration.read(None, {})
@@ -53,11 +53,16 @@
     file = tmp_path / "config.json"
     file.write_text(
         json.dumps(
-            {k: v for k, v in CONFIGURATION.items() if k not in ("listen", "name")} | {"colour": "blue"}
+            {name: value for name, value in CONFIGURATION.items() if name not in ("listen", "name")}
+            | {"colour": "blue"}
         )
     )
-    read = configuration.read(
+    configuration_read = configuration.read(
         str(file), {"RELAY_LISTEN": "127.0.0.1:5", "RELAY_NAME": "n7", "RELAY_DISCOVERY": "x"}
     )
-    assert (read["listen"], read["name"], read["discovery"]) == ("127.0.0.1:5", "n7", "127.0.0.1:1")
-    assert "n7" in configuration.summary(read)
+    assert (configuration_read["listen"], configuration_read["name"], configuration_read["discovery"]) == (
+        "127.0.0.1:5",
+        "n7",
+        "127.0.0.1:1",
+    )
+    assert "n7" in configuration.summary(configuration_read)
--- a/tests/process/test_control_cycle.py
+++ b/tests/process/test_control_cycle.py
@@ -1,4 +1,4 @@
-"""One control cycle: messages, charges and a controller that fails."""
+"""The control cycle: messages to proxies, charged lines, and the replacement of a failed controller."""
 
 import pytest
 from conftest import SETTINGS
@@ -21,10 +21,12 @@
 
 
 class CycleDriver:
+    """A control cycle with a manual clock; `messages` holds the messages of the last cycle by proxy."""
+
     def __init__(self, states=("SERVING", "SERVING"), **service):
         settings = decode_settings(SETTINGS)
         settings = settings._replace(service=settings.service._replace(**service))
-        self.counters, self.now, self.out, self.proxy_tables = (
+        self.counters, self.now, self.messages, self.proxy_tables = (
             Counters(),
             100 * SECOND,
             [],
@@ -35,8 +37,8 @@
             ListKind.REPLACE,
             1,
             [
-                ListedEndpoint(self.registry.index_of(f"s-{n}"), 0, 0, 0, EndpointState.READY, 4.0, 0)
-                for n in (1, 2)
+                ListedEndpoint(self.registry.index_of(f"s-{number}"), 0, 0, 0, EndpointState.READY, 4.0, 0)
+                for number in (1, 2)
             ],
             {},
         )
@@ -44,12 +46,12 @@
         self.control_cycle.begin()
         self.run()
 
-    def run(self, *news):
-        for event in news:
+    def run(self, *events):
+        for event in events:
             self.control_cycle.deliver(event)
-        self.out = []
+        self.messages = []
         return self.control_cycle.run(
-            self.now, lambda proxy, message, ticket: self.out.append((proxy, message.decode()))
+            self.now, lambda proxy, message, marker: self.messages.append((proxy, message.decode()))
         )
 
 
@@ -65,8 +67,8 @@
 def test_joined_proxies_are_bound_in_one_message_each(drive_cycle):
     driver = drive_cycle()
     driver.run(join(0), join(1))
-    assert [proxy for proxy, _ in driver.out] == [0, 1]
-    assert driver.out[0][1].startswith("CONFIG whole=1 lines=s-1:") and driver.out[0][1].endswith(
+    assert [proxy for proxy, _ in driver.messages] == [0, 1]
+    assert driver.messages[0][1].startswith("CONFIG whole=1 lines=s-1:") and driver.messages[0][1].endswith(
         "ticket=1\r\n"
     )
     assert driver.counters["lines_written"] == driver.counters["lines_charged"] == 2 * (1 + 2 + 1 + 3)
@@ -76,27 +78,27 @@
     driver = drive_cycle()
     driver.run(join(0))
     driver.run(join(0, False))
-    assert [proxy for proxy, _ in driver.out] == [0] and "whole=1" in driver.out[0][1]
+    assert [proxy for proxy, _ in driver.messages] == [0] and "whole=1" in driver.messages[0][1]
     driver.run(ProxyLeft(0))
-    assert not driver.out and not driver.control_cycle.join_events
+    assert not driver.messages and not driver.control_cycle.join_events
 
 
-def test_lines_beyond_the_charge_are_added_to_the_queue(drive_cycle):
+def test_uncharged_lines_are_added_to_the_queue(drive_cycle):
     driver = drive_cycle()
     driver.run(join(0))
     driver.now += 20 * SECOND
     listed = EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),))
-    driver.control_cycle.controller.tables.write = lambda *_: (
-        None
-    )  # the table keeps the line, so it must be let back later
+    # The table keeps the endpoint's line, so the endpoint has to be readmitted later.
+    driver.control_cycle.controller.tables.write = lambda *_: None
     driver.run(listed)
-    assert "out=s-1" in driver.out[0][1]
+    assert "out=s-1" in driver.messages[0][1]
     driver.run(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, 0),)))
     driver.control_cycle.controller.channel.queued_lines = 0.0
     driver.control_cycle.controller.channel.batches.clear()
-    driver.control_cycle.controller.run_cycle = lambda now, news, orders: orders.request_acknowledgement(
+    # This controller requests an acknowledgement without charging the channel for any line.
+    driver.control_cycle.controller.run_cycle = lambda now, events, writer: writer.request_acknowledgement(
         5, True
-    )  # charges nothing
+    )
     driver.run()
     assert (
         driver.counters["lines_beyond_charge"]
@@ -110,7 +112,7 @@
     driver.run(join(0))
     driver.run(BatchAcknowledged(0, 1, 1000), join(1))
     assert (
-        driver.out
+        driver.messages
         and driver.counters["lines_written"] == driver.counters["lines_charged"]
         and not driver.counters["lines_beyond_charge"]
     )
@@ -119,14 +121,14 @@
 def test_possible_ejections_are_reconciled_as_the_channel_has_capacity(drive_cycle):
     driver = drive_cycle()
     driver.run(join(0, False))
-    assert "back=" not in driver.out[0][1]
+    assert "back=" not in driver.messages[0][1]
     driver.control_cycle.controller.channel.record_uncharged_lines(1e6)
     driver.run()
-    assert not driver.out
+    assert not driver.messages
     driver.now += 2000 * SECOND
     driver.run()
     assert (
-        "back=s-1,s-2" in driver.out[0][1]
+        "back=s-1,s-2" in driver.messages[0][1]
         and driver.counters["lines_written"] == driver.counters["lines_charged"]
     )
 
@@ -134,37 +136,43 @@
 def test_a_failed_controller_is_replaced_and_nothing_of_its_cycle_is_written(drive_cycle):
     driver = drive_cycle()
     driver.run(join(0), join(1))
-    failed = driver.control_cycle.controller
+    failed_controller = driver.control_cycle.controller
 
-    def fail(now, news, orders):
-        orders.set_weight(0, 0, 0)
+    def fail(now, events, writer):
+        writer.set_weight(0, 0, 0)
         raise RuntimeError("no such thing")
 
-    failed.run_cycle = fail
-    assert driver.run(ProxyLeft(1)) is None and not driver.out and driver.counters["controller_failures"] == 1
-    calls = driver.run()
-    assert driver.control_cycle.controller is not failed and [proxy for proxy, _ in driver.out] == [0]
-    assert "whole=1 lines=s-1:" in driver.out[0][1] and WatchEndpoints(True) in calls
+    failed_controller.run_cycle = fail
+    assert (
+        driver.run(ProxyLeft(1)) is None
+        and not driver.messages
+        and driver.counters["controller_failures"] == 1
+    )
+    commands = driver.run()
+    assert driver.control_cycle.controller is not failed_controller and [
+        proxy for proxy, _ in driver.messages
+    ] == [0]
+    assert "whole=1 lines=s-1:" in driver.messages[0][1] and WatchEndpoints(True) in commands
 
 
 def test_an_ejection_of_a_failed_cycle_is_written_later(drive_cycle):
-    """The cycle failed as its messages were encoded: none was written, so none counts as sent."""
+    """If a cycle fails while its messages are encoded, none of them is written or counted as sent."""
     driver = drive_cycle()
     driver.run(join(0), join(1))
     driver.now += 5 * SECOND
-    driver.control_cycle.controller.tables.write = lambda *_: (
-        None
-    )  # the tables keep the line, so the withdrawal has to go out
-    names, driver.registry.names = driver.registry.names, []  # no message can be made
+    # The tables keep the endpoint's line, so its ejection has to be written.
+    driver.control_cycle.controller.tables.write = lambda *_: None
+    names, driver.registry.names = driver.registry.names, []  # without names no message can be encoded
     assert (
         driver.run(
             EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),))
         )
         is None
-        and not driver.out
+        and not driver.messages
     )
     driver.registry.names = names
-    driver.proxy_tables.set_ejected(0, True)  # the new module has heard the list, and bound nobody yet
+    # The new controller has the endpoint list and has bound no proxy yet.
+    driver.proxy_tables.set_ejected(0, True)
     assert [(message.proxy, message.parts[0].ejected) for message in driver.proxy_tables.take_messages()] == [
         (0, [0]),
         (1, [0]),
@@ -174,22 +182,23 @@
 def test_a_new_controller_keeps_the_queue_and_reuses_no_marker(drive_cycle):
     driver = drive_cycle()
     driver.run(join(0), join(1))
-    channel, waited = (
+    channel, lines_before = (
         driver.control_cycle.controller.channel,
         driver.control_cycle.controller.channel.unconfirmed_lines(),
     )
-    assert waited
+    assert lines_before
+    # The controller fails in the middle of a cycle, after it has charged lines.
     driver.control_cycle.controller.ejections.update = lambda pending, writer: (
         channel.charge([0], 50) or 1 / 0
-    )  # half a round is charged
+    )
     assert driver.run(EndpointsListed(ListKind.UPDATE, ())) is None
     assert (
         driver.control_cycle.controller.channel is channel
-        and channel.unconfirmed_lines() == waited
+        and channel.unconfirmed_lines() == lines_before
         and not channel.cycle_charges
     )
     driver.run()
-    tickets = [int(text.split("ticket=")[1].split()[0]) for _, text in driver.out]
-    assert set(tickets) == {2} and channel.unconfirmed_lines() > waited
+    markers = [int(text.split("ticket=")[1].split()[0]) for _, text in driver.messages]
+    assert set(markers) == {2} and channel.unconfirmed_lines() > lines_before
     driver.run(BatchAcknowledged(0, 2, 1000), BatchAcknowledged(1, 2, 1000))
     assert not channel.unconfirmed_lines()
--- a/tests/process/test_control_plane.py
+++ b/tests/process/test_control_plane.py
@@ -1,4 +1,4 @@
-"""The server on a loop set by hand: events, deadlines, reloads."""
+"""The control-plane server on an event loop with a manual clock: events, deadlines, reloads."""
 
 from itertools import pairwise
 
@@ -34,9 +34,9 @@
 
 @pytest.fixture
 def running_server(started_server):
-    """A server that has run for a second, so nothing of its start is waiting."""
+    """Return a server that has run for a second, so that nothing from its start is pending, and its loop."""
     server, loop = started_server
-    loop.play(1)
+    loop.run_for(1)
     return server, loop
 
 
@@ -49,10 +49,10 @@
     )
     for _ in range(4):
         server.publish(DemandReport(1, 0, 5, 0, SECOND))
-    loop.play(0.0)
+    loop.run_for(0.0)
     for _ in range(3):
         server.publish(DemandReport(1, 0, 5, 0, SECOND))
-    loop.play(0.1)
+    loop.run_for(0.1)
     assert [reports for _, reports in cycles[:2]] == [4, 3] and 4000 <= cycles[1][0] - cycles[0][0] < 4100
 
 
@@ -62,15 +62,16 @@
     ids=["connections arrive", "no connection arrives"],
 )
 def test_a_long_cycle_leaves_as_much_time_to_accept_connections(running_server, connections_arrive, interval):
-    """Hundreds dial at once when servers are lost, and the loop accepts one a turn: those came a cycle apart.
+    """After the loss of servers, hundreds of proxies connect at once, and the loop accepts one per iteration.
 
-    Where no connection comes, events need not wait for any.
+    Without the pause, a control cycle would run between every two of them. If no connection arrives, events
+    must not wait for one.
     """
     server, loop = running_server
-    began, run_cycle = [], server.control_cycle.controller.run_cycle
+    cycle_starts, run_cycle = [], server.control_cycle.controller.run_cycle
 
     def run_long_cycle(now, events, commands):
-        began.append(now)
+        cycle_starts.append(now)
         run_cycle(now, events, commands)
         loop.now += 30_000
 
@@ -78,9 +79,9 @@
     for _ in range(40):
         server.counters["accepted"] += connections_arrive
         server.publish(DemandReport(1, 0, 5, 0, SECOND))
-        loop.play(0.005)
-    assert len(began) > 2 and all(
-        interval <= after - before < interval + 8000 for before, after in pairwise(began)
+        loop.run_for(0.005)
+    assert len(cycle_starts) > 2 and all(
+        interval <= next_start - start < interval + 8000 for start, next_start in pairwise(cycle_starts)
     )
 
 
@@ -95,16 +96,16 @@
     )
     start = loop.now
     server.publish(DemandReport(1, 0, 5, 0, SECOND))
-    loop.play(0.2)
+    loop.run_for(0.2)
     assert [key for _, key in expired if key != "step"] == ["past", "soon"]
     assert expired[0][0] >= start + 4000 and {key: time for time, key in expired}["soon"] >= start + 50_000
 
 
 def test_a_deadline_handler_that_raises_stops_no_other(started_server):
     server, loop = started_server
-    server.timers.set(ConnectionTimeout(None), loop.now + 10)  # names no connection
+    server.timers.set(ConnectionTimeout(None), loop.now + 10)  # its handler raises: there is no connection
     server.timers.set(ControllerTimer(0, "mine"), loop.now + 20)
-    loop.play(1)
+    loop.run_for(1)
     assert server.counters["deadlines_failed"] == 1 and server.counters["control_cycles"] > 2
 
 
@@ -115,7 +116,7 @@
         EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, 0),))
     )
     server.registry.index_of("s-1")
-    loop.play(0.1)
+    loop.run_for(0.1)
     controller, messages = server.control_cycle.controller, server.counters["messages_sent"]
     outcomes = [
         ConfigurationError("config.json", "expected JSON"),
@@ -136,7 +137,7 @@
         server.registry_client.watch.address == CONFIGURATION["discovery"]
         and server.counters["reloads_failed"] == 1
     )
-    loop.play(2)  # half written at first, whole in the end
+    loop.run_for(2)  # the file is incomplete at first and complete in the end
     assert (
         server.registry_client.watch.address == "127.0.0.1:99"
         and server.counters["reloads"] == 1
@@ -154,24 +155,28 @@
 
 
 def test_an_old_deadline_does_not_end_a_new_call_in_the_same_slot(running_server):
-    """The cycle opens a new call in the turn in which the old one was due, and it gets the old one's slot."""
+    """A cycle replaces a call in the loop iteration in which its deadline expires, and the slot is reused."""
     server, loop = running_server
     server.registry_client.watch_endpoints(True)
-    old, asked = server.registry_client.watch, []
+    old_watch, requests = server.registry_client.watch, []
     server.control_cycle.controller.run_cycle = lambda now, events, commands: (
-        asked or asked.append(commands.watch_endpoints(True))
+        requests or requests.append(commands.watch_endpoints(True))
     )
-    server.outgoing_calls.extend(old, 10_000)
+    server.outgoing_calls.extend(old_watch, 10_000)
     server.timers.set(ServerDeadline.CONTROL_CYCLE, loop.now + 9_000)
-    loop.play(0.1, late=0.05)
-    new = server.registry_client.watch
-    assert new is not old and old.end is ConnectionEnd.SUPERSEDED and (new.slot, new.end) == (old.slot, None)
-    loop.play(10)
-    assert new.end is ConnectionEnd.SILENT  # its own deadline holds
+    loop.run_for(0.1, delay=0.05)
+    new_watch = server.registry_client.watch
+    assert (
+        new_watch is not old_watch
+        and old_watch.end is ConnectionEnd.SUPERSEDED
+        and (new_watch.slot, new_watch.end) == (old_watch.slot, None)
+    )
+    loop.run_for(10)
+    assert new_watch.end is ConnectionEnd.SILENT  # its own deadline is in force
 
 
 @pytest.mark.parametrize(
-    "change, complaint",
+    "change, error",
     [
         (
             {"azs": ["dc-north", "dc-south"]},
@@ -185,17 +190,17 @@
     ],
     ids=["other zones", "other traffic groups", "a zone fewer"],
 )
-def test_a_reload_of_another_deployments_configuration_changes_nothing(started_server, change, complaint):
+def test_a_reload_of_another_deployments_configuration_changes_nothing(started_server, change, error):
     server, loop = started_server
-    before = server.configuration
+    previous_configuration = server.configuration
     server.reloader.read_configuration = lambda: (
         CONFIGURATION | {"discovery": "127.0.0.1:99", "settings": SETTINGS | change}
     )
-    with pytest.raises(ConfigurationError, match=complaint):
-        configuration.apply_reload(before, server.reloader.read_configuration())
+    with pytest.raises(ConfigurationError, match=error):
+        configuration.apply_reload(previous_configuration, server.reloader.read_configuration())
     server.reload()
-    loop.play(0.01)
-    assert server.configuration is before
+    loop.run_for(0.01)
+    assert server.configuration is previous_configuration
     assert (
         server.counters["reloads_failed"] == 1
         and not server.counters["reloads"]
@@ -215,10 +220,10 @@
 
     server.reloader.read_configuration = read_configuration_file
     server.reload()
-    loop.play(0.3)
-    server.reload()  # a second SIGHUP, and a third that brings the whole file
+    loop.run_for(0.3)
+    server.reload()  # a second SIGHUP, and a third that finds the complete file
     server.reload()
-    loop.play(3)
+    loop.run_for(3)
     assert (
         len(reads) == 3
         and server.counters["reloads"] == 1
@@ -228,27 +233,34 @@
 
 def test_a_reload_with_more_groups_and_zones_is_accepted(started_server):
     server, _ = started_server
-    more = SETTINGS | {"azs": ["c", "b", "a"], "classes": [{"name": "new"}, *SETTINGS["classes"]]}
-    new, waiting = configuration.apply_reload(
-        server.configuration, CONFIGURATION | {"discovery": "127.0.0.1:99", "settings": more}
+    larger_settings = SETTINGS | {"azs": ["c", "b", "a"], "classes": [{"name": "new"}, *SETTINGS["classes"]]}
+    new_configuration, restart_fields = configuration.apply_reload(
+        server.configuration, CONFIGURATION | {"discovery": "127.0.0.1:99", "settings": larger_settings}
     )
-    assert new["discovery"] == "127.0.0.1:99" and waiting == ["settings.azs", "settings.classes"]
+    assert new_configuration["discovery"] == "127.0.0.1:99" and restart_fields == [
+        "settings.azs",
+        "settings.classes",
+    ]
 
 
 @pytest.mark.parametrize(
-    "stall, line_waiting, end",
+    "stall, is_line_waiting, end",
     [(6.0, True, None), (6.0, False, ConnectionEnd.SILENT), (0.0, False, ConnectionEnd.SILENT)],
     ids=["stalled, a line waits", "stalled, nothing waits", "not stalled, nothing waits"],
 )
-def test_a_stalled_server_reads_before_it_takes_others_for_silent(started_server, stall, line_waiting, end):
+def test_a_server_reads_after_a_stall_before_it_closes_silent_calls(
+    started_server, stall, is_line_waiting, end
+):
     server, loop = started_server
     server.registry_client.watch_endpoints(True)
     call = server.registry_client.watch
-    loop.waiting.clear()
+    loop.pending_callbacks.clear()
     server.timers.loop_timer = None
     server.timers.deadlines.heap, server.timers.deadlines.deadlines = [], {}
     server.timers.set(CallTimeout(call), loop.now + SECOND)
-    if line_waiting:  # its line lay in the socket while the process stood still
-        loop.waiting.append((loop.now + SECOND + 1, lambda: server.outgoing_calls.extend(call, 5 * SECOND)))
-    loop.play(2 + stall, late=stall)
+    if is_line_waiting:  # a line of the call arrived in the socket during the stall
+        loop.pending_callbacks.append(
+            (loop.now + SECOND + 1, lambda: server.outgoing_calls.extend(call, 5 * SECOND))
+        )
+    loop.run_for(2 + stall, delay=stall)
     assert call.end is end
--- a/tests/process/test_health_checks.py
+++ b/tests/process/test_health_checks.py
@@ -1,7 +1,7 @@
-"""Health checks."""
+"""Health checks of endpoints: their requests and results."""
 
 import pytest
-from registry_doubles import Service
+from registry_doubles import RegistryClientDriver
 
 from ravenshelf.net.connection_end import ConnectionEnd
 from ravenshelf.policy.events import (
@@ -10,8 +10,8 @@
 
 
 @pytest.fixture
-def service():
-    return Service()
+def driver():
+    return RegistryClientDriver()
 
 
 @pytest.mark.parametrize(
@@ -24,18 +24,20 @@
         (ConnectionEnd.SILENT, b"", (0, False, 0, ())),
     ],
 )
-def test_each_health_check_has_one_result(service, end, body, values):
-    service.probes.begin(0)
-    probe = service.calls[-1]
-    probe.body = body
-    probe.close(end)
-    assert (probe.path, probe.address) == ("/_load", "127.0.0.1:9") and service.told == [
+def test_each_health_check_has_one_result(driver, end, body, values):
+    driver.health_checks.begin(0)
+    call = driver.calls[-1]
+    call.body = body
+    call.close(end)
+    assert (call.path, call.address) == ("/_load", "127.0.0.1:9") and driver.events == [
         HealthCheckCompleted(*values)
     ]
 
 
-@pytest.mark.parametrize("allowed, told", [(True, [HealthCheckCompleted(7, False, 0, ())]), (False, [])])
-def test_an_endpoint_without_an_address_fails_its_health_check(service, allowed, told):
-    service.probes.is_allowed = allowed
-    service.probes.begin(7)
-    assert not service.calls and service.told == told
+@pytest.mark.parametrize(
+    "are_checks_allowed, events", [(True, [HealthCheckCompleted(7, False, 0, ())]), (False, [])]
+)
+def test_an_endpoint_without_an_address_fails_its_health_check(driver, are_checks_allowed, events):
+    driver.health_checks.is_allowed = are_checks_allowed
+    driver.health_checks.begin(7)
+    assert not driver.calls and driver.events == events
