--- a/tests/process/test_control_cycle.py
+++ b/tests/process/test_control_cycle.py
@@ -182,11 +182,11 @@
 def test_a_new_controller_keeps_the_queue_and_reuses_no_marker(drive_cycle):
     driver = drive_cycle()
     driver.run(join(0), join(1))
-    channel, unconfirmed_lines = (
+    channel, lines_before = (
         driver.control_cycle.controller.channel,
         driver.control_cycle.controller.channel.unconfirmed_lines(),
     )
-    assert unconfirmed_lines
+    assert lines_before
     # The controller fails in the middle of a cycle, after it has charged lines.
     driver.control_cycle.controller.ejections.update = lambda pending, writer: (
         channel.charge([0], 50) or 1 / 0
@@ -194,11 +194,11 @@
     assert driver.run(EndpointsListed(ListKind.UPDATE, ())) is None
     assert (
         driver.control_cycle.controller.channel is channel
-        and channel.unconfirmed_lines() == unconfirmed_lines
+        and channel.unconfirmed_lines() == lines_before
         and not channel.cycle_charges
     )
     driver.run()
     markers = [int(text.split("ticket=")[1].split()[0]) for _, text in driver.messages]
-    assert set(markers) == {2} and channel.unconfirmed_lines() > unconfirmed_lines
+    assert set(markers) == {2} and channel.unconfirmed_lines() > lines_before
     driver.run(BatchAcknowledged(0, 2, 1000), BatchAcknowledged(1, 2, 1000))
     assert not channel.unconfirmed_lines()
