--- a/ravenshelf/collectd/decisions/host_clock.py
+++ b/ravenshelf/collectd/decisions/host_clock.py
@@ -27,7 +27,7 @@
         self.consecutive_late_values = 0
         self.reported_offset = 0  # last offset that `pop_new_offset` returned
 
-    def age(self, received_at: int, timestamp: int) -> int:
+    def estimate_age(self, received_at: int, timestamp: int) -> int:
         """Update the estimate with a value and return the value's estimated age on arrival.
 
         Args:
--- a/ravenshelf/collectd/decisions/host_loads.py
+++ b/ravenshelf/collectd/decisions/host_loads.py
@@ -65,19 +65,19 @@
     reported_time: int = 0  # `newest_time` when the host's load was last computed
     interval: int = DEFAULT_INTERVAL
 
-    def busy_share(self) -> float | None:
+    def estimate_busy_share(self) -> float | None:
         """Return the share of the processors' time that is not idle, from 0 to 1.
 
         The share is computed from the first of these that has current readings: rates of the processor
         states, percentages of the processor states, the run queue. It is None if none of them has.
         """
         oldest_current = self.newest_time - FRESH_INTERVALS * self.interval
-        for estimate in (
+        for estimate_share in (
             self._busy_share_by_rates,
             self._busy_share_by_percents,
             self._busy_share_by_run_queue,
         ):
-            share = estimate(oldest_current)
+            share = estimate_share(oldest_current)
             if share is not None:
                 return share
         return None
@@ -190,7 +190,7 @@
     def _add(self, now: int, values: ValueList, sources: tuple[DataSource, ...]) -> None:
         host = self.hosts.setdefault(values.host, Host())
         interval = values.interval or DEFAULT_INTERVAL
-        age = host.clock.age(now, values.time)
+        age = host.clock.estimate_age(now, values.time)
         if age > MAX_GAP_INTERVALS * interval:
             self.counters["collectd_late"] += 1
             return
@@ -249,7 +249,7 @@
             if host.newest_time <= host.reported_time:
                 continue
             host.reported_time = host.newest_time
-            busy_share = host.busy_share()
+            busy_share = host.estimate_busy_share()
             if busy_share is not None:
                 age = max(0, now - host.newest_measured_at) + host.interval // 2
                 loads += [HostLoad(endpoint, busy_share, age) for endpoint in self.find_endpoints(name)]
--- a/ravenshelf/collectd/decisions/series.py
+++ b/ravenshelf/collectd/decisions/series.py
@@ -36,21 +36,21 @@
         """
         if time <= self.time:
             return None
-        elapsed = time - self.time
+        elapsed_time = time - self.time
         previous_value = self.value
         self.time = time
         self.value = value
         if kind == GAUGE:
             return value
-        if elapsed > MAX_GAP_INTERVALS * interval:
+        if elapsed_time > MAX_GAP_INTERVALS * interval:
             return None
         if kind == ABSOLUTE:
-            return value * SECOND / elapsed
-        difference = _difference(kind, previous_value, value)
-        return None if difference is None else difference * SECOND / elapsed
+            return value * SECOND / elapsed_time
+        difference = _compute_difference(kind, previous_value, value)
+        return None if difference is None else difference * SECOND / elapsed_time
 
 
-def _difference(kind: int, previous_value: float, value: float) -> float | None:
+def _compute_difference(kind: int, previous_value: float, value: float) -> float | None:
     difference = value - previous_value
     if difference >= 0:
         return difference
--- a/ravenshelf/collectd/protocol.py
+++ b/ravenshelf/collectd/protocol.py
@@ -100,16 +100,16 @@
     """Yield the type and body of each part; raise RejectedPacketError at a malformed one."""
     position = 0
     while position < len(data):
-        remaining = len(data) - position
-        if remaining < PART_HEADER.size:
+        remaining_bytes = len(data) - position
+        if remaining_bytes < PART_HEADER.size:
             raise malformed_packet_error(
-                f"expected a part header of {PART_HEADER.size} bytes at {position}, found {remaining}"
+                f"expected a part header of {PART_HEADER.size} bytes at {position}, found {remaining_bytes}"
             )
         kind, size = PART_HEADER.unpack_from(data, position)
-        if not PART_HEADER.size <= size <= remaining:
+        if not PART_HEADER.size <= size <= remaining_bytes:
             raise malformed_packet_error(
                 f"part {kind:#06x} at {position}: expected at least a header and "
-                f"at most {remaining} bytes, found a length of {size}"
+                f"at most {remaining_bytes} bytes, found a length of {size}"
             )
         yield kind, data[position + PART_HEADER.size : position + size]
         position += size
--- a/ravenshelf/collectd/security.py
+++ b/ravenshelf/collectd/security.py
@@ -131,7 +131,7 @@
     raise _authentication_error(user, user_passwords)
 
 
-def _decrypt_with(password: bytes, initialization_vector: bytes, encrypted: bytes) -> bytes:
+def _decrypt_with(password: bytes, initialization_vector: bytes, ciphertext: bytes) -> bytes:
     # Imported here because the library is only needed for encrypted packets.
     from cryptography.hazmat.primitives.ciphers import Cipher, algorithms
 
@@ -141,4 +141,4 @@
         from cryptography.hazmat.primitives.ciphers.modes import OFB
     key = hashlib.sha256(password).digest()
     cipher = Cipher(algorithms.AES(key), OFB(initialization_vector))
-    return cipher.decryptor().update(encrypted)
+    return cipher.decryptor().update(ciphertext)
--- a/ravenshelf/collectd/users.py
+++ b/ravenshelf/collectd/users.py
@@ -38,8 +38,8 @@
             continue
         name, colon, password = (word.strip() for word in line.partition(":"))
         if not colon or not name or not password:
-            found = "no user or no password" if colon else "no colon"
-            raise UsersFileError(file, f"expected `user: password`, found {found}", number)
+            actual_line = "no user or no password" if colon else "no colon"
+            raise UsersFileError(file, f"expected `user: password`, found {actual_line}", number)
         if name in passwords:
             raise UsersFileError(file, f"expected each user once, found {name!r} again", number)
         passwords[name] = password.encode()
--- a/ravenshelf/graphite/collector.py
+++ b/ravenshelf/graphite/collector.py
@@ -128,7 +128,7 @@
         if state is EndpointState.READY:
             self.drains.cancel(endpoint)
         elif previous_state is EndpointState.READY and self.drains.start(endpoint, now):
-            self.interval.drains_started += 1
+            self.interval.started_drains += 1
         if state is EndpointState.GONE:
             self.endpoints.pop(endpoint, None)
         else:
@@ -149,8 +149,8 @@
     def _on_demand_report(self, report: DemandReport, now: int) -> None:
         zone = self.proxy_zones.get(report.proxy, 0)
         self._on_report(zone, report.window, now)
-        rejected = self._estimate_rejected_requests(report)
-        self.interval.add_demand(zone, report.group, report.requests, report.unanswered, rejected)
+        rejected_requests = self._estimate_rejected_requests(report)
+        self.interval.add_demand(zone, report.group, report.requests, report.unanswered, rejected_requests)
 
     def _estimate_rejected_requests(self, report: DemandReport) -> float:
         """Return the requests of a report that exceed the admission level that the proxy was last sent."""
@@ -160,10 +160,10 @@
         if level is None:
             return 0.0
         if self.is_level_fraction:
-            admitted = report.requests * min(1.0, level)
+            admitted_requests = report.requests * min(1.0, level)
         else:
-            admitted = level * report.window / SECOND
-        return max(0.0, report.requests - admitted)
+            admitted_requests = level * report.window / SECOND
+        return max(0.0, report.requests - admitted_requests)
 
     def _on_acknowledged(self, event: BatchAcknowledged, now: int) -> None:
         self.interval.record(metrics.UPDATE_LATENCY, event.elapsed)
--- a/ravenshelf/graphite/decisions/queue.py
+++ b/ravenshelf/graphite/decisions/queue.py
@@ -26,7 +26,7 @@
     importance: int  # index in metrics.IMPORTANCES
     points: list[tuple[str, float]]
     # Encoded chunks, empty until the batch is first encoded. Receivers of the same batch share the list.
-    encoded: list[bytes] = field(default_factory=list)
+    encoded_chunks: list[bytes] = field(default_factory=list)
     # Whether sending was started. The receiver may have part of the batch, so only this receiver may be sent
     # the batch again.
     is_attempted: bool = False
@@ -101,9 +101,9 @@
         candidates = [batches for batches in self.queued_batches if batches]
         if not candidates or self.backfill_tokens < 0:
             return None
-        oldest = min(candidates, key=lambda batches: batches[0].time)
-        self.backfill_tokens -= len(oldest[0])
-        return self._move_to_unconfirmed(oldest, oldest[0])
+        oldest_batches = min(candidates, key=lambda batches: batches[0].time)
+        self.backfill_tokens -= len(oldest_batches[0])
+        return self._move_to_unconfirmed(oldest_batches, oldest_batches[0])
 
     def _move_to_unconfirmed(self, batches: deque[Batch], batch: Batch) -> Batch:
         batches.remove(batch)
--- a/ravenshelf/graphite/decisions/routing.py
+++ b/ravenshelf/graphite/decisions/routing.py
@@ -32,7 +32,7 @@
             self.cached_rankings[path] = ranking
         return ranking
 
-    def owner(self, path: str, has_share: Sequence[bool]) -> int:
+    def find_owner(self, path: str, has_share: Sequence[bool]) -> int:
         """Return the index of the receiver that gets a path's points.
 
         If no receiver has its share, this is the most preferred one, and the points wait in its queue.
@@ -48,7 +48,7 @@
         """Return the points grouped by the index of the receiver that gets them."""
         points_by_receiver: dict[int, list[Point]] = {}
         for point in points:
-            points_by_receiver.setdefault(self.owner(point[0], has_share), []).append(point)
+            points_by_receiver.setdefault(self.find_owner(point[0], has_share), []).append(point)
         return points_by_receiver
 
 
--- a/ravenshelf/graphite/exporter.py
+++ b/ravenshelf/graphite/exporter.py
@@ -222,14 +222,14 @@
 
     def _write_chunks(self, connection: ReceiverConnection, batch: Batch) -> Iterator[None]:
         written_chunks = []
-        for chunk in batch.encoded or formats.encode(self.protocol, batch.time, batch.points):
+        for chunk in batch.encoded_chunks or formats.encode(self.protocol, batch.time, batch.points):
             if connection is not self.connection:
                 return
             connection.write(chunk)
             written_chunks.append(chunk)
             yield
         # Receivers of the same batch share this list, so the others need not encode the batch again.
-        batch.encoded[:] = written_chunks
+        batch.encoded_chunks[:] = written_chunks
 
     def _on_flushed(self, connection: ReceiverConnection) -> None:
         if connection is not self.connection or self.has_send_job:
--- a/ravenshelf/graphite/interval.py
+++ b/ravenshelf/graphite/interval.py
@@ -39,8 +39,8 @@
     """Requests that one zone's proxies received in one traffic group."""
 
     demand: float = 0.0
-    failed: float = 0.0
-    rejected: float = 0.0
+    failed_requests: float = 0.0
+    rejected_requests: float = 0.0
 
 
 @dataclass(slots=True)
@@ -48,7 +48,7 @@
     """Attempts at one zone's endpoints."""
 
     attempts: float = 0.0
-    failed: float = 0.0
+    failed_attempts: float = 0.0
     latency_sum: float = 0.0  # over the attempts that succeeded
 
 
@@ -56,15 +56,19 @@
 class ObjectiveTotals:
     """Successful attempts of one zone's proxies, and how many of them met each latency objective."""
 
-    succeeded: float
-    within_objective: list[float]  # by traffic group
+    successful_attempts: float
+    attempts_within_objective: list[float]  # by traffic group
 
     def share_within_objective(self, group: int) -> float:
         """Return the share of the successful attempts that met the group's latency objective.
 
         It is 0 if no attempt succeeded.
         """
-        return self.within_objective[group] / self.succeeded if self.succeeded else 0.0
+        return (
+            self.attempts_within_objective[group] / self.successful_attempts
+            if self.successful_attempts
+            else 0.0
+        )
 
 
 class Interval:
@@ -78,7 +82,7 @@
         self.objectives: dict[int, ObjectiveTotals] = {}  # by zone of the proxies
         self.endpoint_attempts: dict[int, float] = {}
         self.reports = 0
-        self.drains_started = 0
+        self.started_drains = 0
 
     def record(self, metric: Metric, microseconds: float) -> None:
         """Add a value to a distribution, clamped to the histogram's range of 1 to HISTOGRAM_MAX."""
@@ -92,31 +96,35 @@
             endpoint_zone: The zone of the endpoint that it is about.
             objectives: The latency objective of each traffic group, in microseconds.
         """
-        succeeded = report.attempts - report.failures
+        successful_attempts = report.attempts - report.failures
         zone_totals = self.attempts.setdefault(endpoint_zone, AttemptTotals())
         zone_totals.attempts += report.attempts
-        zone_totals.failed += report.failures
-        zone_totals.latency_sum += succeeded * report.mean_latency
+        zone_totals.failed_attempts += report.failures
+        zone_totals.latency_sum += successful_attempts * report.mean_latency
         earlier_attempts = self.endpoint_attempts.get(report.endpoint, 0.0)
         self.endpoint_attempts[report.endpoint] = earlier_attempts + report.attempts
-        self._add_within_objectives(report, succeeded, objectives)
+        self._add_within_objectives(report, successful_attempts, objectives)
 
-    def _add_within_objectives(self, report: LoadReport, succeeded: int, objectives: Sequence[int]) -> None:
+    def _add_within_objectives(
+        self, report: LoadReport, successful_attempts: int, objectives: Sequence[int]
+    ) -> None:
         totals = self.objectives.get(report.zone)
         if totals is None:
             totals = ObjectiveTotals(0.0, [0.0] * len(objectives))
             self.objectives[report.zone] = totals
-        totals.succeeded += succeeded
-        if not succeeded or not report.mean_latency:
+        totals.successful_attempts += successful_attempts
+        if not successful_attempts or not report.mean_latency:
             return
         for group, objective in enumerate(objectives):
             # A report has only the mean latency, so the latencies are taken to be exponentially distributed.
             share_within_objective = 1 - exp(-objective / report.mean_latency)
-            totals.within_objective[group] += succeeded * share_within_objective
+            totals.attempts_within_objective[group] += successful_attempts * share_within_objective
 
-    def add_demand(self, zone: int, group: int, requests: float, failed: float, rejected: float) -> None:
+    def add_demand(
+        self, zone: int, group: int, requests: float, failed_requests: float, rejected_requests: float
+    ) -> None:
         """Add the requests of a demand report from a proxy in `zone`."""
         totals = self.demand.setdefault((zone, group), DemandTotals())
         totals.demand += requests
-        totals.failed += failed
-        totals.rejected += rejected
+        totals.failed_requests += failed_requests
+        totals.rejected_requests += rejected_requests
--- a/ravenshelf/graphite/points.py
+++ b/ravenshelf/graphite/points.py
@@ -53,8 +53,8 @@
     `now` is the time at which the interval ended.
     """
 
-    def __init__(self, names: PathNames, interval: Interval, now: int) -> None:
-        self.names = names
+    def __init__(self, path_names: PathNames, interval: Interval, now: int) -> None:
+        self.path_names = path_names
         self.interval = interval
         self.now = now
         self.seconds = max(SHORTEST_INTERVAL_S, (now - interval.started_at) / SECOND)
@@ -66,7 +66,7 @@
         `placeholders` are the values of the placeholders in the metric's path.
         """
         if isfinite(value):
-            path = f"{self.names.prefix}.{metric.path.format(**placeholders)}"
+            path = f"{self.path_names.prefix}.{metric.path.format(**placeholders)}"
             self.points[metric.importance].append((path, value))
 
     def add_samples(self, samples: Iterable[Sample]) -> None:
@@ -76,30 +76,34 @@
 
     def add_groups(self, groups: Sequence[TrafficGroup]) -> None:
         """Add the points of each traffic group; `groups` are in the order of the path names."""
-        for group, name in enumerate(self.names.groups):
-            demand = failed = rejected = within_objective = 0.0
+        for group, name in enumerate(self.path_names.groups):
+            demand = failed_requests = rejected_requests = requests_within_objective = 0.0
             for (zone, totals_group), totals in self.interval.demand.items():
                 if totals_group != group:
                     continue
                 demand += totals.demand
-                failed += totals.failed
-                rejected += totals.rejected
+                failed_requests += totals.failed_requests
+                rejected_requests += totals.rejected_requests
                 objective_totals = self.interval.objectives.get(zone, _NO_ATTEMPTS)
-                succeeded = max(0.0, totals.demand - totals.failed - totals.rejected)
-                within_objective += succeeded * objective_totals.share_within_objective(group)
-            succeeded = max(0.0, demand - failed - rejected)
-            weighted_goodput = within_objective * groups[group].priority_weight
+                successful_requests = max(
+                    0.0, totals.demand - totals.failed_requests - totals.rejected_requests
+                )
+                requests_within_objective += successful_requests * objective_totals.share_within_objective(
+                    group
+                )
+            successful_requests = max(0.0, demand - failed_requests - rejected_requests)
+            weighted_goodput = requests_within_objective * groups[group].priority_weight
             self.add(metrics.DEMAND, demand / self.seconds, group=name)
-            self.add(metrics.FAILED, failed / self.seconds, group=name)
-            self.add(metrics.REJECTED, rejected / self.seconds, group=name)
-            self.add(metrics.SUCCEEDED, succeeded / self.seconds, group=name)
-            self.add(metrics.GOODPUT, within_objective / self.seconds, group=name)
+            self.add(metrics.FAILED, failed_requests / self.seconds, group=name)
+            self.add(metrics.REJECTED, rejected_requests / self.seconds, group=name)
+            self.add(metrics.SUCCEEDED, successful_requests / self.seconds, group=name)
+            self.add(metrics.GOODPUT, requests_within_objective / self.seconds, group=name)
             self.add(metrics.WEIGHTED_GOODPUT, weighted_goodput / self.seconds, group=name)
 
-    def add_drains(self, pending: int) -> None:
+    def add_drains(self, pending_drains: int) -> None:
         """Add the number of drains that were started and the number that are pending."""
-        self.add(metrics.DRAINS_STARTED, self.interval.drains_started)
-        self.add(metrics.DRAINS_PENDING, pending)
+        self.add(metrics.DRAINS_STARTED, self.interval.started_drains)
+        self.add(metrics.DRAINS_PENDING, pending_drains)
 
     def add_reports(self) -> None:
         """Add the rate of load and demand reports."""
@@ -120,7 +124,7 @@
                 continue
             for quantile_name, percentile in metrics.QUANTILES:
                 microseconds = histogram.get_value_at_percentile(percentile)
-                path = f"{self.names.prefix}.{metric.path}.{quantile_name}"
+                path = f"{self.path_names.prefix}.{metric.path}.{quantile_name}"
                 self.points[metric.importance].append((path, microseconds / MILLISECOND))
             histogram.reset()
 
@@ -145,19 +149,19 @@
             zone_health_scores[endpoint.zone].append(score)
             if endpoint.index in listed_endpoints:
                 weight = weights[endpoint.zone].get(endpoint.index, 0.0)
-                name = path_component(self.names.endpoint_name(endpoint.index))
+                name = path_component(self.path_names.endpoint_name(endpoint.index))
                 self.add(metrics.ENDPOINT_HEALTH, score, endpoint=name)
                 self.add(metrics.ENDPOINT_WEIGHT, weight, endpoint=name)
             if count % ENDPOINTS_PER_SLICE == 0:
                 yield
-        for zone, name in enumerate(self.names.zones):
+        for zone, name in enumerate(self.path_names.zones):
             self.add(metrics.ZONE_DEMAND, own_demand[zone], zone=name)
             if zone_health_scores[zone]:
                 mean_health = sum(zone_health_scores[zone]) / len(zone_health_scores[zone])
                 self.add(metrics.ZONE_HEALTH, mean_health, zone=name)
             for target, spill_share in enumerate(controller.spill_planner.shares[zone]):
                 if target != zone:
-                    self.add(metrics.ZONE_SPILL, spill_share, zone=name, to=self.names.zones[target])
+                    self.add(metrics.ZONE_SPILL, spill_share, zone=name, to=self.path_names.zones[target])
 
     def _add_channel(self, controller: Controller, queue_limit: float) -> None:
         channel = controller.channel
@@ -173,20 +177,20 @@
     def add_zones(self) -> None:
         """Add the rate, failure ratio and mean latency of the attempts at each zone's endpoints."""
         for zone, totals in self.interval.attempts.items():
-            if zone >= len(self.names.zones):
+            if zone >= len(self.path_names.zones):
                 continue
-            name = self.names.zones[zone]
-            failure_ratio = totals.failed / totals.attempts if totals.attempts else 0.0
+            name = self.path_names.zones[zone]
+            failure_ratio = totals.failed_attempts / totals.attempts if totals.attempts else 0.0
             self.add(metrics.ZONE_ATTEMPTS, totals.attempts / self.seconds, zone=name)
             self.add(metrics.ZONE_FAILURE_RATIO, failure_ratio, zone=name)
-            if totals.attempts > totals.failed:
-                mean_latency = totals.latency_sum / (totals.attempts - totals.failed)
+            if totals.attempts > totals.failed_attempts:
+                mean_latency = totals.latency_sum / (totals.attempts - totals.failed_attempts)
                 self.add(metrics.ZONE_LATENCY, mean_latency / MILLISECOND, zone=name)
 
     def add_endpoints(self) -> Iterator[None]:
         """Add the rate of attempts at each endpoint, in slices."""
         for count, (endpoint, attempts) in enumerate(self.interval.endpoint_attempts.items(), 1):
-            name = path_component(self.names.endpoint_name(endpoint))
+            name = path_component(self.path_names.endpoint_name(endpoint))
             self.add(metrics.ENDPOINT_ATTEMPTS, attempts / self.seconds, endpoint=name)
             if count % ENDPOINTS_PER_SLICE == 0:
                 yield
--- a/ravenshelf/graphite/service.py
+++ b/ravenshelf/graphite/service.py
@@ -136,9 +136,9 @@
         """
         if self.table.route == ROUTE_ALL:
             # Shared by the batches of all receivers, so that the points are encoded only once.
-            encoded: list[bytes] = []
+            encoded_chunks: list[bytes] = []
             for exporter in self.exporters.values():
-                exporter.add([Batch(time, importance, points, encoded)])
+                exporter.add([Batch(time, importance, points, encoded_chunks)])
             return
         self._update_shares()
         self._export_shares(Batch(time, importance, points))
--- a/ravenshelf/graphite/spool.py
+++ b/ravenshelf/graphite/spool.py
@@ -130,10 +130,10 @@
         segments = self._open_segments()
         skipped_ranges = segments.skipped
         segments.skipped = []
-        oldest = segments.oldest()
-        if oldest is None:
+        oldest_segment = segments.oldest()
+        if oldest_segment is None:
             return SpooledSegment(0, [], skipped_ranges) if skipped_ranges else None
-        number, bodies = oldest
+        number, bodies = oldest_segment
         batches = [batch for batch in map(decode_batch, bodies) if batch is not None]
         return SpooledSegment(number, batches, skipped_ranges)
 
--- a/tests/collectd/test_host_loads.py
+++ b/tests/collectd/test_host_loads.py
@@ -91,9 +91,9 @@
     host = Host(newest_time=100 * SECOND, interval=SECOND)
     host.state_rates = {("0", "idle"): Reading(SECOND, 50.0), ("0", "user"): Reading(100 * SECOND, 5.0)}
     # The reading of the idle state is outdated, so the busy share is unknown rather than 1.
-    assert host.busy_share() is None
+    assert host.estimate_busy_share() is None
     host.state_percents = {("0", "idle"): Reading(100 * SECOND, 30.0)}
-    assert host.busy_share() == pytest.approx(0.7)
+    assert host.estimate_busy_share() == pytest.approx(0.7)
 
 
 def test_nothing_is_stored_for_ten_thousand_unlisted_hosts(harness):
--- a/tests/graphite/test_routing.py
+++ b/tests/graphite/test_routing.py
@@ -17,10 +17,10 @@
     failed_index = data.draw(st.integers(0, count - 1))
     has_share = [index != failed_index for index in range(count)]
     for path, _ in make_points(200):
-        old_owner, new_owner = router.owner(path, [True] * count), router.owner(path, has_share)
+        old_owner, new_owner = router.find_owner(path, [True] * count), router.find_owner(path, has_share)
         assert (old_owner == new_owner) == (old_owner != failed_index) and new_owner != failed_index
-        assert router.owner(path, [True] * count) == old_owner
-    assert router.owner("x", [False] * count) == router.owner("x", [True] * count)
+        assert router.find_owner(path, [True] * count) == old_owner
+    assert router.find_owner("x", [False] * count) == router.find_owner("x", [True] * count)
 
 
 def test_receivers_get_shares_of_similar_size():
