--- a/ravenshelf/graphite/metrics.py
+++ b/ravenshelf/graphite/metrics.py
@@ -46,7 +46,7 @@
         ValueError: The catalogue already has a metric with this path.
     """
     if path in CATALOGUE:
-        raise ValueError(f"expected a path for each metric, found two metrics with the path {path}")
+        raise ValueError(f"expected each path once, found two metrics with the path {path}")
     new_metric = Metric(path, unit, importance, source, meaning, estimated_from, is_distribution)
     CATALOGUE[path] = new_metric
     return new_metric
--- a/ravenshelf/graphite/service.py
+++ b/ravenshelf/graphite/service.py
@@ -242,7 +242,7 @@
 def interval_boundary(now: int, interval_s: int) -> int:
     """Return the time of a measurement: the latest boundary of an interval at or before `now`.
 
-    Measurements that start late get the same time as punctual ones.
+    A measurement that starts late still gets the time of its interval's boundary.
 
     Args:
         now: The time in microseconds.
--- a/ravenshelf/graphite/spool_transfer.py
+++ b/ravenshelf/graphite/spool_transfer.py
@@ -40,7 +40,7 @@
         self.paused_until = 0
         # Number of batches, by segment, that were read back and are neither received nor dropped
         self.unfinished_batches: dict[int, int] = {}
-        self.segment_numbers: dict[Batch, int] = {}  # of the batches that were read back
+        self.segment_numbers: dict[Batch, int] = {}  # segment of each batch that was read back
 
     def _is_available(self) -> bool:
         return self.spool is not None and not self.is_busy and self.clock() >= self.paused_until
