--- a/ravenshelf/graphite/service.py
+++ b/ravenshelf/graphite/service.py
@@ -136,9 +136,9 @@
         """
         if self.table.route == ROUTE_ALL:
             # Shared by the batches of all receivers, so that the points are encoded only once.
-            encoded: list[bytes] = []
+            encoded_chunks: list[bytes] = []
             for exporter in self.exporters.values():
-                exporter.add([Batch(time, importance, points, encoded)])
+                exporter.add([Batch(time, importance, points, encoded_chunks)])
             return
         self._update_shares()
         self._export_shares(Batch(time, importance, points))
@@ -242,7 +242,7 @@
 def interval_boundary(now: int, interval_s: int) -> int:
     """Return the time of a measurement: the latest boundary of an interval at or before `now`.
 
-    Measurements that start late get the same time as punctual ones.
+    A measurement that starts late still gets the time of its interval's boundary.
 
     Args:
         now: The time in microseconds.
