--- a/ravenshelf/distribution/__init__.py
+++ b/ravenshelf/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Interest-scoped distribution: each service is decided once, and servers subscribe to what they use."""
+"""Interest-scoped distribution: one owner decides each service, and servers subscribe to some services."""
--- a/ravenshelf/distribution/connection.py
+++ b/ravenshelf/distribution/connection.py
@@ -8,45 +8,51 @@
 from ravenshelf.net.frames import Frames, pack
 from ravenshelf.state.buffers import BufferPool
 
-WRITE_BUFFER_BYTES = 65_536  # unsent bytes from which on no more is pulled for a subscriber
+WRITE_BUFFER_BYTES = 65_536  # With more unsent bytes no further messages are pulled for a subscriber.
 
 
 class ConnectionListener(Protocol):
-    """Is notified of the events of a connection."""
+    """Receiver of the events of a connection."""
 
     def connection_opened(self, connection: "MessageConnection") -> None:
-        """The connection is open for writing."""
+        """Handle that the connection is open for writing."""
 
     def message_received(self, connection: "MessageConnection", message: Message) -> None:
-        """A message has arrived."""
+        """Handle a message that has arrived."""
 
     def connection_ended(self, connection: "MessageConnection") -> None:
-        """The connection has ended, whichever side ended it."""
+        """Handle the end of the connection, whichever side ended it."""
 
     def write_resumed(self, connection: "MessageConnection") -> None:
-        """The write buffer has capacity again."""
+        """Handle that the write buffer has capacity again."""
 
 
 class MessageConnection(BufferedConnection):
-    """Notifies its listener of each message, and when the write buffer has capacity again.
+    """Connection that carries framed messages and reports its events to a listener.
 
-    Counts messages, and their bytes without frames.
+    It counts messages, and their bytes without frames.
     """
 
     def __init__(self, buffers: BufferPool, listener: ConnectionListener, name: str = ""):
-        """`name`: of the parent that was dialled, or of the subscriber once it has identified itself."""
+        """Create a connection that the event loop opens.
+
+        Args:
+            buffers: Pool of the read buffers.
+            listener: Receiver of the connection's events.
+            name: Name of the dialled parent. For a subscriber the name is set when it has identified itself.
+        """
         super().__init__(buffers)
         self.listener = listener
         self.name = name
         self.frames = Frames()
-        self.is_paused = False  # the write buffer is full
+        self.is_paused = False
         self.bytes_in = 0
         self.bytes_out = 0
         self.messages_in = 0
         self.messages_out = 0
 
     def connection_made(self, transport: Any) -> None:
-        """Called by the event loop."""
+        """Set the transport and notify the listener; called by the event loop."""
         self.transport = transport
         if self.end is not None:
             transport.abort()
@@ -55,17 +61,20 @@
         self.listener.connection_opened(self)
 
     def pause_writing(self) -> None:
-        """Called by the event loop: the write buffer is full."""
+        """Record that the write buffer is full; called by the event loop."""
         self.is_paused = True
 
     def resume_writing(self) -> None:
-        """Called by the event loop: the write buffer has capacity again."""
+        """Notify the listener that the write buffer has capacity again; called by the event loop."""
         self.is_paused = False
         if self.end is None:
             self.listener.write_resumed(self)
 
     def received(self, data: bytes) -> None:
-        """Handle received bytes."""
+        """Decode received bytes and pass the messages to the listener.
+
+        Bytes that can't be decoded end the connection.
+        """
         try:
             messages = [decode(body) for body in self._count_received(self.frames.feed(data))]
         except (ValueError, MalformedMessageError):
@@ -92,5 +101,5 @@
             self.transport.write(pack(payload))
 
     def ended(self) -> None:
-        """Called once, whichever side ended the connection."""
+        """Notify the listener; called once, whichever side ended the connection."""
         self.listener.connection_ended(self)
--- a/ravenshelf/distribution/decisions/fallback.py
+++ b/ravenshelf/distribution/decisions/fallback.py
@@ -26,7 +26,7 @@
     """
 
     def __init__(self) -> None:
-        self._lost_at: int | None = None  # microseconds; None while the owner can be reached
+        self._lost_at: int | None = None  # Microseconds; None while the owner can be reached.
 
     def table_source(self, now: int, is_reachable: bool) -> TableSource:
         """Return the origin of the table to use at the time `now` (microseconds).
--- a/ravenshelf/distribution/decisions/service_decisions.py
+++ b/ravenshelf/distribution/decisions/service_decisions.py
@@ -82,7 +82,7 @@
 
     @property
     def owner(self) -> ServiceOwner:
-        """The owner whose services are decided here; `attach` must have been called."""
+        """Owner whose services are decided here; `attach` must have been called."""
         assert self._attached_owner is not None, "attach has not been called"
         return self._attached_owner
 
--- a/ravenshelf/distribution/messages.py
+++ b/ravenshelf/distribution/messages.py
@@ -1,9 +1,9 @@
 """Messages between controllers, relays and control-plane servers, and their encoding.
 
 Messages are MessagePack arrays tagged by type, so the order of fields and the tags are the wire format; field
-names are not. A topic is what one proxy zone needs of one service. Its state is a map of keys to entries; a
-version identifies a state that the service owner published. Times are in microseconds; weights are unitless
-shares of a table.
+names are not. A topic contains the part of a service's state that one proxy zone uses. Its state is a map of
+keys to entries; a version identifies a state that the service owner published. Times are in microseconds;
+weights are unitless shares of a table.
 """
 
 import msgspec
@@ -18,13 +18,16 @@
     sequence: int
 
 
-PROTOCOL = 1  # version of this protocol
-NEVER = Version(0, 0)  # held by a subscriber that has received nothing yet
+PROTOCOL = 1  # Peers with another protocol version are rejected.
+NEVER = Version(0, 0)  # A subscriber that has received nothing yet has this version of a topic.
 
 
 class EndpointEntry(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """A listed endpoint: zone, readiness, listed weight and start time of its process in microseconds (0:
-    unknown)."""
+    """A listed endpoint.
+
+    `weight` is the listed weight; `started` is the start time of the endpoint's process in microseconds, or 0
+    if it is unknown.
+    """
 
     zone: int
     ready: bool
@@ -33,8 +36,10 @@
 
 
 class TableLine(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """A line of a proxy zone's table. `largest_share`: upper bound of its share of the table's requests, 0 to
-    1."""
+    """A line of a proxy zone's table.
+
+    `largest_share` is the upper bound of the endpoint's share of the table's requests, 0 to 1.
+    """
 
     weight: float
     largest_share: float = 1.0
@@ -54,11 +59,11 @@
 
 
 Entry = EndpointEntry | TableLine | AdmissionLevel | Setting
-Changes = dict[str, Entry | None]  # None: the key is removed
+Changes = dict[str, Entry | None]  # None removes the key.
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag=15):
-    """First message of a dialling process: protocol version, cluster, and its own name in the cluster."""
+    """First message of a process that dials: protocol version, cluster, and its name in the cluster."""
 
     protocol: int
     cluster: str
@@ -66,20 +71,20 @@
 
 
 class Subscribe(msgspec.Struct, frozen=True, array_like=True, tag=16):
-    """A subscriber requests a topic, of which it holds this version."""
+    """Request for a topic, of which the subscriber holds this version."""
 
     topic: str
     version: Version
 
 
 class Unsubscribe(msgspec.Struct, frozen=True, array_like=True, tag=17):
-    """A subscriber no longer needs a topic."""
+    """Cancellation of a subscription."""
 
     topic: str
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True, tag=18):
-    """Part number `part` of the `parts` parts of a topic's complete state."""
+    """One of the `part_count` parts of a topic's complete state; `part_index` counts from 0."""
 
     topic: str
     version: Version
@@ -98,30 +103,33 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag=20):
-    """Sign of life of a parent. `digest` covers the versions that it believes the subscriber holds."""
+    """Periodic message of a parent, with the digest of the versions that it has sent to the subscriber."""
 
     digest: int
 
 
 class Resync(msgspec.Struct, frozen=True, array_like=True, tag=21):
-    """All versions that a subscriber holds, sent when its digest differs from a heartbeat's."""
+    """All versions that a subscriber holds, which it sends when its digest differs from a heartbeat's."""
 
     versions: dict[str, Version]
 
 
 class TopicLive(msgspec.Struct, frozen=True, array_like=True, tag=22):
-    """Whether the sender can reach the owner of a topic."""
+    """Notification whether the sender can reach the owner of a topic."""
 
     topic: str
     is_live: bool
 
 
 class EndpointLoad(msgspec.Struct, frozen=True, array_like=True):
-    """Attempts at one endpoint by the proxies of one zone, summed over a window."""
+    """Attempts at one endpoint by the proxies of one zone, summed over a window.
+
+    `latency_sum` is in microseconds, over the attempts that succeeded.
+    """
 
     attempts: int
     failures: int
-    latency_sum: int = 0  # microseconds, over the attempts that succeeded
+    latency_sum: int = 0
 
 
 class GroupDemand(msgspec.Struct, frozen=True, array_like=True):
@@ -132,12 +140,15 @@
 
 
 class ZoneLoadReport(msgspec.Struct, frozen=True, array_like=True, tag=23):
-    """Load of a service in one window from the proxies of one zone. `sequence` numbers the reports of
-    `reporter`."""
+    """Load of a service in one window from the proxies of one zone.
+
+    `window` is the number of the window since the epoch of the clock; `sequence` numbers the reports of
+    `reporter`. `endpoints` has the loads by endpoint name, `groups` the demands by traffic group.
+    """
 
     service: str
     zone: int
-    window: int  # number of the window since the epoch of the clock
+    window: int
     reporter: str
     sequence: int
     endpoints: dict[str, EndpointLoad]
@@ -151,7 +162,7 @@
 
 
 class MalformedMessageError(RavenshelfError, ValueError):
-    """Bytes that do not encode a message; `detail` is the decoder's complaint."""
+    """Error in received bytes that do not encode a message; `detail` is the decoder's error message."""
 
     def __init__(self, detail: str):
         super().__init__(detail)
@@ -159,12 +170,19 @@
 
 
 def encode(message: Message) -> bytes:
-    """Encode a message, without a frame."""
+    """Return the encoded message, without a frame."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Decode a message; raises MalformedMessageError."""
+    """Return the decoded message.
+
+    Args:
+        data: The encoded message, without a frame.
+
+    Raises:
+        MalformedMessageError: The bytes do not encode a message.
+    """
     try:
         return _decoder.decode(data)
     except msgspec.DecodeError as error:
--- a/ravenshelf/distribution/node.py
+++ b/ravenshelf/distribution/node.py
@@ -1,15 +1,17 @@
-"""What all services of one process in the distribution tree share."""
+"""Properties of a process in the distribution tree, which all its services use."""
 
 import asyncio
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-Clock = Callable[[], int]  # returns microseconds; must advance while the process is suspended
+Clock = Callable[[], int]  # Returns microseconds, and must advance while the process is suspended.
 
 
 class Node(NamedTuple):
-    """A process in the distribution tree. `parent_addresses`: host:port by name of the parent, the preferred
-    first."""
+    """A process in the distribution tree.
+
+    `parent_addresses` has the host:port of each parent by the parent's name, the preferred parent first.
+    """
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
--- a/ravenshelf/distribution/owner_service.py
+++ b/ravenshelf/distribution/owner_service.py
@@ -1,5 +1,4 @@
-"""A controller's publishing side as part of a process: its subscribers, and the owners whose shards it
-replicates."""
+"""Publishing side of a controller on sockets: its subscribers, and the owners whose shards it replicates."""
 
 import random
 from collections.abc import Callable
@@ -9,7 +8,7 @@
 from ravenshelf.distribution.decisions.service_owner import ContentProvider, ServiceOwner
 from ravenshelf.distribution.messages import Message, Resync, Subscribe, Unsubscribe, ZoneLoadReport
 from ravenshelf.distribution.node import Node
-from ravenshelf.distribution.serving import MAX_TICK_INTERVAL, DistributionService
+from ravenshelf.distribution.serving import MAX_TICK_INTERVAL_US, DistributionService
 
 
 def _ignore_report(_report: ZoneLoadReport) -> None:
@@ -17,7 +16,10 @@
 
 
 class OwnerService(DistributionService):
-    """Runs a `ServiceOwner` on sockets. The caller reports changes of leases and of shards to replicate."""
+    """Service that runs a `ServiceOwner` on sockets.
+
+    The caller reports changes of leases, and changes of the shards to replicate.
+    """
 
     def __init__(
         self,
@@ -29,8 +31,17 @@
         limits: DistributorLimits = DistributorLimits(),
         report_received: Callable[[ZoneLoadReport], None] = _ignore_report,
     ):
-        """`node`: its parents are the other controllers; `report_received`: called with each load report; the
-        rest as `ServiceOwner` takes it."""
+        """Create a service that does not yet listen.
+
+        Args:
+            node: This process, with the other controllers as parents.
+            incarnation: As `ServiceOwner` uses it.
+            shards: As `ServiceOwner` uses it.
+            content: As `ServiceOwner` uses it.
+            random_source: As `ServiceOwner` uses it.
+            limits: Limits of the subscribers.
+            report_received: Called with each load report.
+        """
         self.report_received = report_received
         self.owner = ServiceOwner(
             node.name,
@@ -44,38 +55,34 @@
         )
         super().__init__(node, self.owner.clients, self.owner.distributor)
 
-    # --- leases ---
-
     def acquire(self, service: str, lease: PublicationLease) -> None:
-        """A service's lease was granted."""
+        """Begin to own a service whose lease was granted, and publish what is due."""
         self.owner.acquire(self.clock(), service, lease)
         self.publish()
 
     def set_claimed(self, service: str, claimed: bool) -> None:
-        """Claim an owned service, or withdraw the claim."""
+        """Claim an owned service, or withdraw the claim, and publish what is due."""
         self.owner.set_claimed(self.clock(), service, claimed)
         self.publish()
 
     def release(self, service: str) -> None:
-        """A service's lease has expired or was released."""
+        """Stop owning a service whose lease has expired or was released, and publish what is due."""
         self.owner.release(self.clock(), service)
         self.publish()
 
-    def follow_shard(self, shard: int, other: str) -> None:
+    def follow_shard(self, shard: int, owner_name: str) -> None:
         """Replicate a shard from the controller that owns it."""
-        self.upstreams.perform(self.owner.follow_shard(shard, other))
+        self.upstreams.perform(self.owner.follow_shard(shard, owner_name))
 
     def unfollow_shard(self, shard: int) -> None:
         """Stop replicating a shard."""
         self.upstreams.perform(self.owner.unfollow_shard(shard))
 
     def refresh(self, topic: str) -> None:
-        """The topic's content may have changed."""
+        """Compare a topic with its present content, and publish what is due."""
         self.owner.refresh(self.clock(), topic)
         self.publish()
 
-    # --- time ---
-
     def tick(self) -> None:
         """Dial the other controllers, and publish what is due."""
         now = self.clock()
@@ -85,7 +92,7 @@
         self.publish()
 
     def publish(self) -> None:
-        """Publish what is due; called after the decisions of a control cycle."""
+        """Publish what is due and schedule the next tick; called after the decisions of a control cycle."""
         now = self.clock()
         _, pending_subscribers = self.owner.publish(now)
         self.subscribers.send_pending(pending_subscribers)
@@ -93,30 +100,26 @@
         publication_due_at = self.owner.due_at(now)
         if publication_due_at is not None:
             deadlines.append(publication_due_at)
-        self.schedule_tick(min(deadlines, default=now + MAX_TICK_INTERVAL))
-
-    # --- other controllers ---
+        self.schedule_tick(min(deadlines, default=now + MAX_TICK_INTERVAL_US))
 
     def upstream_connected(self, upstream: str) -> None:
-        """A dial has succeeded."""
+        """Handle a successful dial of another controller."""
         actions = self.clients[upstream].connection_opened(self.clock())
         self.upstreams.perform((upstream, action) for action in actions)
 
     def upstream_message_received(self, upstream: str, message: Message) -> None:
-        """Another controller has sent a message."""
+        """Handle a message of another controller."""
         self.execute(self.owner.upstream_message_received(self.clock(), upstream, message))
 
-    # --- subscribers ---
-
     def subscriber_message_received(self, name: str, message: Subscribe | Unsubscribe | Resync) -> None:
-        """A subscriber has changed its subscriptions."""
+        """Handle a message of a subscriber that changes its subscriptions."""
         self.owner.subscriber_message_received(self.clock(), name, message)
         self.publish()
 
     def load_report_received(self, report: ZoneLoadReport) -> None:
-        """A subscriber has reported load."""
+        """Pass a subscriber's load report to the callback."""
         self.report_received(report)
 
     def subscriber_lost(self, name: str) -> None:
-        """A subscriber's connection has ended."""
+        """Handle the end of a subscriber's connection."""
         self.owner.subscriber_lost(name)
--- a/ravenshelf/distribution/relay_service.py
+++ b/ravenshelf/distribution/relay_service.py
@@ -1,4 +1,4 @@
-"""A relay as a process: its upstreams, its subscribers, and its status for operators."""
+"""A relay on sockets: its upstreams, its subscribers, and its status for operators."""
 
 import random
 from collections.abc import Mapping, Sequence
@@ -11,7 +11,7 @@
 
 
 class RelayService(DistributionService):
-    """Runs a `Relay` on sockets."""
+    """Service that runs a `Relay` on sockets."""
 
     def __init__(
         self,
@@ -21,43 +21,45 @@
         limits: DistributorLimits = DistributorLimits(),
         upstreams_are_owners: bool = False,
     ):
-        """`upstreams` and `upstreams_are_owners`: as `Relay` takes them."""
+        """Create a service that does not yet listen.
+
+        Args:
+            node: This process.
+            upstreams: As `Relay` uses it.
+            random_source: As `Relay` uses it.
+            limits: Limits of the subscribers.
+            upstreams_are_owners: As `Relay` uses it.
+        """
         self.relay = Relay(node.name, upstreams, random_source, node.clock(), limits, upstreams_are_owners)
         super().__init__(node, self.relay.clients, self.relay.distributor)
 
     def tick(self) -> None:
-        """Dial, forward reports, drop topics that nobody wants, as far as each is due."""
+        """Dial, forward reports, and drop topics without subscribers, as far as each is due."""
         self.execute(self.relay.tick(self.clock()))
         self.schedule_tick(self.relay.due_at())
 
-    # --- upstreams ---
-
     def upstream_connected(self, upstream: str) -> None:
-        """A dial has succeeded."""
+        """Handle a successful dial of an upstream's parent."""
         self.execute(self.relay.upstream_connected(self.clock(), upstream))
 
     def upstream_message_received(self, upstream: str, message: Message) -> None:
-        """A parent has sent a message."""
+        """Handle a message of an upstream's parent."""
         self.execute(self.relay.upstream_message_received(self.clock(), upstream, message))
 
-    # --- subscribers ---
-
     def subscriber_message_received(self, name: str, message: Subscribe | Unsubscribe | Resync) -> None:
-        """A subscriber has changed its subscriptions."""
+        """Handle a message of a subscriber that changes its subscriptions."""
         self.execute(self.relay.subscriber_message_received(self.clock(), name, message))
 
     def load_report_received(self, report: ZoneLoadReport) -> None:
-        """A subscriber has reported load."""
+        """Record a subscriber's load report."""
         self.relay.load_report_received(report)
 
     def subscriber_lost(self, name: str) -> None:
-        """A subscriber's connection has ended."""
+        """Handle the end of a subscriber's connection."""
         self.execute(self.relay.subscriber_lost(self.clock(), name))
 
-    # --- status ---
-
     def status(self) -> dict:
-        """Return what `ravenshelf distribution status` shows; its keys are the operators'."""
+        """Return the status for `ravenshelf distribution status`; operators' tools also read its keys."""
         distributor = self.relay.distributor
         upstreams = [
             {
--- a/ravenshelf/distribution/server_distribution.py
+++ b/ravenshelf/distribution/server_distribution.py
@@ -1,5 +1,7 @@
-"""A control-plane server's part in the distribution: the tables of its service, and its proxies' load
-reports."""
+"""Participation of a control-plane server in the distribution.
+
+The server receives the tables of its service, and reports the load of its proxies.
+"""
 
 import random
 from collections import defaultdict
@@ -18,13 +20,15 @@
 from ravenshelf.distribution.timers import Timers
 from ravenshelf.policy.events import DemandReport, Event, LoadReport, ProxyJoined, ProxyLeft
 
-REPORT = "report"  # key of the timer
-OWN_REPORTER = "own"
+REPORT_TIMER = "report"
+LOCAL_REPORTER = "own"
 
 
 class ServerDistribution:
-    """Subscribes to the service's topics for the zones of the joined proxies, and reports their load each
-    window."""
+    """Subscriber of the service's topics for the zones of the joined proxies, and reporter of their load.
+
+    The load is reported at the end of each window.
+    """
 
     def __init__(
         self,
@@ -34,7 +38,15 @@
         name_of: Callable[[int], str],
         index_of: Callable[[str], int | None],
     ):
-        """`name_of` and `index_of`: convert between the names and the indices of listed endpoints."""
+        """Create a subscriber that does not yet dial.
+
+        Args:
+            node: This process, with the parents to dial.
+            service: Name of the server's service.
+            random_source: Source of jitter, and of the random part of the reporter's name.
+            name_of: Returns the name of a listed endpoint by its index.
+            index_of: Returns the index of a listed endpoint by its name, or None.
+        """
         self.service = service
         self.clock = node.clock
         self.name_of = name_of
@@ -44,35 +56,34 @@
         )
         self.aggregator = Aggregator(f"{node.name}#{random_source.getrandbits(INCARNATION_BITS):012x}")
         self.zones: set[int] = set()
-        self.proxies: dict[int, int] = {}  # zone of each joined proxy
-        self._not_live: set[str] = set()  # topics
-        self._reachability: defaultdict[int, OwnerReachability] = defaultdict(OwnerReachability)  # by zone
+        self.proxies: dict[int, int] = {}  # Zone of each joined proxy.
+        self._unreachable_topics: set[str] = set()
+        # The owner may be reachable for the topics of some zones only.
+        self._reachability: defaultdict[int, OwnerReachability] = defaultdict(OwnerReachability)
         self._controller: DistributedController | None = None
         self._timers: Timers[str] = Timers(node.loop, node.clock, self._report_due)
         self._sequence = 0
 
     def make_controller(self, *arguments: Any) -> DistributedController:
-        """Return a controller that uses the owner's tables; `arguments` as `Controller` takes them."""
+        """Return a controller that uses the owner's tables, with the arguments of `Controller`."""
         controller = DistributedController(*arguments, owner_table=self.owner_table, index_of=self.index_of)
         self._controller = controller
         return controller
 
     def start(self) -> None:
-        """Dial the first parent."""
+        """Subscribe to the topics of the zones of joined proxies, and dial the preferred parent."""
         topics = [service_topic(self.service)]
         topics.extend(zone_topic(self.service, zone) for zone in self.zones)
         self.subscription.start(topics)
-        self._timers.set(REPORT, self.clock() + REPORT_WINDOW_US)
+        self._timers.set(REPORT_TIMER, self.clock() + REPORT_WINDOW_US)
 
     def stop(self) -> None:
-        """End the connection."""
+        """End the connection and the load reports."""
         self._timers.stop()
         self.subscription.stop()
 
-    # --- tables ---
-
     def owner_table(self, _now: int, zone: int) -> tuple[TableSource, dict[str, TableLine]]:
-        """Return whose table is in use for a zone, and the owner's table."""
+        """Return the origin of the table to use for a zone, and the table last received from the owner."""
         topic = self.subscription.topics.get(zone_topic(self.service, zone))
         return self._table_source(zone), read_table(topic.entries) if topic is not None else {}
 
@@ -83,19 +94,17 @@
         return self.subscription.client.disconnected_since is None
 
     def _is_reachable(self, zone: int) -> bool:
-        return self._is_connected() and zone_topic(self.service, zone) not in self._not_live
+        return self._is_connected() and zone_topic(self.service, zone) not in self._unreachable_topics
 
     def _topic_changed(self, topic: Topic) -> None:
         if self._controller is not None and topic.name != service_topic(self.service):
             self._controller.owner_table_changed()
 
-    def _liveness_changed(self, topic: str, live: bool) -> None:
-        if live:
-            self._not_live.discard(topic)
+    def _liveness_changed(self, topic: str, is_live: bool) -> None:
+        if is_live:
+            self._unreachable_topics.discard(topic)
         else:
-            self._not_live.add(topic)
-
-    # --- load reports ---
+            self._unreachable_topics.add(topic)
 
     def on_event(self, event: Event, _now: int) -> None:
         """Record the proxies and the load in an event of the server's controller."""
@@ -124,12 +133,12 @@
         self._sequence += 1
         window = self.clock() // REPORT_WINDOW_US
         self.aggregator.add(
-            ZoneLoadReport(self.service, zone, window, OWN_REPORTER, self._sequence, endpoints, groups)
+            ZoneLoadReport(self.service, zone, window, LOCAL_REPORTER, self._sequence, endpoints, groups)
         )
 
     def _report_due(self, _key: str) -> None:
         now = self.clock()
-        connected = self._is_connected()
-        for report in self.aggregator.flush(now // REPORT_WINDOW_US, lambda _: connected):
+        is_connected = self._is_connected()
+        for report in self.aggregator.flush(now // REPORT_WINDOW_US, lambda _: is_connected):
             self.subscription.send_report(report)
-        self._timers.set(REPORT, now + REPORT_WINDOW_US)
+        self._timers.set(REPORT_TIMER, now + REPORT_WINDOW_US)
--- a/ravenshelf/distribution/services_file.py
+++ b/ravenshelf/distribution/services_file.py
@@ -1,4 +1,4 @@
-"""The services that controllers decide: a TOML file of endpoints and settings, the same at all controllers.
+"""Services that controllers decide: a TOML file of endpoints and settings, the same at all controllers.
 
 [checkout.endpoints]
 "s-17" = { zone = 0, weight = 4.0, ready = true, started = 0 }
@@ -16,11 +16,11 @@
 from ravenshelf.distribution.messages import EndpointEntry
 from ravenshelf.errors import RavenshelfError
 
-FORBIDDEN_IN_NAMES = frozenset("@/")
+FORBIDDEN_NAME_CHARACTERS = frozenset("@/")
 
 
 class ServicesFileError(RavenshelfError):
-    """The file `path` can't be used; `detail` names the problem and its place."""
+    """Error in the file `path`, which is not used; `detail` says where the error is and what was expected."""
 
     def __init__(self, path: Path, detail: str):
         super().__init__(f"{path}: {detail}")
@@ -41,31 +41,39 @@
 
 
 def read(path: Path, zones: int) -> dict[str, ServiceConfiguration]:
-    """Return the services of a file by name; raises ServicesFileError. `zones`: the number of configured
-    zones."""
+    """Return the configurations of the services in a file, by service name.
+
+    Args:
+        path: The file.
+        zones: The number of configured zones.
+
+    Raises:
+        ServicesFileError: The file can't be read, or its content is not valid.
+    """
     try:
         document = tomllib.loads(path.read_text(encoding="utf-8"))
         services = msgspec.convert(document, dict[str, _Service])
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise ServicesFileError(path, str(error)) from error
     for name, service in services.items():
-        _check(path, name, service, zones)
-    return {name: _service(service) for name, service in services.items()}
+        _validate(path, name, service, zones)
+    return {name: _configuration(service) for name, service in services.items()}
 
 
-def _check(path: Path, name: str, service: _Service, zones: int) -> None:
-    if not name or FORBIDDEN_IN_NAMES & set(name):
+def _validate(path: Path, name: str, service: _Service, zones: int) -> None:
+    if not name or FORBIDDEN_NAME_CHARACTERS & set(name):
         raise ServicesFileError(path, f"[{name}]: expected a name without @ and /")
-    for uid, endpoint in service.endpoints.items():
+    for endpoint_name, endpoint in service.endpoints.items():
         if endpoint.zone >= zones:
             raise ServicesFileError(
-                path, f"[{name}.endpoints] {uid}: found zone {endpoint.zone}, expected one below {zones}"
+                path,
+                f"[{name}.endpoints] {endpoint_name}: found zone {endpoint.zone}, expected one below {zones}",
             )
 
 
-def _service(service: _Service) -> ServiceConfiguration:
+def _configuration(service: _Service) -> ServiceConfiguration:
     endpoints = {
-        uid: EndpointEntry(endpoint.zone, endpoint.ready, endpoint.weight, endpoint.started)
-        for uid, endpoint in service.endpoints.items()
+        endpoint_name: EndpointEntry(endpoint.zone, endpoint.ready, endpoint.weight, endpoint.started)
+        for endpoint_name, endpoint in service.endpoints.items()
     }
     return ServiceConfiguration(endpoints, service.settings)
--- a/ravenshelf/distribution/serving.py
+++ b/ravenshelf/distribution/serving.py
@@ -1,4 +1,4 @@
-"""What relays and service owners have in common on sockets: upstreams, subscribers, and one timer."""
+"""Common base of relays and service owners on sockets: upstreams, subscribers, and one timer."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Mapping
@@ -13,15 +13,24 @@
 from ravenshelf.distribution.upstreams import Upstreams
 from ravenshelf.state.buffers import BufferPool
 
-MAX_TICK_INTERVAL = 1_000_000  # microseconds
-TICK = "tick"
+MAX_TICK_INTERVAL_US = 1_000_000
+TICK_TIMER = "tick"
 
 
 class DistributionService(ABC):
-    """Serves a distributor's subscribers from what its clients receive; subclasses add the decisions."""
+    """Service that serves a distributor's subscribers with the topics that its clients receive.
+
+    Subclasses add the decisions.
+    """
 
     def __init__(self, node: Node, clients: Mapping[str, SubscriptionClient], distributor: Distributor):
-        """`clients`: by name of the upstream."""
+        """Create a service that does not yet listen.
+
+        Args:
+            node: This process.
+            clients: Subscription clients, by name of the upstream.
+            distributor: The serving side.
+        """
         self.node = node
         self.clock = node.clock
         self.clients = clients
@@ -32,17 +41,21 @@
 
     @property
     def name(self) -> str:
-        """The name of this process in the cluster."""
+        """Name of this process in the cluster."""
         return self.node.name
 
     async def start(self, listen: str) -> str:
-        """Listen at host:port and dial; return the address."""
+        """Listen at host:port and dial the upstreams.
+
+        Returns:
+            The address, with the port that the system chose for port 0.
+        """
         address = await self.subscribers.start(listen)
         self.tick()
         return address
 
     def stop(self) -> None:
-        """End all connections."""
+        """Stop listening, and end all connections and dials."""
         self._timers.stop()
         self.upstreams.stop()
         self.subscribers.stop()
@@ -55,36 +68,36 @@
         self.tick()
 
     def schedule_tick(self, at: int) -> None:
-        """Schedule the next tick, at most MAX_TICK_INTERVAL from now."""
-        self._timers.set(TICK, min(at, self.clock() + MAX_TICK_INTERVAL))
+        """Schedule the next tick, at most MAX_TICK_INTERVAL_US from now."""
+        self._timers.set(TICK_TIMER, min(at, self.clock() + MAX_TICK_INTERVAL_US))
 
     def execute(self, actions: NodeActions) -> None:
-        """Apply the actions of a decision."""
+        """Perform the actions of a decision."""
         self.upstreams.perform(actions.upstream_actions)
         self.subscribers.send_pending(actions.pending_subscribers)
 
     @abstractmethod
     def upstream_connected(self, upstream: str) -> None:
-        """A dial has succeeded."""
+        """Handle a successful dial of an upstream's parent."""
 
     @abstractmethod
     def upstream_message_received(self, upstream: str, message: Message) -> None:
-        """A parent has sent a message."""
+        """Handle a message of an upstream's parent."""
 
     def upstream_lost(self, upstream: str) -> None:
-        """A connection has ended, or a dial has failed."""
+        """Handle the end of an upstream's connection, or the failure of a dial."""
         client = self.clients[upstream]
         self.upstreams.perform((upstream, action) for action in client.connection_lost(self.clock()))
         self.schedule_tick(client.due_at())
 
     @abstractmethod
     def subscriber_message_received(self, name: str, message: Subscribe | Unsubscribe | Resync) -> None:
-        """A subscriber has changed its subscriptions."""
+        """Handle a message of a subscriber that changes its subscriptions."""
 
     @abstractmethod
     def load_report_received(self, report: ZoneLoadReport) -> None:
-        """A subscriber has reported load."""
+        """Handle a subscriber's load report."""
 
     @abstractmethod
     def subscriber_lost(self, name: str) -> None:
-        """A subscriber's connection has ended."""
+        """Handle the end of a subscriber's connection."""
--- a/ravenshelf/distribution/subscribers.py
+++ b/ravenshelf/distribution/subscribers.py
@@ -1,5 +1,7 @@
-"""The serving side on sockets: accepts subscribers, and sends each the distributor's messages as fast as it
-reads."""
+"""Serving side on sockets.
+
+It accepts subscribers, and sends each of them the distributor's messages as fast as the subscriber reads.
+"""
 
 import asyncio
 from collections.abc import Iterable
@@ -22,34 +24,32 @@
 from ravenshelf.net.datagrams import address
 from ravenshelf.state.buffers import BufferPool
 
-IDENTIFICATION_TIMEOUT_US = (
-    2_000_000  # microseconds until the first message of a connection must have arrived
-)
-MAX_UNIDENTIFIED_CONNECTIONS = 256  # connections
-UNREAD_TIMEOUT_US = 30_000_000  # microseconds for which a subscriber may leave its messages unread
+IDENTIFICATION_TIMEOUT_US = 2_000_000  # The first message of a connection must arrive within this time.
+MAX_UNIDENTIFIED_CONNECTIONS = 256
+UNREAD_TIMEOUT_US = 30_000_000  # A subscriber that reads nothing for this time is disconnected.
 
-# keys of the timers: by name of the subscriber, and for unidentified connections by their id
-PULL: Literal["pull"] = "pull"
-UNREAD: Literal["unread"] = "unread"
-IDENTIFICATION: Literal["identification"] = "identification"
+# The second part of a timer key is the name of a subscriber, or the id of an unidentified connection.
+PULL_TIMER: Literal["pull"] = "pull"
+UNREAD_TIMER: Literal["unread"] = "unread"
+IDENTIFICATION_TIMER: Literal["identification"] = "identification"
 _TimerKey = tuple[Literal["pull", "unread"], str] | tuple[Literal["identification"], int]
 
 
 class SubscriberListener(Protocol):
-    """Is notified of the events of subscribers."""
+    """Receiver of the events of subscribers."""
 
     def subscriber_message_received(self, name: str, message: Subscribe | Unsubscribe | Resync) -> None:
-        """A subscriber has changed its subscriptions."""
+        """Handle a message of a subscriber that changes its subscriptions."""
 
     def load_report_received(self, report: ZoneLoadReport) -> None:
-        """A subscriber has reported load."""
+        """Handle a subscriber's load report."""
 
     def subscriber_lost(self, name: str) -> None:
-        """A subscriber's connection has ended."""
+        """Handle the end of a subscriber's connection."""
 
 
 class Subscribers:
-    """The connections of a distributor's subscribers."""
+    """Connections of a distributor's subscribers."""
 
     def __init__(
         self, node: Node, buffers: BufferPool, distributor: Distributor, listener: SubscriberListener
@@ -59,14 +59,14 @@
         self.distributor = distributor
         self.listener = listener
         self.connections: dict[str, MessageConnection] = {}
-        self.rejected_count = 0  # connections, in total
-        self.bytes_out = 0  # of all messages ever sent, without frames
+        self.rejected_count = 0  # Number of connections since the start.
+        self.bytes_out = 0  # Bytes of all messages since the start, without frames.
         self._unidentified: dict[int, MessageConnection] = {}
         self._timers: Timers[_TimerKey] = Timers(node.loop, node.clock, self._due)
         self._server: asyncio.Server | None = None
 
     async def start(self, listen: str) -> str:
-        """Listen at host:port; return the address with the port that the system chose for 0."""
+        """Listen at host:port; return the address, with the port that the system chose for port 0."""
         host, port = address(listen)
         self._server = await self.node.loop.create_server(
             lambda: MessageConnection(self.buffers, self), host, port
@@ -85,18 +85,18 @@
         for connection in connections:
             connection.close(ConnectionEnd.STOPPING)
 
-    # --- connections ---
-
     def connection_opened(self, connection: MessageConnection) -> None:
-        """Accept a connection, unless too many are unidentified."""
+        """Accept a connection, unless too many connections are unidentified."""
         if len(self._unidentified) >= MAX_UNIDENTIFIED_CONNECTIONS:
             connection.close(ConnectionEnd.NO_CAPACITY)
             return
         self._unidentified[id(connection)] = connection
-        self._timers.set((IDENTIFICATION, id(connection)), self.node.clock() + IDENTIFICATION_TIMEOUT_US)
+        self._timers.set(
+            (IDENTIFICATION_TIMER, id(connection)), self.node.clock() + IDENTIFICATION_TIMEOUT_US
+        )
 
     def message_received(self, connection: MessageConnection, message: Message) -> None:
-        """Handle a message; the first of a connection must identify the subscriber."""
+        """Handle a message; the first message of a connection must identify the subscriber."""
         if id(connection) in self._unidentified:
             self._identify(connection, message)
         elif isinstance(message, Subscribe | Unsubscribe | Resync):
@@ -108,13 +108,13 @@
             connection.close(ConnectionEnd.UNREADABLE)
 
     def _identify(self, connection: MessageConnection, message: Message) -> None:
-        self._forget_unidentified(connection)
+        self._remove_unidentified(connection)
         if not self._is_valid_hello(message):
             self._reject(connection)
             return
         assert isinstance(message, Hello)
         superseded = self.connections.pop(message.name, None)
-        if superseded is not None:  # the process has dialled again
+        if superseded is not None:  # The process has dialled again.
             superseded.close(ConnectionEnd.SUPERSEDED)
             self.listener.subscriber_lost(message.name)
         if not self.distributor.add_subscriber(self.node.clock(), message.name):
@@ -133,25 +133,23 @@
         self.rejected_count += 1
         connection.close(ConnectionEnd.DECLINED)
 
-    def _forget_unidentified(self, connection: MessageConnection) -> None:
+    def _remove_unidentified(self, connection: MessageConnection) -> None:
         if self._unidentified.pop(id(connection), None) is not None:
-            self._timers.remove((IDENTIFICATION, id(connection)))
+            self._timers.remove((IDENTIFICATION_TIMER, id(connection)))
 
     def connection_ended(self, connection: MessageConnection) -> None:
         """Remove a connection that has ended."""
-        self._forget_unidentified(connection)
+        self._remove_unidentified(connection)
         if self.connections.get(connection.name) is connection:
             del self.connections[connection.name]
-            self._timers.remove((PULL, connection.name))
-            self._timers.remove((UNREAD, connection.name))
+            self._timers.remove((PULL_TIMER, connection.name))
+            self._timers.remove((UNREAD_TIMER, connection.name))
             self.listener.subscriber_lost(connection.name)
 
-    # --- outgoing messages ---
-
     def write_resumed(self, connection: MessageConnection) -> None:
-        """A subscriber has read what it was sent."""
+        """Send a subscriber its pending messages, as it has read the earlier ones."""
         if connection.name in self.connections:
-            self._timers.remove((UNREAD, connection.name))
+            self._timers.remove((UNREAD_TIMER, connection.name))
             self.send_pending([connection.name])
 
     def send_pending(self, names: Iterable[str]) -> None:
@@ -165,16 +163,16 @@
                 connection.write(outgoing.payload)
                 self.bytes_out += len(outgoing.payload)
             if connection.is_paused:
-                self._timers.set((UNREAD, name), now + UNREAD_TIMEOUT_US)
+                self._timers.set((UNREAD_TIMER, name), now + UNREAD_TIMEOUT_US)
             elif connection.end is None:
-                self._timers.set((PULL, name), self.distributor.due_at(now, name))
+                self._timers.set((PULL_TIMER, name), self.distributor.due_at(now, name))
 
     def _due(self, key: _TimerKey) -> None:
-        if key[0] == IDENTIFICATION:
+        if key[0] == IDENTIFICATION_TIMER:
             unidentified = self._unidentified.get(key[1])
             if unidentified is not None:
                 unidentified.close(ConnectionEnd.SILENT)
-        elif key[0] == PULL:
+        elif key[0] == PULL_TIMER:
             self.send_pending([key[1]])
         else:
             self.connections[key[1]].close(ConnectionEnd.UNREAD)
--- a/ravenshelf/distribution/subscription_service.py
+++ b/ravenshelf/distribution/subscription_service.py
@@ -1,4 +1,4 @@
-"""A subscriber on sockets: keeps its topics up to date from one of its parents."""
+"""A subscriber on sockets, which keeps its topics up to date from one of its parents."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -18,16 +18,16 @@
 from ravenshelf.distribution.upstreams import Upstreams
 from ravenshelf.state.buffers import BufferPool
 
-TREE = "tree"  # name of the only upstream
-TICK = "tick"
+TREE_UPSTREAM = "tree"  # A subscriber has no other upstream.
+TICK_TIMER = "tick"
 
 
-def _ignore_liveness(_topic: str, _live: bool) -> None:
+def _ignore_liveness(_topic: str, _is_live: bool) -> None:
     pass
 
 
 class SubscriptionService:
-    """Runs a `SubscriptionClient` on sockets."""
+    """Service that runs a `SubscriptionClient` on sockets."""
 
     def __init__(
         self,
@@ -36,8 +36,15 @@
         topic_changed: Callable[[Topic], None],
         liveness_changed: Callable[[str, bool], None] = _ignore_liveness,
     ):
-        """`topic_changed`: called with each topic that has a new version; `liveness_changed`: with each topic
-        whose owner is lost or can be reached again."""
+        """Create a service that does not yet dial.
+
+        Args:
+            node: This process, with the parents to dial.
+            random_source: Source of the jitter of dials.
+            topic_changed: Called with each topic that has a new version.
+            liveness_changed: Called with each topic whose owner can't be reached any more (False), or can be
+                reached again (True).
+        """
         self.clock = node.clock
         self.topic_changed = topic_changed
         self.liveness_changed = liveness_changed
@@ -45,17 +52,17 @@
         self.client = SubscriptionClient(
             list(node.parent_addresses), self.topics, random_source, node.clock()
         )
-        self.upstreams = Upstreams(node, BufferPool(), {TREE: self.client}, self)
+        self.upstreams = Upstreams(node, BufferPool(), {TREE_UPSTREAM: self.client}, self)
         self._timers: Timers[str] = Timers(node.loop, node.clock, self._tick_due)
 
     def start(self, topics: Iterable[str]) -> None:
-        """Subscribe to these topics and dial."""
+        """Subscribe to these topics and dial the preferred parent."""
         for topic in topics:
             self.subscribe(topic)
         self._tick()
 
     def subscribe(self, topic: str) -> None:
-        """Subscribe to one more topic."""
+        """Subscribe to one more topic; ignored if it is subscribed to."""
         self._perform(self.client.subscribe(topic))
 
     def unsubscribe(self, topic: str) -> None:
@@ -64,14 +71,18 @@
         self.topics.pop(topic, None)
 
     def send_report(self, report: ZoneLoadReport) -> bool:
-        """Send a load report; return False without a connection, so that it can be sent later."""
+        """Send a load report to the parent.
+
+        Returns:
+            False if there is no connection, so that the caller can send the report later.
+        """
         if self.client.state is not ConnectionState.CONNECTED:
             return False
         self._perform([Send(report)])
         return True
 
     def stop(self) -> None:
-        """End the connection."""
+        """End the connection or the dial."""
         self._timers.stop()
         self.upstreams.stop()
 
@@ -82,7 +93,7 @@
             elif isinstance(action, LivenessChanged):
                 self.liveness_changed(action.topic, action.is_live)
             else:
-                self.upstreams.perform([(TREE, action)])
+                self.upstreams.perform([(TREE_UPSTREAM, action)])
 
     def _tick(self) -> None:
         self._perform(self.client.tick(self.clock()))
@@ -92,18 +103,18 @@
         self._tick()
 
     def _schedule_tick(self) -> None:
-        self._timers.set(TICK, self.client.due_at())
+        self._timers.set(TICK_TIMER, self.client.due_at())
 
     def upstream_connected(self, _upstream: str) -> None:
-        """The dial has succeeded."""
+        """Handle a successful dial."""
         self._perform(self.client.connection_opened(self.clock()))
         self._schedule_tick()
 
     def upstream_message_received(self, _upstream: str, message: Message) -> None:
-        """The parent has sent a message."""
+        """Handle a message of the parent."""
         self._perform(self.client.receive(self.clock(), message))
 
     def upstream_lost(self, _upstream: str) -> None:
-        """The connection has ended, or the dial has failed."""
+        """Handle the end of the connection, or the failure of the dial."""
         self._perform(self.client.connection_lost(self.clock()))
         self._schedule_tick()
--- a/ravenshelf/distribution/timers.py
+++ b/ravenshelf/distribution/timers.py
@@ -1,4 +1,4 @@
-"""The deadlines of one part of a process, on the event loop."""
+"""Deadlines of one component of a process, on the event loop."""
 
 import asyncio
 from collections.abc import Callable, Hashable
@@ -13,43 +13,46 @@
 
 
 class Timers(Generic[Key]):
-    """Calls `due` with each key when its deadline has passed. Times are microseconds of `clock`."""
+    """Timers by key, of which each calls `on_due` with its key once its deadline has passed.
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, due: Callable[[Key], None]):
+    Deadlines are in microseconds of `clock`.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, on_due: Callable[[Key], None]):
         self.loop = loop
         self.clock = clock
-        self.due = due
+        self.on_due = on_due
         self._deadlines = DeadlineQueue()
         self._handle: asyncio.TimerHandle | None = None
         self._armed_for: int | None = None
 
     def set(self, key: Key, at: int) -> None:
-        """Set the key's only deadline."""
+        """Set the deadline of a key, in place of an earlier one."""
         self._deadlines.set(key, at)
         self._arm()
 
     def remove(self, key: Key) -> None:
-        """Remove the key's deadline."""
+        """Remove the deadline of a key; a key without a deadline is ignored."""
         self._deadlines.cancel(key)
 
     def stop(self) -> None:
-        """Cancel the timer of the loop; no more deadlines are met until the next `set`."""
+        """Cancel the timer of the event loop; deadlines are not checked again until the next `set`."""
         if self._handle is not None:
             self._handle.cancel()
         self._handle = None
         self._armed_for = None
 
     def _arm(self) -> None:
-        at = self._deadlines.earliest()
-        if at is None or (self._armed_for is not None and self._armed_for <= at):
+        next_deadline = self._deadlines.earliest()
+        if next_deadline is None or (self._armed_for is not None and self._armed_for <= next_deadline):
             return
         self.stop()
-        self._armed_for = at
-        self._handle = self.loop.call_later(max(0, at - self.clock()) / SECOND, self._met)
+        self._armed_for = next_deadline
+        self._handle = self.loop.call_later(max(0, next_deadline - self.clock()) / SECOND, self._fire)
 
-    def _met(self) -> None:
+    def _fire(self) -> None:
         self._handle = None
         self._armed_for = None
         for key in self._deadlines.take_expired(self.clock()):
-            self.due(cast(Key, key))
+            self.on_due(cast(Key, key))
         self._arm()
--- a/ravenshelf/distribution/upstreams.py
+++ b/ravenshelf/distribution/upstreams.py
@@ -1,4 +1,4 @@
-"""The dialling side on sockets: performs the actions of subscription clients, and reports the results."""
+"""Dialling side on sockets, which performs the actions of subscription clients and reports the results."""
 
 import asyncio
 from collections.abc import Iterable, Mapping
@@ -14,20 +14,20 @@
 
 
 class UpstreamListener(Protocol):
-    """Is notified of the events of upstreams."""
+    """Receiver of the events of upstreams."""
 
     def upstream_connected(self, upstream: str) -> None:
-        """A dial has succeeded."""
+        """Handle a successful dial of an upstream's parent."""
 
     def upstream_message_received(self, upstream: str, message: Message) -> None:
-        """A parent has sent a message."""
+        """Handle a message of an upstream's parent."""
 
     def upstream_lost(self, upstream: str) -> None:
-        """A connection has ended, or a dial has failed."""
+        """Handle the end of an upstream's connection, or the failure of a dial."""
 
 
 class _Upstream:
-    """The connection of one client, at most one at a time."""
+    """Connection of one client, of which there is at most one at a time."""
 
     def __init__(self, name: str, node: Node, listener: UpstreamListener):
         self.name = name
@@ -37,16 +37,16 @@
         self.dial: asyncio.Task | None = None
 
     def connection_opened(self, connection: MessageConnection) -> None:
-        """Introduce this node to its parent."""
+        """Identify this node to its parent."""
         connection.send(Hello(PROTOCOL, self.node.cluster, self.node.name))
 
     def message_received(self, connection: MessageConnection, message: Message) -> None:
-        """Pass a message on, unless a newer connection has taken the place of this one."""
+        """Pass a message to the listener, unless a newer connection has replaced this one."""
         if connection is self.connection:
             self.listener.upstream_message_received(self.name, message)
 
     def write_resumed(self, connection: MessageConnection) -> None:
-        """Nothing to do: messages to parents are small and not deferred."""
+        """Do nothing: messages to parents are small and not deferred."""
 
     def connection_ended(self, connection: MessageConnection) -> None:
         """Report the loss of the present connection."""
@@ -56,7 +56,7 @@
 
 
 class Upstreams:
-    """The connections of a node's subscription clients to their parents."""
+    """Connections of a node's subscription clients to their parents."""
 
     def __init__(
         self,
@@ -65,7 +65,14 @@
         clients: Mapping[str, SubscriptionClient],
         listener: UpstreamListener,
     ):
-        """`clients`: by name of the upstream."""
+        """Create upstreams without connections.
+
+        Args:
+            node: This process, with the addresses of the parents.
+            buffers: Pool of the read buffers.
+            clients: Subscription clients, by name of the upstream.
+            listener: Receiver of the events.
+        """
         self.node = node
         self.buffers = buffers
         self.clients = clients
@@ -73,7 +80,7 @@
         self._upstreams = {name: _Upstream(name, node, listener) for name in clients}
 
     def perform(self, actions: Iterable[tuple[str, Action]]) -> None:
-        """Perform clients' actions, each given with its upstream."""
+        """Perform the actions of clients, of which each is for the named upstream."""
         for name, action in actions:
             upstream = self._upstreams[name]
             if isinstance(action, Send) and upstream.connection is not None:
@@ -81,10 +88,13 @@
             elif isinstance(action, Dial):
                 upstream.dial = self.node.loop.create_task(self._dial(upstream, action.parent))
             elif isinstance(action, Disconnect):
-                self._hang_up(upstream, ConnectionEnd.SILENT)
+                self._disconnect(upstream, ConnectionEnd.SILENT)
 
     async def _dial(self, upstream: _Upstream, parent: str) -> None:
-        """Dial without a timeout of its own: the client gives the dial up, which cancels this task."""
+        """Dial a parent, and report the result to the listener.
+
+        There is no timeout here: a client whose dial takes too long disconnects, which cancels this task.
+        """
         host, port = address(self.node.parent_addresses[parent])
         try:
             _, connection = await self.node.loop.create_connection(
@@ -98,11 +108,11 @@
         upstream.connection = connection
         if connection.end is None:
             self.listener.upstream_connected(upstream.name)
-        else:  # closed before this task was resumed
+        else:  # The connection was closed before this task was resumed.
             upstream.connection_ended(connection)
 
     @staticmethod
-    def _hang_up(upstream: _Upstream, end: ConnectionEnd) -> None:
+    def _disconnect(upstream: _Upstream, end: ConnectionEnd) -> None:
         if upstream.dial is not None:
             upstream.dial.cancel()
             upstream.dial = None
@@ -114,4 +124,4 @@
     def stop(self) -> None:
         """End all connections and dials without notifying the listener."""
         for upstream in self._upstreams.values():
-            self._hang_up(upstream, ConnectionEnd.STOPPING)
+            self._disconnect(upstream, ConnectionEnd.STOPPING)
