--- a/tests/distribution/test_controller_processes.py
+++ b/tests/distribution/test_controller_processes.py
@@ -1,4 +1,4 @@
-"""Controllers as processes: services shared by leases, taken over, and changed by hand."""
+"""Tests of controllers as processes: services shared by leases, takeovers, and changed services files."""
 
 import asyncio
 import contextlib
@@ -30,23 +30,23 @@
 
 
 def services_text(limit: str) -> str:
-    """Six services of three endpoints in zone 0."""
-    out = []
+    """Return a services file with six services of three endpoints in zone 0."""
+    lines = []
     for service in SERVICES:
-        out.append(f"[{service}.endpoints]")
-        out += [f'"{service}-{n}" = {{ zone = 0, weight = 1.0 }}' for n in range(3)]
-        out.append(f'[{service}.settings]\nlimit = "{limit}"')
-    return "\n".join(out) + "\n"
+        lines.append(f"[{service}.endpoints]")
+        lines += [f'"{service}-{n}" = {{ zone = 0, weight = 1.0 }}' for n in range(3)]
+        lines.append(f'[{service}.settings]\nlimit = "{limit}"')
+    return "\n".join(lines) + "\n"
 
 
 class Cluster:
-    """Three controllers, a relay next to them, and one subscriber of everything."""
+    """Three controller processes, a relay next to them, and one subscriber of all topics."""
 
     def __init__(self, folder: Path):
         self.folder, self.loop = folder, asyncio.get_running_loop()
-        given = ports(6)
-        self.members = {name: f"127.0.0.1:{port}" for name, port in zip(NAMES, given[:3], strict=True)}
-        self.listen = {name: f"127.0.0.1:{port}" for name, port in zip(NAMES, given[3:], strict=True)}
+        free_ports = ports(6)
+        self.members = {name: f"127.0.0.1:{port}" for name, port in zip(NAMES, free_ports[:3], strict=True)}
+        self.listen = {name: f"127.0.0.1:{port}" for name, port in zip(NAMES, free_ports[3:], strict=True)}
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.versions: dict[str, list] = {}
 
@@ -63,9 +63,11 @@
             random.Random(2),
             upstreams_are_owners=True,
         )
-        at = await self.relay.start("127.0.0.1:0")
+        relay_address = await self.relay.start("127.0.0.1:0")
         self.server = SubscriptionService(
-            Node(self.loop, clock, "test", "pilot-0", {"relay-0": at}), random.Random(3), self._topic_changed
+            Node(self.loop, clock, "test", "server-0", {"relay-0": relay_address}),
+            random.Random(3),
+            self._topic_changed,
         )
         self.server.start(
             [topic for service in SERVICES for topic in (service_topic(service), zone_topic(service, 0))]
@@ -88,7 +90,7 @@
         )
 
     async def run(self, name: str) -> None:
-        words = [
+        arguments = [
             "distribution",
             "controller",
             "--config",
@@ -98,20 +100,20 @@
         ]
         log = (self.folder / f"{name}.log").open("ab")
         self.processes[name] = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "ravenshelf", *words, cwd=ROOT, stdout=log, stderr=log
+            sys.executable, "-m", "ravenshelf", *arguments, cwd=ROOT, stdout=log, stderr=log
         )
         log.close()
 
-    def limits(self) -> set[str]:
-        """The values of the setting that the subscriber holds, over all services."""
-        held = [
+    def limit_values(self) -> set[str]:
+        """Return the values of the setting `limit` that the subscriber holds, over all services."""
+        settings = [
             self.server.topics[service_topic(service)].entries.get("c:limit", Setting(""))
             for service in SERVICES
         ]
-        return {setting.value for setting in held}
+        return {setting.value for setting in settings}
 
     def owners(self) -> dict[str, str]:
-        """Which controller the relay takes each service from."""
+        """Return the owner of each service, as the relay routes it."""
         claims = {service: self.relay.relay.ownership.claim(service) for service in SERVICES}
         return {service: claim.owner for service, claim in claims.items() if claim is not None}
 
@@ -123,9 +125,9 @@
             service: read_table(self.server.topics[zone_topic(service, 0)].entries) for service in SERVICES
         }
 
-    async def until(self, true, seconds: float = 2 * WAIT) -> None:
+    async def wait_until(self, condition, seconds: float = 2 * WAIT) -> None:
         async with asyncio.timeout(seconds):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.02)
 
     async def stop(self) -> None:
@@ -139,105 +141,115 @@
             await asyncio.wait_for(process.wait(), WAIT)
 
 
-def on_a_cluster(play, folder: Path) -> None:
+def run_on_cluster(scenario, folder: Path) -> None:
     async def run() -> None:
         cluster = Cluster(folder)
         await cluster.start()
         try:
-            await cluster.until(lambda: cluster.limits() == {"1"} and all(cluster.tables().values()))
-            await play(cluster)
-            for name, seen in cluster.versions.items():
-                assert seen == sorted(set(seen)), name
+            await cluster.wait_until(
+                lambda: cluster.limit_values() == {"1"} and all(cluster.tables().values())
+            )
+            await scenario(cluster)
+            for name, received_versions in cluster.versions.items():
+                assert received_versions == sorted(set(received_versions)), name
         finally:
             await cluster.stop()
 
     asyncio.run(run())
 
 
-def test_a_killed_controllers_services_are_taken_over_and_changes_go_on(tmp_path):
-    async def play(cluster: Cluster) -> None:
+def test_the_services_of_a_killed_controller_are_taken_over_and_changes_still_arrive(tmp_path):
+    async def scenario(cluster: Cluster) -> None:
         owners, epochs = cluster.owners(), cluster.epochs()
-        assert len(set(owners.values())) >= 2  # they share
-        lost = owners[SERVICES[0]]
-        cluster.processes[lost].kill()
-        await cluster.until(lambda: lost not in cluster.owners().values())
-        moved = [service for service, owner in owners.items() if owner == lost]
-        await cluster.until(lambda: all(cluster.epochs()[service] > epochs[service] for service in moved))
+        assert len(set(owners.values())) >= 2
+        killed_controller = owners[SERVICES[0]]
+        cluster.processes[killed_controller].kill()
+        await cluster.wait_until(lambda: killed_controller not in cluster.owners().values())
+        moved_services = [service for service, owner in owners.items() if owner == killed_controller]
+        await cluster.wait_until(
+            lambda: all(cluster.epochs()[service] > epochs[service] for service in moved_services)
+        )
         assert all(
-            cluster.epochs()[service] == epochs[service] for service in SERVICES if service not in moved
+            cluster.epochs()[service] == epochs[service]
+            for service in SERVICES
+            if service not in moved_services
         )
         assert all(cluster.tables().values())
         (cluster.folder / "services.toml").write_text(services_text("2"))
         for name in NAMES:
-            if name != lost:
+            if name != killed_controller:
                 cluster.processes[name].send_signal(signal.SIGHUP)
-        await cluster.until(lambda: cluster.limits() == {"2"})
-        await cluster.run(lost)  # it comes back, and nothing goes back
+        await cluster.wait_until(lambda: cluster.limit_values() == {"2"})
+        # The restarted controller must not bring back the previous value.
+        await cluster.run(killed_controller)
         await asyncio.sleep(2)
-        assert cluster.limits() == {"2"}
+        assert cluster.limit_values() == {"2"}
 
-    on_a_cluster(play, tmp_path)
+    run_on_cluster(scenario, tmp_path)
 
 
 def test_a_suspended_controller_that_resumes_is_ignored(tmp_path):
-    async def play(cluster: Cluster) -> None:
+    async def scenario(cluster: Cluster) -> None:
         owners = cluster.owners()
-        asleep = owners[SERVICES[0]]
-        cluster.processes[asleep].send_signal(signal.SIGSTOP)
-        await cluster.until(lambda: asleep not in cluster.owners().values())
+        suspended_controller = owners[SERVICES[0]]
+        cluster.processes[suspended_controller].send_signal(signal.SIGSTOP)
+        await cluster.wait_until(lambda: suspended_controller not in cluster.owners().values())
         (cluster.folder / "services.toml").write_text(services_text("2"))
         for process in cluster.processes.values():
-            process.send_signal(signal.SIGHUP)  # the sleeper gets its own as it wakes
-        await cluster.until(lambda: cluster.limits() == {"2"})
+            # The suspended controller receives the signal when it resumes.
+            process.send_signal(signal.SIGHUP)
+        await cluster.wait_until(lambda: cluster.limit_values() == {"2"})
         epochs = cluster.epochs()
         (cluster.folder / "services.toml").write_text(services_text("3"))
-        cluster.processes[asleep].send_signal(signal.SIGCONT)
-        await asyncio.sleep(0.3)  # what it still believes to own it must not publish
+        cluster.processes[suspended_controller].send_signal(signal.SIGCONT)
+        # The resumed controller must not publish services whose leases have expired.
+        await asyncio.sleep(0.3)
         for name, process in cluster.processes.items():
-            if name != asleep:
+            if name != suspended_controller:
                 process.send_signal(signal.SIGHUP)
-        await cluster.until(lambda: cluster.limits() == {"3"})
+        await cluster.wait_until(lambda: cluster.limit_values() == {"3"})
         assert all(cluster.epochs()[service] >= epochs[service] for service in SERVICES)
 
-    on_a_cluster(play, tmp_path)
+    run_on_cluster(scenario, tmp_path)
 
 
-class LapsingMember:
-    """A member whose lease is good or not as the test says."""
+class MemberWithSwitchedLease:
+    """A member whose lease the test makes valid or invalid."""
 
     local_member = 0
 
     def __init__(self):
-        self.good = True
+        self.is_lease_valid = True
         self.claims = [SimpleNamespace(term=4)] * 8
 
     def permission(self, now: int, shard: int) -> Permission | None:
-        return Permission.FULL if self.good else None
+        return Permission.FULL if self.is_lease_valid else None
 
 
-def test_services_are_claimed_only_while_the_lease_is_valid():
+def test_claims_are_withdrawn_without_a_valid_lease_and_made_again_with_one():
     claims, now = [], [0]
-    leases = LeasedServices(LapsingMember(), NAMES, lambda: now[0], 8)
+    leases = LeasedServices(MemberWithSwitchedLease(), NAMES, lambda: now[0], 8)
     publisher = SimpleNamespace(
-        acquire=lambda *words: None, set_claimed=lambda service, claimed: claims.append((service, claimed))
+        acquire=lambda *arguments: None,
+        set_claimed=lambda service, claimed: claims.append((service, claimed)),
     )
     leases.attach(publisher, ["s"])
     leases.lease_acquired(shard_of_service("s", 8), 4, None)
-    leases.member.good = False
+    leases.member.is_lease_valid = False
     for seconds in range(10):
         now[0] = seconds * SECOND
         leases.check_leases()
     assert (
         claims and set(claims) == {("s", False)} and len(claims) == 10 - CLAIM_WITHDRAWAL_DELAY_US // SECOND
     )
-    leases.member.good = True
+    leases.member.is_lease_valid = True
     leases.check_leases()
     leases.check_leases()
     assert claims[-1] == ("s", True) and claims.count(("s", True)) == 1
 
 
 @pytest.mark.parametrize(
-    "text, complaint",
+    "text, message",
     [
         ("[a]\nendpoints = 3\n", "Expected `object`"),
         ("[a.endpoints]\nx = { zone = 2 }\n", "found zone 2, expected one below 1"),
@@ -248,7 +260,7 @@
         ("[a", "TOML"),
     ],
     ids=[
-        "endpoints are no table",
+        "endpoints are not a table",
         "zone beyond the last",
         "service name with @",
         "negative zone",
@@ -257,16 +269,16 @@
         "not TOML",
     ],
 )
-def test_an_invalid_services_file_is_rejected_with_its_place(tmp_path, text, complaint):
+def test_an_invalid_services_file_is_rejected_with_its_path(tmp_path, text, message):
     file = tmp_path / "services.toml"
     file.write_text(text)
-    with pytest.raises(ServicesFileError) as rejected:
+    with pytest.raises(ServicesFileError) as raised:
         read(file, 1)
-    assert str(file) in str(rejected.value) and (complaint in str(rejected.value) or complaint == "TOML")
+    assert str(file) in str(raised.value) and (message in str(raised.value) or message == "TOML")
 
 
 @pytest.mark.parametrize(
-    "table, complaint",
+    "table, message",
     [
         (
             'listen = "h:1"\nservices = "s.toml"\n[distribution.parents]\nb = "h:2"\n',
@@ -276,7 +288,7 @@
     ],
     ids=["name differs from the lease's", "no listen address"],
 )
-def test_an_invalid_controllers_table_is_rejected(tmp_path, table, complaint):
+def test_an_invalid_distribution_table_of_a_controller_is_rejected(tmp_path, table, message):
     configuration = server_configuration("127.0.0.1:1", ["north"], 1)
     (tmp_path / "fleet.json").write_text(json.dumps(configuration))
     (tmp_path / "operator.toml").write_text(f'[distribution]\nname = "a"\ncluster = "c"\n{table}')
@@ -289,4 +301,4 @@
             str(tmp_path / "operator.toml"),
         )
     )
-    assert code == 2 and complaint in errors
+    assert code == 2 and message in errors
--- a/tests/distribution/test_distributed_controller.py
+++ b/tests/distribution/test_distributed_controller.py
@@ -1,4 +1,4 @@
-"""A server whose service's owner decides: its split, the server's own guards, and no owner."""
+"""Tests of a server whose service is decided by an owner: the split of requests, draining, and no owner."""
 
 import asyncio
 import json
@@ -28,12 +28,15 @@
 
 
 class ServerWithOwner:
-    """The distributed decisions on a clock set by hand; endpoints 0 and 1 in zone 0, 2 and 3 in zone 1."""
+    """A `DistributedController` on a clock that the test advances.
+
+    Endpoints 0 and 1 are in zone 0, endpoints 2 and 3 in zone 1.
+    """
 
     def __init__(self, **weights: float):
         self.source = TableSource.OWNER
         self.table = {f"s-{name[1:]}": TableLine(weight) for name, weight in weights.items()}
-        self.now, self.kept = 1000 * SECOND, RecordingWriter()
+        self.now, self.writer = 1000 * SECOND, RecordingWriter()
         settings = Settings(
             zones=("a", "b"),
             traffic_groups=(TrafficGroup("look", idempotency=Idempotency.IDEMPOTENT),),
@@ -60,7 +63,7 @@
         )
 
     def run_cycle(self, *events) -> None:
-        self.controller.run_cycle(self.now, list(events), self.kept)
+        self.controller.run_cycle(self.now, list(events), self.writer)
 
     def run(self, seconds: float, events=()) -> "ServerWithOwner":
         for quarter in range(round(seconds * 4)):
@@ -69,13 +72,15 @@
         return self
 
     def shares(self, zone: int = 0) -> dict[int, float]:
-        """What the zone's proxy would send where."""
-        table = self.kept.tables[self.kept.bound[zone]]
-        lines = {endpoint: weight for endpoint, weight in table.items() if endpoint not in self.kept.ejected}
+        """Return the share of requests that the zone's proxy sends to each endpoint."""
+        table = self.writer.tables[self.writer.bound[zone]]
+        lines = {
+            endpoint: weight for endpoint, weight in table.items() if endpoint not in self.writer.ejected
+        }
         return {endpoint: round(weight / sum(lines.values()), 3) for endpoint, weight in lines.items()}
 
 
-def test_the_owners_table_is_used_where_there_is_one_and_the_own_elsewhere():
+def test_the_owners_table_is_used_in_zones_that_have_one_and_the_servers_own_elsewhere():
     server = ServerWithOwner(s0=900.0, s1=50.0, s2=50.0)
     assert server.shares(0) == {0: 0.9, 1: 0.05, 2: 0.05}
     assert server.shares(1) == {2: 0.5, 3: 0.5}
@@ -88,7 +93,7 @@
     assert server.run(2).shares() == {0: 0.1, 1: 0.9}
 
 
-def test_endpoints_draining_here_are_not_used_whatever_the_owner_publishes():
+def test_endpoints_that_the_server_lists_as_draining_are_not_used():
     server = ServerWithOwner(s0=900.0, s1=60.0, s2=40.0).run(1)
     server.run_cycle(endpoint_list("drrr"))
     assert 0 not in server.shares() and set(server.shares()) == {1, 2}
@@ -96,12 +101,12 @@
     assert set(server.shares()) == {1, 2}
 
 
-def test_endpoints_not_listed_here_are_ignored():
+def test_endpoints_that_the_server_does_not_list_are_ignored():
     server = ServerWithOwner(s0=500.0, s1=250.0, s9=250.0)
     assert server.shares() == {0: 0.667, 1: 0.333}
 
 
-def test_a_table_of_bounded_lines_only_is_not_used():
+def test_a_table_whose_bounds_do_not_cover_all_requests_is_not_used():
     server = ServerWithOwner()
     server.table = {"s-0": TableLine(100.0, 0.3)}
     server.controller.owner_table_changed()
@@ -109,21 +114,23 @@
 
 
 @pytest.mark.parametrize(
-    "source, first",
+    "source, first_share",
     [(TableSource.OWNER, 0.9), (TableSource.LAST_TABLE, 0.9), (TableSource.LOCAL, 0.5)],
     ids=["owner", "last table", "local"],
 )
-def test_without_an_owner_the_last_table_and_then_the_own_decisions(source, first):
+def test_without_an_owner_the_last_table_is_used_and_then_the_servers_own_decisions(source, first_share):
     server = ServerWithOwner(s0=900.0, s1=100.0).run(3)
     server.source = source
-    assert server.run(6, [load_report(0, 0), load_report(0, 1)]).shares()[0] == pytest.approx(first, abs=0.02)
+    assert server.run(6, [load_report(0, 0), load_report(0, 1)]).shares()[0] == pytest.approx(
+        first_share, abs=0.02
+    )
 
 
-def test_without_an_owner_it_decides_as_a_server_without_distribution():
+def test_without_an_owner_the_decisions_equal_those_of_a_server_without_distribution():
     server = ServerWithOwner(s0=900.0, s1=100.0)
     server.source = TableSource.LOCAL
     local_controller = Controller(server.controller.settings, 7)
-    kept, now = RecordingWriter(), 1000 * SECOND
+    writer, now = RecordingWriter(), 1000 * SECOND
     local_controller.run_cycle(
         now,
         [
@@ -131,7 +138,7 @@
             ProxyJoined(0, 0, 10.0, True),
             ProxyJoined(1, 1, 10.0, True),
         ],
-        kept,
+        writer,
     )
     events = [
         load_report(0, 0, failed=18),
@@ -142,29 +149,29 @@
     server.run(20, events)
     for quarter in range(80):
         now += SECOND // 4
-        local_controller.run_cycle(now, list(events) if quarter % 4 == 0 else [], kept)
+        local_controller.run_cycle(now, list(events) if quarter % 4 == 0 else [], writer)
     assert server.controller.spill_planner.shares == local_controller.spill_planner.shares
     lines = {
         endpoint: weight
-        for endpoint, weight in kept.tables[kept.bound[0]].items()
-        if endpoint not in kept.ejected
+        for endpoint, weight in writer.tables[writer.bound[0]].items()
+        if endpoint not in writer.ejected
     }
     assert server.shares() == {
         endpoint: round(weight / sum(lines.values()), 3) for endpoint, weight in lines.items()
     }
 
 
-def test_a_server_process_uses_the_owners_table_reports_load_and_decides_alone(tmp_path):
-    """serve as a process, with a proxy; an owner and a relay in this one."""
+def test_a_server_process_uses_the_owners_table_reports_load_and_then_decides_by_itself(tmp_path):
+    """The server runs as a process of its own with a proxy; the owner and the relay run in this process."""
     table = {f"t:s-{n}": TableLine(weight) for n, weight in enumerate((800.0, 100.0, 100.0))}
     reports: list[ZoneLoadReport] = []
 
-    async def until(true, seconds: float = WAIT) -> None:
+    async def wait_until(condition, seconds: float = WAIT) -> None:
         async with asyncio.timeout(seconds):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.02)
 
-    async def play() -> None:
+    async def run_processes() -> None:
         loop = asyncio.get_running_loop()
         owner = OwnerService(
             Node(loop, clock, "test", "owner-0", {}),
@@ -174,29 +181,29 @@
             random.Random(1),
             report_received=reports.append,
         )
-        owner_at = await owner.start("127.0.0.1:0")
+        owner_address = await owner.start("127.0.0.1:0")
         owner.acquire("s", PublicationLease(1, clock() + 600 * SECOND))
         relay = RelayService(
-            Node(loop, clock, "test", "relay-0", {"owner-0": owner_at}),
+            Node(loop, clock, "test", "relay-0", {"owner-0": owner_address}),
             {"owner-0": ["owner-0"]},
             random.Random(2),
             upstreams_are_owners=True,
         )
-        relay_at = await relay.start("127.0.0.1:0")
-        discovery = await LoopbackRegistry([listed_endpoint(f"s-{n}", "north") for n in range(3)]).start()
+        relay_address = await relay.start("127.0.0.1:0")
+        registry = await LoopbackRegistry([listed_endpoint(f"s-{n}", "north") for n in range(3)]).start()
         listen = f"127.0.0.1:{ports(1)[0]}"
-        configuration = server_configuration(discovery.address, ["north"], 1, listen)
+        configuration = server_configuration(registry.address, ["north"], 1, listen)
         configuration["settings"]["limits"]["probing"] = False
-        (tmp_path / "pilot.json").write_text(json.dumps(configuration))
+        (tmp_path / "server.json").write_text(json.dumps(configuration))
         (tmp_path / "operator.toml").write_text(
-            '[distribution]\nname = "pilot-0"\ncluster = "test"\nservice = "s"\n'
-            f'[distribution.parents]\nrelay-0 = "{relay_at}"\n'
+            '[distribution]\nname = "server-0"\ncluster = "test"\nservice = "s"\n'
+            f'[distribution.parents]\nrelay-0 = "{relay_address}"\n'
         )
-        process = await start_server(tmp_path / "pilot.json", "--operator", str(tmp_path / "operator.toml"))
+        process = await start_server(tmp_path / "server.json", "--operator", str(tmp_path / "operator.toml"))
         proxy = LoopbackProxy(lambda: listen, 0, "north")
-        running = asyncio.create_task(proxy.run())
+        proxy_task = asyncio.create_task(proxy.run())
         try:
-            await until(
+            await wait_until(
                 lambda: proxy.lines() and proxy.lines().get("s-0", 0) > 7 * proxy.lines().get("s-1", 1000)
             )
             for _ in range(30):
@@ -212,15 +219,14 @@
             relay.stop()
             owner.stop()
             await asyncio.sleep(1)
-            assert proxy.lines()["s-0"] > 7 * proxy.lines()["s-1"]  # it goes on with the last table
-            await until(
-                lambda: proxy.lines()["s-0"] < 2 * proxy.lines()["s-1"], 25
-            )  # and then decides for itself
+            # The server uses the last table at first, and its own decisions later.
+            assert proxy.lines()["s-0"] > 7 * proxy.lines()["s-1"]
+            await wait_until(lambda: proxy.lines()["s-0"] < 2 * proxy.lines()["s-1"], 25)
         finally:
-            running.cancel()
+            proxy_task.cancel()
             relay.stop()
             owner.stop()
             process.terminate()
             await process.wait()
 
-    asyncio.run(play())
+    asyncio.run(run_processes())
--- a/tests/distribution/test_distribution_sockets.py
+++ b/tests/distribution/test_distribution_sockets.py
@@ -1,4 +1,4 @@
-"""Owners, relays and subscribers on loopback sockets; and that they send what simulated ones send."""
+"""Tests of owners, relays and subscribers on loopback sockets, also against the simulated distribution."""
 
 import asyncio
 import contextlib
@@ -55,69 +55,69 @@
 
 
 class Installation:
-    """One owner, one relay and some subscribers, all in this process, over real sockets."""
+    """One owner, one relay and some subscribers, all in this process and connected by sockets."""
 
-    def __init__(self, subscribers: int = 3, most: int = 64):
+    def __init__(self, subscribers: int = 3, max_subscribers: int = 64):
         self.loop = asyncio.get_running_loop()
         self.content = {"c:x": Setting("0")}
         self.owner = OwnerService(
             Node(self.loop, clock, "test", "owner-0", {}), 1, 8, lambda topic: self.content, random.Random(1)
         )
-        self.count, self.most = subscribers, most
-        self.versions: dict[tuple[str, str], list] = {}  # by subscriber and topic, as they came
+        self.subscriber_count, self.max_subscribers = subscribers, max_subscribers
+        self.versions: dict[tuple[str, str], list] = {}  # Keys are subscriber and topic.
 
     async def start(self) -> "Installation":
-        self.owner_at = await self.owner.start("127.0.0.1:0")
+        self.owner_address = await self.owner.start("127.0.0.1:0")
         self.owner.acquire("s", PublicationLease(1, clock() + 60 * SECOND))
         self.relay = await self.start_relay("127.0.0.1:0")
-        self.subscribers = [self.subscriber(n) for n in range(self.count)]
+        self.subscribers = [self.subscriber(n) for n in range(self.subscriber_count)]
         return self
 
     async def start_relay(self, listen: str) -> RelayService:
         relay = RelayService(
-            Node(self.loop, clock, "test", "relay-0", {"owner-0": self.owner_at}),
+            Node(self.loop, clock, "test", "relay-0", {"owner-0": self.owner_address}),
             {"owner-0": ["owner-0"]},
             random.Random(2),
-            DistributorLimits(self.most),
+            DistributorLimits(self.max_subscribers),
             upstreams_are_owners=True,
         )
-        self.relay_at = await relay.start(listen)
+        self.relay_address = await relay.start(listen)
         return relay
 
     def subscriber(self, number: int) -> SubscriptionService:
-        name = f"pilot-{number}"
+        name = f"server-{number}"
         subscriber = SubscriptionService(
-            Node(self.loop, clock, "test", name, {"relay-0": self.relay_at}),
+            Node(self.loop, clock, "test", name, {"relay-0": self.relay_address}),
             random.Random(number),
             lambda topic: self.versions.setdefault((name, topic.name), []).append(topic.version),
         )
         subscriber.start(["s@", "s@0"])
         return subscriber
 
-    def say(self, value: str) -> None:
+    def publish_setting(self, value: str) -> None:
         self.content = {"c:x": Setting(value)}
         self.owner.refresh("s@")
 
-    def holds(self, value: str) -> bool:
+    def all_subscribers_have(self, value: str) -> bool:
         return all(
             subscriber.topics["s@"].entries == {"c:x": Setting(value)} for subscriber in self.subscribers
         )
 
-    async def until(self, true) -> None:
+    async def wait_until(self, condition) -> None:
         async with asyncio.timeout(WAIT):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.01)
 
     def stop(self) -> None:
-        for part in (*self.subscribers, self.relay, self.owner):
-            part.stop()
+        for service in (*self.subscribers, self.relay, self.owner):
+            service.stop()
 
 
-def on_sockets(play, **options) -> None:
+def run_on_sockets(scenario, **options) -> None:
     async def run() -> None:
         installation = await Installation(**options).start()
         try:
-            await play(installation)
+            await scenario(installation)
         finally:
             installation.stop()
 
@@ -125,12 +125,15 @@
 
 
 def test_a_change_reaches_all_subscribers_through_a_relay():
-    async def play(installation: Installation) -> None:
-        await installation.until(lambda: installation.holds("0"))
+    async def scenario(installation: Installation) -> None:
+        await installation.wait_until(lambda: installation.all_subscribers_have("0"))
         for value in ("1", "2"):
-            installation.say(value)
-            await installation.until(lambda value=value: installation.holds(value))
-        assert all(seen == sorted(set(seen)) for seen in installation.versions.values())
+            installation.publish_setting(value)
+            await installation.wait_until(lambda value=value: installation.all_subscribers_have(value))
+        assert all(
+            received_versions == sorted(set(received_versions))
+            for received_versions in installation.versions.values()
+        )
         status = installation.relay.status()
         assert (
             status["subscribers"] == 3
@@ -138,40 +141,43 @@
             and status["upstreams"][0]["state"] == "connected"
         )
 
-    on_sockets(play)
+    run_on_sockets(scenario)
 
 
 def test_subscribers_reconnect_to_a_restarted_relay():
-    async def play(installation: Installation) -> None:
-        await installation.until(lambda: installation.holds("0"))
+    async def scenario(installation: Installation) -> None:
+        await installation.wait_until(lambda: installation.all_subscribers_have("0"))
         installation.relay.stop()
-        installation.say("1")
-        installation.relay = await installation.start_relay(installation.relay_at)
-        await installation.until(lambda: installation.holds("1"))
-        assert all(seen == sorted(set(seen)) for seen in installation.versions.values())
+        installation.publish_setting("1")
+        installation.relay = await installation.start_relay(installation.relay_address)
+        await installation.wait_until(lambda: installation.all_subscribers_have("1"))
+        assert all(
+            received_versions == sorted(set(received_versions))
+            for received_versions in installation.versions.values()
+        )
 
-    on_sockets(play)
+    run_on_sockets(scenario)
 
 
-def test_subscribers_beyond_the_limit_are_rejected():
-    async def play(installation: Installation) -> None:
-        await installation.until(lambda: installation.relay.status()["refused"] > 0)
+def test_subscribers_above_the_limit_are_rejected():
+    async def scenario(installation: Installation) -> None:
+        await installation.wait_until(lambda: installation.relay.status()["refused"] > 0)
         assert installation.relay.status()["subscribers"] == 2
 
-    on_sockets(play, subscribers=3, most=2)
+    run_on_sockets(scenario, subscribers=3, max_subscribers=2)
 
 
-class Dialled:
-    """A side that only notes what comes."""
+class RecordingListener:
+    """A listener that records messages and events."""
 
     def __init__(self):
-        self.heard, self.open, self.ended = [], asyncio.Event(), asyncio.Event()
+        self.messages, self.open, self.ended = [], asyncio.Event(), asyncio.Event()
 
     def connection_opened(self, connection) -> None:
         self.open.set()
 
     def message_received(self, connection, message) -> None:
-        self.heard.append(message)
+        self.messages.append(message)
 
     def connection_ended(self, connection) -> None:
         self.ended.set()
@@ -180,13 +186,13 @@
         pass
 
 
-async def dial(installation: Installation) -> tuple[Dialled, MessageConnection]:
-    side = Dialled()
-    host, _, port = installation.relay_at.rpartition(":")
+async def dial(installation: Installation) -> tuple[RecordingListener, MessageConnection]:
+    listener = RecordingListener()
+    host, _, port = installation.relay_address.rpartition(":")
     _, connection = await installation.loop.create_connection(
-        lambda: MessageConnection(BufferPool(), side), host, int(port)
+        lambda: MessageConnection(BufferPool(), listener), host, int(port)
     )
-    return side, connection
+    return listener, connection
 
 
 @pytest.mark.parametrize(
@@ -200,51 +206,51 @@
     ],
     ids=["another cluster", "another protocol", "no name", "no hello", "not a message"],
 )
-def test_unidentified_connections_are_rejected_and_the_others_stay(payload):
-    async def play(installation: Installation) -> None:
-        await installation.until(lambda: installation.holds("0"))
-        side, connection = await dial(installation)
+def test_unidentified_connections_are_rejected_and_other_subscribers_are_still_served(payload):
+    async def scenario(installation: Installation) -> None:
+        await installation.wait_until(lambda: installation.all_subscribers_have("0"))
+        listener, connection = await dial(installation)
         connection.write(payload)
-        await asyncio.wait_for(side.ended.wait(), WAIT)
-        installation.say("1")
-        await installation.until(lambda: installation.holds("1"))
+        await asyncio.wait_for(listener.ended.wait(), WAIT)
+        installation.publish_setting("1")
+        await installation.wait_until(lambda: installation.all_subscribers_have("1"))
 
-    on_sockets(play)
+    run_on_sockets(scenario)
 
 
 def test_a_subscriber_that_sends_a_parents_message_is_disconnected():
-    async def play(installation: Installation) -> None:
-        side, connection = await dial(installation)
-        connection.send(Hello(PROTOCOL, "test", "liar"))
+    async def scenario(installation: Installation) -> None:
+        listener, connection = await dial(installation)
+        connection.send(Hello(PROTOCOL, "test", "wrong-message"))
         connection.send(Heartbeat(1))
-        await asyncio.wait_for(side.ended.wait(), WAIT)
+        await asyncio.wait_for(listener.ended.wait(), WAIT)
 
-    on_sockets(play)
+    run_on_sockets(scenario)
 
 
-def test_a_subscriber_that_reads_nothing_is_disconnected_and_the_others_go_on(monkeypatch):
+def test_a_subscriber_that_reads_nothing_is_disconnected_and_others_are_still_served(monkeypatch):
     monkeypatch.setattr(subscribers, "UNREAD_TIMEOUT_US", SECOND // 2)
 
-    async def play(installation: Installation) -> None:
-        await installation.until(lambda: installation.holds("0"))
+    async def scenario(installation: Installation) -> None:
+        await installation.wait_until(lambda: installation.all_subscribers_have("0"))
         _, connection = await dial(installation)
-        connection.send(Hello(PROTOCOL, "test", "deaf"))
+        connection.send(Hello(PROTOCOL, "test", "not-reading"))
         connection.send(Subscribe("s@", NEVER))
-        await installation.until(lambda: "deaf" in installation.relay.subscribers.connections)
+        await installation.wait_until(lambda: "not-reading" in installation.relay.subscribers.connections)
         connection.transport.pause_reading()
-        for turn in itertools.count():
-            installation.say(f"{turn}" + "x" * 100_000)
+        for change_number in itertools.count():
+            installation.publish_setting(f"{change_number}" + "x" * 100_000)
             await asyncio.sleep(0.02)
-            if "deaf" not in installation.relay.subscribers.connections:
+            if "not-reading" not in installation.relay.subscribers.connections:
                 break
-        installation.say("7")
-        await installation.until(lambda: installation.holds("7"))
+        installation.publish_setting("7")
+        await installation.wait_until(lambda: installation.all_subscribers_have("7"))
         connection.transport.abort()
 
-    on_sockets(play)
+    run_on_sockets(scenario)
 
 
-def test_frames_in_any_pieces_and_the_longest():
+def test_frames_are_read_from_pieces_of_any_size_and_too_long_ones_are_rejected():
     data = pack(b"one") + pack(b"") + pack(b"x" * 70_000)
     frames, bodies = Frames(), []
     for start in range(0, len(data), 7):
@@ -256,9 +262,12 @@
         Frames().feed(b"\xff\xff\xff\xff")
 
 
-def test_on_sockets_a_subscriber_gets_the_same_messages_and_bytes_as_a_simulated_one():
-    """The same two topics and five changes: the same messages of state in turn, of the same bytes. Heartbeats
-    go by time, and whether owners are in reach is sent where a server connects before its relay knows."""
+def test_a_subscriber_on_sockets_receives_the_same_messages_and_bytes_as_a_simulated_one():
+    """Both runs have the same two topics and five changes.
+
+    Snapshots and deltas are compared in order, with their sizes. Heartbeats are not compared, as they depend
+    on time; nor is liveness, as it is sent only if a server connects before its relay has learnt the owner.
+    """
     world = SimulatedDistribution(
         DistributionSize(
             controllers=1,
@@ -272,108 +281,115 @@
         ),
         1,
     )
-    simulated: list[tuple] = []
+    simulated_messages: list[tuple] = []
     on_message = world.servers[0].on_message
 
-    def taken(upstream, message):
+    def record_simulated_message(upstream, message):
         if isinstance(message, Snapshot | Delta):
-            simulated.append((type(message).__name__, message.topic, len(encode(message))))
+            simulated_messages.append((type(message).__name__, message.topic, len(encode(message))))
         on_message(upstream, message)
 
-    world.servers[0].on_message = taken
+    world.servers[0].on_message = record_simulated_message
     world.run(5)
-    for n in range(5):
-        world.change("service-0", "change", f"value-{n}")
+    for number in range(5):
+        world.change("service-0", "change", f"value-{number}")
         world.run(1)
 
-    real: list[tuple] = []
+    socket_messages: list[tuple] = []
 
-    async def play() -> None:
+    async def run_on_loopback() -> None:
         loop = asyncio.get_running_loop()
-        state = SimulatedDistribution(world.size, 1)  # for what the topics say, and nothing else
+        content_source = SimulatedDistribution(world.size, 1)  # Only its topic contents are used.
         owner = OwnerService(
-            Node(loop, clock, "test", "owner-0", {}), 1, world.size.shards, state.content, random.Random(1)
+            Node(loop, clock, "test", "owner-0", {}),
+            1,
+            world.size.shards,
+            content_source.content,
+            random.Random(1),
         )
-        owner_at = await owner.start("127.0.0.1:0")
+        owner_address = await owner.start("127.0.0.1:0")
         owner.acquire("service-0", PublicationLease(1, clock() + 60 * SECOND))
         relay = RelayService(
-            Node(loop, clock, "test", "relay-0", {"owner-0": owner_at}),
+            Node(loop, clock, "test", "relay-0", {"owner-0": owner_address}),
             {"owner-0": ["owner-0"]},
             random.Random(2),
             upstreams_are_owners=True,
         )
-        relay_at = await relay.start("127.0.0.1:0")
+        relay_address = await relay.start("127.0.0.1:0")
         subscriber = SubscriptionService(
-            Node(loop, clock, "test", "pilot-0", {"relay-0": relay_at}), random.Random(3), lambda topic: None
+            Node(loop, clock, "test", "server-0", {"relay-0": relay_address}),
+            random.Random(3),
+            lambda topic: None,
         )
         receive = subscriber.upstream_message_received
 
-        def record(upstream, message):
+        def record_socket_message(upstream, message):
             if isinstance(message, Snapshot | Delta):
-                real.append((type(message).__name__, message.topic, len(encode(message))))
+                socket_messages.append((type(message).__name__, message.topic, len(encode(message))))
             receive(upstream, message)
 
-        subscriber.upstream_message_received = record
+        subscriber.upstream_message_received = record_socket_message
         subscriber.start(["service-0@", "service-0@0"])
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(WAIT):
-                for n in range(5):
-                    while len(real) < 2 + n:
+                for number in range(5):
+                    while len(socket_messages) < 2 + number:
                         await asyncio.sleep(0.01)
-                    state.configuration["service-0"] = {
-                        **state.configuration["service-0"],
-                        "c:change": Setting(f"value-{n}"),
+                    content_source.configuration["service-0"] = {
+                        **content_source.configuration["service-0"],
+                        "c:change": Setting(f"value-{number}"),
                     }
                     owner.refresh("service-0@")
-                while len(real) < 7:
+                while len(socket_messages) < 7:
                     await asyncio.sleep(0.01)
-        for part in (subscriber, relay, owner):
-            part.stop()
-
-    asyncio.run(play())
-    assert sorted(real[:2]) == sorted(simulated[:2]) and real[2:] == simulated[2:] and len(simulated) == 7
-
-
-# --- the process and its commands ---
+        for service in (subscriber, relay, owner):
+            service.stop()
+
+    asyncio.run(run_on_loopback())
+    assert (
+        sorted(socket_messages[:2]) == sorted(simulated_messages[:2])
+        and socket_messages[2:] == simulated_messages[2:]
+        and len(simulated_messages) == 7
+    )
 
 
-def command(*words: str) -> list[str]:
-    return [sys.executable, "-m", "ravenshelf", "distribution", *words]
+def command(*arguments: str) -> list[str]:
+    return [sys.executable, "-m", "ravenshelf", "distribution", *arguments]
 
 
-async def run_command(*words: str) -> tuple[int, str, str]:
+async def run_command(*arguments: str) -> tuple[int, str, str]:
     process = await asyncio.create_subprocess_exec(
-        *command(*words), cwd=ROOT, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE
+        *command(*arguments), cwd=ROOT, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE
     )
     output, errors = await asyncio.wait_for(process.communicate(), 2 * WAIT)
     return process.returncode, output.decode(), errors.decode()
 
 
-def test_a_relay_process_is_watched_queried_and_stopped(tmp_path):
-    async def play(installation: Installation) -> None:
-        await installation.until(lambda: installation.holds("0"))
-        listen = installation.relay_at
-        installation.relay.stop()  # the process takes its place
+def test_a_relay_process_serves_watch_and_status_commands_and_stops_on_sigterm(tmp_path):
+    async def scenario(installation: Installation) -> None:
+        await installation.wait_until(lambda: installation.all_subscribers_have("0"))
+        listen = installation.relay_address
+        installation.relay.stop()  # The process started below replaces this relay.
         admin = tmp_path / "relay.sock"
         file = tmp_path / "operator.toml"
         file.write_text(
             f'[distribution]\nname = "relay-0"\ncluster = "test"\nlisten = "{listen}"\nowners = true\n'
-            f'admin = "{admin}"\n[distribution.parents]\nowner-0 = "{installation.owner_at}"\n'
+            f'admin = "{admin}"\n[distribution.parents]\nowner-0 = "{installation.owner_address}"\n'
         )
         process = await asyncio.create_subprocess_exec(
             *command("relay", "--operator", str(file)), cwd=ROOT, stderr=asyncio.subprocess.PIPE
         )
         try:
-            installation.say("7")
-            await installation.until(lambda: installation.holds("7"))
-            code, out, _ = await run_command("watch", listen, "s@", "--cluster", "test", "--count", "1")
-            line = json.loads(out)
+            installation.publish_setting("7")
+            await installation.wait_until(lambda: installation.all_subscribers_have("7"))
+            code, output, _ = await run_command("watch", listen, "s@", "--cluster", "test", "--count", "1")
+            line = json.loads(output)
             assert code == 0 and line["topic"] == "s@" and line["epoch"] == 1
             assert line["entries"] == {"c:x": {"value": "7"}}
-            code, out, _ = await run_command("status", "--admin", str(admin), "--json")
-            assert code == 0 and json.loads(out)["subscribers"] == 3
-            code, out, _ = await run_command("status", "--admin", str(admin))
-            assert code == 0 and "relay-0 of test" in out and "connected" in out
+            code, output, _ = await run_command("status", "--admin", str(admin), "--json")
+            assert code == 0 and json.loads(output)["subscribers"] == 3
+            code, output, _ = await run_command("status", "--admin", str(admin))
+            assert code == 0 and "relay-0 of test" in output and "connected" in output
         finally:
             process.send_signal(signal.SIGTERM)
             _, errors = await asyncio.wait_for(process.communicate(), WAIT)
@@ -383,11 +399,11 @@
             and b"relay relay-0 stopped" in errors
         )
 
-    on_sockets(play)
+    run_on_sockets(scenario)
 
 
 @pytest.mark.parametrize(
-    "text, complaint",
+    "text, message",
     [
         ("", "[distribution] listen: found nothing, expected host:port"),
         ('[distribution]\nname = "r"\n', "[distribution] cluster: found nothing"),
@@ -428,20 +444,20 @@
         "itself as a parent",
     ],
 )
-def test_an_invalid_table_is_rejected_with_its_place(tmp_path, text, complaint):
+def test_an_invalid_distribution_table_is_rejected_with_its_key(tmp_path, text, message):
     file = tmp_path / "operator.toml"
     file.write_text(text)
     code, _, errors = asyncio.run(run_command("relay", "--operator", str(file)))
-    assert code == 2 and complaint in errors
+    assert code == 2 and message in errors
 
 
-def test_load_reports_reach_the_owner_and_its_table_avoids_the_failing_endpoint():
-    """The whole way on sockets: two pilots, a relay, an owner that decides by KurmaCost."""
+def test_load_reports_reach_the_owner_and_its_table_avoids_a_failing_endpoint():
+    """Two servers report load through a relay on sockets, and an owner decides their table by KurmaCost."""
     names = [f"e{n}" for n in range(4)]
-    listed = ServiceConfiguration({name: EndpointEntry(0, True, 1.0) for name in names}, {})
-    decisions = ServiceDecisions(SETTINGS, lambda service: listed, 1)
+    configuration = ServiceConfiguration({name: EndpointEntry(0, True, 1.0) for name in names}, {})
+    decisions = ServiceDecisions(SETTINGS, lambda service: configuration, 1)
 
-    async def play() -> dict[str, float]:
+    async def run_until_avoided() -> dict[str, float]:
         loop = asyncio.get_running_loop()
         owner = OwnerService(
             Node(loop, clock, "test", "owner-0", {}),
@@ -452,18 +468,18 @@
             report_received=decisions.add_load_report,
         )
         decisions.attach(owner.owner)
-        owner_at = await owner.start("127.0.0.1:0")
+        owner_address = await owner.start("127.0.0.1:0")
         owner.acquire("s", PublicationLease(1, clock() + 60 * SECOND))
         relay = RelayService(
-            Node(loop, clock, "test", "relay-0", {"owner-0": owner_at}),
+            Node(loop, clock, "test", "relay-0", {"owner-0": owner_address}),
             {"owner-0": ["owner-0"]},
             random.Random(2),
             upstreams_are_owners=True,
         )
-        relay_at = await relay.start("127.0.0.1:0")
+        relay_address = await relay.start("127.0.0.1:0")
         subscription_services = [
             SubscriptionService(
-                Node(loop, clock, "test", f"pilot-{n}", {"relay-0": relay_at}),
+                Node(loop, clock, "test", f"server-{n}", {"relay-0": relay_address}),
                 random.Random(n),
                 lambda topic: None,
             )
@@ -473,12 +489,12 @@
             subscriber.start(["s@", "s@0"])
         try:
             async with asyncio.timeout(2 * WAIT):
-                for turn in itertools.count(1):
+                for window in itertools.count(1):
                     await asyncio.sleep(0.1)
                     decisions.run_cycle(clock())
                     owner.publish()
                     for number, subscriber in enumerate(subscription_services):
-                        sums = {
+                        load_by_endpoint = {
                             name: EndpointLoad(
                                 10, 10 if name == "e2" else 0, 0 if name == "e2" else 2_000_000
                             )
@@ -486,7 +502,13 @@
                         }
                         subscriber.send_report(
                             ZoneLoadReport(
-                                "s", 0, turn, f"pilot-{number}#1", turn, sums, {0: GroupDemand(40)}
+                                "s",
+                                0,
+                                window,
+                                f"server-{number}#1",
+                                window,
+                                load_by_endpoint,
+                                {0: GroupDemand(40)},
                             )
                         )
                     tables = [
@@ -495,16 +517,16 @@
                     if all(table and table["e2"].weight < 0.3 * table["e1"].weight for table in tables):
                         return tables
         finally:
-            for part in (*subscription_services, relay, owner):
-                part.stop()
+            for service in (*subscription_services, relay, owner):
+                service.stop()
 
-    first, second = asyncio.run(play())
+    first, second = asyncio.run(run_until_avoided())
     assert first == second and set(first) == set(names)
 
 
 def test_a_relay_sends_its_metrics_to_graphite(tmp_path):
-    async def play(installation: Installation) -> None:
-        await installation.until(lambda: installation.holds("0"))
+    async def scenario(installation: Installation) -> None:
+        await installation.wait_until(lambda: installation.all_subscribers_have("0"))
         carbon = await CarbonReceiver().start()
         operator = Operator(
             graphite=Graphite(receivers=[f"127.0.0.1:{carbon.port}"], every_s=1, prefix="shop")
@@ -523,18 +545,21 @@
                     "bytes_per_s",
                 )
             }
-            await installation.until(lambda: {path for path, _ in carbon.points} >= paths)
-            newest = {
+            await installation.wait_until(lambda: {path for path, _ in carbon.points} >= paths)
+            last_values = {
                 path: value
                 for (path, _), value in sorted(carbon.points.items(), key=lambda point: point[0][1])
             }
-            assert newest["shop.relay-0.relay.subscribers"] == 3 and newest["shop.relay-0.relay.topics"] >= 2
-            sent = "shop.relay-0.relay.bytes_per_s"
-            await installation.until(
-                lambda: any(value > 0 for (path, _), value in carbon.points.items() if path == sent)
+            assert (
+                last_values["shop.relay-0.relay.subscribers"] == 3
+                and last_values["shop.relay-0.relay.topics"] >= 2
+            )
+            bytes_path = "shop.relay-0.relay.bytes_per_s"
+            await installation.wait_until(
+                lambda: any(value > 0 for (path, _), value in carbon.points.items() if path == bytes_path)
             )
         finally:
             figures.stop()
             await carbon.stop()
 
-    on_sockets(play)
+    run_on_sockets(scenario)
--- a/tests/distribution/test_distribution_world.py
+++ b/tests/distribution/test_distribution_world.py
@@ -1,5 +1,4 @@
-"""Whole distributions on a virtual network: each fault that it is for is caused, then seeded schedules of
-them."""
+"""Tests of whole distributions on a virtual network: single faults, and seeded schedules of faults."""
 
 import os
 from concurrent.futures import ProcessPoolExecutor
@@ -19,181 +18,200 @@
 HOUR = 3600.0
 
 
-def settled(size: DistributionSize = DistributionSize(), seed: int = 1, **rules) -> SimulatedDistribution:
+def settled_world(
+    size: DistributionSize = DistributionSize(), seed: int = 1, **rules
+) -> SimulatedDistribution:
     return SimulatedDistribution(size, seed, NetworkRules(**rules)).run(10)
 
 
-def owner_of(world: SimulatedDistribution, service: str) -> OwnerNode:
+def owner_node(world: SimulatedDistribution, service: str) -> OwnerNode:
     return world.leases.owner_of(service)
 
 
-def epochs(world: SimulatedDistribution, service: str) -> dict[int, set[int]]:
-    """By region, the epochs in which pilots hold the service."""
-    found: dict[int, set[int]] = {}
+def held_epochs(world: SimulatedDistribution, service: str) -> dict[int, set[int]]:
+    """Return the epochs in which the servers of each region hold the topics of a service."""
+    epochs_by_region: dict[int, set[int]] = {}
     for server in world.servers:
         for topic, version in server.client.held_versions.versions().items():
             if service_of_topic(topic) == service:
-                found.setdefault(server.region, set()).add(version.epoch)
-    return found
+                epochs_by_region.setdefault(server.region, set()).add(version.epoch)
+    return epochs_by_region
 
 
-def converged(world: SimulatedDistribution) -> None:
+def assert_converged(world: SimulatedDistribution) -> None:
     world.check_converged()
     assert not world.violations
 
 
 def test_a_change_reaches_exactly_the_servers_that_call_the_service():
-    world = settled(DistributionSize(servers=40, fan_out=16))
-    before = {server.name: server.bytes_in for server in world.servers}
+    world = settled_world(DistributionSize(servers=40, fan_out=16))
+    bytes_before = {server.name: server.bytes_in for server in world.servers}
     world.mark_change("service-2")
-    world.run(0.99)  # within a second most pilots have had at most a heartbeat and the change
+    # Within a second most servers receive at most one heartbeat and the change.
+    world.run(0.99)
     subscribers = {server.name for server in world.subscribers("service-2")}
     assert set(world.change_seen_at["service-2"]) == subscribers and len(subscribers) < 40
-    others = [
-        server.bytes_in - before[server.name] for server in world.servers if server.name not in subscribers
+    other_bytes = [
+        server.bytes_in - bytes_before[server.name]
+        for server in world.servers
+        if server.name not in subscribers
     ]
-    assert max(others) <= 24
-    converged(world.run(1))
+    assert max(other_bytes) <= 24
+    assert_converged(world.run(1))
 
 
-def test_one_change_costs_the_owner_a_message_for_each_relay_next_to_it():
-    world = settled(DistributionSize(servers=400, services=2, services_called=2, regions=1, fan_out=32))
-    owner = owner_of(world, "service-0")
+def test_for_one_change_the_owner_sends_one_message_to_each_relay_next_to_it():
+    world = settled_world(DistributionSize(servers=400, services=2, services_called=2, regions=1, fan_out=32))
+    owner = owner_node(world, "service-0")
     world.run(1)
-    before = owner.messages_out
+    messages_before = owner.messages_out
     world.change("service-0")
     world.run(0.5)
     heartbeats = len(owner.served) + 1
-    assert owner.messages_out - before <= len(world.levels[0]) + heartbeats + 2  # two replicas
-    converged(world)
+    # Two replicas receive the change, too.
+    assert owner.messages_out - messages_before <= len(world.levels[0]) + heartbeats + 2
+    assert_converged(world)
 
 
 def test_an_owner_suspended_for_a_minute_resumes_after_its_successor_has_published():
-    world = settled()
-    owner = owner_of(world, "service-1")
+    world = settled_world()
+    owner = owner_node(world, "service-1")
     owner.paused_until = world.events.now + 60_000_000
     world.run(0.1)
-    world.change("service-1")  # reaches the sleeper, which must not publish it under its old epoch
+    # The suspended owner handles the change when it resumes, and must not publish it under its old epoch.
+    world.change("service-1")
     world.run(20)
-    successor = owner_of(world, "service-1")
+    successor = owner_node(world, "service-1")
     assert successor is not owner
-    converged(world)
+    assert_converged(world)
     world.change("service-1")
     world.run(60)
-    assert all(held == {2} for held in epochs(world, "service-1").values())
+    assert all(region_epochs == {2} for region_epochs in held_epochs(world, "service-1").values())
     assert "service-1" not in owner.owner.owned_services
-    converged(world)
+    assert_converged(world)
 
 
-def test_two_owners_seen_by_different_servers_converge_to_one():
-    world = settled(DistributionSize(servers=30, controllers=3, regions=3))
+def test_two_owners_seen_by_different_servers_converge_to_one_after_a_partition():
+    world = settled_world(DistributionSize(servers=30, controllers=3, regions=3))
     owner = next(node for node in world.owners if node.region == 2 and node.owner.owned_services)
     service = next(iter(owner.owner.owned_services))
     world.network.cut_off(2)
     world.run(15)
     world.change(service)
     world.run(5)
-    seen = epochs(world, service)
-    assert seen[2] == {1} and seen[0] == {2}  # each side has its own
+    epochs_by_region = held_epochs(world, service)
+    # Each side of the partition has an owner of its own.
+    assert epochs_by_region[2] == {1} and epochs_by_region[0] == {2}
     world.network.heal(2)
     world.run(60)
-    assert all(held == {2} for held in epochs(world, service).values())
-    converged(world)
+    assert all(region_epochs == {2} for region_epochs in held_epochs(world, service).values())
+    assert_converged(world)
 
 
-def test_after_an_hour_of_partition_no_older_table_wins():
+def test_after_an_hour_of_partition_the_latest_tables_are_used_and_snapshots_are_bounded():
     limits = DistributorLimits(64, 20_000.0, 10_000.0)
-    world = settled(DistributionSize(servers=18, services=4, endpoints=40, services_called=2, limits=limits))
+    world = settled_world(
+        DistributionSize(servers=18, services=4, endpoints=40, services_called=2, limits=limits)
+    )
     world.network.cut_off(1)
     for _ in range(60):
         world.run(60)
         for service in world.services:
             world.change(service)
-    held = {
+    versions_by_topic = {
         topic: version
         for server in world.servers
         if server.region == 1
         for topic, version in server.client.held_versions.versions().items()
     }
-    assert held and all(version != NEVER for version in held.values())  # they go on with what they have
-    before = sum(relay.distributor.snapshot_bytes for level in world.levels for relay in level)
+    # Servers in the partitioned region keep their tables.
+    assert versions_by_topic and all(version != NEVER for version in versions_by_topic.values())
+    bytes_before = sum(relay.distributor.snapshot_bytes for level in world.levels for relay in level)
     world.network.heal(1)
     dials = len(world.network.dials)
     world.run(90)
-    spent = sum(relay.distributor.snapshot_bytes for level in world.levels for relay in level) - before
-    assert spent <= 120_000  # bounded: each part that fell behind is sent its own topics about once a hop
+    bytes_spent = (
+        sum(relay.distributor.snapshot_bytes for level in world.levels for relay in level) - bytes_before
+    )
+    # Each process that fell behind is sent the topics that it subscribes to about once for each hop.
+    assert bytes_spent <= 120_000
     assert len(world.network.dials) - dials < 60
-    converged(world)
+    assert_converged(world)
 
 
-def test_a_subscriber_away_for_an_hour_costs_its_own_topics_once():
-    world = settled()
+def test_a_subscriber_that_returns_after_many_versions_is_sent_its_topics_once():
+    world = settled_world()
     server = world.servers[4]
-    server.stop_for(
-        HOUR / 60, forget=False
-    )  # a sixtieth of the hour, and a change each second, are as many versions
+    # One change each second for a minute makes as many versions as one change each minute for an hour.
+    server.stop_for(HOUR / 60, forget=False)
     for _ in range(60):
         world.run(1)
         for service in world.services:
             world.change(service)
     world.run(1)
-    before = server.bytes_in
+    bytes_before = server.bytes_in
     world.run(30)
     assert server.client.outcome_counts[UpdateOutcome.GAP] == 0
-    assert server.bytes_in - before < 6_000
-    converged(world)
+    assert server.bytes_in - bytes_before < 6_000
+    assert_converged(world)
 
 
 def test_a_slow_relay_delays_only_its_own_children():
-    world = settled(DistributionSize(servers=40, services=3, endpoints=30, services_called=3, fan_out=16))
-    slow = world.levels[-1][0]
-    for connection in slow.connections.values():
+    world = settled_world(
+        DistributionSize(servers=40, services=3, endpoints=30, services_called=3, fan_out=16)
+    )
+    slow_relay = world.levels[-1][0]
+    for connection in slow_relay.connections.values():
         connection.bytes_per_second = 400.0
     for _ in range(20):
         world.change("service-0")
         world.run(0.2)
     world.mark_change("service-0")
     world.run(1)
-    behind = {server.name for server in world.subscribers("service-0")} - set(
+    late_servers = {server.name for server in world.subscribers("service-0")} - set(
         world.change_seen_at["service-0"]
     )
-    assert behind <= {server.name for server in world.servers if server.client.parent == slow.name}
+    assert late_servers <= {
+        server.name for server in world.servers if server.client.parent == slow_relay.name
+    }
     world.run(30)
-    converged(world)
+    assert_converged(world)
 
 
 def test_a_burst_of_three_hundred_changes_in_a_second_is_coalesced():
-    world = settled()
+    world = settled_world()
     subscriber = world.subscribers("service-0")[0]
     world.run(0.5)
-    before = subscriber.messages_in
-    for n in range(300):
-        world.change("service-0", f"k{n % 11}")
+    messages_before = subscriber.messages_in
+    for number in range(300):
+        world.change("service-0", f"k{number % 11}")
         world.run(1 / 300)
     world.run(1)
-    assert subscriber.messages_in - before <= 15
-    converged(world)
+    assert subscriber.messages_in - messages_before <= 15
+    assert_converged(world)
 
 
-def test_when_all_controllers_are_gone_servers_keep_their_tables_and_are_notified():
-    world = settled()
-    held = {server.name: dict(server.client.held_versions.versions()) for server in world.servers}
+def test_servers_keep_their_tables_and_are_notified_when_all_controllers_fail():
+    world = settled_world()
+    versions_by_server = {
+        server.name: dict(server.client.held_versions.versions()) for server in world.servers
+    }
     for owner in world.owners:
         owner.stop_for(120, silently=True)
     world.run(60)
     for server in world.servers:
         assert (
-            server.client.held_versions.versions() == held[server.name]
+            server.client.held_versions.versions() == versions_by_server[server.name]
             and server.client.state.value == "connected"
         )
-        assert not any(server.live[topic] for topic in held[server.name])
+        assert not any(server.live[topic] for topic in versions_by_server[server.name])
     world.run(120)
     assert all(all(server.live.values()) for server in world.servers)
-    converged(world)
+    assert_converged(world)
 
 
-def test_when_no_lease_can_be_granted_servers_are_notified_though_the_controllers_live():
-    world = settled()
+def test_servers_are_notified_when_no_lease_can_be_granted_to_running_controllers():
+    world = settled_world()
     topics = {server.name: list(server.client.held_versions.versions()) for server in world.servers}
     for owner in world.owners:
         for service in list(owner.owner.owned_services):
@@ -205,23 +223,23 @@
     world.leases.suspended = False
     world.run(10)
     assert all(server.live[topic] for server in world.servers for topic in topics[server.name])
-    converged(world)
+    assert_converged(world)
 
 
-def test_a_level_of_relays_killed_in_the_middle_comes_back_without_a_stampede():
-    world = settled(DistributionSize(servers=120, services=4, fan_out=16, services_called=2))
-    middle = world.levels[-2]
-    for relay in middle:
+def test_the_restart_of_a_level_of_relays_does_not_cause_a_stampede_of_dials():
+    world = settled_world(DistributionSize(servers=120, services=4, fan_out=16, services_called=2))
+    middle_level = world.levels[-2]
+    for relay in middle_level:
         relay.stop_for(5)
     dials = len(world.network.dials)
     world.change("service-0")
     world.run(40)
     assert len(world.network.dials) - dials < 12 * sum(len(level) for level in world.levels[1:])
-    converged(world)
+    assert_converged(world)
 
 
-def test_a_topic_without_subscribers_is_dropped_up_to_its_owner():
-    world = settled(DistributionSize(servers=6, services=2, services_called=1, regions=1))
+def test_a_topic_without_subscribers_is_dropped_by_all_relays():
+    world = settled_world(DistributionSize(servers=6, services=2, services_called=1, regions=1))
     topic = next(iter(world.servers[0].client.held_versions.versions()))
     for server in world.servers:
         if topic in server.client.held_versions:
@@ -229,29 +247,30 @@
             world.seen_versions.pop((server.name, topic))
     world.run(60)
     assert not any(topic in relay.relay.topics for level in world.levels for relay in level)
-    owner = owner_of(world, service_of_topic(topic))
+    owner = owner_node(world, service_of_topic(topic))
     served = owner.messages_out
     world.run(0.01)
     for _ in range(50):
         world.change(service_of_topic(topic))
     world.run(0.5)
     relays = len(owner.served)
-    assert owner.messages_out - served <= 2 * relays + 2  # heartbeats, and its two replicas
+    # The remaining messages are heartbeats of the relays and messages to two replicas.
+    assert owner.messages_out - served <= 2 * relays + 2
 
 
 def broken_schedules(name: str = "") -> dict[int, Violation]:
-    """The first violation of each schedule that has one."""
+    """Return the first violation of each schedule that has one, by seed."""
     with ProcessPoolExecutor(min(8, os.cpu_count() or 1)) as pool:
-        played = pool.map(play, [Schedule(seed, name) for seed in range(SCHEDULES)], chunksize=4)
-        return {seed: violations[0] for seed, violations in enumerate(played) if violations}
+        results = pool.map(play, [Schedule(seed, name) for seed in range(SCHEDULES)], chunksize=4)
+        return {seed: violations[0] for seed, violations in enumerate(results) if violations}
 
 
-def test_seeded_schedules_keep_the_invariants():
+def test_invariants_hold_in_seeded_schedules_of_faults():
     assert broken_schedules() == {}
 
 
 @pytest.mark.parametrize("name", BREAKS)
-def test_the_checks_find_each_deliberate_break(name):
+def test_each_deliberate_break_violates_an_invariant(name):
     assert broken_schedules(name)
 
 
--- a/tests/distribution/test_service_decisions.py
+++ b/tests/distribution/test_service_decisions.py
@@ -1,4 +1,4 @@
-"""A controller's services: decided from sums, taken over from a former owner, never emptied."""
+"""Tests of a controller's services: decisions from load reports, inherited tables, and loss of endpoints."""
 
 import random
 
@@ -32,8 +32,8 @@
 NAMES = [f"e{n}" for n in range(4)]
 
 
-class Controller:
-    """An owner with its decisions, on a clock set by hand."""
+class OwnerWithDecisions:
+    """A service owner with its decisions, on a clock that the test advances."""
 
     def __init__(self):
         self.now = NOW
@@ -46,36 +46,42 @@
         self.owner.distributor.add_subscriber(NOW, "relay")
         self.reports = 0
 
-    def own(self, epoch: int = 5) -> "Controller":
+    def acquire_service(self, epoch: int = 5) -> "OwnerWithDecisions":
         self.owner.acquire(self.now, "s", PublicationLease(epoch, NOW + 10_000 * SECOND))
         return self
 
-    def subscribe(self, *zones: int) -> "Controller":
+    def subscribe(self, *zones: int) -> "OwnerWithDecisions":
         for topic in (service_topic("s"), *(zone_topic("s", zone) for zone in zones)):
             self.owner.subscriber_message_received(self.now, "relay", Subscribe(topic, NEVER))
         return self
 
-    def listed(self, **changed: EndpointEntry) -> None:
-        self.service = ServiceConfiguration({**self.service.endpoints, **changed}, self.service.settings)
+    def change_endpoints(self, **changed_endpoints: EndpointEntry) -> None:
+        self.service = ServiceConfiguration(
+            {**self.service.endpoints, **changed_endpoints}, self.service.settings
+        )
 
-    def run(self, seconds: float, bad: str = "") -> "Controller":
+    def run(self, seconds: float, failing_endpoint: str = "") -> "OwnerWithDecisions":
         for _ in range(round(seconds * 4)):
             self.now += CYCLE_INTERVAL_US
-            if bad and self.now % SECOND == 0:
-                self.report(bad)
+            if failing_endpoint and self.now % SECOND == 0:
+                self.report(failing_endpoint)
             self.decisions.run_cycle(self.now)
             self.owner.publish(self.now)
         return self
 
-    def report(self, bad: str) -> None:
-        """A second's sums of zone 0, in which one endpoint fails."""
+    def report(self, failing_endpoint: str) -> None:
+        """Report the load of zone 0 in one second, in which all attempts at one endpoint fail."""
         self.reports += 1
-        sums = {
-            name: EndpointLoad(50, 50 if name == bad else 0, 0 if name == bad else 50 * 200_000)
+        load_by_endpoint = {
+            name: EndpointLoad(
+                50, 50 if name == failing_endpoint else 0, 0 if name == failing_endpoint else 50 * 200_000
+            )
             for name in NAMES
         }
         self.decisions.add_load_report(
-            ZoneLoadReport("s", 0, self.now // SECOND, "relay#1", self.reports, sums, {0: GroupDemand(200)})
+            ZoneLoadReport(
+                "s", 0, self.now // SECOND, "relay#1", self.reports, load_by_endpoint, {0: GroupDemand(200)}
+            )
         )
 
     def table(self, zone: int = 0) -> dict[str, float]:
@@ -85,24 +91,24 @@
         }
 
 
-def replica(controller: Controller, **weights: float) -> Controller:
-    """It held this table of a former owner."""
+def with_replicated_table(controller: OwnerWithDecisions, **weights: float) -> OwnerWithDecisions:
+    """Return the controller after it has replicated this table from a previous owner."""
     topic = controller.owner.topics.setdefault(zone_topic("s", 0), Topic(zone_topic("s", 0)))
     topic.replace(Version(4, 9), {f"t:{name}": TableLine(weight) for name, weight in weights.items()})
     return controller
 
 
 def test_tables_follow_the_load_reports():
-    controller = Controller().own().subscribe(0).run(1)
+    controller = OwnerWithDecisions().acquire_service().subscribe(0).run(1)
     assert controller.table() == dict.fromkeys(NAMES, 250.0)
-    controller.run(20, bad="e2")
+    controller.run(20, failing_endpoint="e2")
     table = controller.table()
     assert table["e2"] < 0.2 * table["e1"] and controller.owner.topics[zone_topic("s", 0)].version.epoch == 5
     assert "c:team" in controller.owner.topics[service_topic("s")].entries
 
 
-def test_the_same_report_twice_counts_once():
-    controller = Controller().own().subscribe(0).run(1)
+def test_a_report_that_arrives_twice_is_counted_once():
+    controller = OwnerWithDecisions().acquire_service().subscribe(0).run(1)
     controller.report("e1")
     controller.reports -= 1
     controller.report("e1")
@@ -110,7 +116,7 @@
 
 
 def test_a_service_is_decided_only_while_it_has_subscribers():
-    controller = Controller().own().run(5)
+    controller = OwnerWithDecisions().acquire_service().run(5)
     assert controller.decisions.planned_services == {}
     controller.subscribe(0, 1).run(1)
     assert controller.decisions.planned_services["s"].planner.zones == {0, 1}
@@ -122,17 +128,22 @@
 
 
 def test_a_successor_keeps_the_inherited_table_until_it_has_enough_reports():
-    controller = replica(Controller(), e0=900.0, e1=60.0, e2=40.0).own().subscribe(0).run(3, bad="e0")
+    controller = (
+        with_replicated_table(OwnerWithDecisions(), e0=900.0, e1=60.0, e2=40.0)
+        .acquire_service()
+        .subscribe(0)
+        .run(3, failing_endpoint="e0")
+    )
     assert controller.table() == {"e0": 900.0, "e1": 60.0, "e2": 40.0}
     assert controller.owner.topics[zone_topic("s", 0)].version.epoch == 5
-    controller.run(12, bad="e0")
+    controller.run(12, failing_endpoint="e0")
     assert controller.table()["e0"] < controller.table()["e1"] and set(controller.table()) == set(NAMES)
 
 
-def test_without_load_reports_the_inherited_table_is_replaced_after_a_while():
+def test_without_load_reports_the_inherited_table_is_replaced_after_the_longer_warm_up():
     controller = (
-        replica(Controller(), e0=900.0, e1=100.0)
-        .own()
+        with_replicated_table(OwnerWithDecisions(), e0=900.0, e1=100.0)
+        .acquire_service()
         .subscribe(0)
         .run(WARM_UP_WITHOUT_REPORTS_US / SECOND - 1)
     )
@@ -141,32 +152,31 @@
 
 
 @pytest.mark.parametrize(
-    "changed",
+    "changed_endpoint",
     [EndpointEntry(0, False, 1.0), EndpointEntry(0, True, 1.0, NOW - SECOND)],
-    ids=["drains", "started again"],
+    ids=["draining", "restarted"],
 )
-def test_draining_and_restarted_endpoints_leave_the_inherited_table_at_once(changed):
-    controller = replica(Controller(), e0=900.0, e1=60.0, e2=40.0)
-    controller.listed(e0=changed)
-    assert controller.own().subscribe(0).run(1).table() == {"e1": 60.0, "e2": 40.0}
+def test_draining_and_restarted_endpoints_are_removed_from_the_inherited_table_at_once(changed_endpoint):
+    controller = with_replicated_table(OwnerWithDecisions(), e0=900.0, e1=60.0, e2=40.0)
+    controller.change_endpoints(e0=changed_endpoint)
+    assert controller.acquire_service().subscribe(0).run(1).table() == {"e1": 60.0, "e2": 40.0}
 
 
 def test_an_owner_without_endpoints_never_empties_a_table():
-    controller = Controller().own()
+    controller = OwnerWithDecisions().acquire_service()
     controller.subscribe(0)
     controller.owner.publish(controller.now)
-    assert (
-        controller.owner.topics[zone_topic("s", 0)].version == NEVER
-    )  # nothing is said before there is a table
+    # Nothing is published before there is a table.
+    assert controller.owner.topics[zone_topic("s", 0)].version == NEVER
     controller.run(1)
     for name in NAMES:
-        controller.listed(**{name: EndpointEntry(0, False, 1.0)})
+        controller.change_endpoints(**{name: EndpointEntry(0, False, 1.0)})
     assert controller.run(3).table()
 
 
-def test_a_lost_lease_ends_the_decisions():
-    controller = Controller().own().subscribe(0).run(1)
+def test_a_released_service_is_no_longer_decided_or_published():
+    controller = OwnerWithDecisions().acquire_service().subscribe(0).run(1)
     controller.owner.release(controller.now, "s")
-    held = controller.owner.topics[zone_topic("s", 0)].version
-    assert controller.run(3, bad="e0").decisions.planned_services == {}
-    assert controller.owner.topics[zone_topic("s", 0)].version == held
+    last_version = controller.owner.topics[zone_topic("s", 0)].version
+    assert controller.run(3, failing_endpoint="e0").decisions.planned_services == {}
+    assert controller.owner.topics[zone_topic("s", 0)].version == last_version
