--- a/ravenshelf/leadership/__init__.py
+++ b/ravenshelf/leadership/__init__.py
@@ -1,3 +1,1 @@
-"""Several control-plane servers share one fleet: leases of shards, their takeover, and records that outlive
-a holder.
-"""
+"""Leadership among servers that share a fleet: shard leases, their takeover, and durable shard records."""
--- a/ravenshelf/leadership/admin.py
+++ b/ravenshelf/leadership/admin.py
@@ -1,4 +1,4 @@
-"""Administration of a running process by its Unix socket: one JSON object each way, a line each."""
+"""Administration of a running process over its Unix socket: one JSON object per line and direction."""
 
 import asyncio
 import json
@@ -13,13 +13,13 @@
 COMMANDS = ("status", "drain", "undrain", "handover")
 REQUEST_TIMEOUT_S = 5.0
 REQUEST_LIMIT_BYTES = 65536
-SHOWN_CHARACTERS = 60  # of a value that can't be used
+SHOWN_CHARACTERS = 60  # an error message shows at most this much of an unusable value
 
 Json = dict[str, Any]
 
 
 class AdministeredMember(Protocol):
-    """What administration needs of `service.Leadership`."""
+    """The interface of `service.Leadership` that administration uses."""
 
     names: list[str]
     settings: LeadershipSettings
@@ -27,17 +27,20 @@
     member: Member
 
     def status(self) -> Json:
-        """The state of the member."""
+        """Return the state of the member."""
 
     def drain(self, is_enabled: bool = True) -> int:
-        """Hands its shards to the others; returns their count."""
+        """Begin or end to hand the shards over to the others, and return how many are held."""
 
     def hand_over(self, shards: list[int], successor: str | None) -> list[int]:
-        """Releases shards; returns those that it held."""
+        """Release shards, and return those that the member held."""
 
 
 def handle_request(leadership: AdministeredMember, request: Json) -> Json:
-    """The answer to a request. Never raises: what can't be done is an `error`."""
+    """Return the reply to a request; its key `error` says why a request can't be carried out.
+
+    No exception is raised, because an unusable request must not end a control-plane server.
+    """
     command = request.get("ask")
     try:
         if command == "status":
@@ -46,7 +49,7 @@
             return {"shards": leadership.drain(command == "drain")}
         if command == "handover":
             return _hand_over(leadership, request)
-    except Exception as error:  # an operator's mistake must not end a control-plane server
+    except Exception as error:
         return {"error": repr(error)}
     return {"error": f"ask: found {command!r}, expected one of {', '.join(COMMANDS)}"}
 
@@ -54,53 +57,75 @@
 def _hand_over(leadership: AdministeredMember, request: Json) -> Json:
     shards = request.get("shards")
     successor = request.get("to")
-    own_name = leadership.settings.name
-    if successor is not None and (successor not in leadership.names or successor == own_name):
-        others = ", ".join(name for name in leadership.names if name != own_name)
-        return {"error": f"to: found {successor!r}, expected one of {others}"}
-    wanted = leadership.member.held_shards() if shards is None else shards
+    local_name = leadership.settings.name
+    if successor is not None and (successor not in leadership.names or successor == local_name):
+        other_names = ", ".join(name for name in leadership.names if name != local_name)
+        return {"error": f"to: found {successor!r}, expected one of {other_names}"}
+    requested_shards = leadership.member.held_shards() if shards is None else shards
     limit = leadership.configuration.shards
-    if not all(isinstance(shard, int) and 0 <= shard < limit for shard in wanted):
-        return {"error": f"shards: found {str(wanted)[:SHOWN_CHARACTERS]}, expected numbers below {limit}"}
-    return {"given": leadership.hand_over(wanted, successor)}
+    if not all(isinstance(shard, int) and 0 <= shard < limit for shard in requested_shards):
+        return {
+            "error": f"shards: found {str(requested_shards)[:SHOWN_CHARACTERS]}, "
+            f"expected numbers from 0 to below {limit}"
+        }
+    return {"given": leadership.hand_over(requested_shards, successor)}
 
 
 async def serve(leadership: AdministeredMember, path: str) -> asyncio.Server:
-    """Answers at a Unix socket. Raises OSError."""
+    """Serve requests to a member at a Unix socket.
+
+    Raises:
+        OSError: The socket can't be opened.
+    """
     return await serve_requests(lambda request: handle_request(leadership, request), path)
 
 
-async def serve_requests(answer_to: Callable[[Json], Json], path: str) -> asyncio.Server:
-    """Answers requests at a Unix socket, one JSON object a line each way. Raises OSError."""
+async def serve_requests(reply_to: Callable[[Json], Json], path: str) -> asyncio.Server:
+    """Serve requests at a Unix socket, which only the user of this process can connect to.
+
+    A socket file that a process left behind is replaced.
+
+    Args:
+        reply_to: Returns the reply to a request.
+        path: The path of the socket.
 
-    async def connected(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    Raises:
+        OSError: The socket can't be opened, or another process listens at it.
+    """
+
+    async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             line = await asyncio.wait_for(reader.readline(), REQUEST_TIMEOUT_S)
             request = json.loads(line)
-            reply = answer_to(request if isinstance(request, dict) else {})
+            reply = reply_to(request if isinstance(request, dict) else {})
         except (TimeoutError, ValueError, ConnectionError):
-            reply = {"error": "expected one JSON object a line"}
+            reply = {"error": "request: found no valid line, expected one JSON object per line"}
         writer.write(json.dumps(reply).encode() + b"\n")
         writer.close()
 
     if os.path.exists(path) and not _is_served(path):
         os.unlink(path)
-    server = await asyncio.start_unix_server(connected, path, limit=REQUEST_LIMIT_BYTES)
+    server = await asyncio.start_unix_server(handle_connection, path, limit=REQUEST_LIMIT_BYTES)
     os.chmod(path, 0o600)
     return server
 
 
 def _is_served(path: str) -> bool:
-    with socket.socket(socket.AF_UNIX) as attempt:
+    with socket.socket(socket.AF_UNIX) as connection:
         try:
-            attempt.connect(path)
+            connection.connect(path)
             return True
         except OSError:
             return False
 
 
 def send_request(path: str, request: Json, timeout_s: float = REQUEST_TIMEOUT_S) -> Json:
-    """Sends a request to a running process and returns its answer. Raises OSError where none listens."""
+    """Send a request to a running process, and return its reply.
+
+    Raises:
+        OSError: No process listens at the socket, or the reply takes longer than `timeout_s`.
+        ValueError: The reply is not JSON.
+    """
     with socket.socket(socket.AF_UNIX) as connection:
         connection.settimeout(timeout_s)
         connection.connect(path)
--- a/ravenshelf/leadership/cluster.py
+++ b/ravenshelf/leadership/cluster.py
@@ -1,4 +1,4 @@
-"""What a member knows of its cluster from its own settings, and the seams of the service."""
+"""A member's settings and identity in its cluster, and the interfaces of the leadership service."""
 
 import time
 from collections.abc import Iterable, Mapping
@@ -9,104 +9,119 @@
 
 
 def clock() -> int:
-    """Microseconds that also count while the machine is suspended: a lease must not outlive a suspension."""
+    """Return microseconds of a clock that also counts while the machine is suspended.
+
+    With a clock that stops meanwhile, a member would take a lease that expired during the suspension as
+    valid.
+    """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
 class LeadershipSettings(Protocol):
-    """The operator file's `[leadership]`."""
+    """The table `[leadership]` of the operator file."""
 
     @property
     def name(self) -> str:
-        """This member."""
+        """The name of this member."""
 
     @property
     def cluster(self) -> str:
-        """A name that all members share."""
+        """The name of the cluster, equal at all members."""
 
     @property
     def members(self) -> dict[str, str]:
-        """The address of each member, host:port."""
+        """The address of each member as host:port, by name."""
 
     @property
     def shards(self) -> int:
-        """How many shards there are."""
+        """The number of shards."""
 
     @property
     def lease_ms(self) -> float:
-        """Length of a lease, milliseconds."""
+        """The length of a lease in milliseconds."""
 
     @property
     def capacity(self) -> float:
-        """Weight of this member among the others."""
+        """The weight of this member, in proportion to that of the others."""
 
     @property
     def certificate(self) -> str:
-        """Path of its certificate; empty: no TLS."""
+        """The path of this member's certificate; empty for connections without TLS."""
 
     @property
     def key(self) -> str:
-        """Path of its private key."""
+        """The path of this member's private key."""
 
     @property
     def authority(self) -> str:
-        """Path of the cluster's certificate authority."""
+        """The path of the certificate of the cluster's certificate authority."""
 
     @property
     def admin(self) -> str:
-        """Path of the Unix socket for administration; empty: none."""
+        """The path of the Unix socket for administration; empty for none."""
 
 
 class LeaseListener(Protocol):
-    """What acts on leases: `lease_filter.LeaseFilter` for proxies, or the services of a distribution tree."""
+    """Acts on leases: `lease_filter.LeaseFilter` for proxies, or the services of a distribution tree."""
 
     @property
     def owned_shards(self) -> Mapping[int, Any]:
-        """The shards whose lease is held, each with its `gate` of waiting orders."""
+        """The shards whose lease is held, each with a `gate` that has the waiting commands."""
 
     @property
     def connected_proxies(self) -> Mapping[int, Any]:
-        """The proxies with a connection."""
+        """The proxies with a connection to this member."""
+
+    def lease_acquired(self, shard: int, term: int, packed_record: PackedRecord) -> None:
+        """Handle a lease that is held and whose record a quorum has accepted.
 
-    def lease_acquired(self, shard: int, term: int, packed: PackedRecord) -> None:
-        """A lease is held, and a quorum has the record; also where only the term is later."""
+        Also called for a shard that is owned already, when its lease continues in a later term.
+        """
 
     def lease_lost(self, shard: int) -> None:
-        """A lease is no longer held."""
+        """Handle the loss of a lease."""
 
     def send_permitted(self) -> None:
-        """Sends waiting orders that may be sent now."""
+        """Send the waiting commands that are permitted now."""
 
     def proxy_count(self, shards: Iterable[int]) -> int:
-        """How many connected proxies are in these shards."""
+        """Return the number of connected proxies in these shards."""
 
 
 class AgreedSettings(NamedTuple):
-    """What the members of a cluster compare when they connect; the order is that of the wire."""
+    """The settings that members compare when they connect, in the order of the wire."""
 
     shards: int
     lease_us: int
-    members: int
+    member_count: int
 
 
 @dataclass(frozen=True)
 class ClusterMembership:
-    """This member's place in its cluster. A member's number is its index among the sorted names."""
+    """The identity of this member in its cluster.
+
+    Attributes:
+        name: The name of this member.
+        cluster: The name of the cluster.
+        names: The sorted names of all members; a member's number is the index of its name.
+        incarnation: How often this member has started since its disk was empty.
+        agreed_settings: The settings that members compare when they connect.
+    """
 
     name: str
     cluster: str
     names: list[str]
-    incarnation: int  # how often it has started since its disk was empty
-    agreed: AgreedSettings
+    incarnation: int
+    agreed_settings: AgreedSettings
 
     @property
     def local_member(self) -> int:
-        """This member's number."""
+        """The number of this member."""
         return self.names.index(self.name)
 
 
 def lease_configuration(settings: LeadershipSettings) -> LeaseConfiguration:
-    """The durations of a lease, in proportion to its length."""
+    """Return the durations of leases, in proportion to the configured length of a lease."""
     return LeaseConfiguration(
         shards=settings.shards,
         lease_us=round(settings.lease_ms * 1000),
--- a/ravenshelf/leadership/gate.py
+++ b/ravenshelf/leadership/gate.py
@@ -1,9 +1,9 @@
-"""Which orders of a shard wait for its record, and in which order they are sent. Pure.
+"""Queue of a shard's commands that wait for its record, and the order in which they are sent. Pure.
 
-An order that grants a retry, or admits more, is sent once a quorum has it on record; one that ejects a
-draining endpoint likewise, so that a successor with an older list does not readmit it. All others are sent
-at once, but none to a proxy before those that were ordered for it earlier: a table must not overtake its
-admission level.
+A command that grants a retry, or admits more, is sent once a quorum has accepted a record that contains it.
+The same holds for a command that ejects a draining endpoint, so that a successor with an older endpoint list
+does not readmit the endpoint. All other commands are sent at once. But no command for a proxy is sent before
+the earlier ones for that proxy: a table must not arrive before the admission level that precedes it.
 """
 
 from collections import deque
@@ -13,53 +13,77 @@
 
 from ravenshelf.leadership.record import Record
 
-WAITING_LIMIT = 64  # orders for one proxy; beyond it the proxy is bound again when that is permitted
-NOT_RECORDED = -1  # in place of a record's number
-NO_RECORD = 0
+# the most commands that wait for one proxy; a proxy with more is bound again once that is permitted
+WAITING_LIMIT = 64
+# these two stand in for the number of a record
+NOT_RECORDED = -1  # the record that the command requires is not written yet
+NO_RECORD = 0  # the command requires no record
 
 
 @dataclass(slots=True)
 class RecordRequirements:
-    """What must be on record before an order is sent."""
+    """What a record has to contain before a command is sent.
 
-    levels: list[tuple[str, float, int]] = field(default_factory=list)  # traffic group, level, retry mode
-    drains: list[tuple[str, int]] = field(default_factory=list)  # endpoint, version of the endpoint list
+    Attributes:
+        levels: Tuples of traffic group, admission level and retry mode.
+        drains: Tuples of endpoint and version of the endpoint list that drained it.
+    """
+
+    levels: list[tuple[str, float, int]] = field(default_factory=list)
+    drains: list[tuple[str, int]] = field(default_factory=list)
 
     def is_met_by(self, record: Record) -> bool:
-        """Whether the record has all of it."""
+        """Return whether the record contains all levels and drains."""
         return all(record.covers(*level) for level in self.levels) and all(
             record.drained_at.get(endpoint, -1) >= version for endpoint, version in self.drains
         )
 
     def is_empty(self) -> bool:
-        """Whether nothing is required."""
+        """Return whether no record is required."""
         return not self.levels and not self.drains
 
 
 @dataclass(slots=True)
 class WaitingCommand:
-    """An order for a proxy. `seq` is the number of the record that it waits for."""
+    """A command that has not been sent to its proxy yet.
+
+    Attributes:
+        proxy: The proxy that the command is for.
+        payload: What is sent.
+        requirements: What the record has to contain.
+        seq: The number of the record that the command waits for. With NO_RECORD it waits only for the
+            earlier commands to the same proxy.
+    """
 
     proxy: int
-    message: Any
+    payload: Any
     requirements: RecordRequirements
-    seq: int  # NO_RECORD: waits only for the orders before it
+    seq: int
 
 
 class ShardGate:
-    """The waiting orders of one shard; `record` is the one last written."""
+    """The waiting commands of one shard.
+
+    Attributes:
+        record: The record that was written last.
+        seq: Its number.
+        committed_seq: The number of the newest record that a quorum has accepted.
+        waiting: The waiting commands by proxy, in the order in which they are sent.
+        overflowed: Proxies that have to be bound again, because a command for them was dropped.
+    """
 
     def __init__(self, record: Record) -> None:
         self.record = record
         self.seq = 0
         self.committed_seq = 0
-        self.waiting: dict[int, deque[WaitingCommand]] = {}  # by proxy
-        self.overflowed: set[int] = set()  # proxies with more orders than may wait
+        self.waiting: dict[int, deque[WaitingCommand]] = {}
+        self.overflowed: set[int] = set()
 
-    def submit(self, proxy: int, message: Any, requirements: RecordRequirements) -> bool:
-        """Takes an order.
+    def submit(self, proxy: int, payload: Any, requirements: RecordRequirements) -> bool:
+        """Add a command, or drop it and mark its proxy as overflowed if too many are waiting.
 
-        True: the record has to be extended first (`extended_record`, then `record_written`).
+        Returns:
+            True if the record has to be extended: call `extended_record`, then `record_written`.
         """
         queue = self.waiting.setdefault(proxy, deque())
         if len(queue) >= WAITING_LIMIT:
@@ -68,89 +92,104 @@
         is_recorded = requirements.is_met_by(self.record)
         recorded_seq = NO_RECORD if requirements.is_empty() else self.seq
         seq = recorded_seq if is_recorded else NOT_RECORDED
-        queue.append(WaitingCommand(proxy, message, requirements, seq))
+        queue.append(WaitingCommand(proxy, payload, requirements, seq))
         return not is_recorded
 
     def extended_record(self, warming_since: Mapping[str, int]) -> Record:
-        """The record with all that orders wait for; `warming_since` has the endpoints that are warming up
-        now.
+        """Return a copy of the record that meets the requirements of all waiting commands.
+
+        Args:
+            warming_since: The endpoints that are warming up now, with the times of their starts.
         """
-        extended = self.record.copy()
-        for order in self._orders():
-            if order.seq != NOT_RECORDED:
+        new_record = self.record.copy()
+        for command in self._commands():
+            if command.seq != NOT_RECORDED:
                 continue
-            for level in order.requirements.levels:
-                extended.admit(*level)
-            for endpoint, version in order.requirements.drains:
-                extended.drained_at[endpoint] = max(version, extended.drained_at.get(endpoint, -1))
-        extended.warming_since = dict(warming_since)
-        return extended
+            for level in command.requirements.levels:
+                new_record.admit(*level)
+            for endpoint, version in command.requirements.drains:
+                new_record.drained_at[endpoint] = max(version, new_record.drained_at.get(endpoint, -1))
+        new_record.warming_since = dict(warming_since)
+        return new_record
 
     def record_written(self, record: Record, seq: int) -> None:
-        """The record was sent to the voters as number `seq`: orders wait until a quorum has it."""
+        """Make commands wait for the record that was sent to the voters as number `seq`."""
         self.record = record
         self.seq = seq
-        for order in self._orders():
-            if order.seq == NOT_RECORDED and order.requirements.is_met_by(record):
-                order.seq = seq
+        for command in self._commands():
+            if command.seq == NOT_RECORDED and command.requirements.is_met_by(record):
+                command.seq = seq
 
-    def lowered_record(self, sent: Iterable[WaitingCommand]) -> Record | None:
-        """The record after orders that admit less were sent, or None where it stays.
+    def lowered_record(self, sent_commands: Iterable[WaitingCommand]) -> Record | None:
+        """Return the record with the admission levels that commands have lowered, or None if none is lower.
 
-        A successor must not admit what an earlier, higher level still on record would.
+        With the earlier, higher level still in the record, a successor would admit too much.
         """
         record = self.record.copy()
         is_changed = False
-        for order in sent:
-            for group, level, _ in order.requirements.levels:
+        for command in sent_commands:
+            for group, level, _ in command.requirements.levels:
                 if record.lower(group, level):
                     is_changed = True
         return record if is_changed else None
 
     def end_drains(self, endpoints: Iterable[str]) -> bool:
-        """A newer list calls endpoints ready: their drains end. Returns whether the record has changed."""
-        ended = [endpoint for endpoint in endpoints if endpoint in self.record.drained_at]
-        for endpoint in ended:
+        """Remove the drains of endpoints that a newer list shows as ready.
+
+        Returns:
+            Whether the record changed.
+        """
+        ready_endpoints = [endpoint for endpoint in endpoints if endpoint in self.record.drained_at]
+        for endpoint in ready_endpoints:
             del self.record.drained_at[endpoint]
-        return bool(ended)
+        return bool(ready_endpoints)
 
     def begin_term(self, record: Record) -> bool:
-        """The lease is held in a later term, whose first record this is. True: it has to be extended."""
+        """Continue in a later term of the lease, whose first record is `record`.
+
+        Returns:
+            True if that record has to be extended for the commands that are waiting.
+        """
         self.record = record
         self.seq = 1
         self.committed_seq = 1
         must_extend = False
-        for order in self._orders():
-            if not order.requirements.is_met_by(record):
-                order.seq = NOT_RECORDED
+        for command in self._commands():
+            if not command.requirements.is_met_by(record):
+                command.seq = NOT_RECORDED
                 must_extend = True
-            elif order.seq != NO_RECORD:
-                order.seq = 1
+            elif command.seq != NO_RECORD:
+                command.seq = 1
         return must_extend
 
-    def take_permitted(
+    def pop_permitted(
         self, committed_seq: int, is_permitted: Callable[[WaitingCommand], bool]
     ) -> list[WaitingCommand]:
-        """Takes out what is sent now that a quorum has the record up to `committed_seq`.
+        """Remove and return the commands that can be sent now.
+
+        The commands of a proxy are sent in order. The first one that is not permitted, or whose record is not
+        committed, stays, and so do those after it.
 
-        Of each proxy in order, up to the first order that is not permitted: it waits, and those after it.
+        Args:
+            committed_seq: The number of the newest record that a quorum has accepted.
+            is_permitted: Returns whether a command may be sent under the lease.
         """
         self.committed_seq = max(self.committed_seq, committed_seq)
-        permitted = []
+        permitted_commands = []
         for proxy, queue in list(self.waiting.items()):
             while queue and 0 <= queue[0].seq <= self.committed_seq and is_permitted(queue[0]):
-                permitted.append(queue.popleft())
+                permitted_commands.append(queue.popleft())
             if not queue:
                 del self.waiting[proxy]
-        return permitted
+        return permitted_commands
 
     def discard(self, proxy: int) -> None:
-        """Drops the waiting orders of a proxy that overflowed."""
+        """Drop the waiting commands of a proxy, and its mark as overflowed."""
         self.overflowed.discard(proxy)
         self.waiting.pop(proxy, None)
 
-    def _orders(self) -> Iterable[WaitingCommand]:
-        return (order for queue in self.waiting.values() for order in queue)
+    def _commands(self) -> Iterable[WaitingCommand]:
+        return (command for queue in self.waiting.values() for command in queue)
 
     def __len__(self) -> int:
         return sum(map(len, self.waiting.values()))
--- a/ravenshelf/leadership/lease_filter.py
+++ b/ravenshelf/leadership/lease_filter.py
@@ -1,8 +1,8 @@
-"""Between the control cycle of a control-plane server and its leases.
+"""Restriction of a server's control cycle to the shards whose lease the server holds.
 
-The decisions see only proxies of shards whose lease is held, and no order is sent without permission. The
-judging is that of `ShardGate`, `InheritedState` and `Member`; here their answers meet the proxies'
-connections.
+The decisions get only the proxies of those shards, and no command is sent without permission. `ShardGate`,
+`InheritedState` and `Member` decide which commands are sent and how they are limited; this module applies
+their decisions to the proxies' connections.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -17,7 +17,9 @@
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.message_part import AdmissionLevel, MessagePart
 
-INHERITED_RETRY_MODE_LIMIT = 1  # of a level that a complete table would otherwise reset
+# A complete table resets the admission levels. An inherited level is commanded again after it, with a retry
+# mode of at most this.
+INHERITED_RETRY_MODE_LIMIT = 1
 
 
 class EncodedCommand(NamedTuple):
@@ -28,24 +30,32 @@
 
 
 class HeldShard:
-    """A shard whose lease is held: its waiting orders, and what it inherited."""
+    """A shard whose lease is held, with its waiting commands and the state of the previous holder."""
 
-    __slots__ = ("gate", "inherited", "term")
+    __slots__ = ("gate", "inherited_state", "term")
 
     def __init__(self, term: int, record: Record, now: int, list_version: int) -> None:
         self.term = term
         self.gate = ShardGate(record)
-        self.inherited = InheritedState(now, record.copy(), list_version)
+        self.inherited_state = InheritedState(now, record.copy(), list_version)
 
 
 class LeaseFilter:
-    """Filters events on their way to the decisions, and orders on their way to the proxies.
-
-    `report_event` hands an event to the control cycle; `write(proxy, message, marker, term)` writes to a
-    proxy; `write_record(shard, record)` sends a record to the voters and returns its number, or None;
-    `list_version` is the version of the endpoint list, `endpoint_name` and `endpoint_index` translate its
-    endpoints; `warming_since` has the endpoints that are warming up now, and `restore_warm_up` takes over
-    those of an earlier holder.
+    """Filters events on their way to the decisions, and commands on their way to the proxies.
+
+    Args:
+        member: The member whose leases count.
+        clock: Returns the present time, microseconds.
+        groups: The names of the traffic groups, by index.
+        counters: The server's counters.
+        report_event: Hands an event to the control cycle.
+        write: Writes a message with its marker to a proxy, in the term of the lease.
+        write_record: Sends a shard's record to the voters, and returns its number, or None without a lease.
+        endpoint_name: Returns the name of an endpoint, by index.
+        list_version: Returns the version of the server's endpoint list.
+        endpoint_index: Returns the index of an endpoint, by name, or None.
+        warming_since: Returns the endpoints that are warming up now, with the times of their starts.
+        restore_warm_up: Adopts the starts of endpoints that an earlier holder recorded.
     """
 
     def __init__(
@@ -69,8 +79,8 @@
         self.groups = groups
         self.counters = counters
         self.shards = member.configuration.shards
-        self.connected_proxies: dict[int, ProxyJoined] = {}  # every proxy with a connection here
-        self.bound_proxies: set[int] = set()  # those that the decisions know
+        self.connected_proxies: dict[int, ProxyJoined] = {}
+        self.bound_proxies: set[int] = set()  # the connected proxies that were reported to the decisions
         self.owned_shards: dict[int, HeldShard] = {}
         self._report_event = report_event
         self._write = write
@@ -81,10 +91,8 @@
         self._warming_since = warming_since
         self._restore_warm_up = restore_warm_up
 
-    # --- events on their way to the decisions ---
-
     def passes(self, event: Event) -> bool:
-        """Takes in an event; returns whether the decisions are to have it now."""
+        """Record an event, and return whether the decisions get it now."""
         if isinstance(event, ProxyJoined):
             self.connected_proxies[event.proxy] = event
             if self._shard_of(event.proxy) not in self.owned_shards:
@@ -98,114 +106,127 @@
         return True
 
     def _endpoints_listed(self, event: EndpointsListed) -> None:
-        ready = [
+        """End the drains of endpoints that the list shows as ready again."""
+        ready_endpoints = [
             self._endpoint_name(entry.endpoint)
             for entry in event.entries
             if entry.state is EndpointState.READY
         ]
-        for shard, held in self.owned_shards.items():
-            held.inherited.endpoints_listed(self._list_version(), ready)
-            undrained = [endpoint for endpoint in ready if not held.inherited.is_drained(endpoint)]
-            if held.gate.end_drains(undrained):
-                self._extend_record(shard, held)
+        for shard, held_shard in self.owned_shards.items():
+            held_shard.inherited_state.endpoints_listed(self._list_version(), ready_endpoints)
+            undrained_endpoints = [
+                endpoint
+                for endpoint in ready_endpoints
+                if not held_shard.inherited_state.is_drained(endpoint)
+            ]
+            if held_shard.gate.end_drains(undrained_endpoints):
+                self._extend_record(shard, held_shard)
 
     def _shard_of(self, proxy: int) -> int:
         return shard_of_proxy(proxy, self.shards)
 
-    # --- leases ---
+    def lease_acquired(self, shard: int, term: int, packed_record: bytes | None) -> None:
+        """Bind the shard's proxies, now that the lease is held and a quorum has accepted the record.
 
-    def lease_acquired(self, shard: int, term: int, packed: bytes | None) -> None:
-        """The lease is held and a quorum has the record: the shard's proxies are bound."""
-        record = self._unpack(packed)
-        held = self.owned_shards.get(shard)
-        if held is not None:  # held all the time, now in a later term: waiting orders are sent in that
-            held.term = term
-            if held.gate.begin_term(record):
-                self._extend_record(shard, held)
+        If the shard is owned already, its lease continues in a later term: waiting commands are sent in that.
+        """
+        record = self._unpack(packed_record)
+        held_shard = self.owned_shards.get(shard)
+        if held_shard is not None:
+            held_shard.term = term
+            if held_shard.gate.begin_term(record):
+                self._extend_record(shard, held_shard)
             self._send_permitted_of(shard)
             return
-        held = HeldShard(term, record, self.clock(), self._list_version())
-        self.owned_shards[shard] = held
-        self._restore_warm_up(held.inherited.warming_since())
+        held_shard = HeldShard(term, record, self.clock(), self._list_version())
+        self.owned_shards[shard] = held_shard
+        self._restore_warm_up(held_shard.inherited_state.warming_since())
         for proxy, joined in list(self.connected_proxies.items()):
             if self._shard_of(proxy) == shard and proxy not in self.bound_proxies:
                 self.bound_proxies.add(proxy)
                 self._report_event(joined._replace(is_fresh=False))
 
-    def _unpack(self, packed: bytes | None) -> Record:
+    def _unpack(self, packed_record: bytes | None) -> Record:
+        """Return the record, or an empty one if the bytes can't be decoded."""
         try:
-            return Record.unpack(packed)
+            return Record.unpack(packed_record)
         except UnreadableRecordError:
             self.counters["records_unreadable"] += 1
             return Record()
 
     def lease_lost(self, shard: int) -> None:
-        """The decisions forget the shard's proxies; waiting orders are dropped."""
+        """Drop the shard's waiting commands, and report its proxies as left to the decisions."""
         if self.owned_shards.pop(shard, None) is None:
             return
         for proxy in [proxy for proxy in self.bound_proxies if self._shard_of(proxy) == shard]:
             self.bound_proxies.discard(proxy)
             self._report_event(ProxyLeft(proxy, True))
 
-    # --- orders on their way to the proxies ---
-
     def apply_inherited_state(self, proxy: int, parts: list[MessagePart]) -> None:
-        """Changes a message to what the decisions do not know yet.
+        """Change the parts of a message in place according to the state of the shard's previous holder.
 
-        Endpoints stay ejected that a later list than ours drained, and load that an earlier holder shed is
-        admitted step by step.
+        Endpoints that were drained by a newer list than the local one stay ejected, and load that the
+        previous holder shed is admitted step by step. Both ends with the inherited state.
         """
-        held = self.owned_shards.get(self._shard_of(proxy))
+        held_shard = self.owned_shards.get(self._shard_of(proxy))
         now = self.clock()
-        if held is None or held.inherited.has_ended(now):
+        if held_shard is None or held_shard.inherited_state.has_ended(now):
             return
-        self._keep_drained(held.inherited, parts)
+        self._keep_drained(held_shard.inherited_state, parts)
         for part in parts:
-            ordered = part.admission_level
-            if ordered is not None:
-                groups = [self.groups[group] for group in part.groups] or self.groups
-                level = min(held.inherited.limit_level(now, group, ordered.level) for group in groups)
-                part.admission_level = AdmissionLevel(level, ordered.retry_mode)
-        self._restore_levels(now, held.inherited, parts)
-
-    def _keep_drained(self, inherited: InheritedState, parts: list[MessagePart]) -> None:
-        indices = map(self._endpoint_index, inherited.drained_at)
-        drained = {index for index in indices if index is not None}
-        if not drained:
+            commanded_level = part.admission_level
+            if commanded_level is not None:
+                group_names = [self.groups[group] for group in part.groups] or self.groups
+                level = min(
+                    held_shard.inherited_state.limit_level(now, group, commanded_level.level)
+                    for group in group_names
+                )
+                part.admission_level = AdmissionLevel(level, commanded_level.retry_mode)
+        self._restore_levels(now, held_shard.inherited_state, parts)
+
+    def _keep_drained(self, inherited_state: InheritedState, parts: list[MessagePart]) -> None:
+        """Eject the drained endpoints that the message would readmit or give a weight."""
+        indices = map(self._endpoint_index, inherited_state.drained_at)
+        drained_endpoints = {index for index in indices if index is not None}
+        if not drained_endpoints:
             return
         for part in parts:
-            part.readmitted = [endpoint for endpoint in part.readmitted if endpoint not in drained]
+            part.readmitted = [endpoint for endpoint in part.readmitted if endpoint not in drained_endpoints]
             part.ejected = part.ejected + [
                 endpoint
                 for endpoint, weight in part.weights
-                if weight and endpoint in drained and endpoint not in part.ejected
+                if weight and endpoint in drained_endpoints and endpoint not in part.ejected
             ]
 
-    def _restore_levels(self, now: int, inherited: InheritedState, parts: list[MessagePart]) -> None:
-        """A complete table resets admission levels: the inherited ones are ordered after it."""
-        complete = [part for part in parts if part.is_complete and part.admission_level is None]
-        for part in complete:
+    def _restore_levels(self, now: int, inherited_state: InheritedState, parts: list[MessagePart]) -> None:
+        """Add the inherited admission levels after each complete table, since a table resets them."""
+        complete_tables = [part for part in parts if part.is_complete and part.admission_level is None]
+        for part in complete_tables:
             for group in part.groups or range(len(self.groups)):
-                name = self.groups[group]
-                recorded = inherited.record.admission_levels.get(name)
-                level = inherited.limit_level(now, name, float("inf"))
-                if recorded is not None and level < float("inf"):
-                    retry_mode = min(recorded[1], INHERITED_RETRY_MODE_LIMIT)
+                group_name = self.groups[group]
+                recorded_admission = inherited_state.record.admission_levels.get(group_name)
+                level = inherited_state.limit_level(now, group_name, float("inf"))
+                if recorded_admission is not None and level < float("inf"):
+                    retry_mode = min(recorded_admission[1], INHERITED_RETRY_MODE_LIMIT)
                     parts.append(MessagePart((group,), admission_level=AdmissionLevel(level, retry_mode)))
 
     def submit(self, proxy: int, parts: list[MessagePart], message: bytes, marker: int | None) -> None:
-        """Takes an order; it is sent when and if it is permitted."""
+        """Accept an encoded command, which is sent as soon as it is permitted.
+
+        Without a lease of the proxy's shard the command is dropped and counted.
+        """
         shard = self._shard_of(proxy)
-        held = self.owned_shards.get(shard)
-        if held is None:
+        held_shard = self.owned_shards.get(shard)
+        if held_shard is None:
             self.counters["orders_without_lease"] += 1
             return
-        requirements = self._requirements(held, parts)
-        if held.gate.submit(proxy, EncodedCommand(message, marker), requirements):
-            self._extend_record(shard, held)
+        requirements = self._requirements(held_shard, parts)
+        if held_shard.gate.submit(proxy, EncodedCommand(message, marker), requirements):
+            self._extend_record(shard, held_shard)
         self._send_permitted_of(shard)
 
-    def _requirements(self, held: HeldShard, parts: list[MessagePart]) -> RecordRequirements:
+    def _requirements(self, held_shard: HeldShard, parts: list[MessagePart]) -> RecordRequirements:
+        """Return what the shard's record has to contain before a message of these parts is sent."""
         requirements = RecordRequirements()
         for part in parts:
             if part.admission_level is not None:
@@ -213,73 +234,76 @@
                 for group in part.groups or range(len(self.groups)):
                     requirements.levels.append((self.groups[group], level, retry_mode))
             for endpoint in part.ejected:
-                name = self._endpoint_name(endpoint)
-                if not held.inherited.is_drained(name):
-                    requirements.drains.append((name, self._list_version()))
+                endpoint_name = self._endpoint_name(endpoint)
+                if not held_shard.inherited_state.is_drained(endpoint_name):
+                    requirements.drains.append((endpoint_name, self._list_version()))
         return requirements
 
-    def _extend_record(self, shard: int, held: HeldShard) -> None:
-        record = held.gate.extended_record(self._warming_since())
+    def _extend_record(self, shard: int, held_shard: HeldShard) -> None:
+        record = held_shard.gate.extended_record(self._warming_since())
         seq = self._write_record(shard, record.pack())
         if seq is not None:
             self.counters["records_written"] += 1
-            held.gate.record_written(record, seq)
+            held_shard.gate.record_written(record, seq)
 
     def send_permitted(self) -> None:
-        """Sends what may be sent of all shards."""
+        """Send the waiting commands of all shards that are permitted now."""
         for shard in list(self.owned_shards):
             self._send_permitted_of(shard)
 
     def _send_permitted_of(self, shard: int) -> None:
-        held = self.owned_shards.get(shard)
-        if held is None:
+        held_shard = self.owned_shards.get(shard)
+        if held_shard is None:
             return
         claim = self.member.claims[shard]
-        if claim.term != held.term:
+        if claim.term != held_shard.term:
             return
         now = self.clock()
 
-        def is_permitted(order: WaitingCommand) -> bool:
-            permission = self.member.permission(now, shard, order.seq)
+        def is_permitted(command: WaitingCommand) -> bool:
+            permission = self.member.permission(now, shard, command.seq)
             if permission is Permission.REPEAT_ONLY:
-                return order.requirements.is_met_by(held.gate.record)
+                return command.requirements.is_met_by(held_shard.gate.record)
             return permission is Permission.FULL
 
-        permitted = held.gate.take_permitted(claim.committed_seq, is_permitted)
-        for order in permitted:
-            self._send(shard, held, order)
-        record = held.gate.lowered_record(permitted)
+        permitted_commands = held_shard.gate.pop_permitted(claim.committed_seq, is_permitted)
+        for command in permitted_commands:
+            self._send(shard, held_shard, command)
+        record = held_shard.gate.lowered_record(permitted_commands)
         if record is not None:
             seq = self._write_record(shard, record.pack())
             if seq is not None:
-                held.gate.record_written(record, seq)
-        self._bind_overflowed(shard, held)
+                held_shard.gate.record_written(record, seq)
+        self._bind_overflowed(shard, held_shard)
 
-    def _send(self, shard: int, held: HeldShard, order: WaitingCommand) -> None:
-        # asked again: this process may have been paused since the order was looked at
-        if self.member.permission(self.clock(), shard, order.seq) is None:
+    def _send(self, shard: int, held_shard: HeldShard, command: WaitingCommand) -> None:
+        # the permission is checked again, because this process may have been paused since the first check
+        if self.member.permission(self.clock(), shard, command.seq) is None:
             self.counters["orders_not_permitted"] += 1
-            held.gate.overflowed.add(order.proxy)
+            held_shard.gate.overflowed.add(command.proxy)
             return
         self.counters["orders_fenced"] += 1
-        self._write(order.proxy, order.message.message, order.message.marker, held.term)
+        self._write(command.proxy, command.payload.message, command.payload.marker, held_shard.term)
 
-    def _bind_overflowed(self, shard: int, held: HeldShard) -> None:
-        """The decisions believe in orders that were never sent: these proxies are bound again."""
-        if not held.gate.overflowed or self.member.permission(self.clock(), shard) is None:
+    def _bind_overflowed(self, shard: int, held_shard: HeldShard) -> None:
+        """Bind proxies again for which commands were dropped.
+
+        The decisions count these commands as sent, so they have to start again with these proxies.
+        """
+        if not held_shard.gate.overflowed or self.member.permission(self.clock(), shard) is None:
             return
-        for proxy in list(held.gate.overflowed):
-            held.gate.discard(proxy)
+        for proxy in list(held_shard.gate.overflowed):
+            held_shard.gate.discard(proxy)
             if proxy in self.bound_proxies:
                 self._report_event(ProxyLeft(proxy, True))
                 self._report_event(self.connected_proxies[proxy]._replace(is_fresh=False))
 
     def proxy_count(self, shards: Iterable[int]) -> int:
-        """How many connected proxies are in these shards."""
-        wanted = set(shards)
-        return sum(self._shard_of(proxy) in wanted for proxy in self.connected_proxies)
+        """Return the number of connected proxies in these shards."""
+        counted_shards = set(shards)
+        return sum(self._shard_of(proxy) in counted_shards for proxy in self.connected_proxies)
 
 
 def add_term(message: bytes, term: int) -> bytes:
-    """The order with its term, by which a proxy rejects orders of an earlier one."""
+    """Return an encoded command with its term, by which a proxy rejects commands of an earlier term."""
     return b"CONFIG term=%d" % term + message.removeprefix(b"CONFIG")
--- a/ravenshelf/leadership/link.py
+++ b/ravenshelf/leadership/link.py
@@ -1,9 +1,9 @@
-"""Connections between members: frames of msgpack over TCP, with mutual TLS where certificates are given.
+"""Connections between members: frames of msgpack over TCP, with mutual TLS if certificates are configured.
 
-A frame is a length of four bytes, network order, and a msgpack list whose first item is its kind. The first
-frame of each side is `hello`: version of this protocol, cluster, name, incarnation, and what all members
-must agree on. Each pair keeps one connection; the member with the lower number dials. A newer incarnation
-of a name supersedes the older.
+A frame consists of its length in four bytes, network byte order, and a msgpack list whose first item is the
+kind of the message. The first frame of each side is `hello` with the protocol version, the cluster, the name,
+the incarnation, and the settings that all members must agree on. Each pair of members keeps one connection,
+which the member with the lower number dials. A newer incarnation of a member supersedes an older one.
 """
 
 import asyncio
@@ -20,11 +20,12 @@
 
 VERSION = 1
 OLDEST_VERSION = 1
-UNSENT_LIMIT_BYTES = 4 * 1024 * 1024  # a member that reads so slowly counts as unreachable
+# a connection with more unsent bytes is closed: a member that reads so slowly counts as unreachable
+UNSENT_LIMIT_BYTES = 4 * 1024 * 1024
 
 
 def encode_frame(message: Any) -> bytes:
-    """The frame of a message, given as it is on the wire."""
+    """Return the frame of a message, which is given as a list of its kind and its fields."""
     return net_frames.pack(msgspec.msgpack.encode(message))
 
 
@@ -32,26 +33,31 @@
     """Decodes a byte stream into messages, each a list whose first item is its kind."""
 
     def feed(self, data: bytes) -> list:
-        """The messages that are complete now. Raises ValueError or msgspec.DecodeError for other content."""
+        """Add received bytes, and return the messages that they complete.
+
+        Raises:
+            ValueError: A frame is not a list that begins with a text, or is too long.
+            msgspec.DecodeError: A frame is not msgpack.
+        """
         messages = [msgspec.msgpack.decode(body) for body in super().feed(data)]
         if not all(
             isinstance(message, list) and message and isinstance(message[0], str) for message in messages
         ):
-            raise ValueError("no message")
+            raise ValueError("frame: expected a list whose first item is the kind of a message")
         return messages
 
 
 class LinkOwner(Protocol):
-    """What a link reports to."""
+    """Receives the events of a link."""
 
     def hello_received(self, link: "Link", hello: list) -> str | None:
-        """The first message. Returns why the other side is rejected, or None."""
+        """Handle the first message, and return why the other side is rejected, or None."""
 
     def message_received(self, link: "Link", message: list) -> None:
-        """A later message."""
+        """Handle a message after the first."""
 
     def link_closed(self, link: "Link") -> None:
-        """The connection has ended; `link.end` says how."""
+        """Handle the end of the connection, which `link.end` describes."""
 
 
 class Link(BufferedConnection):
@@ -65,7 +71,7 @@
         self.member: int | None = None
 
     def connection_made(self, transport: Any) -> None:
-        """Sends the hello."""
+        """Send the hello, unless the link was closed before the connection was made."""
         self.transport = transport
         if self.end is not None:
             transport.abort()
@@ -73,7 +79,7 @@
         transport.write(encode_frame(self.hello))
 
     def received(self, data: bytes) -> None:
-        """Decodes and hands on messages; content that is no message ends the connection."""
+        """Decode messages and hand them to the owner; undecodable bytes end the connection."""
         try:
             messages = self.frames.feed(data)
         except (ValueError, msgspec.DecodeError):
@@ -89,7 +95,7 @@
                 return
 
     def send(self, data: bytes) -> None:
-        """Sends a frame, unless too much is unsent already: then the connection ends."""
+        """Send a frame, or end the connection if too many bytes are unsent already."""
         if self.end is not None or self.transport is None:
             return
         if self.transport.get_write_buffer_size() > UNSENT_LIMIT_BYTES:
@@ -98,35 +104,48 @@
         self.transport.write(data)
 
     def peer_address(self) -> str:
-        """The other side's address."""
+        """Return the address of the other side, or an empty text before the connection is made."""
         return str(self.transport.get_extra_info("peername")) if self.transport is not None else ""
 
-    def subject(self) -> str | None:
-        """The common name of the other side's certificate, or None without TLS."""
+    def peer_common_name(self) -> str | None:
+        """Return the common name of the other side's certificate, or None without TLS."""
         certificate = self.transport.get_extra_info("peercert") if self.transport is not None else None
         if not certificate:
             return None
         return next(
-            (value for part in certificate.get("subject", ()) for key, value in part if key == "commonName"),
+            (
+                value
+                for attributes in certificate.get("subject", ())
+                for key, value in attributes
+                if key == "commonName"
+            ),
             "",
         )
 
     def ended(self) -> None:
-        """Reports the end."""
+        """Report the end of the connection to the owner."""
         self.owner.link_closed(self)
 
 
-def tls_contexts(certificate: str, key: str, authority: str) -> tuple[ssl.SSLContext, ssl.SSLContext]:
-    """Contexts to dial and to accept; both sides show a certificate of the cluster's own authority.
+def create_tls_contexts(certificate: str, key: str, authority: str) -> tuple[ssl.SSLContext, ssl.SSLContext]:
+    """Return the contexts to dial and to accept connections; both sides need a certificate of `authority`.
+
+    Args:
+        certificate: The path of the local certificate.
+        key: The path of its private key.
+        authority: The path of the certificate of the cluster's certificate authority.
 
-    Raises OSError or ssl.SSLError for files that can't be used.
+    Raises:
+        OSError: A file can't be read.
+        ssl.SSLError: A file has unusable content.
     """
     contexts = []
     for purpose in (ssl.Purpose.SERVER_AUTH, ssl.Purpose.CLIENT_AUTH):
         context = ssl.create_default_context(purpose, cafile=authority)
         context.load_cert_chain(certificate, key)
         context.verify_mode = ssl.CERT_REQUIRED
-        context.check_hostname = False  # members are known by their certificate's name, not by their address
+        # members are identified by the name in their certificate, not by their address
+        context.check_hostname = False
         context.minimum_version = ssl.TLSVersion.TLSv1_3
         contexts.append(context)
     return contexts[0], contexts[1]
@@ -139,7 +158,12 @@
     context: ssl.SSLContext | None,
     timeout_s: float,
 ) -> None:
-    """Connects to a member. Raises OSError or TimeoutError where it can't."""
+    """Connect to a member; `make_link` is called for the protocol object of the connection.
+
+    Raises:
+        OSError: The connection failed.
+        TimeoutError: The connection was not made within `timeout_s`.
+    """
     await asyncio.wait_for(
         loop.create_connection(
             make_link, *address, ssl=context, server_hostname="" if context is not None else None
--- a/ravenshelf/leadership/message_codec.py
+++ b/ravenshelf/leadership/message_codec.py
@@ -1,6 +1,7 @@
-"""Messages between members as msgpack: a list of the kind, then the fields of the type in their order.
+"""Encoding of messages between members: a msgpack list of the kind and the fields of the type, in order.
 
-The kinds are those of the protocol. The first message of a connection, `hello`, is the edge's own (`link`).
+The first message of a connection, `hello`, is no message of the decisions; `link` and `peer_connections`
+handle it.
 """
 
 from typing import Any, get_args
@@ -32,7 +33,7 @@
 
 
 class MalformedMessageError(RavenshelfError):
-    """A list that is no message of the protocol. `message` is the list."""
+    """A list that is not a message of the protocol; `message` has it."""
 
     def __init__(self, message: list[Any], reason: str) -> None:
         super().__init__(reason)
@@ -40,12 +41,16 @@
 
 
 def encode(message: Message) -> bytes:
-    """The frame of a message."""
+    """Return the frame of a message."""
     return frames.pack(msgspec.msgpack.encode((KIND_OF_TYPE[type(message)], *message)))
 
 
 def decode(message: list[Any]) -> Message:
-    """The message of a list that `link.Frames` read. Raises MalformedMessageError."""
+    """Return the message of a list that `link.Frames` read.
+
+    Raises:
+        MalformedMessageError: The kind is unknown, or a field is missing, additional or of another type.
+    """
     message_type = TYPE_OF_KIND.get(message[0])
     if message_type is None:
         raise MalformedMessageError(message, f"unknown kind {message[0]!r}")
--- a/ravenshelf/leadership/peer_connections.py
+++ b/ravenshelf/leadership/peer_connections.py
@@ -1,4 +1,4 @@
-"""The connections of a member to all others: dialled, accepted, identified, superseded."""
+"""Connections of a member to all others: dialling, accepting, identification and replacement."""
 
 import asyncio
 import ssl
@@ -19,22 +19,28 @@
 DIAL_INTERVAL_S = 0.3
 DIAL_TIMEOUT_S = 1.0
 HELLO_TIMEOUT_US = 2 * SECOND
-UNIDENTIFIED_LIMIT = 32  # connections without a hello yet; beyond it the oldest is closed
-SHOWN_CHARACTERS = 60  # of a message that is not understood
+# the most connections that have not sent a hello yet; the oldest is closed when there is one more
+UNIDENTIFIED_LIMIT = 32
+SHOWN_CHARACTERS = 60  # an error message shows at most this much of an unusable message
 
 
 class MessageReceiver(Protocol):
-    """What takes the messages of members, as they are on the wire."""
+    """Handles the messages of other members."""
 
     def receive_message(self, member: int, message: list) -> None:
-        """Takes a message; an error that it raises ends the connection."""
+        """Handle a message, given as the list that was on the wire; an exception ends the connection."""
 
     def message_handled(self, message: list) -> None:
-        """Called after a message that raised none."""
+        """Act on the completion of a message; called after `receive_message` unless it raised."""
 
 
 class PeerConnections:
-    """All connections of one member. What they receive goes to `receiver`."""
+    """All connections of one member; their messages are handed to `receiver`.
+
+    Attributes:
+        links: The identified connections, by the other member's number.
+        incarnations: The latest incarnation of each other member that has connected.
+    """
 
     def __init__(
         self,
@@ -48,12 +54,12 @@
         self.membership = membership
         self.loop = loop
         self.counters = counters
-        self.links: dict[int, Link] = {}  # by member
-        self.incarnations: dict[int, int] = {}  # the latest seen, by member
+        self.links: dict[int, Link] = {}
+        self.incarnations: dict[int, int] = {}
         self._receiver = receiver
         self._buffers = BufferPool()
-        self._unidentified: dict[Link, int] = {}  # since when
-        self._dialling: dict[int, asyncio.Task[None]] = {}
+        self._unidentified_since: dict[Link, int] = {}
+        self._dial_tasks: dict[int, asyncio.Task[None]] = {}
         self._server: asyncio.Server | None = None
         self._dial_context: ssl.SSLContext | None = None
         self._accept_context: ssl.SSLContext | None = None
@@ -61,54 +67,58 @@
         self.read_certificates()
 
     def read_certificates(self) -> None:
-        """Reads the files again: new connections use them, open ones go on. Raises OSError."""
+        """Read the certificate files for new connections; open connections stay as they are.
+
+        Raises:
+            OSError: A file can't be read or used.
+        """
         self._dial_context = None
         self._accept_context = None
         settings = self.settings
         if settings.certificate:
-            self._dial_context, self._accept_context = links.tls_contexts(
+            self._dial_context, self._accept_context = links.create_tls_contexts(
                 settings.certificate, settings.key, settings.authority
             )
 
-    # --- start and end ---
-
     async def listen(self) -> None:
-        """Accepts connections of members with lower numbers."""
+        """Accept connections of the members with lower numbers.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
         host, port = address(self.settings.members[self.membership.name])
         self._server = await self.loop.create_server(self.make_link, host, port, ssl=self._accept_context)
 
     def start_dialling(self) -> None:
-        """Keeps a connection to each member with a higher number."""
+        """Start the tasks that keep a connection to each member with a higher number."""
         for member in range(self.membership.local_member + 1, len(self.membership.names)):
-            self._dialling[member] = self.loop.create_task(self._keep_dialling(member))
+            self._dial_tasks[member] = self.loop.create_task(self._keep_dialling(member))
 
     async def _keep_dialling(self, member: int) -> None:
-        place = self.settings.members[self.membership.names[member]]
+        member_address = self.settings.members[self.membership.names[member]]
         while not self._is_closed:
             if member not in self.links:
                 with suppress(TimeoutError, OSError, ValueError):
                     await links.dial(
-                        self.loop, address(place), self.make_link, self._dial_context, DIAL_TIMEOUT_S
+                        self.loop, address(member_address), self.make_link, self._dial_context, DIAL_TIMEOUT_S
                     )
             await asyncio.sleep(DIAL_INTERVAL_S)
 
     def stop_listening(self) -> None:
-        """Dials and accepts no more."""
+        """Stop dialling and accepting connections."""
         self._is_closed = True
-        for task in self._dialling.values():
+        for task in self._dial_tasks.values():
             task.cancel()
         if self._server is not None:
             self._server.close()
 
     def close_links(self) -> None:
-        """Ends all connections; what is ready to be sent leaves."""
-        for link in [*self.links.values(), *self._unidentified]:
+        """Close all connections after the data that is ready to be sent."""
+        for link in [*self.links.values(), *self._unidentified_since]:
             link.close(ConnectionEnd.STOPPING)
 
-    # --- connections ---
-
     def make_link(self) -> Link:
-        """A connection that begins; the other side has still to send its hello."""
+        """Return a link for a new connection, whose other side has not sent its hello yet."""
         membership = self.membership
         hello = [
             "hello",
@@ -116,22 +126,25 @@
             membership.cluster,
             membership.name,
             membership.incarnation,
-            list(membership.agreed),
+            list(membership.agreed_settings),
         ]
         link = Link(self._buffers, self, hello)
-        self._unidentified[link] = clock()
-        if len(self._unidentified) > UNIDENTIFIED_LIMIT:
-            next(iter(self._unidentified)).close(ConnectionEnd.NO_CAPACITY)
+        self._unidentified_since[link] = clock()
+        if len(self._unidentified_since) > UNIDENTIFIED_LIMIT:
+            next(iter(self._unidentified_since)).close(ConnectionEnd.NO_CAPACITY)
         return link
 
     def close_silent(self, now: int) -> None:
-        """Ends connections whose hello has not come in time. `now` in microseconds."""
-        for link, since in list(self._unidentified.items()):
+        """Close connections whose hello did not arrive in time; `now` is in microseconds."""
+        for link, since in list(self._unidentified_since.items()):
             if now - since > HELLO_TIMEOUT_US:
                 link.close(ConnectionEnd.SILENT)
 
     def hello_received(self, link: Link, hello: list) -> str | None:
-        """Identifies the other side; returns why it is rejected, or None."""
+        """Identify the other side by its hello, and return why it is rejected, or None.
+
+        An earlier connection to the same member is closed.
+        """
         try:
             _, _, _, name, incarnation, _ = hello
             reason = self._reason_to_reject(link, hello)
@@ -144,19 +157,24 @@
         member = self.membership.names.index(name)
         link.member = member
         self.incarnations[member] = incarnation
-        self._unidentified.pop(link, None)
-        superseded = self.links.get(member)
+        self._unidentified_since.pop(link, None)
+        superseded_link = self.links.get(member)
         self.links[member] = link
-        if superseded is not None:
-            superseded.close(ConnectionEnd.SUPERSEDED)
+        if superseded_link is not None:
+            superseded_link.close(ConnectionEnd.SUPERSEDED)
         log_events.MEMBER_CONNECTED(name=name, incarnation=incarnation)
         return None
 
     def _reason_to_reject(self, link: Link, hello: list) -> str | None:
-        """Raises TypeError or ValueError for a list that is no hello."""
-        kind, version, cluster, name, incarnation, agreed = hello
+        """Return why the sender of a hello is rejected, or None.
+
+        Raises:
+            TypeError: A field has an unexpected type.
+            ValueError: The list has too few or too many fields.
+        """
+        kind, version, cluster, name, incarnation, agreed_settings = hello
         names = self.membership.names
-        expected = list(self.membership.agreed)
+        expected_settings = list(self.membership.agreed_settings)
         if kind != "hello" or not links.OLDEST_VERSION <= version <= links.VERSION:
             versions = f"{links.OLDEST_VERSION} to {links.VERSION}"
             return f"expected hello in version {versions}, not {str(hello)[:SHOWN_CHARACTERS]}"
@@ -164,17 +182,20 @@
             return f"expected cluster {self.membership.cluster}, not {cluster!r}"
         if name not in names or name == self.membership.name:
             return f"expected another of {', '.join(names)}, not {name!r}"
-        if agreed != expected:
-            return f"expected shards, lease and members {expected}, not {agreed}"
-        if link.subject() not in (None, name):
-            return f"expected the certificate of {name!r}, not of {link.subject()!r}"
-        known = self.incarnations.get(names.index(name), 0)
-        if incarnation < known:
-            return f"expected {name}'s incarnation {known} or later, not {incarnation}"
+        if agreed_settings != expected_settings:
+            return f"expected shards, lease and members {expected_settings}, not {agreed_settings}"
+        if link.peer_common_name() not in (None, name):
+            return f"expected the certificate of {name!r}, not of {link.peer_common_name()!r}"
+        latest_incarnation = self.incarnations.get(names.index(name), 0)
+        if incarnation < latest_incarnation:
+            return f"expected {name}'s incarnation {latest_incarnation} or later, not {incarnation}"
         return None
 
     def message_received(self, link: Link, message: list) -> None:
-        """Hands a member's message on; a malformed one ends the connection."""
+        """Hand a message to the receiver; a malformed one ends the connection.
+
+        Messages of a superseded connection are dropped.
+        """
         member = link.member
         if member is None or self.links.get(member) is not link:
             return
@@ -182,17 +203,17 @@
             self._receiver.receive_message(member, message)
         except (MalformedMessageError, AttributeError, IndexError, KeyError, TypeError, ValueError) as error:
             self.counters["member_messages_malformed"] += 1
-            shown = str(message)[:SHOWN_CHARACTERS]
+            shown_message = str(message)[:SHOWN_CHARACTERS]
             log_events.MEMBER_REJECTED(
-                peer=self.membership.names[member], why=f"expected a message, not {shown} ({error})"
+                peer=self.membership.names[member], why=f"expected a message, not {shown_message} ({error})"
             )
             link.close(ConnectionEnd.UNREADABLE)
             return
         self._receiver.message_handled(message)
 
     def link_closed(self, link: Link) -> None:
-        """Forgets the connection."""
-        self._unidentified.pop(link, None)
+        """Remove a closed connection."""
+        self._unidentified_since.pop(link, None)
         member = link.member
         if member is None or self.links.get(member) is not link:
             return
--- a/ravenshelf/leadership/persistence.py
+++ b/ravenshelf/leadership/persistence.py
@@ -1,4 +1,4 @@
-"""A member's votes on disk, and the order between what is stored and what is sent."""
+"""Storage of a member's votes, and the order of storing and sending."""
 
 from collections.abc import Callable, Mapping
 from pathlib import Path
@@ -9,20 +9,20 @@
 from ravenshelf.store.journal import Journal
 
 INCARNATION_KEY = "incarnation"
-VOTING_KEY = "votes"  # there once the member votes
+VOTING_KEY = "votes"  # the journal has this key as soon as the member votes
 
 
 class OutgoingMessage(NamedTuple):
-    """A message and the number of the member that it is for."""
+    """A message and the number of its receiver."""
 
     member: int
     message: Message
 
 
 class VoteStore:
-    """The journal of a member. Opening it counts as a start: the incarnation goes up.
+    """The journal of a member. Opening it counts as a start and increments the incarnation.
 
-    `call_in_loop` brings a call from the committer's thread to the event loop.
+    `call_in_loop` runs a callback of the committer's thread in the event loop.
     """
 
     def __init__(
@@ -37,15 +37,15 @@
         self.committer = Committer(self.journal, call_in_loop)
 
     def has_failed(self) -> bool:
-        """Whether the disk takes no more."""
+        """Return whether a write to the journal has failed; nothing more is written then."""
         return self.journal.failure is not None
 
 
 class DurableOutbox:
-    """Holds messages back until everything that was stored with them or before them is on disk.
+    """Delays messages until everything that was stored with them or before them is on disk.
 
-    `deliver` sends messages. `commit_ended` is called with the messages of a commit once it is on disk, or
-    with the error.
+    `deliver` sends messages. `commit_ended` is called with the messages of a commit once the commit is on
+    disk, or with the error if it failed.
     """
 
     def __init__(
@@ -57,20 +57,24 @@
         self._committer = committer
         self._deliver = deliver
         self._commit_ended = commit_ended
-        self._changes: dict[int | str, Any] = {}  # of a shard only the last state counts
+        # by key, because only the last value of a shard has to be stored
+        self._changes: dict[int | str, Any] = {}
         self._messages: list[OutgoingMessage] = []
         self._commits_in_flight = 0
 
     def store(self, key: int | str, value: Any) -> None:
-        """Stores a value with the next flush."""
+        """Store a value with the next flush."""
         self._changes[key] = value
 
     def send(self, member: int, message: Message) -> None:
-        """Sends a message after the next flush."""
+        """Send a message after the next flush."""
         self._messages.append(OutgoingMessage(member, message))
 
     def flush(self) -> None:
-        """Ends a step: what it stored goes to disk, what it sent follows."""
+        """End a step: commit what it stored, and send its messages after that.
+
+        Messages are sent at once if the step stored nothing and no earlier commit is in flight.
+        """
         changes = self._changes
         messages = self._messages
         self._changes = {}
--- a/ravenshelf/leadership/record.py
+++ b/ravenshelf/leadership/record.py
@@ -1,9 +1,9 @@
-"""What of a shard outlives its holder: what was admitted, drained, warming up and shed. Pure.
+"""The record of a shard, which a successor of its holder continues from. Pure.
 
-A record is a map of named fields, each a map. An older program that reads a newer record keeps the fields
-that it does not know and writes them back with its own, so that two versions can serve in one cluster. Its
-size is bounded: by traffic groups, by listed endpoints, and the retries by those that are still within
-their hold time.
+A record is a map of named fields, each a map. A program of an earlier version that reads a record of a later
+one keeps the fields that it does not support and writes them back with its own, so that two versions can
+serve in one cluster. The size of a record is bounded by the number of traffic groups, of listed endpoints,
+and of retries that are still within their hold time.
 """
 
 from collections.abc import Mapping
@@ -17,11 +17,11 @@
 # the stored fields by the version that added them; a record of an earlier version lacks them
 FIELDS_BY_VERSION = {1: ("tries", "levels", "drains"), 2: ("ramps",)}
 KNOWN_FIELDS = tuple(name for version in sorted(FIELDS_BY_VERSION) for name in FIELDS_BY_VERSION[version])
-SHOWN_BYTES = 40
+SHOWN_BYTES = 40  # the error message shows at most this much of an unreadable record
 
 
 class UnreadableRecordError(RavenshelfError):
-    """Bytes that are no record. `data` is what was found."""
+    """Bytes that cannot be decoded as a record; `data` has them."""
 
     def __init__(self, data: bytes) -> None:
         super().__init__(f"expected a shard's record, not {data[:SHOWN_BYTES]!r}")
@@ -29,12 +29,16 @@
 
 
 class Record:
-    """State of one shard. All keys are names, for indices differ between control-plane servers.
-
-    `retries`: key of a request -> its granted retries. `admission_levels`: traffic group -> (level,
-    retry mode), as last ordered, or what admits more. `drained_at`: endpoint -> version of the endpoint list
-    that drained it. `warming_since`: endpoint -> its start. `unknown_fields`: those of a later version, as
-    stored.
+    """The state of one shard. All keys are names, because indices differ between control-plane servers.
+
+    Attributes:
+        retries: The number of granted retries, by the key of the request.
+        admission_levels: The admission level and the retry mode of each traffic group, as last commanded or
+            higher.
+        drained_at: The version of the endpoint list that drained an endpoint, by endpoint.
+        warming_since: When an endpoint that is warming up started, by endpoint.
+        unknown_fields: The fields of a later version, as stored.
+        version: The version that the record was written in.
     """
 
     __slots__ = ("admission_levels", "drained_at", "retries", "unknown_fields", "version", "warming_since")
@@ -57,7 +61,7 @@
         self.version = version
 
     def copy(self) -> "Record":
-        """A record of its own with the same content."""
+        """Return a copy that can be changed independently."""
         return Record(
             self.retries,
             self.admission_levels,
@@ -71,7 +75,7 @@
         return isinstance(other, Record) and self.pack() == other.pack()
 
     def pack(self) -> bytes:
-        """The record as it is stored and sent."""
+        """Return the record as it is stored and sent."""
         fields = {
             "v": max(self.version, VERSION),
             "tries": self.retries,
@@ -83,9 +87,10 @@
 
     @classmethod
     def unpack(cls, data: bytes | None) -> "Record":
-        """The record of stored bytes; empty for None, a shard that nobody has held yet.
+        """Return the record of stored bytes, or an empty one for None: a shard that had no holder yet.
 
-        Raises UnreadableRecordError.
+        Raises:
+            UnreadableRecordError: The bytes are not a record.
         """
         if data is None:
             return cls()
@@ -102,22 +107,32 @@
             raise UnreadableRecordError(data) from error
 
     def covers(self, group: str, level: float, retry_mode: int) -> bool:
-        """Whether it says already that so much may be admitted."""
-        recorded = self.admission_levels.get(group)
-        return recorded is not None and recorded[0] >= level and recorded[1] >= retry_mode
+        """Return whether the record already permits this admission level and retry mode."""
+        recorded_admission = self.admission_levels.get(group)
+        return (
+            recorded_admission is not None
+            and recorded_admission[0] >= level
+            and recorded_admission[1] >= retry_mode
+        )
 
     def admit(self, group: str, level: float, retry_mode: int) -> None:
-        """Raises what may be admitted."""
-        recorded = self.admission_levels.get(group, (0.0, 0))
-        self.admission_levels[group] = (max(recorded[0], level), max(recorded[1], retry_mode))
+        """Raise the recorded admission level and retry mode to at least these."""
+        recorded_admission = self.admission_levels.get(group, (0.0, 0))
+        self.admission_levels[group] = (
+            max(recorded_admission[0], level),
+            max(recorded_admission[1], retry_mode),
+        )
 
     def lower(self, group: str, level: float) -> bool:
-        """A lower level was sent: a successor begins from it.
+        """Lower the recorded admission level after a lower one was sent, so that a successor starts from it.
+
+        The retry mode stays as it is.
 
-        The retry mode stays. Returns whether the record changed.
+        Returns:
+            Whether the record changed.
         """
-        recorded = self.admission_levels.get(group)
-        if recorded is None or recorded[0] <= level:
+        recorded_admission = self.admission_levels.get(group)
+        if recorded_admission is None or recorded_admission[0] <= level:
             return False
-        self.admission_levels[group] = (level, recorded[1])
+        self.admission_levels[group] = (level, recorded_admission[1])
         return True
--- a/ravenshelf/leadership/service.py
+++ b/ravenshelf/leadership/service.py
@@ -1,6 +1,4 @@
-"""A control-plane server among others, at the edge: connections, disk, timers, and the shards that it
-holds.
-"""
+"""The leadership service of a control-plane server: connections, storage and timers of a `Member`."""
 
 import asyncio
 import random
@@ -29,18 +27,25 @@
 
 SHORTEST_WAIT_S = 0.001
 LONGEST_WAIT_S = 0.1
-# the measured delay of the event loop rises quickly and falls slowly
-DELAY_RISE = 0.5
-DELAY_FALL = 0.05
+# Weights of a new measurement in the smoothed delay of the event loop, which rises quickly and falls slowly.
+DELAY_RISE_WEIGHT = 0.5
+DELAY_FALL_WEIGHT = 0.05
 
-Outcome = TypeVar("Outcome")
+Result = TypeVar("Result")
 
 
 class Leadership:
-    """Runs a `Member`. `stopped(reason)` is called where this control-plane server can't go on.
+    """Runs a `Member`, whose `LeaseOutput` and `MessageReceiver` it implements.
 
-    `settings` is the operator file's `[leadership]`, `folder` that of its `[store]`. `lease_listener` must be
-    set before `start`. It stands for the effects of the member (`LeaseOutput`).
+    `lease_listener` must be set before `start` is called.
+
+    Args:
+        settings: The table `[leadership]` of the operator file.
+        folder: The folder of its table `[store]`.
+        loop: The event loop.
+        counters: The server's counters.
+        rng: Draws the retry delays.
+        on_failed: Called with the reason if this control-plane server can't continue.
     """
 
     lease_listener: LeaseListener
@@ -52,7 +57,7 @@
         loop: asyncio.AbstractEventLoop,
         counters: Counters,
         rng: random.Random,
-        stopped: Callable[[str], None],
+        on_failed: Callable[[str], None],
     ) -> None:
         self.settings = settings
         self.loop = loop
@@ -60,15 +65,15 @@
         self.names = sorted(settings.members)
         self.configuration = lease_configuration(settings)
         self.store = VoteStore(Path(folder), settings.cluster, settings.name, self._call_in_loop)
-        agreed = AgreedSettings(settings.shards, self.configuration.lease_us, len(self.names))
+        agreed_settings = AgreedSettings(settings.shards, self.configuration.lease_us, len(self.names))
         self.membership = ClusterMembership(
-            settings.name, settings.cluster, self.names, self.store.incarnation, agreed
+            settings.name, settings.cluster, self.names, self.store.incarnation, agreed_settings
         )
         self.member = self._new_member(rng)
         self.connections = PeerConnections(settings, self.membership, loop, counters, self)
         self._outbox = DurableOutbox(self.store.committer, self._deliver, self._commit_ended)
-        self._to_self: deque[Message] = deque()
-        self._stopped = stopped
+        self._local_messages: deque[Message] = deque()
+        self._on_failed = on_failed
         self._admin_server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._is_in_step = False
@@ -77,7 +82,7 @@
         self._loop_delay_us = 0.0
 
     def _new_member(self, rng: random.Random) -> Member:
-        """A member alone has nobody to recover from."""
+        """Return the member; one that is alone in its cluster has no others to recover from."""
         is_recovering = len(self.names) > 1 and not self.store.is_voting
         return Member(
             self.membership.local_member,
@@ -92,25 +97,23 @@
 
     @property
     def incarnation(self) -> int:
-        """How often this member has started since its disk was empty."""
+        """The number of starts of this member since its disk was empty."""
         return self.membership.incarnation
 
-    # --- effects of the member ---
-
     def store_vote(self, shard: int, promised: int, term: int, seq: int, record: PackedRecord) -> None:
-        """Stores a vote with this step."""
+        """Store a vote with this step."""
         self._outbox.store(shard, (promised, term, seq, record))
 
     def store_voting(self) -> None:
-        """Stores that this member votes."""
+        """Store with this step that the member votes."""
         self._outbox.store(VOTING_KEY, True)
 
     def send(self, member: int, message: Message) -> None:
-        """Sends a message once this step is on disk."""
+        """Send a message once this step is on disk."""
         self._outbox.send(member, message)
 
     def lease_changed(self, shard: int, state: LeaseState, term: int, record: PackedRecord) -> None:
-        """Counts and logs the change, and hands it to the lease listener."""
+        """Count and log the change, and report it to the lease listener."""
         self.counters[f"shards_{state.value}"] += 1
         if state is LeaseState.HELD:
             log_events.LEASE_ACQUIRED(shard=shard, term=term)
@@ -121,31 +124,31 @@
             log_events.LEASE_LOST(shard=shard, term=term)
             self.lease_listener.lease_lost(shard)
 
-    # --- steps ---
+    def _run_step(self, action: Callable[[], Result]) -> Result:
+        """Run an action of the member as one step, and return its result.
 
-    def _step(self, act: Callable[[], Outcome]) -> Outcome:
-        """Runs the member; what it stored goes to disk before anything that it sent with it or later
-        leaves.
+        What the step stores is on disk before any message of this step or a later one is sent.
         """
-        if self._is_in_step:  # an order that needs a record, from within: it is part of that step
-            return act()
+        if self._is_in_step:
+            # called from within a step, by a command that requires a record: it belongs to that step
+            return action()
         self._is_in_step = True
         try:
-            outcome = act()
+            result = action()
             self._outbox.flush()
-            while self._to_self:
-                message = self._to_self.popleft()
+            while self._local_messages:
+                message = self._local_messages.popleft()
                 self.member.receive(clock(), self.membership.local_member, message, self)
                 self._outbox.flush()
         finally:
             self._is_in_step = False
-        return outcome
+        return result
 
     def _deliver(self, messages: list[OutgoingMessage]) -> None:
-        frames: dict[int, bytes] = {}  # a message to several members is encoded once
+        frames: dict[int, bytes] = {}  # by identity, because a message to several members is encoded once
         for member, message in messages:
             if member == self.membership.local_member:
-                self._to_self.append(message)
+                self._local_messages.append(message)
                 continue
             link = self.connections.links.get(member)
             if link is None:
@@ -161,20 +164,22 @@
             if not self._is_closed:
                 log_events.STORE_FAILED(why=str(error))
                 self.close()
-                self._stopped(f"the store has failed: {error}")
+                self._on_failed(f"the store has failed: {error}")
             return
         self._deliver(messages)
-        self._step(lambda: None)
+        self._run_step(lambda: None)
         self.lease_listener.send_permitted()
 
-    # --- messages of other members (`MessageReceiver`) ---
-
     def receive_message(self, member: int, message: list) -> None:
-        """A message of another member, as it was on the wire. Raises MalformedMessageError."""
-        self._step(lambda: self._receive_in_step(member, message))
+        """Handle a message of another member, given as the list that was on the wire.
+
+        Raises:
+            MalformedMessageError: The list is not a message of the protocol.
+        """
+        self._run_step(lambda: self._receive_in_step(member, message))
 
     def message_handled(self, message: list) -> None:
-        """A record that a quorum has now may permit orders."""
+        """Send commands that the message has permitted: a quorum may have accepted their record."""
         if message[0] == message_codec.KIND_OF_TYPE[RecordWriteReply]:
             self.lease_listener.send_permitted()
 
@@ -185,30 +190,26 @@
             return
         self.member.receive(now, member, message_codec.decode(message), self)
 
-    # --- records ---
-
     def write_record(self, shard: int, record: bytes) -> int | None:
-        """Writes a shard's record; returns its number, or None without a valid lease."""
-        return self._step(lambda: self.member.write_record(clock(), shard, record, self))
-
-    def _call_in_loop(self, call: Callable[[], None]) -> None:
-        with suppress(RuntimeError):  # the loop has ended
-            self.loop.call_soon_threadsafe(call)
+        """Send a shard's record to the voters, and return its number, or None without a valid lease."""
+        return self._run_step(lambda: self.member.write_record(clock(), shard, record, self))
 
-    # --- time ---
+    def _call_in_loop(self, callback: Callable[[], None]) -> None:
+        with suppress(RuntimeError):  # raised after the end of the loop
+            self.loop.call_soon_threadsafe(callback)
 
     def _tick(self) -> None:
         if self._is_closed:
             return
         now = clock()
         self.member.loop_delay_us = int(self._loop_delay_us)
-        next_tick_at = self._step(lambda: self.member.tick(now, self))
+        next_tick_at = self._run_step(lambda: self.member.tick(now, self))
         self.connections.close_silent(now)
         self._report_quorum(now)
         self.lease_listener.send_permitted()
         wait_s = max(SHORTEST_WAIT_S, min(LONGEST_WAIT_S, (next_tick_at - clock()) / SECOND))
-        expected = self.loop.time() + wait_s
-        self._timer = self.loop.call_at(expected, self._timer_fired, expected)
+        expected_at = self.loop.time() + wait_s
+        self._timer = self.loop.call_at(expected_at, self._timer_fired, expected_at)
 
     def _report_quorum(self, now: int) -> None:
         is_lost = self.member.is_quorum_lost(now)
@@ -218,16 +219,18 @@
         log_event = log_events.QUORUM_LOST if is_lost else log_events.QUORUM_REGAINED
         log_event(shards=len(self.lease_listener.owned_shards))
 
-    def _timer_fired(self, expected: float) -> None:
-        delay_us = max(0.0, self.loop.time() - expected) * SECOND
-        weight = DELAY_RISE if delay_us > self._loop_delay_us else DELAY_FALL
+    def _timer_fired(self, expected_at: float) -> None:
+        delay_us = max(0.0, self.loop.time() - expected_at) * SECOND
+        weight = DELAY_RISE_WEIGHT if delay_us > self._loop_delay_us else DELAY_FALL_WEIGHT
         self._loop_delay_us += (delay_us - self._loop_delay_us) * weight
         self._tick()
 
-    # --- start, administration, end ---
-
     async def start(self) -> None:
-        """Listens, dials the others and begins to tick. Raises OSError."""
+        """Listen, dial the other members, and start to tick.
+
+        Raises:
+            OSError: The address or the admin socket can't be opened.
+        """
         await self.connections.listen()
         if self.settings.admin:
             from ravenshelf.leadership.admin import serve
@@ -243,11 +246,15 @@
         self._tick()
 
     def read_certificates(self) -> None:
-        """Also at SIGHUP: new connections use what the files contain then. Raises OSError."""
+        """Read the certificate files again for new connections; called at SIGHUP.
+
+        Raises:
+            OSError: A file can't be read or used.
+        """
         self.connections.read_certificates()
 
     def status(self) -> dict[str, Any]:
-        """The state of this member, for operators."""
+        """Return the state of this member for operators."""
         return member_status(
             clock(),
             self.member,
@@ -259,20 +266,25 @@
         )
 
     def drain(self, is_enabled: bool = True) -> int:
-        """Has no weight from now on: shards go to the others at the rate of rebalancing.
+        """Set or reset this member's weight to 0, so that its shards go to the others by rebalancing.
 
-        Returns their count.
+        Returns:
+            The number of shards that it holds now.
         """
         self.member.is_draining = is_enabled
         return len(self.member.held_shards())
 
     def hand_over(self, shards: list[int], successor: str | None) -> list[int]:
-        """Releases shards to a member, by name, or to any; returns those that it held."""
-        number = self.names.index(successor) if successor else None
-        return self._step(lambda: self.member.release(clock(), shards, number, self))
+        """Release shards to the member with the name `successor`, or to any if it is None.
+
+        Returns:
+            The released shards, without those that had no claim.
+        """
+        successor_number = self.names.index(successor) if successor else None
+        return self._run_step(lambda: self.member.release(clock(), shards, successor_number, self))
 
     def close(self) -> None:
-        """Releases what it holds, so that nobody has to wait for its leases to expire."""
+        """Release all leases, so that other members needn't wait for their expiry, and close everything."""
         if self._is_closed:
             return
         if not self.store.has_failed():
--- a/ravenshelf/leadership/status.py
+++ b/ravenshelf/leadership/status.py
@@ -1,6 +1,6 @@
 """The state of a member for operators, as JSON.
 
-Its keys are those of `ravenshelf controllers status --json`.
+The keys are those that `ravenshelf controllers status --json` prints.
 """
 
 from collections.abc import Container, Mapping
@@ -15,11 +15,21 @@
     member: Member,
     membership: ClusterMembership,
     lease_listener: LeaseListener,
-    connected: Container[int],
+    connected_members: Container[int],
     incarnations: Mapping[int, int],
     loop_delay_us: float,
 ) -> dict[str, Any]:
-    """What a member is, whom it is connected to and what it holds. `now` in microseconds of its clock."""
+    """Return a member's state, its connections to other members, and its shards.
+
+    Args:
+        now: Microseconds of the member's clock.
+        member: The member.
+        membership: Its name, its number and the names of all members.
+        lease_listener: Its held shards and connected proxies.
+        connected_members: The other members that it has a connection to.
+        incarnations: The latest incarnation of each other member that has connected.
+        loop_delay_us: The smoothed delay of its event loop.
+    """
     return {
         "name": membership.name,
         "incarnation": membership.incarnation,
@@ -30,7 +40,7 @@
         "late_ms": round(loop_delay_us / 1000, 1),
         "proxies": len(lease_listener.connected_proxies),
         "held_orders": sum(len(shard.gate) for shard in lease_listener.owned_shards.values()),
-        "members": _members(now, member, membership, connected, incarnations),
+        "members": _members(now, member, membership, connected_members, incarnations),
         "unowned": _unheld_shards(now, member, membership),
         "shards": _claimed_shards(now, member, lease_listener),
     }
@@ -40,15 +50,15 @@
     now: int,
     member: Member,
     membership: ClusterMembership,
-    connected: Container[int],
+    connected_members: Container[int],
     incarnations: Mapping[int, int],
 ) -> list[dict[str, Any]]:
     weights = member.weights(now)
-    holders = [member.holder(now, shard) for shard in range(membership.agreed.shards)]
+    holders = [member.holder(now, shard) for shard in range(membership.agreed_settings.shards)]
     return [
         {
             "name": name,
-            "met": number == membership.local_member or number in connected,
+            "met": number == membership.local_member or number in connected_members,
             "incarnation": membership.incarnation
             if number == membership.local_member
             else incarnations.get(number, 0),
--- a/tests/leadership/test_order_gate.py
+++ b/tests/leadership/test_order_gate.py
@@ -15,7 +15,7 @@
 
 
 def messages(orders):
-    return [order.message for order in orders]
+    return [order.payload for order in orders]
 
 
 @pytest.fixture
@@ -28,24 +28,24 @@
     assert gate.submit(1, "level", RecordRequirements(levels=[("read", 50.0, 1)]))
     assert not gate.submit(1, "table2", RecordRequirements())
     assert not gate.submit(2, "other", RecordRequirements())
-    assert messages(gate.take_permitted(0, always)) == ["table", "other"]
+    assert messages(gate.pop_permitted(0, always)) == ["table", "other"]
     extended = gate.extended_record({})
     assert extended.covers("read", 50.0, 1) and not gate.record.admission_levels
     gate.record_written(extended, 1)
-    assert not gate.take_permitted(0, always)
-    assert messages(gate.take_permitted(1, always)) == ["level", "table2"]
+    assert not gate.pop_permitted(0, always)
+    assert messages(gate.pop_permitted(1, always)) == ["level", "table2"]
     # no more than is on record
     assert not gate.submit(1, "again", RecordRequirements(levels=[("read", 40.0, 1)]))
-    assert gate.take_permitted(1, always) and not len(gate)
+    assert gate.pop_permitted(1, always) and not len(gate)
 
 
 def test_an_order_without_permission_holds_up_later_ones_until_a_later_term(gate):
     gate.submit(1, "a", RecordRequirements())
     gate.submit(1, "b", RecordRequirements(drains=[("s", 4)]))
-    assert gate.take_permitted(0, never) == [] and len(gate) == 2
+    assert gate.pop_permitted(0, never) == [] and len(gate) == 2
     assert gate.begin_term(Record())  # the new term's record lacks the drain
     gate.record_written(gate.extended_record({}), 2)
-    assert messages(gate.take_permitted(2, always)) == ["a", "b"] and gate.record.drained_at == {"s": 4}
+    assert messages(gate.pop_permitted(2, always)) == ["a", "b"] and gate.record.drained_at == {"s": 4}
     assert gate.end_drains(["s"]) and not gate.record.drained_at and not gate.end_drains(["s"])
 
 
@@ -59,6 +59,6 @@
     gate = ShardGate(Record(admission_levels={"read": (1e6, 2)}))
     # the record admits more: it is sent at once
     assert not gate.submit(1, "shed", RecordRequirements(levels=[("read", 40.0, 1)]))
-    sent = gate.take_permitted(0, always)
+    sent = gate.pop_permitted(0, always)
     assert gate.lowered_record(sent).admission_levels == {"read": (40.0, 2)}
     assert gate.lowered_record([]) is None
