--- a/ravenshelf/commands/shared.py
+++ b/ravenshelf/commands/shared.py
@@ -9,7 +9,7 @@
 from ravenshelf.process import configuration, serving
 
 if TYPE_CHECKING:
-    from ravenshelf.operator_config.tables import Operator
+    from ravenshelf.operator_config.tables import OperatorConfiguration
 
 ConfigOption = Annotated[
     Path | None, typer.Option("--config", "-c", help="The configuration; else RELAY_CONFIG names it.")
@@ -36,7 +36,7 @@
         raise reject(error) from None
 
 
-def read_operator(file: Path | None) -> "Operator | None":
+def read_operator(file: Path | None) -> "OperatorConfiguration | None":
     """Return the operator file's tables, None without a file; exits where it is not valid."""
     if file is None:
         return None
--- a/ravenshelf/operator_config/consistency.py
+++ b/ravenshelf/operator_config/consistency.py
@@ -3,14 +3,14 @@
 from collections.abc import Iterator
 
 from ravenshelf.operator_config.errors import Problem, shown
-from ravenshelf.operator_config.tables import Operator
+from ravenshelf.operator_config.tables import OperatorConfiguration
 
 MAX_PORT = 65535
 HOST_PORT = "host:port"
 NOTHING = "nothing"
 
 
-def consistency_problems(operator: Operator, file: str) -> list[Problem]:
+def consistency_problems(operator: OperatorConfiguration, file: str) -> list[Problem]:
     """Return the problems of a file whose single keys are valid."""
     return [
         *_graphite_problems(operator, file),
@@ -28,7 +28,7 @@
     return zero_port or not text.endswith(":0")
 
 
-def _graphite_problems(operator: Operator, file: str) -> Iterator[Problem]:
+def _graphite_problems(operator: OperatorConfiguration, file: str) -> Iterator[Problem]:
     table = operator.graphite
     for number, receiver in enumerate(table.receivers):
         path = f"[graphite] receivers[{number}]"
@@ -42,7 +42,7 @@
         yield Problem(file, "[graphite] spool_mb", "0", "a bound, since spool_dir is given")
 
 
-def _collectd_problems(operator: Operator, file: str) -> Iterator[Problem]:
+def _collectd_problems(operator: OperatorConfiguration, file: str) -> Iterator[Problem]:
     table = operator.collectd
     if table.listen and not _is_address(table.listen):
         yield Problem(file, "[collectd] listen", shown(table.listen), HOST_PORT)
@@ -51,14 +51,14 @@
         yield Problem(file, "[collectd] users", NOTHING, expected)
 
 
-def _background_problems(operator: Operator, file: str) -> Iterator[Problem]:
+def _background_problems(operator: OperatorConfiguration, file: str) -> Iterator[Problem]:
     table = operator.background
     if table.turn_ms > table.a_second_ms:
         expected = f"at most a_second_ms ({table.a_second_ms:g})"
         yield Problem(file, "[background] turn_ms", f"{table.turn_ms:g}", expected)
 
 
-def _leadership_problems(operator: Operator, file: str) -> Iterator[Problem]:
+def _leadership_problems(operator: OperatorConfiguration, file: str) -> Iterator[Problem]:
     table = operator.leadership
     if not table.name:
         return
@@ -77,7 +77,7 @@
         yield Problem(file, "[leadership]", f"{', '.join(given)} alone", expected)
 
 
-def _member_problems(operator: Operator, file: str) -> Iterator[Problem]:
+def _member_problems(operator: OperatorConfiguration, file: str) -> Iterator[Problem]:
     from ravenshelf.leadership.decisions import TERM_STRIDE
 
     members = operator.leadership.members
@@ -89,7 +89,7 @@
         yield Problem(file, "[leadership] members", shown(members), expected)
 
 
-def _distribution_problems(operator: Operator, file: str) -> Iterator[Problem]:
+def _distribution_problems(operator: OperatorConfiguration, file: str) -> Iterator[Problem]:
     table = operator.distribution
     if not table.name:
         return
@@ -115,7 +115,7 @@
             yield Problem(file, path, "this relay itself", "others")
 
 
-def _service_owner_problems(operator: Operator, file: str) -> Iterator[Problem]:
+def _service_owner_problems(operator: OperatorConfiguration, file: str) -> Iterator[Problem]:
     table = operator.distribution
     leadership = operator.leadership
     if not table.listen:
--- a/ravenshelf/operator_config/decoding.py
+++ b/ravenshelf/operator_config/decoding.py
@@ -9,12 +9,12 @@
 from ravenshelf.operator_config.consistency import consistency_problems
 from ravenshelf.operator_config.errors import OperatorConfigurationError, Problem, shown
 from ravenshelf.operator_config.keys import expected_value, key_types, table_types
-from ravenshelf.operator_config.tables import Operator
+from ravenshelf.operator_config.tables import OperatorConfiguration
 
 MIN_SIMILARITY = 0.5
 
 
-def decode(document: Mapping[str, Any], file: str) -> Operator:
+def decode(document: Mapping[str, Any], file: str) -> OperatorConfiguration:
     """Return the tables of a document; raises OperatorConfigurationError, whose problems name `file`."""
     problems: list[Problem] = []
     known = table_types()
@@ -27,7 +27,7 @@
             tables[name] = _decode_table(file, name, known[name], value, problems)
         else:
             problems.append(Problem(file, f"[{name}]", shown(value), "a table"))
-    operator = Operator(**tables)
+    operator = OperatorConfiguration(**tables)
     if not problems:
         problems += consistency_problems(operator, file)
     if problems:
--- a/ravenshelf/operator_config/keys.py
+++ b/ravenshelf/operator_config/keys.py
@@ -6,12 +6,12 @@
 import msgspec
 
 from ravenshelf.operator_config.errors import shown
-from ravenshelf.operator_config.tables import Operator
+from ravenshelf.operator_config.tables import OperatorConfiguration
 
 
 def table_types() -> dict[str, type[msgspec.Struct]]:
     """Return the type of each table by its name."""
-    return {field.name: field.type for field in msgspec.structs.fields(Operator)}
+    return {field.name: field.type for field in msgspec.structs.fields(OperatorConfiguration)}
 
 
 def key_types(table_type: type[msgspec.Struct]) -> dict[str, Any]:
@@ -27,7 +27,7 @@
     return str(getattr(key_type, "__name__", key_type))
 
 
-def changed_tables(previous: Operator, current: Operator) -> list[str]:
+def changed_tables(previous: OperatorConfiguration, current: OperatorConfiguration) -> list[str]:
     """Return the names of the tables that differ."""
     return [name for name in table_types() if getattr(previous, name) != getattr(current, name)]
 
--- a/ravenshelf/operator_config/named_files.py
+++ b/ravenshelf/operator_config/named_files.py
@@ -5,10 +5,10 @@
 from pathlib import Path
 
 from ravenshelf.operator_config.errors import Problem
-from ravenshelf.operator_config.tables import Operator
+from ravenshelf.operator_config.tables import OperatorConfiguration
 
 
-def named_file_problems(operator: Operator, file: str) -> list[Problem]:
+def named_file_problems(operator: OperatorConfiguration, file: str) -> list[Problem]:
     """Return the problems of what the operator file `file` refers to."""
     return [
         *_missing_extras(operator, file),
@@ -17,7 +17,7 @@
     ]
 
 
-def _missing_extras(operator: Operator, file: str) -> Iterator[Problem]:
+def _missing_extras(operator: OperatorConfiguration, file: str) -> Iterator[Problem]:
     needed_modules = (
         ("graphite", operator.graphite.receivers, ("hdrh", "xxhash")),
         ("collectd", operator.collectd.listen, ("cryptography", "xxhash")),
@@ -31,7 +31,7 @@
             yield Problem(file, f"[{extra}]", f"no {', '.join(missing)}", expected)
 
 
-def _users_problems(operator: Operator, file: str) -> Iterator[Problem]:
+def _users_problems(operator: OperatorConfiguration, file: str) -> Iterator[Problem]:
     if not operator.collectd.users:
         return
     from ravenshelf.collectd import users
@@ -42,7 +42,7 @@
         yield Problem(file, "[collectd] users", detail=str(error))
 
 
-def _types_problems(operator: Operator, file: str) -> Iterator[Problem]:
+def _types_problems(operator: OperatorConfiguration, file: str) -> Iterator[Problem]:
     types_file = operator.collectd.types
     if not types_file:
         return
--- a/ravenshelf/operator_config/reading.py
+++ b/ravenshelf/operator_config/reading.py
@@ -6,10 +6,10 @@
 from ravenshelf.operator_config.decoding import decode
 from ravenshelf.operator_config.errors import OperatorConfigurationError, Problem
 from ravenshelf.operator_config.named_files import named_file_problems
-from ravenshelf.operator_config.tables import Operator
+from ravenshelf.operator_config.tables import OperatorConfiguration
 
 
-def read(path: str | Path) -> Operator:
+def read(path: str | Path) -> OperatorConfiguration:
     """Return the tables of a file; raises OperatorConfigurationError with everything that is wrong."""
     file = str(path)
     try:
@@ -27,7 +27,7 @@
     return operator
 
 
-def summary(operator: Operator) -> str:
+def summary(operator: OperatorConfiguration) -> str:
     """Return one line that says what the file turns on."""
     graphite = operator.graphite
     collectd = operator.collectd
--- a/ravenshelf/operator_config/tables.py
+++ b/ravenshelf/operator_config/tables.py
@@ -126,7 +126,7 @@
     folder: Annotated[str, Meta(description="the path of a folder of this pilot's own")] = ""
 
 
-class Operator(Struct, forbid_unknown_fields=True, frozen=True):
+class OperatorConfiguration(Struct, forbid_unknown_fields=True, frozen=True):
     """The tables of an operator file."""
 
     log: Log = field(default_factory=Log)
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -31,7 +31,7 @@
 from ravenshelf.state.slots import SlotTable
 
 if TYPE_CHECKING:  # not loaded by `ravenshelf serve` without an operator file
-    from ravenshelf.operator_config.tables import Operator
+    from ravenshelf.operator_config.tables import OperatorConfiguration
     from ravenshelf.process.logs import Sink
 
 DEFAULT_SOCKETS = 1024
@@ -323,8 +323,8 @@
     read_configuration: Callable[[], dict[str, Any]],
     clock: Callable[[], int],
     counters_every_us: int,
-    operator: "Operator | None" = None,
-    read_operator: "Callable[[], Operator] | None" = None,
+    operator: "OperatorConfiguration | None" = None,
+    read_operator: "Callable[[], OperatorConfiguration] | None" = None,
     log: "Sink | None" = None,
 ) -> None:
     """Run a server until it has stopped.
@@ -368,8 +368,8 @@
 
 def _add_optional_features(
     server: ControlPlaneServer,
-    operator: "Operator",
-    read_operator: "Callable[[], Operator] | None",
+    operator: "OperatorConfiguration",
+    read_operator: "Callable[[], OperatorConfiguration] | None",
     log: "Sink | None",
 ) -> None:
     from ravenshelf.process.operations.composer import Operations
@@ -377,7 +377,7 @@
     operations = Operations(operator, server, random.Random())
     server.optional_features = operations
 
-    def apply_operator(new_operator: "Operator") -> None:
+    def apply_operator(new_operator: "OperatorConfiguration") -> None:
         if log is not None:
             log.line_format = new_operator.log.format
         operations.reload(
--- a/ravenshelf/process/controller.py
+++ b/ravenshelf/process/controller.py
@@ -17,7 +17,7 @@
 from ravenshelf.distribution.owner_service import OwnerService
 from ravenshelf.leadership.cluster import clock
 from ravenshelf.leadership.service import Leadership
-from ravenshelf.operator_config.tables import Operator
+from ravenshelf.operator_config.tables import OperatorConfiguration
 from ravenshelf.process import logs
 from ravenshelf.process.relay import distributor_limits
 from ravenshelf.settings import decode_settings
@@ -42,7 +42,7 @@
         ServicesFileError: The services file can't be read or is not valid.
     """
 
-    def __init__(self, configuration: dict, operator: Operator, loop: asyncio.AbstractEventLoop):
+    def __init__(self, configuration: dict, operator: OperatorConfiguration, loop: asyncio.AbstractEventLoop):
         table = operator.distribution
         settings = decode_settings(configuration["settings"])
         self.file = Path(table.services)
@@ -129,7 +129,7 @@
         self.publisher.stop()
 
 
-async def serve(configuration: dict, operator: Operator) -> int:
+async def serve(configuration: dict, operator: OperatorConfiguration) -> int:
     """Run a service owner until SIGTERM, SIGINT or a failure.
 
     Returns:
@@ -157,7 +157,7 @@
     return 0
 
 
-def run(configuration: dict, operator: Operator, level: str) -> int:
+def run(configuration: dict, operator: OperatorConfiguration, level: str) -> int:
     """Run the service owner that the operator file configures, with its log and event loop.
 
     Args:
--- a/ravenshelf/process/operations/collectd_signals.py
+++ b/ravenshelf/process/operations/collectd_signals.py
@@ -12,7 +12,7 @@
 from ravenshelf.background.decisions import Priority
 from ravenshelf.background.scheduler import BackgroundScheduler
 from ravenshelf.net.datagrams import address
-from ravenshelf.operator_config.tables import Operator
+from ravenshelf.operator_config.tables import OperatorConfiguration
 from ravenshelf.process.operations.feature import SECOND, Measurements
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
     """
 
     def __init__(
-        self, operator: Operator, server: ControlPlaneServer, background: BackgroundScheduler
+        self, operator: OperatorConfiguration, server: ControlPlaneServer, background: BackgroundScheduler
     ) -> None:
         self.table = operator.collectd
         self.server = server
@@ -145,7 +145,7 @@
 
     # Reload
 
-    def reload(self, previous: Operator, current: Operator) -> None:
+    def reload(self, previous: OperatorConfiguration, current: OperatorConfiguration) -> None:
         """Replace the listener if the table `[collectd]` changed, otherwise read a changed password file.
 
         The new listener opens in a task of the event loop.
--- a/ravenshelf/process/operations/composer.py
+++ b/ravenshelf/process/operations/composer.py
@@ -9,7 +9,7 @@
 from ravenshelf import log_events
 from ravenshelf.background.decisions import JobQueue
 from ravenshelf.background.scheduler import BackgroundScheduler
-from ravenshelf.operator_config.tables import Background, Operator
+from ravenshelf.operator_config.tables import Background, OperatorConfiguration
 from ravenshelf.process.operations.collectd_signals import USERS_TIMER, CollectdSignals
 from ravenshelf.process.operations.feature import SECOND, Measurements, OperatorFeature, TimerKey
 from ravenshelf.process.operations.metrics_export import INTERVAL_TIMER, RECEIVER_TIMER, MetricsExport
@@ -46,7 +46,9 @@
 
     TIMERS = frozenset([BACKGROUND_TIMER, INTERVAL_TIMER, RECEIVER_TIMER, USERS_TIMER])
 
-    def __init__(self, operator: Operator, server: ControlPlaneServer, random_source: random.Random) -> None:
+    def __init__(
+        self, operator: OperatorConfiguration, server: ControlPlaneServer, random_source: random.Random
+    ) -> None:
         self.operator = operator
         self.server = server
         self.background = BackgroundScheduler(
@@ -110,7 +112,7 @@
         else:
             self.metrics.run_due(key, now)
 
-    def reload(self, operator: Operator, done: Callable[[str], None]) -> None:
+    def reload(self, operator: OperatorConfiguration, done: Callable[[str], None]) -> None:
         """Apply a new operator file as a whole.
 
         A new collectd listener opens in a task of the event loop, after this has returned.
--- a/ravenshelf/process/operations/feature.py
+++ b/ravenshelf/process/operations/feature.py
@@ -6,7 +6,7 @@
 
 if TYPE_CHECKING:
     from ravenshelf.graphite.metrics import Metric
-    from ravenshelf.operator_config.tables import Operator
+    from ravenshelf.operator_config.tables import OperatorConfiguration
 
 SECOND = 1_000_000  # microseconds
 TimerKey = tuple[Any, ...]
@@ -26,7 +26,7 @@
     async def start(self) -> None:
         """Start the feature, if the operator file turns it on."""
 
-    def reload(self, previous: Operator, current: Operator) -> None:
+    def reload(self, previous: OperatorConfiguration, current: OperatorConfiguration) -> None:
         """Apply a new operator file in place of the previous one."""
 
     def measurements(self) -> Measurements:
--- a/ravenshelf/process/operations/leases.py
+++ b/ravenshelf/process/operations/leases.py
@@ -10,7 +10,7 @@
 from ravenshelf.leadership.cluster import clock
 from ravenshelf.leadership.lease_filter import LeaseFilter, add_term
 from ravenshelf.leadership.service import Leadership
-from ravenshelf.operator_config.tables import Operator
+from ravenshelf.operator_config.tables import OperatorConfiguration
 from ravenshelf.policy.events import EndpointsListed, ListKind
 from ravenshelf.process.operations.feature import SECOND, Measurements
 
@@ -31,7 +31,9 @@
         random_source: Source of the random choices of the leadership.
     """
 
-    def __init__(self, operator: Operator, server: ControlPlaneServer, random_source: random.Random) -> None:
+    def __init__(
+        self, operator: OperatorConfiguration, server: ControlPlaneServer, random_source: random.Random
+    ) -> None:
         self.server = server
         self.leadership = Leadership(
             operator.leadership,
@@ -106,7 +108,7 @@
         """
         await self.leadership.start()
 
-    def reload(self, previous: Operator, current: Operator) -> None:
+    def reload(self, previous: OperatorConfiguration, current: OperatorConfiguration) -> None:
         """Read the certificates again, which may have been renewed under the same file names."""
         del previous, current
         try:
--- a/ravenshelf/process/operations/metrics_export.py
+++ b/ravenshelf/process/operations/metrics_export.py
@@ -9,7 +9,7 @@
 
 from ravenshelf.background.decisions import Priority
 from ravenshelf.background.scheduler import BackgroundScheduler
-from ravenshelf.operator_config.tables import Operator
+from ravenshelf.operator_config.tables import OperatorConfiguration
 from ravenshelf.policy.events import EndpointsListed, ListKind
 from ravenshelf.process.operations.feature import SECOND, Measurements, TimerKey
 
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        operator: Operator,
+        operator: OperatorConfiguration,
         server: ControlPlaneServer,
         random_source: random.Random,
         background: BackgroundScheduler,
@@ -155,7 +155,7 @@
             return {}
         return {metric: (total - last_totals.get(metric, 0)) / seconds for metric, total in totals.items()}
 
-    def reload(self, previous: Operator, current: Operator) -> None:
+    def reload(self, previous: OperatorConfiguration, current: OperatorConfiguration) -> None:
         """Start, stop or change the export if the table `[graphite]` changed."""
         self.table = current.graphite
         if previous.graphite == current.graphite:
--- a/ravenshelf/process/operations/subscription.py
+++ b/ravenshelf/process/operations/subscription.py
@@ -8,7 +8,7 @@
 from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.server_distribution import ServerDistribution
 from ravenshelf.leadership.cluster import clock
-from ravenshelf.operator_config.tables import Operator
+from ravenshelf.operator_config.tables import OperatorConfiguration
 from ravenshelf.process.operations.feature import Measurements
 
 if TYPE_CHECKING:
@@ -26,7 +26,9 @@
         random_source: Source of the random choices of the distribution.
     """
 
-    def __init__(self, operator: Operator, server: ControlPlaneServer, random_source: random.Random) -> None:
+    def __init__(
+        self, operator: OperatorConfiguration, server: ControlPlaneServer, random_source: random.Random
+    ) -> None:
         table = operator.distribution
         self.server = server
         node = Node(server.loop, clock, table.cluster, table.name, table.parents)
@@ -47,7 +49,7 @@
         """Connect to the parents."""
         self.service.start()
 
-    def reload(self, previous: Operator, current: Operator) -> None:
+    def reload(self, previous: OperatorConfiguration, current: OperatorConfiguration) -> None:
         """Do nothing, because a changed table `[distribution]` takes effect only after a restart."""
 
     def measurements(self) -> Measurements:
--- a/ravenshelf/process/optional_features.py
+++ b/ravenshelf/process/optional_features.py
@@ -7,7 +7,7 @@
 from ravenshelf.state.message_part import MessagePart
 
 if TYPE_CHECKING:  # not loaded by `ravenshelf serve` without an operator file
-    from ravenshelf.operator_config.tables import Operator
+    from ravenshelf.operator_config.tables import OperatorConfiguration
 
 
 class EventObserver(Protocol):
@@ -50,7 +50,7 @@
     async def start(self) -> None:
         """Start the features: listen, connect and measure."""
 
-    def reload(self, operator: "Operator", done: Callable[[str], None]) -> None:
+    def reload(self, operator: "OperatorConfiguration", done: Callable[[str], None]) -> None:
         """Apply a new operator file; `done` is called with a text that lists the changed tables."""
 
     def run_due(self, key: tuple[Any, ...], now: int) -> None:
--- a/ravenshelf/process/relay.py
+++ b/ravenshelf/process/relay.py
@@ -18,7 +18,7 @@
 from ravenshelf.distribution.subscription_service import SubscriptionService
 from ravenshelf.leadership.admin import serve_requests
 from ravenshelf.leadership.cluster import clock
-from ravenshelf.operator_config.tables import Distribution, Operator
+from ravenshelf.operator_config.tables import Distribution, OperatorConfiguration
 from ravenshelf.process import logs
 
 TREE = "tree"  # name of the only upstream of a relay whose parents are relays, not service owners
@@ -48,7 +48,7 @@
     return RelayService(node, upstreams, random.Random(), distributor_limits(table), table.owners)
 
 
-async def serve(operator: Operator) -> None:
+async def serve(operator: OperatorConfiguration) -> None:
     """Run the relay that the operator file configures until SIGTERM or SIGINT.
 
     Raises:
@@ -79,7 +79,7 @@
     log_events.RELAY_STOPPED(name=table.name, snapshot_bytes=service.relay.distributor.snapshot_bytes)
 
 
-def run(operator: Operator, level: str) -> int:
+def run(operator: OperatorConfiguration, level: str) -> int:
     """Run the relay that the operator file configures, with its log and event loop.
 
     Args:
--- a/ravenshelf/process/relay_metrics_export.py
+++ b/ravenshelf/process/relay_metrics_export.py
@@ -12,7 +12,7 @@
 from ravenshelf.graphite.formats import path_component
 from ravenshelf.graphite.metrics import Metric
 from ravenshelf.graphite.service import GraphiteService, interval_boundary
-from ravenshelf.operator_config.tables import Operator
+from ravenshelf.operator_config.tables import OperatorConfiguration
 from ravenshelf.process.clock import Clock
 from ravenshelf.state.counters import Counters
 
@@ -34,7 +34,9 @@
         loop: The event loop.
     """
 
-    def __init__(self, operator: Operator, service: RelayService, loop: asyncio.AbstractEventLoop):
+    def __init__(
+        self, operator: OperatorConfiguration, service: RelayService, loop: asyncio.AbstractEventLoop
+    ):
         self.service = service
         self.table = operator.graphite
         self.clock = Clock()
@@ -52,7 +54,7 @@
         self._measured_at = self.clock()
         self._schedule_measurement()
 
-    def _make_background(self, operator: Operator) -> BackgroundScheduler:
+    def _make_background(self, operator: OperatorConfiguration) -> BackgroundScheduler:
         table = operator.background
         jobs = JobQueue(
             table.jobs,
--- a/ravenshelf/process/reloading.py
+++ b/ravenshelf/process/reloading.py
@@ -10,7 +10,7 @@
 from ravenshelf.state.counters import Counters
 
 if TYPE_CHECKING:  # not loaded by `ravenshelf serve` without an operator file
-    from ravenshelf.operator_config.tables import Operator
+    from ravenshelf.operator_config.tables import OperatorConfiguration
 
 READ_ATTEMPTS = 10  # a file that is not valid may be only half written yet, so it is read again
 READ_RETRY_DELAY_US = 500_000
@@ -47,8 +47,8 @@
         self.clock = clock
         self.counters = counters
         self.read_configuration: Callable[[], dict] = current_configuration
-        self.read_operator: Callable[[], Operator] | None = None
-        self.apply_operator: Callable[[Operator], None] | None = None
+        self.read_operator: Callable[[], OperatorConfiguration] | None = None
+        self.apply_operator: Callable[[OperatorConfiguration], None] | None = None
         self.attempts_left = 0
         self.is_stopped = False
 
--- a/ravenshelf/process/run.py
+++ b/ravenshelf/process/run.py
@@ -13,7 +13,7 @@
 from ravenshelf.process.control_plane import serve
 
 if TYPE_CHECKING:  # not loaded by `ravenshelf serve` without an operator file
-    from ravenshelf.operator_config.tables import Operator
+    from ravenshelf.operator_config.tables import OperatorConfiguration
 
 
 def run(
@@ -21,8 +21,8 @@
     read_configuration: Callable[[], dict[str, Any]],
     level: str,
     counters_every_s: float,
-    operator: "Operator | None" = None,
-    read_operator: "Callable[[], Operator] | None" = None,
+    operator: "OperatorConfiguration | None" = None,
+    read_operator: "Callable[[], OperatorConfiguration] | None" = None,
 ) -> int:
     """Run a server until it has stopped.
 
--- a/ravenshelf/process/serving.py
+++ b/ravenshelf/process/serving.py
@@ -60,7 +60,7 @@
         except reading.OperatorConfigurationError as error:
             return report_error(error)
 
-        def read_operator_file() -> reading.Operator:
+        def read_operator_file() -> reading.OperatorConfiguration:
             return reading.read(file)
 
         read_operator = read_operator_file
--- a/tests/distribution/test_distribution_sockets.py
+++ b/tests/distribution/test_distribution_sockets.py
@@ -39,7 +39,7 @@
 from ravenshelf.distribution.relay_service import RelayService
 from ravenshelf.distribution.subscription_service import SubscriptionService
 from ravenshelf.net.frames import MOST_FRAME, Frames, pack
-from ravenshelf.operator_config.tables import Graphite, Operator
+from ravenshelf.operator_config.tables import Graphite, OperatorConfiguration
 from ravenshelf.process.relay_metrics_export import RelayMetricsExport
 from ravenshelf.state.buffers import BufferPool
 from standins.carbon import CarbonReceiver
@@ -528,7 +528,7 @@
     async def scenario(installation: Installation) -> None:
         await installation.wait_until(lambda: installation.all_subscribers_have("0"))
         carbon = await CarbonReceiver().start()
-        operator = Operator(
+        operator = OperatorConfiguration(
             graphite=Graphite(receivers=[f"127.0.0.1:{carbon.port}"], every_s=1, prefix="shop")
         )
         figures = RelayMetricsExport(operator, installation.relay, installation.loop)
