--- a/ravenshelf/policy/__init__.py
+++ b/ravenshelf/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: which endpoints each proxy uses, with which weights, and how much it may admit."""
+"""The decisions: the endpoints that each proxy uses, their weights, and the load that a proxy admits."""
--- a/ravenshelf/policy/commands.py
+++ b/ravenshelf/policy/commands.py
@@ -1,46 +1,49 @@
-"""What the controller orders: a writer for proxy state, and types for commands carried out later.
+"""Commands of the controller: the writer that receives them, and types for those that are executed later.
 
-Orders about tables and proxies go to a `CommandWriter`, method by method, because a control cycle may give
-thousands of them. The rest are rare; whoever implements the writer may keep them as the types below.
+Commands about tables and proxies are method calls on a `CommandWriter`, because one control cycle may write
+thousands of them. The other commands are rare; an implementation of the writer may store them as the types
+below.
 """
 
 from typing import NamedTuple, Protocol
 
-ALL_TABLES = 65_535  # as the table of an admission level: it holds for every joined proxy
+# As the table of an admission level, this number stands for all tables, so the level holds for every joined
+# proxy.
+ALL_TABLES = 65_535
 
 
 class StartTimer(NamedTuple):
-    """Report `TimerExpired(key)` at `at`."""
+    """A command to report `TimerExpired(key)` at the time `at`, in microseconds."""
 
     at: int
     key: str
 
 
 class WatchEndpoints(NamedTuple):
-    """Open a watch on the endpoint registry, or close it."""
+    """A command to open a watch on the endpoint registry, or to close it."""
 
     enabled: bool
 
 
 class FetchEndpoints(NamedTuple):
-    """Request the complete endpoint list once."""
+    """A command to request the complete endpoint list once."""
 
 
 class CheckHealth(NamedTuple):
-    """Send one health check to an endpoint."""
+    """A command to send one health check to an endpoint."""
 
     endpoint: int
 
 
 class SendPeerMessage(NamedTuple):
-    """Send a message to one control-plane server, or to all of them where `peer` is None."""
+    """A command to send a message to one control-plane server, or to all of them if `peer` is None."""
 
     peer: int | None
     payload: bytes
 
 
 class LogMessage(NamedTuple):
-    """Write a line to the log."""
+    """A command to write a line to the log."""
 
     text: str
 
@@ -49,13 +52,13 @@
 
 
 class CommandWriter(Protocol):
-    """Takes the orders of one control cycle.
+    """The receiver of the commands of one control cycle.
 
-    Each takes effect at the cycle's time, in the order of the calls.
+    Every command takes effect at the time of the cycle, in the order of the calls.
     """
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
-        """Set an endpoint's weight in a table; 0 removes it."""
+        """Set an endpoint's weight in a table; 0 removes the endpoint."""
 
     def clear_table(self, table: int) -> None:
         """Remove all endpoints and admission levels of a table."""
@@ -64,28 +67,34 @@
         """Eject an endpoint from every table, or readmit it."""
 
     def bind_proxy(self, proxy: int, table: int, groups: int = 0) -> None:
-        """Have a proxy use a table for the traffic groups of a bit mask (0: all)."""
+        """Bind a proxy to a table for the traffic groups of a bit mask (0: all)."""
 
     def set_admission_level(self, table: int, groups: int, level: float, retry_mode: int) -> None:
         """Set a table's admission level and retry mode for the traffic groups of a bit mask."""
 
     def request_acknowledgement(self, marker: int, all_proxies: bool = False) -> None:
-        """Have the proxies written to in this cycle (or all of them) acknowledge it under a marker."""
+        """Have proxies acknowledge this cycle's commands under a marker.
+
+        Args:
+            marker: The number that the acknowledgements refer to.
+            all_proxies: Whether all joined proxies acknowledge, or only those that commands of this cycle are
+                sent to.
+        """
 
     def start_timer(self, at: int, key: str) -> None:
-        """See `StartTimer`."""
+        """Write a `StartTimer` command."""
 
     def watch_endpoints(self, enabled: bool) -> None:
-        """See `WatchEndpoints`."""
+        """Write a `WatchEndpoints` command."""
 
     def fetch_endpoints(self) -> None:
-        """See `FetchEndpoints`."""
+        """Write a `FetchEndpoints` command."""
 
     def check_health(self, endpoint: int) -> None:
-        """See `CheckHealth`."""
+        """Write a `CheckHealth` command."""
 
     def send_peer_message(self, peer: int | None, payload: bytes) -> None:
-        """See `SendPeerMessage`."""
+        """Write a `SendPeerMessage` command."""
 
     def log(self, text: str) -> None:
-        """See `LogMessage`."""
+        """Write a `LogMessage` command."""
--- a/ravenshelf/policy/controller.py
+++ b/ravenshelf/policy/controller.py
@@ -1,7 +1,8 @@
-"""The controller: takes the events of a control cycle and writes its commands.
+"""The controller: it handles the events of a control cycle and writes the commands that follow from them.
 
-It is pure: it knows no clock, socket or file, and draws from one seeded random source. Its parts decide;
-the controller only passes events on, and runs the parts in order.
+The controller is deterministic. It reads no clock, socket or file, and its only random source is seeded.
+The components make the decisions; the controller passes events to them and runs them in a fixed order.
+Times and durations are integer microseconds.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from ravenshelf.policy.effective_weights import EffectiveWeights
 from ravenshelf.policy.ejections import EjectionControl
 from ravenshelf.policy.endpoint_watch import EndpointWatch
-from ravenshelf.policy.endpoints import HOST_LOAD_SPAN, Endpoint, EndpointDirectory
+from ravenshelf.policy.endpoints import HOST_LOAD_TIME_CONSTANT, Endpoint, EndpointDirectory
 from ravenshelf.policy.events import (
     BatchAcknowledged,
     DemandReport,
@@ -41,32 +42,52 @@
 from ravenshelf.policy.weight_tables import WeightTables
 from ravenshelf.settings import SECOND, Settings
 
-if TYPE_CHECKING:  # it only names types: a simulated server starts without it
+if TYPE_CHECKING:  # Imported for annotations only, so that a simulated server starts without loading it.
     from ravenshelf.policy.commands import CommandWriter
 
-SOLVE_INTERVAL = 5 * SECOND // 2  # microseconds
-FIRST_SOLVE_DELAY = SECOND // 4  # microseconds after the first report: then zones can be told apart
-ROLLOUT_STEP = SECOND // 4  # microseconds
+SOLVE_INTERVAL = 5 * SECOND // 2
+# The first solve follows the first load report by this time. By then the zones can be told apart.
+FIRST_SOLVE_DELAY = SECOND // 4
+ROLLOUT_STEP = SECOND // 4
 STEP_TIMER = "step"
-DEFAULT_LATENCY_OBJECTIVE = 10 * SECOND  # microseconds, of a traffic group without one
-NO_GROUPS_LATENCY_OBJECTIVE = SECOND  # microseconds
-LATENCY_MISS_EXPONENT = 3  # an attempt at half of the objective counts as an eighth of a miss
-CURVE_MISS_EXPONENT = 4  # the same against the miss bound, in miss curves
-NEW_SAMPLE_SHARE = 0.7  # of older host load samples that a fresh one replaces
+# A traffic group without a latency objective counts with this one.
+DEFAULT_LATENCY_OBJECTIVE = 10 * SECOND
+# This objective holds where the settings list no traffic groups.
+NO_GROUPS_LATENCY_OBJECTIVE = SECOND
+# An attempt that succeeds at half of the latency objective counts as 0.5 ** 3 = 1/8 of a miss.
+LATENCY_MISS_EXPONENT = 3
+# Miss curves weight latency against the miss bound in the same way.
+CURVE_MISS_EXPONENT = 4
+# A host load sample of age 0 replaces this share of the older samples.
+NEW_SAMPLE_SHARE = 0.7
 ACTIVE_REQUESTS_COLUMN = "active"
 
 
 class Controller:
     """All decisions of one control-plane server.
 
-    `run_cycle` is called once a control cycle. Subclasses may override the handlers (`on_...`), `plan` and
-    `planned_tables`, or replace a part.
-
-    `endpoints` and `proxies` are by index; `now` is the time of the present cycle in microseconds.
+    `run_cycle` is called once per control cycle. Subclasses may override the event handlers (`on_...`),
+    `plan` and `planned_tables`, or replace a component after construction.
+
+    Attributes:
+        endpoints: Every endpoint that was ever listed, by index.
+        proxies: The joined proxies, by index.
+        now: The time of the current control cycle in microseconds.
+        latency_objective: The shortest latency objective of all traffic groups in microseconds.
+        next_solve_at: When the next periodic solve is due; 0 before the first control cycle.
+        next_step_at: When the next rollout step is due.
+        list_urgency: The urgency of endpoint list changes that no plan has taken into account yet.
     """
 
     def __init__(self, settings: Settings, seed: int, channel: ChannelFlowControl | None = None):
-        """`channel`: one that another controller has filled goes on; None: a new one."""
+        """Create a controller without endpoints or proxies.
+
+        Args:
+            settings: The settings of the deployment.
+            seed: The seed of the random source.
+            channel: The flow control of a previous controller, whose queue is still to be sent; None creates
+                a new one with an empty queue.
+        """
         self.settings = settings
         self.now = 0
         self.random_source = Random(seed)
@@ -77,14 +98,15 @@
         )
         self.next_solve_at = 0
         self.next_step_at = 0
-        self.list_urgency = ORDINARY  # of changes to the endpoint list that are not planned yet
+        self.list_urgency = ORDINARY
         self._logged_state: tuple[bool, list[int]] = (False, [])
         self._active_column = [*settings.telemetry.columns, ACTIVE_REQUESTS_COLUMN].index(
             ACTIVE_REQUESTS_COLUMN
         )
         self._make_estimators(settings)
         self._make_tables(settings, channel or ChannelFlowControl(settings.service))
-        self._handlers: dict[type, Callable[[Any], None]] = {  # other events decide nothing
+        # Events of any other type are ignored.
+        self._handlers: dict[type, Callable[[Any], None]] = {
             EndpointsListed: self.on_endpoints_listed,
             WatchFailed: self.on_watch_failed,
             ProxyJoined: self.on_proxy_joined,
@@ -134,10 +156,13 @@
         return self.tables.channel
 
     def run_cycle(self, now: int, events: Iterable[Event], writer: CommandWriter) -> None:
-        """Take the events of a control cycle, and write its commands.
+        """Handle the events of one control cycle and write its commands.
 
-        `now` is the time in microseconds; it never goes back. Whatever a writer raises passes through; the
-        controller is then of no further use.
+        Args:
+            now: The time in microseconds; it never decreases from one cycle to the next.
+            events: The events in the order of their arrival.
+            writer: The receiver of the commands. An exception that it raises is passed on; the controller
+                must not be used after that.
         """
         self.now = now
         self.channel.advance(now)
@@ -147,7 +172,7 @@
                 handler(event)
         self.next_solve_at = self.next_solve_at or now + SOLVE_INTERVAL
         self.endpoint_watch.run(now, writer)
-        self._serve_new_proxies_and_list(writer)
+        self._apply_joins_and_list_changes(writer)
         if now >= self.next_solve_at:
             self.next_solve_at = now + SOLVE_INTERVAL
             self.plan(writer, ORDINARY)
@@ -158,45 +183,47 @@
             writer.start_timer(self.next_step_at, STEP_TIMER)
         self.channel.commit_cycle(now, writer)
 
-    def _serve_new_proxies_and_list(self, writer: CommandWriter) -> None:
+    def _apply_joins_and_list_changes(self, writer: CommandWriter) -> None:
+        """Plan tables for changes that cannot wait for the next solve, and bind new proxies to tables."""
         tables = self.tables
-        unbound = list(tables.proxies_by_table[None])
-        if any(self.proxies[index].partition is None for index in unbound):
+        unbound_proxies = list(tables.proxies_by_table[None])
+        if any(self.proxies[index].partition is None for index in unbound_proxies):
             self.partitions.assign_proxies(self.now, self.proxies)
-        if self.list_urgency or any(self._lacks_table(index) for index in unbound):
+        if self.list_urgency or any(self._lacks_table(index) for index in unbound_proxies):
             urgency = self.list_urgency or URGENT
             self.list_urgency = ORDINARY
             tables.deferred_tables = {}
             self.plan(writer, urgency)
-        pending = self.ejections.pending()
-        # a table costs less than to eject all that has left one by one
-        urgency = WITHDRAWAL if pending else JOINING
-        for index in unbound:
+        pending_endpoints = self.ejections.pending_endpoints()
+        # While ejections are pending, proxies are bound at the highest urgency: a proxy without a table is
+        # charged for the ejection of each endpoint, and these together take more lines than one table.
+        urgency = WITHDRAWAL if pending_endpoints else JOINING
+        for index in unbound_proxies:
             tables.bind(index, tables.current_table(self.proxies[index]), writer, urgency)
-        self.ejections.update(pending, writer)
+        self.ejections.update(pending_endpoints, writer)
 
     def _lacks_table(self, index: int) -> bool:
         return self.tables.current_table(self.proxies[index]) is None
 
     def _retry_deferred_tables(self, writer: CommandWriter) -> None:
-        deferred = self.tables.deferred_tables
+        deferred_tables = self.tables.deferred_tables
         self.tables.deferred_tables = {}
-        if deferred:  # these alone: weights that drift while a queue drains would keep it full
-            self.plan(writer, max(deferred.values()), deferred)
-
-    # --- events ---
+        # Only the deferred tables are written. If all tables were, their drifting weights would keep the
+        # queue full while it drains.
+        if deferred_tables:
+            self.plan(writer, max(deferred_tables.values()), deferred_tables)
 
     def on_endpoints_listed(self, event: EndpointsListed) -> None:
-        """Take over an endpoint list."""
+        """Apply an endpoint list, and record how urgent its changes are."""
         self.list_urgency = max(self.list_urgency, self.directory.apply_list(event))
         self.endpoint_watch.record_list(event.kind is ListKind.RESTORED)
 
     def on_watch_failed(self, _: WatchFailed) -> None:
-        """Poll the registry again after a backoff."""
+        """Schedule the next poll of the endpoint registry after a backoff."""
         self.endpoint_watch.record_poll_failure(self.now)
 
     def on_proxy_joined(self, event: ProxyJoined) -> None:
-        """Take in a proxy; one that had joined already starts anew."""
+        """Add a proxy without a table; the state of a previous connection of this proxy is discarded."""
         self._remove_proxy(event.proxy, True)
         zone = min(event.zone, self.zone_count - 1)
         proxy = Proxy(zone, event.nominal_rate, len(self.settings.traffic_groups))
@@ -204,7 +231,7 @@
         self.channel.record_connection(event.proxy)
 
     def on_proxy_left(self, event: ProxyLeft) -> None:
-        """Forget a proxy."""
+        """Remove a proxy; proxies that have not joined are ignored."""
         self._remove_proxy(event.proxy, event.is_ended_by_server)
 
     def _remove_proxy(self, index: int, is_ended_by_server: bool) -> None:
@@ -212,7 +239,10 @@
         self.channel.record_disconnection(index, is_ended_by_server)
 
     def on_load_report(self, event: LoadReport) -> None:
-        """Learn from what one zone's proxies observed of an endpoint; others and empty ones are ignored."""
+        """Update the estimates with what the proxies of one zone observed of an endpoint.
+
+        Reports of unknown endpoints and reports without attempts are ignored.
+        """
         endpoint = self.endpoints.get(event.endpoint)
         attempts = event.attempts
         if endpoint is None or attempts <= 0:
@@ -220,76 +250,87 @@
         now = self.now
         latency = event.mean_latency
         zone = min(event.zone, self.zone_count - 1)
-        failed = min(max(event.failures, 0), attempts)
-        succeeded = attempts - failed
-        endpoint.attempts.add(now, attempts, failed)
+        failures = min(max(event.failures, 0), attempts)
+        successes = attempts - failures
+        endpoint.attempts.add(now, attempts, failures)
         if len(event.load) > self._active_column:
             endpoint.reported_load.add(now, 1.0, event.load[self._active_column] / endpoint.weight)
-        if succeeded and latency > 0:
-            self._learn_latency(endpoint, zone, succeeded, latency)
-        missed = failed + succeeded * min(1.0, latency / self.latency_objective) ** LATENCY_MISS_EXPONENT
-        endpoint.misses.add(now, attempts, missed)
-        self.service_time.add(now, succeeded, latency)
+        if successes and latency > 0:
+            self._learn_latency(endpoint, zone, successes, latency)
+        missed_attempts = (
+            failures + successes * min(1.0, latency / self.latency_objective) ** LATENCY_MISS_EXPONENT
+        )
+        endpoint.misses.add(now, attempts, missed_attempts)
+        self.service_time.add(now, successes, latency)
         if zone == endpoint.zone and zone in self.spill_planner.loads:
-            self._learn_curve(endpoint, attempts, failed, latency)
+            self._learn_curve(endpoint, attempts, failures, latency)
 
-    def _learn_latency(self, endpoint: Endpoint, zone: int, succeeded: int, latency: int) -> None:
+    def _learn_latency(self, endpoint: Endpoint, zone: int, successes: int, latency: int) -> None:
         now = self.now
-        endpoint.latency.add(now, succeeded, succeeded * latency)
+        endpoint.latency.add(now, successes, successes * latency)
         self.latency_gaps.add(now, zone, endpoint.zone, latency)
         if self.miss_bound.add(now, latency):
             self.next_solve_at = now + FIRST_SOLVE_DELAY
 
-    def _learn_curve(self, endpoint: Endpoint, attempts: int, failed: int, latency: int) -> None:
-        """Near the bound part of a mean's attempts miss; what fails by itself says little of the load."""
-        late = 0.0
+    def _learn_curve(self, endpoint: Endpoint, attempts: int, failures: int, latency: int) -> None:
+        """Add a report to the miss curve of the endpoint's zone.
+
+        A mean latency near the miss bound means that some of its attempts have missed the bound, so a success
+        counts as a partial miss that grows with latency. The report is weighted with the endpoint's health
+        score, because the failures of an unhealthy endpoint say little about the load of its zone.
+        """
+        late_attempts = 0.0
         if self.miss_bound.value:
-            late = (attempts - failed) * min(1.0, latency / self.miss_bound.value) ** CURVE_MISS_EXPONENT
+            late_attempts = (attempts - failures) * min(
+                1.0, latency / self.miss_bound.value
+            ) ** CURVE_MISS_EXPONENT
         health = endpoint.health_score(self.now)
         load = self.spill_planner.loads[endpoint.zone]
         self.spill_planner.curves[endpoint.zone].add(
-            self.now, load, health * attempts, health * (failed + late)
+            self.now, load, health * attempts, health * (failures + late_attempts)
         )
 
     def on_demand_report(self, event: DemandReport) -> None:
-        """Learn a proxy's demand; reports of other proxies are ignored."""
+        """Add a demand report to its proxy's demand; reports of proxies that have not joined are ignored."""
         proxy = self.proxies.get(event.proxy)
         if proxy is not None:
             proxy.add_report(self.now, event)
 
     def on_host_load_sampled(self, event: HostLoadSampled) -> None:
-        """Learn how busy an endpoint's machine was; the older the sample, the less it counts."""
+        """Add a host load sample to its endpoint; the older the sample, the less it counts.
+
+        Samples of unknown endpoints and busy shares outside 0 to 1 are ignored.
+        """
         endpoint = self.endpoints.get(event.endpoint)
         if endpoint is not None and 0 <= event.busy <= 1:
-            freshness = exp(-max(0, event.age) / HOST_LOAD_SPAN)
+            freshness = exp(-max(0, event.age) / HOST_LOAD_TIME_CONSTANT)
             endpoint.host_load.scale(self.now, 1 - NEW_SAMPLE_SHARE * freshness)
             endpoint.host_load.add(self.now, freshness, freshness * event.busy)
 
     def on_batch_acknowledged(self, event: BatchAcknowledged) -> None:
-        """Pass an acknowledgement on to flow control."""
+        """Pass an acknowledgement to flow control."""
         self.channel.record_acknowledgement(event.proxy, event.marker, event.elapsed)
 
-    # --- estimates ---
-
     def usable_endpoints(self) -> list[Endpoint]:
-        """The endpoints that tables may hold."""
+        """Return the endpoints that tables may contain."""
         return self.directory.list_usable()
 
     def effective_weights_by_zone(self) -> list[dict[int, float]]:
-        """For each zone: strength by endpoint, see `EndpointStrengths`."""
+        """Return the effective weight by endpoint index, for each zone; see `EffectiveWeights`."""
         return self.effective_weights.by_zone(self.now, self.proxies, self.partitions.counts)
 
     def demand(self) -> ZoneDemand:
-        """Requests per second by zone: of the own proxies, and of all."""
+        """Return the demand of each zone at the time of the current cycle."""
         return self.demand_estimator.by_zone(self.now, self.proxies)
 
-    # --- planning ---
-
     def plan(self, writer: CommandWriter, urgency: int, selected_tables: Collection[int] = ()) -> None:
-        """Decide spill, admission and tables anew, and write what changes.
+        """Solve for spill, admission levels and tables, and write what has changed.
 
-        With an urgency, tables in use change in place; `only` restricts that to some tables. Without one,
-        the capacity estimate is adapted, and changes go out by staged rollout.
+        Args:
+            writer: The receiver of the commands.
+            urgency: `ORDINARY` for the periodic solve, which also adapts the capacity estimate and sends
+                changes by staged rollout. With any other urgency, tables that are in use change in place.
+            selected_tables: The only tables that may change in place, unless it is empty.
         """
         now = self.now
         zones = {proxy.zone for proxy in self.proxies.values()}
@@ -297,21 +338,23 @@
         effective_weights = self.effective_weights_by_zone()
         demand = self.demand()
         capacity, listed_weight = self._capacity_by_zone()
-        admitted = self.admission.admitted_share(
+        admitted_fraction = self.admission.admitted_share(
             now,
-            sum(sum(of_zone.values()) for of_zone in effective_weights),
+            sum(sum(zone_weights.values()) for zone_weights in effective_weights),
             sum(demand.total_rates),
             self.usable_endpoints(),
             not urgency,
         )
-        admitted_demand = [requests * admitted for requests in demand.total_rates]
+        admitted_demand = [requests * admitted_fraction for requests in demand.total_rates]
         self.latency_gaps.update(now)
         load_factors = self.latency_gaps.load_factors(self.miss_bound.value)
         self.spill_planner.update(now, admitted_demand, capacity, listed_weight, load_factors)
-        levels = self.admission.levels(now, admitted * sum(demand.local_rates), self.proxies.values())
+        levels = self.admission.levels(
+            now, admitted_fraction * sum(demand.local_rates), self.proxies.values()
+        )
         if not urgency:
             self._log_state(
-                bool(levels), admitted, self.spill_planner.spilling_zones(admitted_demand), writer
+                bool(levels), admitted_fraction, self.spill_planner.spilling_zones(admitted_demand), writer
             )
         if not selected_tables:
             for table in list(self.tables.lines):
@@ -319,7 +362,7 @@
         self._renew_tables(effective_weights, levels, writer, urgency, selected_tables)
 
     def _capacity_by_zone(self) -> tuple[list[float], list[float]]:
-        """Weight by zone: of what endpoints can carry now, and as listed."""
+        """Return two lists by zone: the weight that endpoints can carry now, and the listed weight."""
         capacity = [0.0] * self.zone_count
         listed_weight = [0.0] * self.zone_count
         for endpoint in self.usable_endpoints():
@@ -329,13 +372,13 @@
         return capacity, listed_weight
 
     def _log_state(
-        self, sheds_load: bool, admitted: float, spilling_zones: list[int], writer: CommandWriter
+        self, sheds_load: bool, admitted_fraction: float, spilling_zones: list[int], writer: CommandWriter
     ) -> None:
-        """Log when load shedding or the spilling zones change."""
+        """Log when load shedding starts or stops, or the set of spilling zones changes."""
         state = sheds_load, spilling_zones
         if state != self._logged_state:
             self._logged_state = state
-            shed_percent = 100 - 100 * admitted
+            shed_percent = 100 - 100 * admitted_fraction
             writer.log(f"shedding {shed_percent:.0f}% of requests; zones spilling over 10%: {spilling_zones}")
 
     def _renew_tables(
@@ -346,12 +389,13 @@
         urgency: int,
         selected_tables: Collection[int],
     ) -> None:
-        """Bring all tables to their planned lines; first those that were written longest ago.
+        """Bring all tables to their planned lines, starting with the table that was written longest ago.
 
-        There may be room for a few only, again and again.
+        The channel may have capacity for a few tables only, plan after plan. The order prevents the same
+        tables from being deferred each time.
         """
         partition_demand = self.partitions.partition_demand(self.now, self.proxies)
-        planned = [
+        plans = [
             ((zone, partition), lines)
             for zone in sorted({proxy.zone for proxy in self.proxies.values()})
             for partition, lines in enumerate(
@@ -359,16 +403,19 @@
             )
             if lines
         ]
-        planned.sort(key=lambda one: self.tables.last_written_at(one[0]))
-        for partition_key, lines in planned:
+        plans.sort(key=lambda plan: self.tables.last_written_at(plan[0]))
+        for partition_key, lines in plans:
             self.tables.renew(self.now, partition_key, lines, levels, writer, urgency, selected_tables)
 
     def planned_tables(
         self, zone: int, effective_weights: list[dict[int, float]], partition_demand: Sequence[float]
     ) -> list[dict[int, float]]:
-        """The lines (weight by endpoint) of a zone's tables, one for each partition.
+        """Return the lines (weight by endpoint index) of a zone's tables, one table for each partition.
 
-        `strengths` is by zone and endpoint, `needs` requests per second by partition.
+        Args:
+            zone: The zone of the proxies that use the tables.
+            effective_weights: The effective weight by endpoint index, for each zone.
+            partition_demand: The requests per second of each partition of the zone.
         """
         return self.partitions.planned_tables(
             self.spill_planner.shares[zone], effective_weights, partition_demand
--- a/ravenshelf/policy/decayed_totals.py
+++ b/ravenshelf/policy/decayed_totals.py
@@ -1,4 +1,4 @@
-"""Estimators that forget: totals that decay exponentially with time, and the median."""
+"""Totals that decay exponentially with time, and the median."""
 
 from collections.abc import Sequence
 from math import exp
@@ -6,29 +6,35 @@
 
 
 class DecayedTotals:
-    """A few totals that decay together with a time constant; they are brought up to date when they are read.
+    """Totals that decay together with one time constant; the decay is applied when they are read."""
 
-    `span` is the time constant in microseconds, `size` the number of totals.
-    """
+    __slots__ = ("_time_constant", "_totals", "_updated_at")
 
-    __slots__ = ("_span", "_totals", "_updated_at")
+    def __init__(self, time_constant: int, size: int):
+        """Create totals of 0.
 
-    def __init__(self, span: int, size: int):
-        self._span = span
+        Args:
+            time_constant: The microseconds after which the totals have decayed to 1/e.
+            size: The number of totals.
+        """
+        self._time_constant = time_constant
         self._updated_at = 0
         self._totals = [0.0] * size
 
     def read(self, now: int) -> list[float]:
-        """The totals at a time in microseconds; an earlier time than before reads them as they are."""
+        """Return the totals at a time in microseconds.
+
+        A time before the previous read or addition returns the totals without further decay.
+        """
         if now > self._updated_at:
-            decay = exp((self._updated_at - now) / self._span)
+            decay = exp((self._updated_at - now) / self._time_constant)
             self._updated_at = now
             self._totals = [value * decay for value in self._totals]
         return self._totals
 
     def add(self, now: int, *values: float) -> None:
         """Add one value to each total."""
-        # the hottest line of the policy: several times for each load report
+        # This is the most frequently executed line of the policy: it runs several times per load report.
         totals = self.read(now) if now > self._updated_at else self._totals
         self._totals = list(map(add, totals, values))
 
@@ -38,10 +44,10 @@
 
 
 def median(values: Sequence[float]) -> float | None:
-    """The upper median; None where there are no values."""
+    """Return the upper median, or None if there are no values."""
     return sorted(values)[len(values) // 2] if values else None
 
 
 def median_or(values: Sequence[float], default: float) -> float:
-    """The upper median, or the default where there are no values."""
+    """Return the upper median, or the default if there are no values."""
     return sorted(values)[len(values) // 2] if values else default
--- a/ravenshelf/policy/ejections.py
+++ b/ravenshelf/policy/ejections.py
@@ -1,4 +1,4 @@
-"""Ejections: endpoints that tables may not hold any more are withdrawn by name, and let back later."""
+"""Ejections: single endpoints that tables may not contain any more are withdrawn, and readmitted later."""
 
 from __future__ import annotations
 
@@ -9,43 +9,52 @@
 from ravenshelf.policy.urgency import URGENT, WITHDRAWAL
 from ravenshelf.policy.weight_tables import WeightTables
 
-if TYPE_CHECKING:  # it only names types: a simulated server starts without it
+if TYPE_CHECKING:  # Imported for annotations only, so that a simulated server starts without loading it.
     from ravenshelf.policy.commands import CommandWriter
 
 
 class EjectionControl:
-    """Ejects endpoints that have left or drain, and readmits those that are back."""
+    """The ejection of endpoints that have left or are draining, and their readmission when they return."""
 
     def __init__(self, directory: EndpointDirectory, tables: WeightTables):
         self._directory = directory
         self._tables = tables
 
-    def pending(self) -> list[Endpoint]:
-        """The endpoints to eject or to readmit."""
+    def pending_endpoints(self) -> list[Endpoint]:
+        """Return the endpoints that are to be ejected or readmitted."""
         return [
             endpoint
             for endpoint in self._directory.by_index.values()
             if self._directory.is_usable(endpoint) == endpoint.is_ejected
         ]
 
-    def update(self, pending: Iterable[Endpoint], writer: CommandWriter) -> None:
-        """Eject or readmit, as far as the channel has room; the rest is pending in the next cycle again.
+    def update(self, pending_endpoints: Iterable[Endpoint], writer: CommandWriter) -> None:
+        """Eject or readmit endpoints as far as the channel has capacity; the others remain pending.
 
-        An endpoint is readmitted once no deferred table holds it at its old weight.
+        An endpoint is readmitted only when no deferred table contains it, because such a table still has its
+        old weight.
         """
         tables = self._tables
-        deferred = set().union(*(tables.lines.get(table, ()) for table in tables.deferred_tables))
-        for endpoint in [one for one in pending if not (one.is_ejected and one.index in deferred)]:
-            proxies = self._proxies_that_hold(endpoint.index)
+        deferred_endpoints = set().union(*(tables.lines.get(table, ()) for table in tables.deferred_tables))
+        for endpoint in [
+            pending
+            for pending in pending_endpoints
+            if not (pending.is_ejected and pending.index in deferred_endpoints)
+        ]:
+            proxies = self._affected_proxies(endpoint.index)
             if tables.channel.has_capacity(1, proxies, URGENT if endpoint.is_ejected else WITHDRAWAL):
                 endpoint.is_ejected = not endpoint.is_ejected
                 writer.set_ejected(endpoint.index, endpoint.is_ejected)
                 tables.channel.charge(proxies, 1)
 
-    def _proxies_that_hold(self, endpoint: int) -> list[int]:
-        """First the proxies that are not bound yet: their tables are not known."""
-        holding = list(self._tables.proxies_by_table[None])
+    def _affected_proxies(self, endpoint: int) -> list[int]:
+        """Return the proxies whose table contains an endpoint.
+
+        Proxies that are not bound come first and are always included, because the tables that they use are
+        not known.
+        """
+        affected_proxies = list(self._tables.proxies_by_table[None])
         for table, lines in self._tables.lines.items():
             if endpoint in lines:
-                holding += self._tables.proxies_by_table[table]
-        return holding
+                affected_proxies += self._tables.proxies_by_table[table]
+        return affected_proxies
--- a/ravenshelf/policy/endpoints.py
+++ b/ravenshelf/policy/endpoints.py
@@ -1,26 +1,46 @@
-"""Endpoints: what the registry lists of them, and what load reports tell of their health and latency."""
+"""Endpoints: their listed state, and the health and latency that load reports show."""
 
 from ravenshelf.policy.decayed_totals import DecayedTotals
 from ravenshelf.policy.events import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 from ravenshelf.policy.urgency import ENDPOINT_LOSS, ORDINARY, URGENT
 from ravenshelf.settings import SECOND
 
-READY = EndpointState.READY  # a member of an enumeration is slow to look up
+# These are module constants because the lookup of an enumeration's member is slow.
+READY = EndpointState.READY
 GONE = EndpointState.GONE
 
-HEALTH_SPAN = 6 * SECOND  # microseconds: memory of attempts and failures
-HEALTH_PRIOR_ATTEMPTS = 3.0  # successful attempts that every endpoint starts with
-MINIMUM_HEALTH_SCORE = 0.02  # never 0, so that an endpoint can show that it has recovered
-RECENT_SPAN = 2 * SECOND  # microseconds: memory of misses and of reported load
-LATENCY_SPAN = 12 * SECOND  # microseconds: memory of latency
-HOST_LOAD_SPAN = 20 * SECOND  # microseconds: memory of samples from the machine
-MINIMUM_WEIGHT = 1e-3  # listed weights below count as this
+# Attempts and failures, for the health score, decay with this time constant.
+HEALTH_TIME_CONSTANT = 6 * SECOND
+# Every endpoint starts with this many successful attempts in its health score.
+HEALTH_PRIOR_ATTEMPTS = 3.0
+# The health score is never 0, so that an endpoint still gets attempts that can show its recovery.
+MINIMUM_HEALTH_SCORE = 0.02
+# Misses and reported load decay with this time constant.
+RECENT_TIME_CONSTANT = 2 * SECOND
+LATENCY_TIME_CONSTANT = 12 * SECOND
+HOST_LOAD_TIME_CONSTANT = 20 * SECOND
+# Smaller listed weights count as this.
+MINIMUM_WEIGHT = 1e-3
 
 
 class Endpoint:
-    """One endpoint; totals decay with time.
-
-    `slot` is its place among its zone's endpoints, which a successor takes over; it decides the partition.
+    """One endpoint, with totals of its reports that decay with time.
+
+    Attributes:
+        index: The index of the endpoint.
+        zone: The zone of the endpoint.
+        machine_kind: The kind of the endpoint's machine.
+        state: The listed state; None before the first list.
+        weight: The listed weight.
+        started_at: When the endpoint's process started, in microseconds; 0: long ago.
+        is_ejected: Whether the endpoint is ejected from every table.
+        slot: A number among the endpoints of a zone, which determines the endpoint's partition. The slot of
+            an endpoint that has gone is free for a new endpoint.
+        attempts: The attempts, and the failed attempts.
+        misses: The attempts, and the attempts that missed the latency objective.
+        reported_load: The number of reports, and the sum of their loads per weight.
+        latency: The successful attempts, and the sum of their latencies in microseconds.
+        host_load: The host load samples, and the sum of their busy shares.
     """
 
     __slots__ = (
@@ -48,35 +68,48 @@
         self.started_at = started_at
         self.is_ejected = False
         self.slot: int | None = None
-        self.host_load = DecayedTotals(HOST_LOAD_SPAN, 2)  # samples, busy share
-        self.forget_reports()
+        self.host_load = DecayedTotals(HOST_LOAD_TIME_CONSTANT, 2)
+        self.reset_reports()
 
-    def forget_reports(self) -> None:
-        """Forget all load reports: another process runs now."""
-        self.attempts = DecayedTotals(HEALTH_SPAN, 2)  # attempts, failed
-        self.misses = DecayedTotals(RECENT_SPAN, 2)  # attempts, missed
-        self.reported_load = DecayedTotals(RECENT_SPAN, 2)  # reports, load over weight
-        self.latency = DecayedTotals(LATENCY_SPAN, 2)  # succeeded, succeeded x latency
+    def reset_reports(self) -> None:
+        """Discard all load reports, which are about a previous process of the endpoint."""
+        self.attempts = DecayedTotals(HEALTH_TIME_CONSTANT, 2)
+        self.misses = DecayedTotals(RECENT_TIME_CONSTANT, 2)
+        self.reported_load = DecayedTotals(RECENT_TIME_CONSTANT, 2)
+        self.latency = DecayedTotals(LATENCY_TIME_CONSTANT, 2)
 
     def health_score(self, now: int) -> float:
-        """The share of attempts that succeed, with a prior; it recovers as failures are forgotten."""
-        attempts, failed = self.attempts.read(now)
-        share = (attempts - failed + HEALTH_PRIOR_ATTEMPTS) / (attempts + HEALTH_PRIOR_ATTEMPTS)
+        """Return the share of attempts that succeed, from `MINIMUM_HEALTH_SCORE` to 1.
+
+        The score includes a prior of successful attempts. It recovers as failures decay.
+        """
+        attempts, failures = self.attempts.read(now)
+        share = (attempts - failures + HEALTH_PRIOR_ATTEMPTS) / (attempts + HEALTH_PRIOR_ATTEMPTS)
         return max(MINIMUM_HEALTH_SCORE, share)
 
 
 class EndpointDirectory:
-    """All endpoints that were ever listed, by index."""
+    """All endpoints that were ever listed.
+
+    Attributes:
+        by_index: The endpoints by index, in the order in which they were first listed.
+    """
 
     def __init__(self, zone_count: int, removal_is_not_binding: bool):
+        """Create an empty directory.
+
+        Args:
+            zone_count: The number of zones; endpoints of higher zones are added to the last one.
+            removal_is_not_binding: Whether endpoints that are no longer listed may still be used for a time.
+        """
         self.by_index: dict[int, Endpoint] = {}
         self._zone_count = zone_count
         self._removal_is_not_binding = removal_is_not_binding
 
     def is_usable(self, endpoint: Endpoint) -> bool:
-        """Whether tables may hold an endpoint.
+        """Return whether tables may contain an endpoint.
 
-        Where removal is not binding, an endpoint that has gone stays open until it was ejected.
+        If removal is not binding, an endpoint that has gone remains usable until it is ejected.
         """
         if endpoint.state is READY:
             return True
@@ -84,19 +117,23 @@
         return has_gone and not endpoint.is_ejected and self._removal_is_not_binding
 
     def list_usable(self) -> list[Endpoint]:
-        """The endpoints that tables may hold."""
+        """Return the endpoints that tables may contain."""
         return [endpoint for endpoint in self.by_index.values() if self.is_usable(endpoint)]
 
     def apply_list(self, event: EndpointsListed) -> int:
-        """Take over a list; gives the urgency of what it changes (`ORDINARY`: nothing changed)."""
+        """Apply an endpoint list.
+
+        Returns:
+            The highest urgency of the changes; `ORDINARY` if nothing has changed.
+        """
         urgency = ORDINARY
         for entry in event.entries:
             urgency = max(urgency, self._apply_entry(entry))
         if event.kind is ListKind.UPDATE:
             return urgency
-        listed = {entry.endpoint for entry in event.entries}
+        listed_indices = {entry.endpoint for entry in event.entries}
         for endpoint in self.by_index.values():
-            if endpoint.index not in listed and endpoint.state is not GONE:
+            if endpoint.index not in listed_indices and endpoint.state is not GONE:
                 endpoint.state = GONE
                 urgency = ENDPOINT_LOSS
         return urgency
@@ -108,7 +145,7 @@
             endpoint = self.by_index[entry.endpoint] = Endpoint(entry.endpoint, entry.started_at)
         if entry.started_at > endpoint.started_at:
             endpoint.started_at = entry.started_at
-            endpoint.forget_reports()
+            endpoint.reset_reports()
             urgency = ENDPOINT_LOSS
         if endpoint.slot is None:
             endpoint.slot = self._free_slot(entry.zone)
@@ -121,10 +158,10 @@
         return urgency
 
     def _free_slot(self, zone: int) -> int:
-        """The first slot of a zone that no present endpoint has."""
-        taken = {
+        """Return the lowest slot of a zone that no listed endpoint occupies."""
+        occupied_slots = {
             endpoint.slot
             for endpoint in self.by_index.values()
             if endpoint.zone == zone and endpoint.state is not GONE
         }
-        return next(slot for slot in range(len(taken) + 1) if slot not in taken)
+        return next(slot for slot in range(len(occupied_slots) + 1) if slot not in occupied_slots)
--- a/ravenshelf/policy/events.py
+++ b/ravenshelf/policy/events.py
@@ -1,11 +1,11 @@
-"""What the controller is told: one type for each kind of event.
+"""Events, the input of the controller: one type for each kind.
 
 Endpoints, proxies, zones and traffic groups are small integers that the caller assigns. Times and durations
 are integer microseconds. The controller receives the events of one control cycle as a list, in the order in
 which they arrived.
 
-Events are named tuples rather than dataclasses: a process that starts makes these types in a tenth of the
-time.
+Events are named tuples rather than dataclasses, because a starting process creates these types in a tenth of
+the time.
 """
 
 from enum import Enum
@@ -23,7 +23,10 @@
 
 
 def event(cls: EventType) -> EventType:
-    """Make events of different kinds unequal, which tuples with the same values are not."""
+    """Add comparison by type to an event class.
+
+    Without it, events of different types with the same values would be equal, as tuples are.
+    """
     methods = {"__eq__": _equal_by_type, "__ne__": _unequal_by_type, "__hash__": tuple.__hash__}
     for name, method in methods.items():
         setattr(cls, name, method)
@@ -31,7 +34,7 @@
 
 
 class EndpointState(Enum):
-    """What the registry says of an endpoint."""
+    """The state of an endpoint in the registry."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -39,16 +42,32 @@
 
 
 class ListKind(Enum):
-    """How a list of endpoints relates to what was listed before."""
+    """The relation of an endpoint list to earlier lists.
+
+    Attributes:
+        UPDATE: The list contains only the endpoints that have changed.
+        REPLACE: The list is complete; an endpoint that it does not contain has gone.
+        RESTORED: The list is complete, and comes from memory rather than from the registry.
+    """
 
-    UPDATE = "update"  # names only the endpoints that changed
-    REPLACE = "replace"  # complete: an endpoint that it does not name is gone
-    RESTORED = "restored"  # complete, and read from memory rather than from the registry
+    UPDATE = "update"
+    REPLACE = "replace"
+    RESTORED = "restored"
 
 
 @event
 class ListedEndpoint(NamedTuple):
-    """One endpoint as the registry lists it."""
+    """One endpoint as the registry lists it.
+
+    Attributes:
+        endpoint: The index of the endpoint.
+        zone: The zone of the endpoint.
+        machine_kind: The kind of the endpoint's machine.
+        cell: The group of endpoints that the registry assigns it to.
+        state: The listed state.
+        weight: The listed weight.
+        started_at: When the endpoint's process started; 0: long ago.
+    """
 
     endpoint: int
     zone: int
@@ -56,12 +75,12 @@
     cell: int
     state: EndpointState
     weight: float
-    started_at: int  # 0: long ago
+    started_at: int
 
 
 @event
 class EndpointsListed(NamedTuple):
-    """The registry has sent a list of endpoints, or changes to it."""
+    """The arrival of an endpoint list, or of changes to it."""
 
     kind: ListKind
     entries: tuple[ListedEndpoint, ...]
@@ -69,43 +88,66 @@
 
 @event
 class WatchFailed(NamedTuple):
-    """A call to the registry failed; the last list is still in force."""
+    """The failure of a request to the registry; the last endpoint list remains valid."""
 
 
 @event
 class ProxyJoined(NamedTuple):
-    """A proxy has opened its stream."""
+    """The start of a proxy's stream.
+
+    Attributes:
+        proxy: The index of the proxy.
+        zone: The zone of the proxy.
+        nominal_rate: The requests per second that the proxy announces; 0: unknown.
+        is_fresh: Whether the proxy has no table from a control plane yet.
+    """
 
     proxy: int
     zone: int
-    nominal_rate: float  # requests per second; 0: unknown
-    is_fresh: bool  # it holds no table that a control plane sent
+    nominal_rate: float
+    is_fresh: bool
 
 
 @event
 class ProxyLeft(NamedTuple):
-    """A proxy's stream has ended."""
+    """The end of a proxy's stream.
+
+    Attributes:
+        proxy: The index of the proxy.
+        is_ended_by_server: Whether this server ended the stream. Lines that are queued for the proxy then
+            still count as queued.
+    """
 
     proxy: int
-    is_ended_by_server: bool = False  # this server ended it, so what was queued for it still counts as queued
+    is_ended_by_server: bool = False
 
 
 @event
 class LoadReport(NamedTuple):
-    """What the proxies of one zone observed of one endpoint during one reporting window."""
+    """The attempts of one zone's proxies at one endpoint during one reporting window.
+
+    Attributes:
+        zone: The zone of the proxies.
+        endpoint: The index of the endpoint.
+        attempts: All attempts.
+        failures: The attempts that failed.
+        mean_latency: The mean latency of the attempts that succeeded.
+        window: The duration of the reporting window.
+        load: The endpoint's load, in the order of the settings' telemetry columns; empty: not reported.
+    """
 
     zone: int
     endpoint: int
     attempts: int
     failures: int
-    mean_latency: int  # of the attempts that succeeded
+    mean_latency: int
     window: int
-    load: tuple[float, ...]  # in the order of the settings' telemetry columns; empty: not reported
+    load: tuple[float, ...]
 
 
 @event
 class DemandReport(NamedTuple):
-    """How many requests of one traffic group reached one proxy during one reporting window."""
+    """The requests of one traffic group that reached one proxy during one reporting window."""
 
     proxy: int
     group: int
@@ -116,16 +158,22 @@
 
 @event
 class BatchAcknowledged(NamedTuple):
-    """A proxy has applied everything up to a batch marker."""
+    """A proxy's acknowledgement that it has applied everything up to a batch marker.
+
+    Attributes:
+        proxy: The index of the proxy.
+        marker: The marker of the batch.
+        elapsed: The time from the dispatch of the batch until the proxy had applied it.
+    """
 
     proxy: int
     marker: int
-    elapsed: int  # from dispatch until it was applied
+    elapsed: int
 
 
 @event
 class HealthCheckCompleted(NamedTuple):
-    """A health check has ended."""
+    """The result of a health check."""
 
     endpoint: int
     is_answered: bool
@@ -135,16 +183,22 @@
 
 @event
 class HostLoadSampled(NamedTuple):
-    """How busy the machine of an endpoint was, measured on the machine itself."""
+    """A load sample that was measured on an endpoint's machine itself.
+
+    Attributes:
+        endpoint: The index of the endpoint.
+        busy: The busy share of the machine, from 0 to 1.
+        age: The age of the sample.
+    """
 
     endpoint: int
-    busy: float  # share of the machine, 0 to 1
+    busy: float
     age: int
 
 
 @event
 class PeerMessageReceived(NamedTuple):
-    """Another control-plane server has sent a message."""
+    """A message from another control-plane server."""
 
     peer: int
     payload: bytes
@@ -152,14 +206,14 @@
 
 @event
 class TimerExpired(NamedTuple):
-    """A timer that the controller started has expired."""
+    """The expiry of a timer that the controller started."""
 
     key: str
 
 
 @event
 class SliceAssigned(NamedTuple):
-    """A slice of the key space was assigned to this server, or taken from it."""
+    """The assignment of a slice of the key space to this server, or its withdrawal."""
 
     slice: int
     is_assigned: bool
@@ -167,7 +221,7 @@
 
 @event
 class SliceWeightStored(NamedTuple):
-    """The store holds this weight of an endpoint for a slice."""
+    """A weight of an endpoint for a slice, as the store contains it."""
 
     slice: int
     endpoint: int
@@ -176,7 +230,7 @@
 
 @event
 class SliceDemandReport(NamedTuple):
-    """How many requests of one traffic group reached one slice during one reporting window."""
+    """The requests of one traffic group for one slice during one reporting window."""
 
     slice: int
     group: int
--- a/ravenshelf/policy/flow_control.py
+++ b/ravenshelf/policy/flow_control.py
@@ -1,12 +1,14 @@
 """Flow control of the control channel.
 
-The channel carries configuration lines to all proxies at a limited pace, and its queue must not pass a
-limit. Lines, message overheads and messages are therefore counted before they are ordered. What may still
-be queued is estimated from the pace, and bounded by what acknowledgements prove to have left.
-
-Lines that are queued for a connection that breaks are dropped, and what was ordered later leaves sooner by
-that. An acknowledgement proves only what lies before it both in order and by position (lines ever ordered,
-less those dropped). Times and durations are integer microseconds.
+The control channel carries configuration lines to all proxies at a limited rate, and its queue must not
+exceed a limit. Lines, message overheads and messages are therefore counted before they are written. The
+queue length is estimated from the channel's rate, and bounded by the lines that acknowledgements confirm to
+have left the channel.
+
+If a proxy's connection breaks, the lines that are queued for it are dropped, and everything written later
+leaves the channel earlier. An acknowledgement therefore confirms only batches that precede its own batch both
+in the order of writing and by position. Positions count the lines written so far, less the dropped ones.
+Times and durations are integer microseconds.
 """
 
 from __future__ import annotations
@@ -18,33 +20,59 @@
 
 from ravenshelf.settings import SECOND, ServiceSettings
 
-if TYPE_CHECKING:  # it only names types: a simulated server starts without it
+if TYPE_CHECKING:  # Imported for annotations only, so that a simulated server starts without loading it.
     from ravenshelf.policy.commands import CommandWriter
 
-UNLIMITED_LINES = 1e9  # lines, or lines per second, where the settings set no limit
-UNLIMITED_MESSAGES = 1e9  # messages per proxy and counting window
-DEFAULT_MESSAGE_OVERHEAD = 6.0  # lines per message, where the settings do not say
-MARKER_LINES = 1  # lines of an acknowledgement marker in each message
-MARKERS = 65_535  # the wire's range of markers: 1 to this number
-SLOWEST_FACTOR = 10  # usual pace over the slowest that the channel falls to
-UNACKNOWLEDGED_TIMEOUT = 20 * SECOND  # microseconds after which an unacknowledged batch may count as gone
-COUNT_WINDOW_MARGIN = 1.05  # of the counting window, as messages are written after they are ordered
-MINIMUM_RATE_SHARE = 0.05  # of the usual pace
-RATE_RECOVERY_SHARE = 0.1  # of the way back to the usual pace, per timely acknowledgement
-
-# by urgency
-MAXIMUM_QUEUE_SECONDS = (0.7, 1.5, 1.5, 4.0, 1e9)  # seconds of queue behind which a change would be stale
-QUEUE_SHARES = (0.45, 0.65, 0.65, 0.75, 0.88)  # of the queue limit, for the estimated queue
-UNCONFIRMED_SHARES = (0.85, 0.85, 0.85, 0.9, 0.95)  # of the queue limit, for what may be queued at any pace
-MESSAGE_SHARES = (0.6, 0.7, 0.8, 0.8, 1.0)  # of a proxy's messages per counting window
+# These hold where the settings state no limit: lines (also per second), and messages per proxy and counting
+# window.
+UNLIMITED_LINES = 1e9
+UNLIMITED_MESSAGES = 1e9
+# Each message is charged with this many lines of overhead where the settings state none.
+DEFAULT_MESSAGE_OVERHEAD = 6.0
+# Each message contains one acknowledgement marker, which counts as a line.
+MARKER_LINES = 1
+# Markers on the wire range from 1 to this number.
+MARKERS = 65_535
+# The channel never gets slower than its nominal rate divided by this factor.
+SLOWEST_FACTOR = 10
+# An unacknowledged batch counts as queued for at least this time.
+UNACKNOWLEDGED_TIMEOUT = 20 * SECOND
+# Messages are sent some time after they are counted, so they are counted over a window longer by this factor.
+COUNT_WINDOW_MARGIN = 1.05
+# The estimated rate never falls below this share of the nominal rate.
+MINIMUM_RATE_SHARE = 0.05
+# Each timely acknowledgement closes this share of the gap between the estimated and the nominal rate.
+RATE_RECOVERY_SHARE = 0.1
+
+# The following limits are indexed by urgency.
+
+# A change is not written if the queue takes longer than this to drain: the change would be outdated by then.
+MAXIMUM_QUEUE_SECONDS = (0.7, 1.5, 1.5, 4.0, 1e9)
+# The estimated queue may take up this share of the queue limit.
+QUEUE_SHARES = (0.45, 0.65, 0.65, 0.75, 0.88)
+# The lines that may be queued at any rate of the channel may take up this share of the queue limit.
+UNCONFIRMED_SHARES = (0.85, 0.85, 0.85, 0.9, 0.95)
+# This share of a proxy's messages per counting window may be used.
+MESSAGE_SHARES = (0.6, 0.7, 0.8, 0.8, 1.0)
 
 
 class DispatchedBatch:
-    """What one control cycle ordered: its lines by proxy, its position, and when it leaves the channel.
-
-    `lines` maps proxies (None: lines that no proxy acknowledges) to lines that are not acknowledged yet.
-    Positions count lines. `earliest_start` is when the channel reaches the batch at its usual pace,
-    `latest_end` when it is done with it at its slowest.
+    """The lines that one control cycle wrote, and the times between which they leave the channel.
+
+    Attributes:
+        number: The number of the batch, counted from 1.
+        dispatched_at: When the batch was written.
+        lines: The lines that are not acknowledged yet, by proxy. The key None holds lines that no proxy
+            acknowledges.
+        start_position: The position of the first line.
+        end_position: The position after the last line.
+        earliest_start: When the channel reaches the batch at its nominal rate.
+        latest_end: When the channel has sent the batch at its slowest rate.
+        total_lines: The lines of the batch, less those dropped with a connection before the batch was
+            reached.
+        lines_behind: For each proxy, the lines of the batch that are sent after those of this proxy.
+        acknowledged_lines: The lines that proxies have acknowledged.
+        queued_lines: The estimated queue up to the end of the batch when it was written.
     """
 
     __slots__ = (
@@ -75,28 +103,42 @@
         self.start_position = start_position
         self.earliest_start = earliest_start
         self.total_lines = sum(lines.values())
-        # once a proxy has acknowledged, the proxies behind it cannot be long in coming
+        # An acknowledgement of one proxy bounds the time that the lines behind it still take.
         self.lines_behind = {
-            proxy: self.total_lines - passed
-            for proxy, passed in zip(lines, accumulate(lines.values()), strict=True)
+            proxy: self.total_lines - cumulative_lines
+            for proxy, cumulative_lines in zip(lines, accumulate(lines.values()), strict=True)
         }
         self.end_position = start_position + self.total_lines
         self.latest_end = 0.0
         self.acknowledged_lines = 0.0
-        self.queued_lines = 0.0  # estimated queue up to the end of this batch, when it was dispatched
+        self.queued_lines = 0.0
 
     @property
     def length(self) -> float:
-        """Lines from its start position to its end position."""
+        """The number of lines from the start position to the end position."""
         return self.end_position - self.start_position
 
 
 class ChannelFlowControl:
-    """Decides whether changes fit into the control channel, and learns its pace from acknowledgements.
-
-    Within a control cycle: `advance` to its time, then `fits` and `charge` for each change, then
-    `commit_cycle` (or `discard_charges`). `queued_lines` is the estimated queue, `pace` the estimated pace in
-    lines per second, `batches` what is not proved to have left, oldest first.
+    """The capacity check of the control channel, with an estimate of its rate from acknowledgements.
+
+    In each control cycle, call `advance` first, then `has_capacity` and `charge` for each change, and finally
+    `commit_cycle`, or `discard_charges` if the cycle failed.
+
+    Attributes:
+        nominal_rate: The lines per second that the settings announce.
+        rate: The estimated rate in lines per second.
+        queued_lines: The estimated queue length in lines.
+        batches: The batches that are not confirmed to have left the channel, oldest first.
+        unconfirmed_total: The lines of `batches`.
+        batch_number: The number of the latest batch, 0 before the first.
+        next_position: The position at which the next batch starts.
+        earliest_idle: When everything has left the channel at its nominal rate.
+        latest_idle: When everything has left the channel at its slowest rate.
+        cycle_charges: The lines charged in the current cycle, by proxy.
+        cycle_lines: The sum of `cycle_charges`.
+        sent_times: The times of recent messages, by proxy.
+        slowest_line_time: The microseconds that one line takes at the slowest rate.
     """
 
     def __init__(self, service: ServiceSettings):
@@ -109,44 +151,48 @@
         self.messages_limit = service.messages_per_proxy_limit
         self.count_window = service.message_count_window_us
         self.longest_delivery = service.longest_delivery_us
-        self.slowest_line_time = SLOWEST_FACTOR / self.nominal_rate * SECOND  # microseconds per line
+        self.slowest_line_time = SLOWEST_FACTOR / self.nominal_rate * SECOND
 
         self.now = 0
         self.queued_lines = 0.0
         self.batch_number = 0
         self.batches: deque[DispatchedBatch] = deque()
-        self.unconfirmed_total = 0.0  # lines of `batches`
+        self.unconfirmed_total = 0.0
         self.next_position = 0.0
-        self.earliest_idle = 0.0  # when the channel is through with everything, at its usual pace
-        self.latest_idle = 0.0  # the same at its slowest pace
-        self.cycle_charges: dict[int | None, float] = {}  # lines charged in this cycle, by proxy
-        self.cycle_lines = 0.0  # their sum
-        self.sent_times: dict[int | None, deque[int]] = {}  # times of recent messages, by proxy
+        self.earliest_idle = 0.0
+        self.latest_idle = 0.0
+        self.cycle_charges: dict[int | None, float] = {}
+        self.cycle_lines = 0.0
+        self.sent_times: dict[int | None, deque[int]] = {}
         self._batches_by_number: dict[int, DispatchedBatch] = {}
-        self._confirmed_positions: list[
-            tuple[int, float]
-        ] = []  # (batch number, position) that has certainly passed
-        self._join_order: defaultdict[int | None, int] = defaultdict(int)  # the order of writing in a cycle
+        # Each pair of a batch number and a position confirms that the batches with a smaller number that end
+        # at that position or before it have left the channel.
+        self._confirmed_positions: list[tuple[int, float]] = []
+        # Messages of one cycle are sent in the order in which the proxies joined.
+        self._join_order: defaultdict[int | None, int] = defaultdict(int)
         self._join_counter = count()
 
     def advance(self, now: int) -> None:
-        """Bring the estimate up to a time: lines leave at the estimated pace.
+        """Update the estimated queue to a time, as lines leave the channel at the estimated rate.
 
-        Lines whose acknowledgement is overdue do not leave by time alone.
+        Lines whose acknowledgement is overdue stay in the estimate until they are confirmed.
         """
         self.queued_lines = max(0.0, self.queued_lines - self.rate * (now - self.now) / SECOND)
         self.now = now
         self._retire_passed_batches()
         overdue_at = now - self.longest_delivery
-        overdue = sum(
+        overdue_lines = sum(
             batch.total_lines
             for batch in takewhile(lambda batch: batch.dispatched_at <= overdue_at, self.batches)
         )
-        certain = overdue - self.batches[0].acknowledged_lines if overdue else 0.0
-        self.queued_lines = max(self.queued_lines, certain)
+        certain_lines = overdue_lines - self.batches[0].acknowledged_lines if overdue_lines else 0.0
+        self.queued_lines = max(self.queued_lines, certain_lines)
 
     def unconfirmed_lines(self) -> float:
-        """Lines that may be queued whatever the pace; of the oldest batch, those not acknowledged."""
+        """Return the lines that may still be queued, however slow the channel is.
+
+        Acknowledgements of single proxies are subtracted for the oldest batch only.
+        """
         if not self.batches:
             return 0.0
         return self.unconfirmed_total - self.batches[0].acknowledged_lines
@@ -163,32 +209,40 @@
 
     def _retire_passed_batches(self) -> None:
         while self.batches and self._has_passed(self.batches[0]):
-            passed = self.batches.popleft()
-            self.unconfirmed_total -= passed.total_lines
+            passed_batch = self.batches.popleft()
+            self.unconfirmed_total -= passed_batch.total_lines
             if self.batches:
-                oldest = self.batches[0]
-                slowest_end = self.now + oldest.length * self.slowest_line_time
-                oldest.latest_end = min(oldest.latest_end, slowest_end)
-            self._batches_by_number.pop(passed.number, None)
+                oldest_batch = self.batches[0]
+                slowest_end = self.now + oldest_batch.length * self.slowest_line_time
+                oldest_batch.latest_end = min(oldest_batch.latest_end, slowest_end)
+            self._batches_by_number.pop(passed_batch.number, None)
         self._confirmed_positions = [
-            proof for proof in self._confirmed_positions if self.batches and proof[0] > self.batches[0].number
+            confirmed
+            for confirmed in self._confirmed_positions
+            if self.batches and confirmed[0] > self.batches[0].number
         ]
         self.queued_lines = min(self.queued_lines, self.unconfirmed_lines())
 
     def has_capacity(self, lines: float, proxies: Collection[int], urgency: int) -> bool:
-        """Whether so many lines to each of the proxies fit into the channel, at an urgency."""
+        """Return whether the channel has capacity for a change.
+
+        Args:
+            lines: The lines of the change, for each proxy.
+            proxies: The proxies that the change is sent to.
+            urgency: The urgency of the change, an index into the limits of this module.
+        """
         new_messages = sum(proxy not in self.cycle_charges for proxy in proxies)
         overhead = new_messages * (self.message_overhead + MARKER_LINES)
-        asked = self.cycle_lines + len(proxies) * lines + overhead
+        required_lines = self.cycle_lines + len(proxies) * lines + overhead
         if self.queued_lines + self.cycle_lines > self.nominal_rate * MAXIMUM_QUEUE_SECONDS[urgency]:
             return False
-        if self.queued_lines + asked > self.queue_limit * QUEUE_SHARES[urgency]:
+        if self.queued_lines + required_lines > self.queue_limit * QUEUE_SHARES[urgency]:
             return False
-        if self.unconfirmed_lines() + asked > self.queue_limit * UNCONFIRMED_SHARES[urgency]:
+        if self.unconfirmed_lines() + required_lines > self.queue_limit * UNCONFIRMED_SHARES[urgency]:
             return False
-        messages = round(self.messages_limit * MESSAGE_SHARES[urgency]) or UNLIMITED_MESSAGES
+        message_limit = round(self.messages_limit * MESSAGE_SHARES[urgency]) or UNLIMITED_MESSAGES
         return all(
-            proxy in self.cycle_charges or self._recent_messages(proxy) < messages for proxy in proxies
+            proxy in self.cycle_charges or self._recent_messages(proxy) < message_limit for proxy in proxies
         )
 
     def _recent_messages(self, proxy: int) -> int:
@@ -198,7 +252,10 @@
         return len(times)
 
     def charge(self, proxies: Iterable[int], lines: float) -> None:
-        """Count so many lines to each of the proxies, with the overhead of a message not begun yet."""
+        """Count a number of lines for each proxy in this cycle.
+
+        The first charge of a proxy in a cycle includes the overhead of its message.
+        """
         overhead = self.message_overhead + MARKER_LINES
         charges = self.cycle_charges
         for proxy in proxies:
@@ -206,21 +263,21 @@
             charges[proxy] = charges.get(proxy, overhead) + lines
 
     def discard_charges(self) -> None:
-        """Forget what this cycle charged: it will not be ordered."""
+        """Discard the charges of this cycle, whose commands will not be sent."""
         self.cycle_charges = {}
         self.cycle_lines = 0.0
 
     def record_uncharged_lines(self, lines: float) -> None:
-        """Count lines that were written without a charge; nobody acknowledges them."""
+        """Add lines to the queue that were written without a charge; no proxy acknowledges them."""
         self._enqueue(self._new_batch(self.now, {None: lines}))
 
     def commit_cycle(self, now: int, writer: CommandWriter) -> None:
         """Turn the cycle's charges, if any, into a batch, and request its acknowledgement."""
         if not self.cycle_charges:
             return
-        in_order = sorted(self.cycle_charges, key=self._join_order.__getitem__)
-        batch = self._new_batch(now, {proxy: self.cycle_charges[proxy] for proxy in in_order})
-        # a marker is given again only when its first batch is long acknowledged
+        sorted_proxies = sorted(self.cycle_charges, key=self._join_order.__getitem__)
+        batch = self._new_batch(now, {proxy: self.cycle_charges[proxy] for proxy in sorted_proxies})
+        # A marker is reused after 65,535 batches, long after its previous batch was acknowledged.
         writer.request_acknowledgement((batch.number - 1) % MARKERS + 1)
         self._batches_by_number[batch.number] = batch
         for proxy in self.cycle_charges:
@@ -249,9 +306,12 @@
         batch.queued_lines = self.queued_lines
 
     def record_acknowledgement(self, proxy: int, marker: int, elapsed: int) -> None:
-        """A proxy has applied the batch of a marker, so long after it was dispatched.
+        """Record that a proxy has applied its part of a batch.
 
-        Markers that no batch waits for are ignored.
+        Args:
+            proxy: The proxy.
+            marker: The marker of the batch; a marker that belongs to no unconfirmed batch is ignored.
+            elapsed: The microseconds from the dispatch of the batch until the proxy had applied it.
         """
         batch = self._batches_by_number.get(self.batch_number - (self.batch_number - marker) % MARKERS)
         if batch is None:
@@ -263,36 +323,43 @@
         self._retire_passed_batches()
         self._learn_rate(batch.queued_lines, elapsed)
 
-    def _confirm_position(self, batch_number: int, passed: float) -> None:
+    def _confirm_position(self, batch_number: int, confirmed_position: float) -> None:
         if any(
-            number >= batch_number and position >= passed for number, position in self._confirmed_positions
+            number >= batch_number and position >= confirmed_position
+            for number, position in self._confirmed_positions
         ):
             return
         self._confirmed_positions = [
-            proof for proof in self._confirmed_positions if proof[0] > batch_number or proof[1] > passed
+            confirmed
+            for confirmed in self._confirmed_positions
+            if confirmed[0] > batch_number or confirmed[1] > confirmed_position
         ]
-        self._confirmed_positions.append((batch_number, passed))
+        self._confirmed_positions.append((batch_number, confirmed_position))
 
     def _learn_rate(self, queued_lines: float, elapsed: int) -> None:
-        """The true pace shows in how long a message took, against what was queued before it."""
+        """Adapt the estimated rate to the time that a message took behind a number of queued lines."""
         if not queued_lines:
             return
         queue_time = elapsed - self.longest_delivery
         if queue_time > 0 and queued_lines / queue_time * SECOND < self.rate:
-            measured = queued_lines / queue_time * SECOND
-            self.rate = max(MINIMUM_RATE_SHARE * self.nominal_rate, measured)
+            measured_rate = queued_lines / queue_time * SECOND
+            self.rate = max(MINIMUM_RATE_SHARE * self.nominal_rate, measured_rate)
         elif elapsed < self.longest_delivery + queued_lines / self.nominal_rate * SECOND:
             self.rate += (self.nominal_rate - self.rate) * RATE_RECOVERY_SHARE
 
     def record_connection(self, proxy: int) -> None:
-        """A proxy has opened a connection: its messages are counted anew, and written after the others'."""
+        """Record that a proxy has opened a connection.
+
+        Its messages are counted from zero, and in a cycle they are sent after those of the other proxies.
+        """
         self.sent_times[proxy] = deque()
         self._join_order[proxy] = next(self._join_counter)
 
     def record_disconnection(self, proxy: int, is_ended_by_server: bool = False) -> None:
-        """A proxy's connection has ended, and what was queued for it is dropped.
+        """Record that a proxy's connection has ended.
 
-        Where this server ended the connection (`ended_here`) it stays counted.
+        The lines queued for a connection that broke are dropped. Those for a connection that this server
+        ended (`is_ended_by_server`) still count as queued.
         """
         if is_ended_by_server:
             for batch in self.batches:
@@ -305,9 +372,11 @@
         self._retire_passed_batches()
 
     def _drop_lines(self, batch: DispatchedBatch, lines: float) -> None:
-        # they may have been ordered when the channel was at its slowest
+        # The lines may have been written while the channel was at its slowest, so dropping them may shorten
+        # the queue by the time that as many lines take at that rate.
         self.next_position -= lines * SLOWEST_FACTOR
         self.earliest_idle -= lines * self.slowest_line_time
-        if batch.earliest_start > self.now:  # else they may have left already
+        # A batch that the channel may have reached already may have been sent with these lines.
+        if batch.earliest_start > self.now:
             batch.total_lines -= lines
             self.unconfirmed_total -= lines
--- a/ravenshelf/policy/latency_bounds.py
+++ b/ravenshelf/policy/latency_bounds.py
@@ -1,73 +1,94 @@
-"""Latency between zones, and the latency beyond which an attempt counts as missed."""
+"""Latency between zones, and the miss bound: the latency from which an attempt counts as missed.
+
+Latencies and times are integer microseconds.
+"""
 
 from bisect import insort
 from collections.abc import Sequence
 
 from ravenshelf.settings import SECOND
 
-LEARNING_TIME = 10 * SECOND  # microseconds after the first report in which the miss bound is learnt
-MEDIAN_MULTIPLE = 3  # the miss bound over the median latency
-GAP_WINDOW = SECOND  # microseconds over which the least latency is taken
-MINIMUM_GAP_CHANGE = 1000  # microseconds; smaller moves do not touch the curves
-MINIMUM_TIME_LEFT = 0.2  # share of the miss bound that the latency between zones leaves at the least
-UNKNOWN_BOUND = 1e9  # microseconds
+# The miss bound is learnt during this time after the first load report.
+LEARNING_TIME = 10 * SECOND
+# The miss bound is this multiple of the median latency.
+MEDIAN_MULTIPLE = 3
+# The latency between two zones is the minimum over this time.
+GAP_WINDOW = SECOND
+# Smaller changes of the latency between zones are ignored, so that they do not move the miss curves.
+MINIMUM_GAP_CHANGE = 1000
+# The latency between zones leaves at least this share of the miss bound for the request itself.
+MINIMUM_TIME_LEFT = 0.2
+# This bound holds as long as the miss bound is unknown.
+UNKNOWN_BOUND = 1e9
 
 
 class MissBound:
-    """The latency at which an attempt counts as missed: a multiple of the median of the first seconds.
+    """The miss bound: a multiple of the median latency of the first seconds.
+
+    The bound never exceeds the shortest latency objective.
 
-    `value` (microseconds) and `first_report_at` are None and 0 until the first report. The bound never passes
-    the least latency objective.
+    Attributes:
+        value: The bound in microseconds; None before the first load report.
+        first_report_at: The time of the first load report; 0 before it.
     """
 
     def __init__(self, latency_objective: int):
-        self._latency_objective = latency_objective  # microseconds
-        self._latencies: list[int] = []  # ascending
+        self._latency_objective = latency_objective
+        self._sorted_latencies: list[int] = []
         self.first_report_at = 0
         self.value: int | None = None
 
     def add(self, now: int, latency: int) -> bool:
-        """Count the mean latency of a report in microseconds; gives whether it is the first one."""
+        """Add the mean latency of a load report, and return whether it is the first report."""
         is_first = not self.first_report_at
         if is_first:
             self.first_report_at = now
         if now - self.first_report_at <= LEARNING_TIME:
-            insort(self._latencies, latency)
-            middle = self._latencies[len(self._latencies) // 2]
-            self.value = min(MEDIAN_MULTIPLE * middle, self._latency_objective)
+            insort(self._sorted_latencies, latency)
+            median_latency = self._sorted_latencies[len(self._sorted_latencies) // 2]
+            self.value = min(MEDIAN_MULTIPLE * median_latency, self._latency_objective)
         return is_first
 
 
 class ZoneLatencyGaps:
-    """How much longer requests take to another zone than within it, by least latency."""
+    """The additional latency of requests to another zone, compared by minimum latency."""
 
     def __init__(self, zone_count: int):
-        self._gaps = [[0] * zone_count for _ in range(zone_count)]  # microseconds, by sender and receiver
-        self._recent: dict[tuple[int, int], list[tuple[int, int]]] = {}  # (time, latency) by the same
+        # The rows are sending zones, the columns receiving zones.
+        self._gaps = [[0] * zone_count for _ in range(zone_count)]
+        # For each pair of a sending and a receiving zone, these are pairs of a time and a latency.
+        self._recent_samples: dict[tuple[int, int], list[tuple[int, int]]] = {}
 
     def add(self, now: int, sender: int, receiver: int, latency: int) -> None:
-        """Count a mean latency in microseconds of requests from one zone to another."""
-        self._recent.setdefault((sender, receiver), []).append((now, latency))
+        """Add the mean latency of requests from one zone to endpoints of another, or of the same."""
+        self._recent_samples.setdefault((sender, receiver), []).append((now, latency))
 
     def update(self, now: int) -> None:
-        """Take over the least latencies of the last second, where they have moved enough."""
-        since = now - GAP_WINDOW
-        self._recent = {
-            zones: [sample for sample in samples if sample[0] >= since]
-            for zones, samples in self._recent.items()
+        """Update the gaps that have changed enough, from the minimum latencies of the last second."""
+        window_start = now - GAP_WINDOW
+        self._recent_samples = {
+            zones: [sample for sample in samples if sample[0] >= window_start]
+            for zones, samples in self._recent_samples.items()
         }
-        least = {
+        minimum_latencies = {
             zones: min(latency for _, latency in samples)
-            for zones, samples in self._recent.items()
+            for zones, samples in self._recent_samples.items()
             if samples
         }
-        for (sender, receiver), latency in least.items():
-            if (receiver, receiver) in least:
-                gap = max(0, latency - least[receiver, receiver])
+        for (sender, receiver), latency in minimum_latencies.items():
+            if (receiver, receiver) in minimum_latencies:
+                gap = max(0, latency - minimum_latencies[receiver, receiver])
                 if abs(gap - self._gaps[sender][receiver]) > MINIMUM_GAP_CHANGE:
                     self._gaps[sender][receiver] = gap
 
     def load_factors(self, miss_bound: int | None) -> Sequence[Sequence[float]]:
-        """By sender and receiver: the factor on the load that the sender sees, for the time the gap takes."""
+        """Return, by sending and receiving zone, a factor on the load of the receiving zone.
+
+        Requests from another zone have less time left until the miss bound. For the sending zone, the
+        receiving zone is like one with a load that is higher by this factor.
+
+        Args:
+            miss_bound: The miss bound; None: unknown.
+        """
         bound = miss_bound or UNKNOWN_BOUND
         return [[1 / max(MINIMUM_TIME_LEFT, 1 - gap / bound) for gap in row] for row in self._gaps]
--- a/ravenshelf/policy/miss_curves.py
+++ b/ravenshelf/policy/miss_curves.py
@@ -1,8 +1,9 @@
-"""Miss curves: the share of a zone's attempts that miss the latency objective, against the zone's load.
+"""Miss curves: the share of a zone's attempts that miss the latency objective, as a function of its load.
 
-Load is requests per second over listed weight. A curve is learnt from load reports, then fitted: it rises
-with load (isotonic regression by pooling adjacent violators) and is convex (its lower hull), as the flat
-curve of a saturated zone would have the solver give that zone up.
+The load is requests per second over listed weight. A curve is learnt from load reports and then fitted. The
+fitted curve increases with the load (isotonic regression by pooling adjacent violators) and is convex (the
+lower convex hull): the observed curve of a saturated zone is flat, and with it the solver would keep adding
+load to a zone that is already lost.
 """
 
 from collections.abc import Iterable
@@ -11,46 +12,59 @@
 from ravenshelf.policy.decayed_totals import DecayedTotals
 from ravenshelf.settings import SECOND
 
-BUCKET_WIDTH = 0.12  # of the logarithm of the load
-CURVE_SPAN = 25 * SECOND  # microseconds: memory of a curve
-OTHER_ZONES_SHARE = 0.15  # weight of other zones' attempts in a zone's curve
-MINIMUM_ATTEMPTS = 1.0  # decayed attempts, for a bucket to count
-EXTRAPOLATION_SLOPE = 0.6  # rise of the miss share per doubling of the load beyond the last point
+# Observations are kept in buckets of this width on the logarithm of the load.
+BUCKET_WIDTH = 0.12
+# Observations decay with this time constant.
+CURVE_TIME_CONSTANT = 25 * SECOND
+# Attempts of other zones count in a zone's curve with this weight.
+OTHER_ZONES_SHARE = 0.15
+# A bucket counts from this many attempts (decayed) on.
+MINIMUM_ATTEMPTS = 1.0
+# Beyond the last point of a curve, the miss share rises by this much for each doubling of the load.
+EXTRAPOLATION_SLOPE = 0.6
 
 Point = tuple[float, float]  # load, miss share
-_Pool = tuple[float, float, float]  # load, attempts, missed
+_Pool = tuple[float, float, float]  # load, attempts, missed attempts
 
 
 class MissCurve:
-    """What was observed of one zone: decayed attempts and misses by load."""
+    """The decayed attempts and misses of one zone, by load."""
 
     __slots__ = ("buckets",)
 
     def __init__(self) -> None:
-        self.buckets: dict[int, DecayedTotals] = {}  # by logarithm of the load: attempts, missed
+        # The keys are bucket numbers; the totals are attempts and missed attempts.
+        self.buckets: dict[int, DecayedTotals] = {}
 
     def add(self, now: int, load: float, attempts: float, missed: float) -> None:
-        """Add attempts, and those of them that missed, at a load above 0."""
+        """Add attempts at a load, and the number of them that missed the latency objective.
+
+        Args:
+            now: The time in microseconds.
+            load: The load of the zone; it must be greater than 0.
+            attempts: All attempts.
+            missed: The attempts that missed.
+        """
         bucket = round(log(load) / BUCKET_WIDTH)
-        self.buckets.setdefault(bucket, DecayedTotals(CURVE_SPAN, 2)).add(now, attempts, missed)
+        self.buckets.setdefault(bucket, DecayedTotals(CURVE_TIME_CONSTANT, 2)).add(now, attempts, missed)
 
-    def fit(self, now: int, others: Iterable["MissCurve"]) -> list[Point]:
-        """Points of the fitted curve by rising load; empty where nothing was observed.
+    def fit(self, now: int, other_curves: Iterable["MissCurve"]) -> list[Point]:
+        """Return the points of the fitted curve in the order of the load; empty without observations.
 
-        The curves of other zones count a little.
+        The observations of other zones count with a low weight.
         """
-        totals = self._weighted_totals(now, others)
+        totals = self._weighted_totals(now, other_curves)
         return _convex_hull(_isotonic_fit(totals))
 
-    def _weighted_totals(self, now: int, others: Iterable["MissCurve"]) -> list[_Pool]:
-        weighted = [(self, 1.0), *((other, OTHER_ZONES_SHARE) for other in others)]
+    def _weighted_totals(self, now: int, other_curves: Iterable["MissCurve"]) -> list[_Pool]:
+        weighted_curves = [(self, 1.0), *((other, OTHER_ZONES_SHARE) for other in other_curves)]
         totals: dict[int, list[float]] = {}
-        for curve, weight in weighted:
-            for bucket, decayed in curve.buckets.items():
-                attempts, missed = decayed.read(now)
-                known = totals.setdefault(bucket, [0.0, 0.0])
-                known[0] += weight * attempts
-                known[1] += weight * missed
+        for curve, weight in weighted_curves:
+            for bucket, decayed_totals in curve.buckets.items():
+                attempts, missed = decayed_totals.read(now)
+                bucket_totals = totals.setdefault(bucket, [0.0, 0.0])
+                bucket_totals[0] += weight * attempts
+                bucket_totals[1] += weight * missed
         return [
             (exp(bucket * BUCKET_WIDTH), totals[bucket][0], totals[bucket][1])
             for bucket in sorted(totals)
@@ -58,25 +72,25 @@
         ]
 
 
-def _isotonic_fit(observed: Iterable[_Pool]) -> list[_Pool]:
-    """Pool neighbours until the miss share rises strictly with load."""
+def _isotonic_fit(observations: Iterable[_Pool]) -> list[_Pool]:
+    """Pool adjacent observations until the miss share strictly increases with the load."""
     pools: list[_Pool] = []
-    for pool in observed:
+    for pool in observations:
         pools.append(pool)
         while len(pools) > 1 and pools[-2][2] * pools[-1][1] >= pools[-1][2] * pools[-2][1]:
-            upper = pools.pop()
-            pools[-1] = _merged(pools[-1], upper)
+            upper_pool = pools.pop()
+            pools[-1] = _merge_pools(pools[-1], upper_pool)
     return pools
 
 
-def _merged(lower: _Pool, upper: _Pool) -> _Pool:
-    attempts = lower[1] + upper[1]
-    load = (lower[0] * lower[1] + upper[0] * upper[1]) / attempts
-    return load, attempts, lower[2] + upper[2]
+def _merge_pools(lower_pool: _Pool, upper_pool: _Pool) -> _Pool:
+    attempts = lower_pool[1] + upper_pool[1]
+    load = (lower_pool[0] * lower_pool[1] + upper_pool[0] * upper_pool[1]) / attempts
+    return load, attempts, lower_pool[2] + upper_pool[2]
 
 
 def _convex_hull(pools: Iterable[_Pool]) -> list[Point]:
-    """The lower convex hull of the miss shares, from the origin on, without the origin."""
+    """Return the lower convex hull of the origin and the miss shares, without the origin itself."""
     hull: list[Point] = [(0.0, 0.0)]
     for load, attempts, missed in pools:
         share = missed / attempts
@@ -86,15 +100,21 @@
     return hull[1:]
 
 
-def _is_above(first: Point, middle: Point, load: float, share: float) -> bool:
-    """Whether the middle point lies above the line from the first one to (load, share)."""
-    return (middle[1] - first[1]) * (load - middle[0]) > (share - middle[1]) * (middle[0] - first[0])
+def _is_above(first_point: Point, middle_point: Point, load: float, share: float) -> bool:
+    """Return whether the middle point lies above the line from the first point to (load, share)."""
+    return (middle_point[1] - first_point[1]) * (load - middle_point[0]) > (share - middle_point[1]) * (
+        middle_point[0] - first_point[0]
+    )
 
 
 def read_curve(points: list[Point], load: float) -> float:
-    """The miss share expected at a load, from the points of a fitted curve (at least one).
+    """Return the expected miss share at a load.
+
+    Beyond the last point the curve continues to rise, so that additional load always has a cost.
 
-    Beyond the last point it goes on rising, so that more load is never free.
+    Args:
+        points: The points of a fitted curve, at least one.
+        load: The load.
     """
     load_below = 0.0
     share_below = 0.0
--- a/ravenshelf/policy/partition_shares.py
+++ b/ravenshelf/policy/partition_shares.py
@@ -1,41 +1,55 @@
-"""Partition shares: which of a zone's endpoint partitions carry the requests of each of its tables."""
+"""Partition shares: the endpoint partitions of a zone that carry the requests of each of its tables."""
 
 from collections.abc import Sequence
 
-OVERLOAD_ALLOWANCE = 0.2  # of a partition's even load, over which it carries no more
-MINIMUM_BORROWED_SHARE = 0.02  # of a table's need; for less no line of another partition is worth its cost
-MINIMUM_BORROWED = 1e-6  # of all needs, by which a table borrows where nothing is spare
+# A partition carries at most its even load, increased by this share.
+OVERLOAD_ALLOWANCE = 0.2
+# A table does not borrow less than this share of its demand, because that does not justify the cost of
+# additional lines from another partition.
+MINIMUM_BORROWED_SHARE = 0.02
+# If no partition has spare capacity, a table borrows this share of the total demand at a time.
+MINIMUM_BORROWED = 1e-6
 
 
 def partition_shares(table_demands: Sequence[float], partition_weights: Sequence[float]) -> list[list[float]]:
-    """Shares of each table's requests by partition: first its own partition, then what others can spare.
+    """Return the share of each table's requests that each partition carries.
 
-    `needs` is requests per second by table, `strengths` the weight of endpoints by partition (not all 0);
-    table and partition of one index belong together. Rows (tables) sum to 1.
+    A table uses its own partition first, which is the one with the same index, and then the spare capacity of
+    the others.
+
+    Args:
+        table_demands: The requests per second of each table.
+        partition_weights: The effective weight of the endpoints of each partition; at least one is not 0.
+
+    Returns:
+        One row for each table with one column for each partition. Each row adds up to 1.
     """
-    total_strength = sum(partition_weights)
-    total_need = sum(table_demands) or 1
-    relative_needs = [need / total_need for need in table_demands]
-    spare = [(1 + OVERLOAD_ALLOWANCE) * weight / total_strength for weight in partition_weights]
+    total_weight = sum(partition_weights)
+    total_demand = sum(table_demands) or 1
+    relative_demands = [demand / total_demand for demand in table_demands]
+    spare_shares = [(1 + OVERLOAD_ALLOWANCE) * weight / total_weight for weight in partition_weights]
     rows = []
-    for own, need in enumerate(relative_needs):
-        row = [0.0] * len(spare)
-        row[own] = min(need, spare[own])
-        spare[own] -= row[own]
+    for table, demand in enumerate(relative_demands):
+        row = [0.0] * len(spare_shares)
+        row[table] = min(demand, spare_shares[table])
+        spare_shares[table] -= row[table]
         rows.append(row)
-    for row, need in zip(rows, relative_needs, strict=True):
-        _borrow(row, need, spare)
-    even = [weight / total_strength for weight in partition_weights]
+    for row, demand in zip(rows, relative_demands, strict=True):
+        _borrow(row, demand, spare_shares)
+    even_shares = [weight / total_weight for weight in partition_weights]
     return [
-        [part / sum(row) for part in row] if need else even
-        for row, need in zip(rows, relative_needs, strict=True)
+        [share / sum(row) for share in row] if demand else even_shares
+        for row, demand in zip(rows, relative_demands, strict=True)
     ]
 
 
-def _borrow(row: list[float], need: float, spare: list[float]) -> None:
-    """Cover what a table lacks from the partitions that have most to spare; changes both lists."""
-    while need - sum(row) > MINIMUM_BORROWED_SHARE * need:
-        lender = max(range(len(spare)), key=spare.__getitem__)
-        borrowed = min(need - sum(row), max(spare[lender], MINIMUM_BORROWED))
-        row[lender] += borrowed
-        spare[lender] -= borrowed
+def _borrow(row: list[float], demand: float, spare_shares: list[float]) -> None:
+    """Cover a table's uncovered demand from the partitions with the most spare capacity.
+
+    Both lists are changed in place.
+    """
+    while demand - sum(row) > MINIMUM_BORROWED_SHARE * demand:
+        lender = max(range(len(spare_shares)), key=spare_shares.__getitem__)
+        borrowed_share = min(demand - sum(row), max(spare_shares[lender], MINIMUM_BORROWED))
+        row[lender] += borrowed_share
+        spare_shares[lender] -= borrowed_share
--- a/ravenshelf/policy/partitions.py
+++ b/ravenshelf/policy/partitions.py
@@ -1,6 +1,6 @@
-"""Endpoint partitions: groups of a zone's endpoints with a table of their own, and the lines of these tables.
+"""Endpoint partitions: groups of a zone's endpoints that each have a table, and the lines of these tables.
 
-At full size a proxy would otherwise open connections to dozens of endpoints.
+Without partitions, a proxy in a large zone would open connections to dozens of endpoints.
 """
 
 from collections import Counter
@@ -11,58 +11,68 @@
 from ravenshelf.policy.proxies import Proxy
 from ravenshelf.settings import Settings
 
-MINIMUM_ENDPOINTS = 3  # of a zone, for each partition
-MINIMUM_PROXIES = 6  # of a zone, for each partition
-TABLE_TOTAL = 1000  # the weights of a table add up to this
+# A zone has at least this many endpoints and proxies for each of its partitions.
+MINIMUM_ENDPOINTS = 3
+MINIMUM_PROXIES = 6
+# The weights of a table add up to this.
+TABLE_TOTAL = 1000
 MINIMUM_LINE_WEIGHT = 0.01
 WEIGHT_DECIMALS = 2
 
 
 class Partitions:
-    """`counts` is the number of partitions by zone; it is fixed once a zone has endpoints (before: 0)."""
+    """The partitions of all zones.
+
+    Attributes:
+        counts: The number of partitions of each zone. It is fixed once the zone has endpoints, and 0 before.
+    """
 
     def __init__(self, settings: Settings, zone_count: int, directory: EndpointDirectory):
         self._zone_count = zone_count
         self._directory = directory
-        servers = 1 if settings.service.proxies_join_by_zone else max(1, settings.server_count)
-        self._expected_proxies = settings.service.proxy_count / servers
+        expected_servers = 1 if settings.service.proxies_join_by_zone else max(1, settings.server_count)
+        self._expected_proxies = settings.service.proxy_count / expected_servers
         self.counts = [0] * zone_count
 
     def assign_proxies(self, now: int, proxies: Mapping[int, Proxy]) -> None:
-        """Assign each new proxy to the partition of its zone that has least to carry, heavy proxies first."""
+        """Assign each new proxy to the partition of its zone with the least demand.
+
+        Proxies with the highest nominal rate are assigned first.
+        """
         partition_demand = self.partition_demand(now, proxies)
-        unassigned = [proxy for proxy in proxies.values() if proxy.partition is None]
-        for proxy in sorted(unassigned, key=lambda proxy: -proxy.nominal_rate):
-            of_zone = partition_demand[proxy.zone]
-            proxy.partition = min(range(len(of_zone)), key=of_zone.__getitem__)
-            of_zone[proxy.partition] += proxy.nominal_rate
+        unassigned_proxies = [proxy for proxy in proxies.values() if proxy.partition is None]
+        for proxy in sorted(unassigned_proxies, key=lambda proxy: -proxy.nominal_rate):
+            zone_demand = partition_demand[proxy.zone]
+            proxy.partition = min(range(len(zone_demand)), key=zone_demand.__getitem__)
+            zone_demand[proxy.partition] += proxy.nominal_rate
 
     def partition_demand(self, now: int, proxies: Mapping[int, Proxy]) -> list[list[float]]:
-        """Requests per second by zone and partition.
+        """Return the requests per second by zone and partition.
 
-        Proxies that are still to join count evenly over their zone's partitions.
+        Proxies that are expected but have not joined yet count evenly in the partitions of their zone.
         """
-        expected = max(self._expected_proxies, len(proxies)) / self._zone_count
-        self._fix_counts(expected)
-        joined = Counter(proxy.zone for proxy in proxies.values())
+        expected_proxies = max(self._expected_proxies, len(proxies)) / self._zone_count
+        self._fix_counts(expected_proxies)
+        joined_counts = Counter(proxy.zone for proxy in proxies.values())
         mean_rate = sum(proxy.nominal_rate for proxy in proxies.values()) / max(1, len(proxies))
         partition_demand = []
         for zone, count in enumerate(self.counts):
-            partitions = count or 1
-            missing = max(0, expected - joined[zone])
-            partition_demand.append([missing * mean_rate / partitions] * partitions)
+            partition_count = count or 1
+            missing_proxies = max(0, expected_proxies - joined_counts[zone])
+            partition_demand.append([missing_proxies * mean_rate / partition_count] * partition_count)
         for proxy in proxies.values():
             if proxy.partition is not None:
                 partition_demand[proxy.zone][proxy.partition] += proxy.total_demand(now)
         return partition_demand
 
     def _fix_counts(self, expected_proxies: float) -> None:
-        endpoints = Counter(endpoint.zone for endpoint in self._directory.list_usable())
+        """Set the number of partitions of zones that have endpoints for the first time."""
+        endpoint_counts = Counter(endpoint.zone for endpoint in self._directory.list_usable())
         for zone in range(self._zone_count):
-            if not self.counts[zone] and endpoints[zone]:
-                by_endpoints = endpoints[zone] // MINIMUM_ENDPOINTS
-                by_proxies = expected_proxies // MINIMUM_PROXIES
-                self.counts[zone] = max(1, int(min(by_endpoints, by_proxies)))
+            if not self.counts[zone] and endpoint_counts[zone]:
+                limit_by_endpoints = endpoint_counts[zone] // MINIMUM_ENDPOINTS
+                limit_by_proxies = expected_proxies // MINIMUM_PROXIES
+                self.counts[zone] = max(1, int(min(limit_by_endpoints, limit_by_proxies)))
 
     def planned_tables(
         self,
@@ -70,22 +80,26 @@
         effective_weights: Sequence[Mapping[int, float]],
         partition_demand: Sequence[float],
     ) -> list[dict[int, float]]:
-        """The lines (weight by endpoint) of each table of one zone.
+        """Return the lines (weight by endpoint index) of each table of one zone.
 
-        `spill_shares` is the zone's row, `strengths` by zone and endpoint, `needs` by partition.
+        Args:
+            spill_shares: The share of the zone's demand that each zone serves.
+            effective_weights: The effective weight by endpoint index, for each zone.
+            partition_demand: The requests per second of each partition of the zone.
         """
         tables: list[dict[int, float]] = [{} for _ in partition_demand]
-        for share, of_zone in zip(spill_shares, effective_weights, strict=True):
-            if share <= 0:
+        for spill_share, zone_weights in zip(spill_shares, effective_weights, strict=True):
+            if spill_share <= 0:
                 continue
-            partitions = self._split(of_zone, len(partition_demand))
+            partitions = self._split(zone_weights, len(partition_demand))
             totals = [sum(partition.values()) for partition in partitions]
             if any(totals):
                 for table, row in zip(tables, partition_shares(partition_demand, totals), strict=True):
-                    _add_lines(table, share, row, partitions, totals)
+                    _add_lines(table, spill_share, row, partitions, totals)
         return tables
 
     def _split(self, effective_weights: Mapping[int, float], count: int) -> list[dict[int, float]]:
+        """Divide a zone's endpoints into partitions by their slots."""
         partitions: list[dict[int, float]] = [{} for _ in range(count)]
         for index, effective_weight in effective_weights.items():
             partitions[_slot(self._directory.by_index[index]) % count][index] = effective_weight
@@ -104,10 +118,18 @@
     partitions: Sequence[Mapping[int, float]],
     totals: Sequence[float],
 ) -> None:
-    """Add a zone's endpoints to a table, each partition with its share of the table's requests."""
-    for part, partition, total in zip(row, partitions, totals, strict=True):
-        if part:
-            scale = TABLE_TOTAL * spill_share * part
+    """Add the endpoints of one zone to a table.
+
+    Args:
+        table: The lines, which are changed in place.
+        spill_share: The share of the table's requests that the zone serves.
+        row: The share of these requests that each partition carries.
+        partitions: The effective weight by endpoint index, for each partition of the zone.
+        totals: The sum of the effective weights of each partition.
+    """
+    for partition_share, partition, total in zip(row, partitions, totals, strict=True):
+        if partition_share:
+            scale = TABLE_TOTAL * spill_share * partition_share
             for index, effective_weight in partition.items():
                 weight = round(scale * effective_weight / total, WEIGHT_DECIMALS)
                 table[index] = max(MINIMUM_LINE_WEIGHT, weight)
--- a/ravenshelf/policy/proxies.py
+++ b/ravenshelf/policy/proxies.py
@@ -1,24 +1,30 @@
-"""Proxies: their demand, and the table that each uses."""
+"""Proxies: their demand, and the tables that they use."""
 
 from ravenshelf.policy.decayed_totals import DecayedTotals
 from ravenshelf.policy.events import DemandReport
 from ravenshelf.settings import SECOND
 
-DEMAND_SPAN = 5 * SECOND // 2  # microseconds; on the mean as old as what a window of 5 s holds
-MINIMUM_REPORTED_SECONDS = 0.05  # decayed seconds of reports, for the demand to be known
+# Demand reports decay with this time constant. On average their age is then that of the reports in a window
+# of 5 s.
+DEMAND_TIME_CONSTANT = 5 * SECOND // 2
+# The demand of a proxy is known from this many reported seconds (decayed) on.
+MINIMUM_REPORTED_SECONDS = 0.05
 
 
 class Proxy:
     """One joined proxy.
 
-    `table` is the table it is bound to, `partition` the partition of its zone that it is assigned to; both
-    are None until then. `usual_rate` is requests per second.
+    Attributes:
+        zone: The zone of the proxy.
+        nominal_rate: The requests per second that the proxy announced when it joined.
+        table: The table that the proxy is bound to; None before it is bound.
+        partition: The endpoint partition of its zone that the proxy is assigned to; None before that.
     """
 
     __slots__ = (
         "_demand",
         "_demand_read_at",
-        "_groups",
+        "_group_count",
         "_reports",
         "nominal_rate",
         "partition",
@@ -26,28 +32,29 @@
         "zone",
     )
 
-    def __init__(self, zone: int, nominal_rate: float, groups: int):
+    def __init__(self, zone: int, nominal_rate: float, group_count: int):
         self.zone = zone
         self.nominal_rate = nominal_rate
         self.table: int | None = None
         self.partition: int | None = None
-        self._groups = groups
-        self._reports = DecayedTotals(DEMAND_SPAN, 2 * groups)  # requests by group, then seconds by group
+        self._group_count = group_count
+        # The first half of the totals are requests by traffic group, the second half reported seconds.
+        self._reports = DecayedTotals(DEMAND_TIME_CONSTANT, 2 * group_count)
         self._demand: list[float] | None = None
         self._demand_read_at: int | None = None
 
     def add_report(self, now: int, report: DemandReport) -> None:
-        """Count a demand report of one of the traffic groups; other groups are ignored."""
-        if report.group >= self._groups:
+        """Add a demand report; reports of unknown traffic groups are ignored."""
+        if report.group >= self._group_count:
             return
-        values = [0.0] * (2 * self._groups)
+        values = [0.0] * (2 * self._group_count)
         values[report.group] = max(report.requests, 0)
-        values[self._groups + report.group] = report.window / SECOND
+        values[self._group_count + report.group] = report.window / SECOND
         self._demand_read_at = None
         self._reports.add(now, *values)
 
     def demand(self, now: int) -> list[float] | None:
-        """Requests per second by traffic group; None as long as no report tells."""
+        """Return the requests per second of each traffic group; None as long as too little is reported."""
         if self._demand_read_at != now:
             self._demand_read_at = now
             self._demand = self._read_demand(now)
@@ -55,12 +62,12 @@
 
     def _read_demand(self, now: int) -> list[float] | None:
         totals = self._reports.read(now)
-        # a group without requests is not reported, so the longest time holds for all groups
-        seconds = max(totals[self._groups :], default=0)
+        # A traffic group without requests is not reported, so the longest reported time holds for all groups.
+        seconds = max(totals[self._group_count :], default=0)
         if seconds <= MINIMUM_REPORTED_SECONDS:
             return None
-        return [requests / seconds for requests in totals[: self._groups]]
+        return [requests / seconds for requests in totals[: self._group_count]]
 
     def total_demand(self, now: int) -> float:
-        """Requests per second of all groups: as reported, or else the usual rate."""
+        """Return the requests per second of all traffic groups, or the nominal rate if none are reported."""
         return sum(self.demand(now) or [self.nominal_rate])
--- a/ravenshelf/policy/slow_start.py
+++ b/ravenshelf/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: how much of its capacity an endpoint that has just started is given."""
+"""Slow start: the share of its capacity that an endpoint is used with after it has started."""
 
 from collections.abc import Iterable
 
@@ -6,19 +6,27 @@
 from ravenshelf.policy.service_time import ServiceTimeEstimator
 from ravenshelf.settings import SECOND, WarmUpSettings
 
-MAXIMUM_WARM_UP = 30 * SECOND  # microseconds, also where the settings promise none
-RECOVERY_WINDOW = 10 * SECOND  # microseconds within which the endpoints of a lost zone return
-UNKNOWN_TRAFFIC_FACTOR = 0.25  # of the cold capacity share, while nothing is known of the traffic
-OVERLOAD_MARGIN = 3  # the cold share is not lowered where overload by this over normal is survived
-MINIMUM_OVERLOAD = 0.1  # over normal
-MINIMUM_SUCCESSES = 0.5  # decayed successful attempts, for an endpoint to be known to work
+# Slow start takes at most this time, and exactly this time if the settings promise none.
+MAXIMUM_WARM_UP = 30 * SECOND
+# The endpoints of a lost zone return within this time.
+RECOVERY_WINDOW = 10 * SECOND
+# The cold capacity share is multiplied with this while the service time, and so the traffic, is unknown.
+UNKNOWN_TRAFFIC_FACTOR = 0.25
+# The cold capacity share is reduced unless a cold endpoint survives an overload by this multiple of its
+# capacity. The overload that it survives is the overload multiple of the settings, less 1.
+OVERLOAD_MARGIN = 3
+# An overload of the settings below this counts as this.
+MINIMUM_OVERLOAD = 0.1
+# An endpoint is known to work from this many successful attempts (decayed) on.
+MINIMUM_SUCCESSES = 0.5
 
 
 class SlowStart:
-    """The capacity share of endpoints that warm up.
+    """The capacity shares of endpoints that are warming up.
 
-    `caution` (1 or more) is the factor by which cold endpoints get less than the cold share that the
-    settings promise, where a small overload already fells them.
+    Attributes:
+        cold_share_divisor: The divisor, at least 1, by which the cold capacity share of the settings is
+            reduced because a small overload makes a cold endpoint fail.
     """
 
     def __init__(self, warm_up: WarmUpSettings, service_time: ServiceTimeEstimator):
@@ -29,28 +37,37 @@
         self._service_time = service_time
 
     def capacity_share(self, endpoint: Endpoint, now: int) -> float:
-        """The share of its capacity that an endpoint is given: it rises from the cold share to 1."""
+        """Return the share of its capacity that an endpoint is used with.
+
+        The share rises linearly from the cold capacity share at the endpoint's start to 1.
+        """
         if endpoint.started_at <= 0:
             return 1.0
-        cold = self._cold_share * (1.0 if self._service_time.seconds else UNKNOWN_TRAFFIC_FACTOR)
+        cold_share = self._cold_share * (1.0 if self._service_time.seconds else UNKNOWN_TRAFFIC_FACTOR)
         age = max(0, now - endpoint.started_at)
-        return min(1.0, cold + (1 - cold) * age / self._duration)
+        return min(1.0, cold_share + (1 - cold_share) * age / self._duration)
 
-    def align_returning_zones(self, zones: Iterable[int], usable: list[Endpoint], now: int) -> None:
-        """Have all endpoints of a zone that has just returned count as started with its newest one.
+    def align_returning_zones(self, zones: Iterable[int], usable_endpoints: list[Endpoint], now: int) -> None:
+        """Set the start time of all endpoints of a returning zone to that of its newest endpoint.
 
-        A zone returns piece by piece: not all of it may be listed with its new start yet.
+        The endpoints of a zone return one after another, and some may still be listed with their previous
+        start time.
         """
         for zone in zones:
-            in_zone = [endpoint for endpoint in usable if endpoint.zone == zone]
-            newest = max([endpoint.started_at for endpoint in in_zone], default=0)
-            older = [endpoint for endpoint in in_zone if endpoint.started_at < now - RECOVERY_WINDOW]
-            if newest > now - RECOVERY_WINDOW and self._has_returned(older, len(in_zone), now):
-                for endpoint in older:
-                    endpoint.started_at = newest
-
-    def _has_returned(self, older: list[Endpoint], zone_size: int, now: int) -> bool:
-        if any(endpoint.latency.read(now)[0] > MINIMUM_SUCCESSES for endpoint in older):
+            zone_endpoints = [endpoint for endpoint in usable_endpoints if endpoint.zone == zone]
+            newest_start = max([endpoint.started_at for endpoint in zone_endpoints], default=0)
+            older_endpoints = [
+                endpoint for endpoint in zone_endpoints if endpoint.started_at < now - RECOVERY_WINDOW
+            ]
+            if newest_start > now - RECOVERY_WINDOW and self._has_returned(
+                older_endpoints, len(zone_endpoints), now
+            ):
+                for endpoint in older_endpoints:
+                    endpoint.started_at = newest_start
+
+    def _has_returned(self, older_endpoints: list[Endpoint], zone_size: int, now: int) -> bool:
+        """Return whether a zone has just returned: none of its older endpoints has recently succeeded."""
+        if any(endpoint.latency.read(now)[0] > MINIMUM_SUCCESSES for endpoint in older_endpoints):
             return False
-        # where no endpoint of any zone was reported yet, at least half of this one must have started
-        return self._service_time.has_recent_successes(now) or 2 * len(older) <= zone_size
+        # Without recent reports from any zone, at least half of this zone's endpoints must have started.
+        return self._service_time.has_recent_successes(now) or 2 * len(older_endpoints) <= zone_size
--- a/ravenshelf/policy/spill_planning.py
+++ b/ravenshelf/policy/spill_planning.py
@@ -1,17 +1,26 @@
-"""Spill planning: learns the zones' miss curves, and solves for the spill shares by them."""
+"""Spill planning: the miss curves of all zones, and the spill shares that the solver computes from them."""
 
 from collections.abc import Sequence
 
 from ravenshelf.policy.miss_curves import MissCurve, Point
 from ravenshelf.policy.spill_solver import solve_spill
 
-COLD_ZONE_LOAD = 1.2  # over the mean load: all that a zone without a curve takes while one is cold
-COLD_ZONE_CAPACITY = 0.7  # of the listed weight: a zone with less capacity is cold
-SPILLING_SHARE = 0.9  # of its demand: a zone that serves less of it counts as spilling
+# While any zone is cold, a zone without a miss curve accepts this multiple of the mean load.
+COLD_ZONE_LOAD = 1.2
+# A zone is cold if its capacity is less than this share of its listed weight.
+COLD_ZONE_CAPACITY = 0.7
+# A zone that serves less than this share of its own demand counts as spilling.
+SPILLING_SHARE = 0.9
 
 
 class SpillPlanner:
-    """`shares[sender][zone]` are the spill shares, `loads` demand over capacity by zone that carries any."""
+    """The miss curves of all zones and the current spill shares.
+
+    Attributes:
+        curves: The miss curve of each zone.
+        shares: `shares[sender][zone]` is the share of the sender's demand that the zone serves.
+        loads: Demand over capacity of each zone that serves any demand.
+    """
 
     def __init__(self, zone_count: int):
         self._zones = range(zone_count)
@@ -27,23 +36,30 @@
         listed_weight: Sequence[float],
         load_factors: Sequence[Sequence[float]],
     ) -> None:
-        """Solve anew for demand (requests per second), capacity and listed weight by zone.
+        """Solve for the spill shares, and update the loads that follow from them.
 
-        See `solve_spill` for `stretch`.
+        Args:
+            now: The time in microseconds.
+            demand: The requests per second of each zone.
+            capacity: The weight that the endpoints of each zone can carry now.
+            listed_weight: The listed weight of the endpoints of each zone.
+            load_factors: The factors on the load for the latency between zones; see `solve_spill`.
         """
-        unknown = self._curve_while_cold(demand, capacity, listed_weight)
-        fitted = [self._fit(now, curve) or unknown for curve in self.curves]
-        self.shares = solve_spill(demand, capacity, fitted, load_factors)
-        loads = [
+        default_curve = self._curve_while_cold(demand, capacity, listed_weight)
+        fitted_curves = [self._fit(now, curve) or default_curve for curve in self.curves]
+        self.shares = solve_spill(demand, capacity, fitted_curves, load_factors)
+        zone_loads = [
             sum(requests * row[zone] for requests, row in zip(demand, self.shares, strict=True))
             for zone in self._zones
         ]
         self.loads = {
-            zone: load / capacity[zone] for zone, load in enumerate(loads) if capacity[zone] > 0 and load > 0
+            zone: load / capacity[zone]
+            for zone, load in enumerate(zone_loads)
+            if capacity[zone] > 0 and load > 0
         }
 
     def spilling_zones(self, demand: Sequence[float]) -> list[int]:
-        """The zones with demand that leave much of it to other zones."""
+        """Return the zones with demand of which other zones serve a considerable share."""
         return [zone for zone in self._zones if demand[zone] and self.shares[zone][zone] < SPILLING_SHARE]
 
     def _fit(self, now: int, curve: MissCurve) -> list[Point]:
@@ -52,10 +68,14 @@
     def _curve_while_cold(
         self, demand: Sequence[float], capacity: Sequence[float], listed_weight: Sequence[float]
     ) -> list[Point] | None:
-        """A curve for zones without one: a zone that is cold, as after a restart, keeps about mean load."""
+        """Return the curve to assume for zones without observations while any zone is cold.
+
+        With this curve a zone that is cold, for example after a restart, serves about the mean load. None
+        means that no zone is cold.
+        """
         is_cold = any(
-            0 < present < COLD_ZONE_CAPACITY * listed
-            for present, listed in zip(capacity, listed_weight, strict=True)
+            0 < zone_capacity < COLD_ZONE_CAPACITY * zone_listed_weight
+            for zone_capacity, zone_listed_weight in zip(capacity, listed_weight, strict=True)
         )
         if not is_cold or not sum(demand):
             return None
--- a/ravenshelf/policy/urgency.py
+++ b/ravenshelf/policy/urgency.py
@@ -1,10 +1,15 @@
-"""How urgent a change is: the more urgent, the more of the control channel's capacity it may use.
+"""The urgency of a change: the higher it is, the more of the control channel's capacity the change may use.
 
-Urgencies are small integers, used as an index into the limits of `flow_control`.
+Urgencies are small integers that index the limits of `flow_control`.
 """
 
-ORDINARY = 0  # drifting weights; a later control cycle may decide them anew
-URGENT = 1  # an endpoint has come, a level has changed
-ENDPOINT_LOSS = 2  # an endpoint has left, drains or has restarted
-JOINING = 3  # the first table of a proxy
-WITHDRAWAL = 4  # an endpoint must not be used any more
+# Weights drift; a later control cycle may decide them anew.
+ORDINARY = 0
+# An endpoint has been added, or an admission level has changed.
+URGENT = 1
+# An endpoint has left, is draining or has restarted.
+ENDPOINT_LOSS = 2
+# A proxy gets its first table.
+JOINING = 3
+# An endpoint must not be used any more.
+WITHDRAWAL = 4
--- a/ravenshelf/policy/water_filling.py
+++ b/ravenshelf/policy/water_filling.py
@@ -4,15 +4,22 @@
 
 
 def water_filling_level(demands: Sequence[float], budget: float) -> float | None:
-    """The level at which the budget is admitted over all proxies, each admitting its demand up to the level.
+    """Return the level at which all proxies together admit the budget.
 
-    `demands` and `budget` are requests per second. None: the budget covers all demand.
+    Each proxy admits its demand up to the level.
+
+    Args:
+        demands: The requests per second of each proxy.
+        budget: The requests per second to admit over all proxies.
+
+    Returns:
+        The level in requests per second; None if the budget covers the whole demand.
     """
-    left = budget
-    ascending = sorted(demands)
-    for position, demand in enumerate(ascending):
-        proxies_left = len(ascending) - position
-        if demand * proxies_left >= left:
-            return max(0.0, left / proxies_left)
-        left -= demand
+    remaining_budget = budget
+    sorted_demands = sorted(demands)
+    for position, demand in enumerate(sorted_demands):
+        remaining_proxies = len(sorted_demands) - position
+        if demand * remaining_proxies >= remaining_budget:
+            return max(0.0, remaining_budget / remaining_proxies)
+        remaining_budget -= demand
     return None
--- a/ravenshelf/policy/weight_tables.py
+++ b/ravenshelf/policy/weight_tables.py
@@ -1,7 +1,7 @@
-"""Weight tables: what each holds, who uses it, and how changes are written within the channel's limits.
+"""Weight tables: their lines and users, and the writing of changes within the limits of the control channel.
 
-A place is a zone and a partition. It has two tables, numbered `table` and `table ^ 1`: proxies are led to
-the current one, and a staged rollout makes the other one current.
+Each partition of a zone has two tables, numbered `table` and `table ^ 1`. Proxies are bound to the current
+one of the two. A staged rollout writes the other table, which then becomes the current one.
 """
 
 from __future__ import annotations
@@ -16,27 +16,43 @@
 from ravenshelf.policy.slow_start import SlowStart
 from ravenshelf.policy.urgency import ORDINARY, URGENT, WITHDRAWAL
 
-if TYPE_CHECKING:  # it only names types: a simulated server starts without it
+if TYPE_CHECKING:  # Imported for annotations only, so that a simulated server starts without loading it.
     from ravenshelf.policy.commands import CommandWriter
 
-UNLIMITED_LEVEL = 1e6  # an admission level that sheds nothing
-RETRY_MODE = 1  # of the wire: only after proof that the first attempt never ran
-MINIMUM_LEVEL_CHANGE = 0.1  # of the lesser of two admission levels
-MINIMUM_LINE_CHANGE = 0.15  # of the greater of two weights, in a table that is in use
-MINIMUM_TABLE_CHANGE = 0.08  # of a table's weight that must have moved for a staged rollout
-TABLE_TOTAL = 1000  # the weights of a table add up to this
-DOMINANT_LINE_FACTOR = 2  # requests that the greatest line refuses are tried again at the others
+# An admission level this high sheds no load.
+UNLIMITED_LEVEL = 1e6
+# This retry mode of the wire permits a retry only if the first attempt is proved never to have run.
+RETRY_MODE = 1
+# A level is rewritten if it changes by more than this share of the lower of the old and the new level.
+MINIMUM_LEVEL_CHANGE = 0.1
+# A line of a table that is in use is rewritten if it changes by more than this share of the greater of the
+# old and the new weight.
+MINIMUM_LINE_CHANGE = 0.15
+# A staged rollout begins if at least this share of a table's weight moves between endpoints.
+MINIMUM_TABLE_CHANGE = 0.08
+# The weights of a table add up to this.
+TABLE_TOTAL = 1000
+# Requests that the endpoint with the greatest weight rejects are retried at the others, which together may
+# then receive this multiple of their weight.
+DOMINANT_LINE_FACTOR = 2
 
 PartitionKey = tuple[int, int]  # zone, partition
 Lines = dict[int, float]  # weight by endpoint
 
 
 class WeightTables:
-    """The state of all tables, and the writing of changes.
+    """The state of all tables, and the commands that change them.
 
-    `proxies` are the joined proxies by index. By table: `lines`, `levels` (admission level by traffic group),
-    `written_at` (time), `users` (proxies in the order of binding; table None: not bound yet). `current` is
-    the table by place. `deferred` holds tables that did not fit into the channel, with their urgency.
+    Attributes:
+        channel: Flow control of the control channel.
+        proxies: The joined proxies, by index.
+        lines: The written lines (weight by endpoint index) of each table.
+        levels: The written admission levels (level by traffic group) of each table.
+        written_at: When each table was last written, in microseconds.
+        proxies_by_table: The proxies that use each table, in the order in which they were bound. The key None
+            holds the proxies that are not bound to a table yet.
+        current_tables: The current table of each partition.
+        deferred_tables: The tables whose changes did not fit into the channel, with their urgency.
     """
 
     def __init__(
@@ -46,8 +62,19 @@
         slow_start: SlowStart,
         overload_multiple: float,
         zone_count: int,
-        groups: int,
+        group_count: int,
     ):
+        """Create the state without proxies and tables.
+
+        Args:
+            channel: Flow control of the control channel.
+            directory: All endpoints.
+            slow_start: The capacity shares of endpoints that are warming up.
+            overload_multiple: The load, relative to its present capacity, at which an endpoint that is
+                warming up fails.
+            zone_count: The number of zones.
+            group_count: The number of traffic groups.
+        """
         self.channel = channel
         self.proxies: dict[int, Proxy] = {}
         self.lines: dict[int, Lines] = {}
@@ -59,34 +86,41 @@
         self._directory = directory
         self._slow_start = slow_start
         self._zone_count = zone_count
-        self._groups = groups
-        # a cold line may carry this multiple of its plan: half of the load that fells it
+        self._group_count = group_count
+        # While a table is deferred, a cold line may receive this multiple of its planned share, which is half
+        # of the load at which the endpoint fails.
         self._tolerated_multiple = max(1.0, overload_multiple / 2)
 
     def add_proxy(self, index: int, proxy: Proxy) -> None:
-        """A proxy has joined; it uses no table yet."""
+        """Add a proxy that has joined; it is not bound to a table yet."""
         self.proxies[index] = proxy
         self.proxies_by_table[None][index] = None
 
     def remove_proxy(self, index: int) -> None:
-        """A proxy has left; others are ignored."""
+        """Remove a proxy that has left; unknown proxies are ignored."""
         proxy = self.proxies.pop(index, None)
         if proxy is not None:
             del self.proxies_by_table[proxy.table][index]
 
     def current_table(self, proxy: Proxy) -> int | None:
-        """The table that a proxy should use; None as long as its place has none."""
+        """Return the table that a proxy should use; None as long as its partition has none."""
         if proxy.partition is None:
             return None
         return self.current_tables.get((proxy.zone, proxy.partition))
 
     def last_written_at(self, partition_key: PartitionKey) -> int:
-        """When a place's current table was written; 0: never."""
+        """Return when a partition's current table was written, in microseconds; 0: never."""
         table = self.current_tables.get(partition_key)
         return self.written_at.get(table, 0) if table is not None else 0
 
     def bind(self, index: int, table: int | None, writer: CommandWriter, urgency: int) -> bool:
-        """Have a proxy use a table; gives whether it fits and the table has a line."""
+        """Bind a proxy to a table if the table has lines and the channel has capacity for them.
+
+        The charge includes the table's admission levels and the ejections of endpoints in it.
+
+        Returns:
+            Whether the proxy was bound.
+        """
         lines = self.lines.get(table) if table is not None else None
         if table is None or not lines:
             return False
@@ -106,36 +140,50 @@
         self,
         now: int,
         partition_key: PartitionKey,
-        lines: Lines,
+        planned_lines: Lines,
         levels: Mapping[int, float],
         writer: CommandWriter,
         urgency: int,
         selected_tables: Collection[int],
     ) -> None:
-        """Bring a place's tables to planned lines.
+        """Bring the tables of a partition to planned lines.
+
+        With an urgency other than `ORDINARY`, and for a partition whose current table has no lines, the
+        tables that are in use change in place. Otherwise a staged rollout begins, unless too little weight
+        moves or a rollout is under way.
 
-        With an urgency, or for a place without lines, the tables in use change in place (only those of
-        `only`, where it is not empty). Else a staged rollout begins, if enough has moved and none is under
-        way.
+        Args:
+            now: The time in microseconds.
+            partition_key: The zone and the partition.
+            planned_lines: The lines of the partition's table.
+            levels: The admission levels by traffic group, for a table that a rollout begins to use.
+            writer: The receiver of the commands.
+            urgency: The urgency of the change.
+            selected_tables: The only tables that may change in place, unless it is empty.
         """
         table = self.current_tables.setdefault(
             partition_key, 2 * (partition_key[0] + self._zone_count * partition_key[1])
         )
-        other = table ^ 1
-        known = self.lines.get(table)
-        if urgency or not known:
-            for changed in (table, other) if self.proxies_by_table[other] else (table,):
-                if not selected_tables or changed in selected_tables:
-                    self.write(now, changed, lines, writer, urgency or URGENT)
-        elif not self.proxies_by_table[other] and _moved_share(known, lines) >= MINIMUM_TABLE_CHANGE:
-            self._begin_rollout(now, partition_key, other, lines, levels, writer)
+        alternate_table = table ^ 1
+        written_lines = self.lines.get(table)
+        if urgency or not written_lines:
+            for changed_table in (
+                (table, alternate_table) if self.proxies_by_table[alternate_table] else (table,)
+            ):
+                if not selected_tables or changed_table in selected_tables:
+                    self.write(now, changed_table, planned_lines, writer, urgency or URGENT)
+        elif (
+            not self.proxies_by_table[alternate_table]
+            and _moved_share(written_lines, planned_lines) >= MINIMUM_TABLE_CHANGE
+        ):
+            self._begin_rollout(now, partition_key, alternate_table, planned_lines, levels, writer)
 
     def _begin_rollout(
         self,
         now: int,
         partition_key: PartitionKey,
         table: int,
-        lines: Lines,
+        planned_lines: Lines,
         levels: Mapping[int, float],
         writer: CommandWriter,
     ) -> None:
@@ -143,93 +191,117 @@
         self.lines[table] = {}
         self.levels[table] = {}
         self.write_levels(table, levels, writer)
-        self.write(now, table, lines, writer, ORDINARY)
+        self.write(now, table, planned_lines, writer, ORDINARY)
         self.current_tables[partition_key] = table
 
-    def write(self, now: int, table: int, lines: Lines, writer: CommandWriter, urgency: int) -> None:
-        """Change a table to planned lines (at least one), charging every proxy that uses it.
+    def write(self, now: int, table: int, planned_lines: Lines, writer: CommandWriter, urgency: int) -> None:
+        """Change a table to planned lines, and charge the change for every proxy that uses the table.
 
-        Where this does not fit the table is deferred, except for cold lines that would get too much
-        meanwhile: these leave at once. A table is never empty in between.
+        If the channel has no capacity for the change, the table is deferred. Only cold lines that would be
+        overloaded in the meantime are then removed at once. The table is never empty in between.
+
+        Args:
+            now: The time in microseconds.
+            table: The table.
+            planned_lines: The planned lines, at least one.
+            writer: The receiver of the commands.
+            urgency: The urgency of the change.
         """
-        known = self.lines.setdefault(table, {})
-        users = self.proxies_by_table[table]
-        changes = _changed_lines(known, lines, MINIMUM_LINE_CHANGE if users else 0.0)
-        if users and not self.channel.has_capacity(len(changes), users, urgency):
+        written_lines = self.lines.setdefault(table, {})
+        table_proxies = self.proxies_by_table[table]
+        changes = _changed_lines(written_lines, planned_lines, MINIMUM_LINE_CHANGE if table_proxies else 0.0)
+        if table_proxies and not self.channel.has_capacity(len(changes), table_proxies, urgency):
             self.deferred_tables[table] = max(self.deferred_tables.get(table, ORDINARY), urgency)
-            changes = self._changes_while_deferred(now, known, lines, changes)
-            if not changes or not self.channel.has_capacity(len(changes), users, WITHDRAWAL):
+            changes = self._changes_while_deferred(now, written_lines, planned_lines, changes)
+            if not changes or not self.channel.has_capacity(len(changes), table_proxies, WITHDRAWAL):
                 return
         for endpoint, weight in changes:
             writer.set_weight(table, endpoint, weight)
-            known[endpoint] = weight
-        self.lines[table] = {endpoint: weight for endpoint, weight in known.items() if weight}
+            written_lines[endpoint] = weight
+        self.lines[table] = {endpoint: weight for endpoint, weight in written_lines.items() if weight}
         self.written_at[table] = now
-        self.channel.charge(users if changes else (), len(changes))
+        self.channel.charge(table_proxies if changes else (), len(changes))
 
     def _changes_while_deferred(
-        self, now: int, known: Lines, lines: Lines, changes: list[tuple[int, float]]
+        self, now: int, written_lines: Lines, planned_lines: Lines, changes: list[tuple[int, float]]
     ) -> list[tuple[int, float]]:
-        """The overloaded cold lines leave; where there are no others the table is written completely."""
-        open_lines = {
+        """Return the changes that cannot wait: the removal of overloaded cold lines.
+
+        If the table has no other usable lines, all its changes are returned.
+        """
+        usable_lines = {
             endpoint: weight
-            for endpoint, weight in known.items()
+            for endpoint, weight in written_lines.items()
             if self._directory.is_usable(self._directory.by_index[endpoint])
         }
-        overloaded = self._overloaded_cold_lines(now, open_lines, lines)
-        if len(overloaded) < len(open_lines):
-            return [(endpoint, 0.0) for endpoint in overloaded]
+        overloaded_lines = self._overloaded_cold_lines(now, usable_lines, planned_lines)
+        if len(overloaded_lines) < len(usable_lines):
+            return [(endpoint, 0.0) for endpoint in overloaded_lines]
         return changes
 
-    def _overloaded_cold_lines(self, now: int, open_lines: Lines, planned: Lines) -> set[int]:
-        """Cold lines far over their plan, once the share of lines that are not open falls to the others.
+    def _overloaded_cold_lines(self, now: int, usable_lines: Lines, planned_lines: Lines) -> set[int]:
+        """Return the cold lines whose load would far exceed their planned share.
 
-        The share of the greatest line may fall to the others as well.
+        The requests of lines that are not usable are sent to the others. The endpoint with the greatest
+        weight may reject requests, which are then sent to the others as well.
         """
-        open_total = sum(open_lines.values())
-        planned_total = sum(planned.values())
-        without_greatest = DOMINANT_LINE_FACTOR * (open_total - max(open_lines.values(), default=0.0))
-        multiple = self._tolerated_multiple * min(open_total, without_greatest) / planned_total
-        even = planned_total / len(planned)
-        overloaded = set()
-        for endpoint, weight in open_lines.items():
+        usable_total = sum(usable_lines.values())
+        planned_total = sum(planned_lines.values())
+        total_without_greatest = DOMINANT_LINE_FACTOR * (
+            usable_total - max(usable_lines.values(), default=0.0)
+        )
+        multiple = self._tolerated_multiple * min(usable_total, total_without_greatest) / planned_total
+        even_weight = planned_total / len(planned_lines)
+        overloaded_lines = set()
+        for endpoint, weight in usable_lines.items():
             share = self._slow_start.capacity_share(self._directory.by_index[endpoint], now)
-            due = max(planned.get(endpoint, 0.0), even * share)
-            if share < 1 and weight > multiple * due:
-                overloaded.add(endpoint)
-        return overloaded
+            planned_weight = max(planned_lines.get(endpoint, 0.0), even_weight * share)
+            if share < 1 and weight > multiple * planned_weight:
+                overloaded_lines.add(endpoint)
+        return overloaded_lines
 
     def write_levels(self, table: int, levels: Mapping[int, float], writer: CommandWriter) -> None:
-        """Set a table's admission levels by traffic group, as far as they moved and fit into the channel.
+        """Set a table's admission levels that have changed enough, as far as the channel has capacity.
 
-        A group that is not named admits everything.
+        Args:
+            table: The table.
+            levels: The admission level by traffic group; all requests of other groups are admitted.
+            writer: The receiver of the commands.
         """
-        known = self.levels.setdefault(table, {})
-        users = self.proxies_by_table[table]
-        for group in range(self._groups):
-            old = known.get(group, UNLIMITED_LEVEL)
-            new = levels.get(group, UNLIMITED_LEVEL)
-            if abs(old - new) > MINIMUM_LEVEL_CHANGE * min(old, new):
-                if users and not self.channel.has_capacity(1, users, URGENT):
+        written_levels = self.levels.setdefault(table, {})
+        table_proxies = self.proxies_by_table[table]
+        for group in range(self._group_count):
+            old_level = written_levels.get(group, UNLIMITED_LEVEL)
+            new_level = levels.get(group, UNLIMITED_LEVEL)
+            if abs(old_level - new_level) > MINIMUM_LEVEL_CHANGE * min(old_level, new_level):
+                if table_proxies and not self.channel.has_capacity(1, table_proxies, URGENT):
                     return
-                writer.set_admission_level(table, 1 << group, new, RETRY_MODE)
-                self.channel.charge(users, 1)
-                known[group] = new
+                writer.set_admission_level(table, 1 << group, new_level, RETRY_MODE)
+                self.channel.charge(table_proxies, 1)
+                written_levels[group] = new_level
+
 
+def _changed_lines(
+    written_lines: Lines, planned_lines: Lines, minimum_change: float
+) -> list[tuple[int, float]]:
+    """Return the lines to write: those that change by more than a share of their weight, then removals.
 
-def _changed_lines(known: Lines, lines: Lines, least: float) -> list[tuple[int, float]]:
-    """Lines that have moved by more than a share, then those that leave: so the table always has a line."""
+    Removals come last, so that the table always has a line.
+    """
     changes = [
         (endpoint, weight)
-        for endpoint, weight in lines.items()
-        if abs(known.get(endpoint, 0) - weight) > least * max(known.get(endpoint, 0), weight)
+        for endpoint, weight in planned_lines.items()
+        if abs(written_lines.get(endpoint, 0) - weight)
+        > minimum_change * max(written_lines.get(endpoint, 0), weight)
     ]
-    changes += [(endpoint, 0.0) for endpoint in known if endpoint not in lines]
+    changes += [(endpoint, 0.0) for endpoint in written_lines if endpoint not in planned_lines]
     return changes
 
 
-def _moved_share(known: Lines, lines: Lines) -> float:
-    """The share of a table's weight that moves between endpoints."""
-    endpoints = set(lines) | set(known)
-    moved = sum(abs(lines.get(endpoint, 0) - known.get(endpoint, 0)) for endpoint in endpoints)
-    return moved / (2 * TABLE_TOTAL)
+def _moved_share(written_lines: Lines, planned_lines: Lines) -> float:
+    """Return the share of a table's weight that moves between endpoints."""
+    endpoints = set(planned_lines) | set(written_lines)
+    moved_weight = sum(
+        abs(planned_lines.get(endpoint, 0) - written_lines.get(endpoint, 0)) for endpoint in endpoints
+    )
+    return moved_weight / (2 * TABLE_TOTAL)
--- a/ravenshelf/settings.py
+++ b/ravenshelf/settings.py
@@ -1,8 +1,7 @@
-"""The settings of a deployment as typed values: the one place where their JSON keys are known.
+"""The settings of a deployment as typed values, and the only module that knows their JSON keys.
 
 The JSON object comes from the simulator's first message or from a server's configuration file. Keys may be
-written with hyphens or underscores; a key that is not known is ignored, and one that is absent or null has
-its default.
+written with hyphens or underscores. An unknown key is ignored; a key that is absent or null has its default.
 """
 
 from collections.abc import Mapping
@@ -16,15 +15,17 @@
 
 
 class SettingsError(RavenshelfError):
-    """A value of the settings cannot be used.
+    """A value of the settings that cannot be used.
 
-    `path` names the key ("classes[1].objective-ms"), `expected` says what may stand there, `found` is the
-    value.
+    Attributes:
+        path: The path of the key, such as "classes[1].objective-ms".
+        expected: A description of the valid values.
+        value: The invalid value.
     """
 
-    def __init__(self, path: str, expected: str, found: object):
-        super().__init__(f"{path}: expected {expected}, not {str(found)[:60]!r}")
-        self.path, self.expected, self.found = path, expected, found
+    def __init__(self, path: str, expected: str, value: object):
+        super().__init__(f"{path}: expected {expected}, found {str(value)[:60]!r}")
+        self.path, self.expected, self.value = path, expected, value
 
 
 class Idempotency(Enum):
@@ -36,7 +37,15 @@
 
 
 class TrafficGroup(NamedTuple):
-    """A class of requests (`classes`)."""
+    """A class of requests (an entry of `classes`).
+
+    Attributes:
+        name: The name of the traffic group.
+        priority_weight: The priority weight; load of groups with a lower weight is shed first.
+        latency_objective_us: The latency objective in microseconds; None: not stated.
+        deadline_us: The deadline in microseconds; 0: not stated.
+        idempotency: Whether its requests may be attempted more than once.
+    """
 
     name: str = ""
     priority_weight: float = 1.0
@@ -46,38 +55,74 @@
 
 
 class ServiceSettings(NamedTuple):
-    """Facts about the proxies and the control channel of a deployment (`family-info`)."""
+    """The proxies and the control channel of a deployment (`family-info`).
+
+    Attributes:
+        proxy_count: The number of proxies across all control-plane servers.
+        proxies_join_by_zone: Whether all proxies of a zone join the same control-plane server.
+        lines_per_second: The nominal rate of the control channel; None: unlimited.
+        message_overhead_lines: The lines that each message counts for in addition to its own; None: not
+            stated.
+        queue_limit_lines: The queue limit of the control channel in lines; None: unlimited.
+        messages_per_proxy_limit: The messages that a proxy may get within `message_count_window_us`; 0:
+            unlimited.
+        message_count_window_us: The window over which messages are counted, in microseconds.
+        longest_delivery_us: The longest time in microseconds that the delivery of a message takes, in
+            addition to its time in the queue.
+        admission_level_kind: The unit of admission levels: "fraction", "per_second" or "none".
+        outlier_after_failures: The consecutive failures after which a proxy ejects an endpoint as an outlier
+            by itself; 0: never.
+    """
 
-    proxy_count: int = 0  # across all control-plane servers
+    proxy_count: int = 0
     proxies_join_by_zone: bool = False
-    lines_per_second: float | None = None  # the channel's usual pace; None: unlimited
-    message_overhead_lines: float | None = None  # None: not said
-    queue_limit_lines: float | None = None  # None: unlimited
-    messages_per_proxy_limit: int = 0  # within `message_count_window_us`; 0: unlimited
+    lines_per_second: float | None = None
+    message_overhead_lines: float | None = None
+    queue_limit_lines: float | None = None
+    messages_per_proxy_limit: int = 0
     message_count_window_us: int = 10 * SECOND
     longest_delivery_us: int = SECOND
-    admission_level_kind: str | None = None  # "fraction", "per_second" or "none"
-    outlier_after_failures: int = 0  # consecutive failures after which a proxy avoids an endpoint; 0: never
+    admission_level_kind: str | None = None
+    outlier_after_failures: int = 0
 
 
 class WarmUpSettings(NamedTuple):
-    """What is promised of endpoints that have just started, and of those that leave (`rules`)."""
+    """The properties of endpoints that have just started, and of those that leave (`rules`).
+
+    Attributes:
+        cold_capacity_share: The share of its full capacity that an endpoint starts with.
+        warm_after_us: The microseconds after which an endpoint has its full capacity; None: not stated.
+        overload_multiple: The load, relative to its present capacity, at which an endpoint that is warming up
+            fails.
+        removal_is_not_binding: Whether endpoints that are no longer listed may still be used for a time.
+    """
 
     cold_capacity_share: float = 0.2
     warm_after_us: int | None = None
-    overload_multiple: float = 4.0  # load over present capacity that fells an endpoint that warms up
+    overload_multiple: float = 4.0
     removal_is_not_binding: bool = False
 
 
 class TelemetrySettings(NamedTuple):
-    """Load reports (`telemetry`)."""
+    """The load that endpoints report (`telemetry`).
+
+    Attributes:
+        source: Where the load comes from: "answers", "probe" or "none".
+        columns: The names of the reported values, in the order of their columns.
+    """
 
-    source: str = "none"  # "answers", "probe" or "none"
+    source: str = "none"
     columns: tuple[str, ...] = ()
 
 
 class LimitSettings(NamedTuple):
-    """What the deployment allows (`limits`)."""
+    """The actions that the deployment allows (`limits`).
+
+    Attributes:
+        health_checks_allowed: Whether control-plane servers may send health checks.
+        dial_timeout_us: The timeout for opening a connection in microseconds; None: not stated.
+        peer_messages_allowed: Whether control-plane servers may send each other messages.
+    """
 
     health_checks_allowed: bool = False
     dial_timeout_us: int | None = None
@@ -85,14 +130,28 @@
 
 
 class Settings(NamedTuple):
-    """All settings of a deployment."""
+    """All settings of a deployment.
+
+    Attributes:
+        zones: The names of the zones.
+        machine_kinds: The names of the machine kinds.
+        traffic_groups: The traffic groups.
+        server_count: The number of control-plane servers.
+        discovery: How endpoint lists arrive: "pushed" or "on_request".
+        weight_kind: The meaning of listed weights; "none": they have none.
+        tick_us: The interval between control cycles in microseconds; None: not stated.
+        service: The proxies and the control channel.
+        warm_up: The properties of endpoints that have just started.
+        telemetry: The load that endpoints report.
+        limits: The actions that are allowed.
+    """
 
     zones: tuple[str, ...] = ()
     machine_kinds: tuple[str, ...] = ()
     traffic_groups: tuple[TrafficGroup, ...] = ()
-    server_count: int = 1  # control-plane servers
-    discovery: str = ""  # "pushed" or "on_request"
-    weight_kind: str = ""  # what listed weights mean; "none": nothing
+    server_count: int = 1
+    discovery: str = ""
+    weight_kind: str = ""
     tick_us: int | None = None
     service: ServiceSettings = ServiceSettings()
     warm_up: WarmUpSettings = WarmUpSettings()
@@ -101,13 +160,16 @@
 
 
 class _Section:
-    """One JSON object of the settings, read key by key."""
+    """One JSON object of the settings, whose keys are read one by one.
+
+    Every method raises `SettingsError` if the value of the key has the wrong type.
+    """
 
     def __init__(self, path: str, value: object):
         if not isinstance(value, Mapping):
             raise SettingsError(path or "settings", "an object", value)
         self._path = path
-        self._values = {str(key).replace("-", "_"): found for key, found in value.items()}
+        self._values = {str(key).replace("-", "_"): item for key, item in value.items()}
 
     def _path_of(self, key: str) -> str:
         return f"{self._path}.{key}" if self._path else key
@@ -116,7 +178,7 @@
         return self._values.get(key.replace("-", "_"))
 
     def number(self, key: str, default: float | None) -> float | None:
-        """A number, or `default` where the key is absent or null."""
+        """Return a number, or the default if the key is absent or null."""
         value = self._value(key)
         if value is None:
             return default
@@ -125,20 +187,20 @@
         return value
 
     def integer(self, key: str, default: int) -> int:
-        """A number without its fraction."""
+        """Return a number without its fraction, or the default if the key is absent or null."""
         return int(self.number(key, default) or 0)
 
     def microseconds(self, key: str, default: int | None) -> int | None:
-        """A key in milliseconds, as whole microseconds."""
+        """Return a value in milliseconds as whole microseconds, or the default."""
         value = self.number(key, None)
         return default if value is None else round(value * MICROSECONDS_PER_MILLISECOND)
 
     def flag(self, key: str) -> bool:
-        """Whether the value is true; false where the key is absent."""
+        """Return whether the value is true; an absent key is false."""
         return bool(self._value(key))
 
     def text(self, key: str, default: str) -> str:
-        """A text, or `default` where the key is absent or null."""
+        """Return a text, or the default if the key is absent or null."""
         value = self._value(key)
         if value is None:
             return default
@@ -147,28 +209,29 @@
         return value
 
     def items(self, key: str) -> list[tuple[str, Any]]:
-        """The items of a list, each with its path."""
+        """Return the items of a list, each with its path; an absent list is empty."""
         value = self._value(key)
         if value is None:
             return []
         if not isinstance(value, list):
             raise SettingsError(self._path_of(key), "a list", value)
-        return [(f"{self._path_of(key)}[{number}]", item) for number, item in enumerate(value)]
+        return [(f"{self._path_of(key)}[{index}]", item) for index, item in enumerate(value)]
 
     def texts(self, key: str) -> tuple[str, ...]:
-        """The items of a list as texts."""
+        """Return the items of a list as texts."""
         return tuple(str(item) for _, item in self.items(key))
 
     def section(self, key: str) -> "_Section":
-        """The object under a key; an empty one where the key is absent or null."""
+        """Return the object under a key, or an empty one if the key is absent or null."""
         value = self._value(key)
         return _Section(self._path_of(key), {} if value is None else value)
 
 
 def decode_settings(raw: object) -> Settings:
-    """Read the settings' JSON object.
+    """Decode the JSON object of the settings.
 
-    Raises `SettingsError` for the first value that cannot be used.
+    Raises:
+        SettingsError: A value cannot be used; this is the first such value.
     """
     root = _Section("", raw)
     return Settings(
@@ -188,13 +251,13 @@
 
 def _decode_group(section: _Section) -> TrafficGroup:
     word = section.text("idempotency", "")
-    known = [one for one in Idempotency if one.value == word]
+    matches = [member for member in Idempotency if member.value == word]
     return TrafficGroup(
         name=section.text("name", ""),
         priority_weight=section.number("importance", 1.0) or 0.0,
         latency_objective_us=section.microseconds("objective-ms", None),
         deadline_us=section.microseconds("deadline-ms", 0) or 0,
-        idempotency=known[0] if known else Idempotency.NON_IDEMPOTENT,
+        idempotency=matches[0] if matches else Idempotency.NON_IDEMPOTENT,
     )
 
 
