--- a/ravenshelf/__init__.py
+++ b/ravenshelf/__init__.py
@@ -1,3 +1,3 @@
-"""ravenshelf: tells forwarders where work goes."""
+"""Control plane that writes each proxy a table of endpoints with weights."""
 
 __version__ = "0.3.0"
--- a/ravenshelf/commands/__init__.py
+++ b/ravenshelf/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one module for each group of commands; `serve` itself is in process/serving.py."""
+"""Command line with a module for each group of commands; process/serving.py implements `serve`."""
--- a/ravenshelf/commands/application.py
+++ b/ravenshelf/commands/application.py
@@ -1,4 +1,4 @@
-"""All commands as one application."""
+"""Application that combines the commands of all groups."""
 
 from ravenshelf.commands import controllers, distribution, store
 from ravenshelf.commands.general import app
--- a/ravenshelf/commands/controllers.py
+++ b/ravenshelf/commands/controllers.py
@@ -1,38 +1,39 @@
-"""Commands for servers that share a fleet by leases."""
+"""Commands for controllers that share a fleet by leases."""
 
 import json
 from typing import Annotated
 
 import typer
 
-from ravenshelf.commands.shared import AdminOption, JsonOption, ask_process
+from ravenshelf.commands.shared import AdminOption, JsonOption, request_reply
 
 app = typer.Typer(
-    help="Controllers that share a fleet: what one of them reports and does.", no_args_is_help=True
+    help="Show the state of a running controller that shares a fleet with others, or hand over its shards.",
+    no_args_is_help=True,
 )
 
 
 @app.command()
 def status(admin: AdminOption, as_json: JsonOption = False) -> None:
-    """Members, and the shards that this controller owns or asks for."""
+    """Show the members of the cluster, and the shards that this controller owns or requests."""
     from ravenshelf import output
 
-    status_now = ask_process(admin, {"ask": "status"})["status"]
+    status_now = request_reply(admin, {"ask": "status"})["status"]
     if as_json:
         print(json.dumps(status_now, indent=1))
         return
-    words = [word for word in ("recovering", "alone", "draining") if status_now[word]]
+    conditions = [condition for condition in ("recovering", "alone", "draining") if status_now[condition]]
     print(
         f"{status_now['name']} of {status_now['cluster']}, incarnation {status_now['incarnation']}"
-        f"{', ' + ', '.join(words) if words else ''}: {status_now['proxies']} proxies with a stream, "
-        f"{status_now['held_orders']} orders held, loop late by {status_now['late_ms']} ms"
+        f"{', ' + ', '.join(conditions) if conditions else ''}: {status_now['proxies']} connected proxies, "
+        f"{status_now['held_orders']} waiting commands, event loop delay {status_now['late_ms']} ms"
     )
-    output.show(
+    output.print_table(
         ("member", "met", "incarnation", "weight", "shards"),
         [tuple(member.values()) for member in status_now["members"]],
         title="Members",
     )
-    output.show(
+    output.print_table(
         ("shard", "state", "term", "record", "lease ms", "proxies"),
         [tuple(shard.values()) for shard in status_now["shards"]],
         title="Shards",
@@ -41,19 +42,30 @@
 
 @app.command()
 def drain(
-    admin: AdminOption, undo: Annotated[bool, typer.Option("--undo", help="Take part again.")] = False
+    admin: AdminOption,
+    undo: Annotated[
+        bool, typer.Option("--undo", help="End a drain: the controller acquires shards again.")
+    ] = False,
 ) -> None:
-    """Give all shards to the others at the pace of balancing, and take no more."""
-    answer = ask_process(admin, {"ask": "undrain" if undo else "drain"})
-    print("takes part again" if undo else f"{answer['shards']} shards go to the others")
+    """Hand over all shards to the other members at the rate of rebalancing, and acquire no more."""
+    reply = request_reply(admin, {"ask": "undrain" if undo else "drain"})
+    print(
+        "the controller acquires shards again"
+        if undo
+        else f"{reply['shards']} shards will be handed over to the other members"
+    )
 
 
 @app.command()
 def handover(
     admin: AdminOption,
-    to: Annotated[str | None, typer.Option(help="Who is to have them first.")] = None,
-    shard: Annotated[list[int] | None, typer.Option(help="Which; without it all.")] = None,
+    to: Annotated[
+        str | None, typer.Option(help="Name of the member that may acquire the shards first.")
+    ] = None,
+    shard: Annotated[
+        list[int] | None, typer.Option(help="Number of a shard to hand over; default: all shards.")
+    ] = None,
 ) -> None:
-    """Give shards up at once, all or some."""
-    given = ask_process(admin, {"ask": "handover", "to": to, "shards": shard or None})["given"]
-    print(f"gave up {len(given)} shards{f': {given}' if given else ''}")
+    """Hand over all or some shards at once."""
+    released_shards = request_reply(admin, {"ask": "handover", "to": to, "shards": shard or None})["given"]
+    print(f"handed over {len(released_shards)} shards{f': {released_shards}' if released_shards else ''}")
--- a/ravenshelf/commands/distribution.py
+++ b/ravenshelf/commands/distribution.py
@@ -11,21 +11,24 @@
     JsonOption,
     LogLevelOption,
     OperatorOption,
-    ask_process,
+    error_exit,
     read_configuration,
-    read_operator,
-    reject,
+    read_operator_file,
+    request_reply,
 )
 
-app = typer.Typer(help="Relays that carry tables to pilots.", no_args_is_help=True)
+app = typer.Typer(
+    help="Run or inspect relays, which carry tables to servers, and the controllers that publish the tables.",
+    no_args_is_help=True,
+)
 
 
 @app.command("relay")
 def run_relay(operator: OperatorOption = None, level: LogLevelOption = "INFO") -> None:
-    """Run one relay, as [distribution] of the operator file says, until SIGTERM."""
-    tables = read_operator(operator)
+    r"""Run a relay until SIGTERM, using \[distribution] of the operator file."""
+    tables = read_operator_file(operator)
     if tables is None or not tables.distribution.listen:
-        raise reject(
+        raise error_exit(
             f"{operator or '--operator'}: [distribution] listen: found nothing, expected "
             "host:port for subscribers"
         )
@@ -40,13 +43,13 @@
     operator: OperatorOption = None,
     level: LogLevelOption = "INFO",
 ) -> None:
-    """Run one controller, as [distribution] and [leadership] of the operator file say, until SIGTERM."""
+    r"""Run a controller until SIGTERM, using \[distribution] and \[leadership] of the operator file."""
     checked = read_configuration(config)
-    tables = read_operator(operator)
+    tables = read_operator_file(operator)
     if tables is None or not tables.distribution.services:
-        raise reject(
+        raise error_exit(
             f"{operator or '--operator'}: [distribution] services: found nothing, "
-            "expected the path of a file of services"
+            "expected the path of a services file"
         )
     from ravenshelf.distribution.services_file import ServicesFileError
     from ravenshelf.process import controller
@@ -54,24 +57,25 @@
     try:
         raise typer.Exit(controller.run(checked, tables, level.upper()))
     except ServicesFileError as error:
-        raise reject(error) from None
+        raise error_exit(error) from None
 
 
 @app.command("status")
 def distribution_status(admin: AdminOption, as_json: JsonOption = False) -> None:
-    """Topics, subscribers and upstreams of a running relay."""
+    """Show the topics, subscribers and upstreams of a running relay."""
     from ravenshelf import output
 
-    status = ask_process(admin, {"ask": "status"})["status"]
+    status = request_reply(admin, {"ask": "status"})["status"]
     if as_json:
         print(json.dumps(status, indent=1))
         return
     print(
-        f"{status['name']} of {status['cluster']}: {status['topics']} topics, {status['wanted']} wanted, "
-        f"{status['subscribers']} of {status['subscribers_most']} subscribers, "
-        f"{status['refused']} refused, {status['snapshot_bytes']} bytes of snapshots"
+        f"{status['name']} of {status['cluster']}: {status['topics']} cached topics, "
+        f"{status['wanted']} subscribed topics, "
+        f"{status['subscribers']} of at most {status['subscribers_most']} subscribers, "
+        f"{status['refused']} rejected connections, {status['snapshot_bytes']} bytes of snapshots sent"
     )
-    output.show(
+    output.print_table(
         ("upstream", "state", "parent", "topics", "gaps"),
         [tuple(upstream.values()) for upstream in status["upstreams"]],
         title="Upstreams",
@@ -80,10 +84,12 @@
 
 @app.command("watch")
 def watch_topics(
-    parent: Annotated[str, typer.Argument(help="host:port of a relay.")],
-    topic: Annotated[list[str], typer.Argument(help="Topics: SERVICE@ or SERVICE@ZONE.")],
-    cluster: Annotated[str, typer.Option(help="As in [distribution].")] = "",
-    count: Annotated[int, typer.Option(help="End after so many versions; 0: never.")] = 0,
+    parent: Annotated[str, typer.Argument(help="Address of a relay, as host:port.")],
+    topic: Annotated[
+        list[str], typer.Argument(help="Topics to subscribe to, each as SERVICE@ or SERVICE@ZONE.")
+    ],
+    cluster: Annotated[str, typer.Option(help=r"Name of the cluster, as in \[distribution].")] = "",
+    count: Annotated[int, typer.Option(help="Number of versions after which to end; 0 for no limit.")] = 0,
 ) -> None:
     """Subscribe to topics as a server does, and print each new version as a line of JSON."""
     from ravenshelf.process import relay
--- a/ravenshelf/commands/general.py
+++ b/ravenshelf/commands/general.py
@@ -1,22 +1,24 @@
-"""Commands without a group: serve, check, the catalogues and version."""
+"""Commands without a group: `serve`, `check`, `version`, and those that print a catalogue."""
 
 import typer
 
 from ravenshelf import __version__
 from ravenshelf.commands.shared import (
     ConfigOption,
-    FormOption,
+    FormatOption,
     OperatorOption,
+    print_table,
     read_configuration,
-    read_operator,
-    show,
+    read_operator_file,
 )
 from ravenshelf.process import configuration, serving
 
 EXIT_INVALID = 2
 
 app = typer.Typer(
-    help="ravenshelf tells forwarders where work goes.", no_args_is_help=True, add_completion=False
+    help="Control plane that writes each proxy a table of endpoints with weights.",
+    no_args_is_help=True,
+    add_completion=False,
 )
 
 
@@ -24,21 +26,22 @@
     add_help_option=False, context_settings={"ignore_unknown_options": True, "allow_extra_args": True}
 )
 def serve(context: typer.Context) -> None:
-    """Run one server until SIGTERM; `serve --help` lists its options."""
+    """Run a server until SIGTERM; `serve --help` lists its options."""
     raise typer.Exit(serving.main(context.args))
 
 
 @app.command()
 def check(config: ConfigOption = None, operator: OperatorOption = None) -> None:
-    """Check a configuration, and an operator file with it, and say what they hold."""
+    """Check a configuration file, and an operator file if one is given, and print a summary of both."""
     checked = tables = None
     is_valid = True
-    try:  # the problems of both files are printed
+    # a problem in the first file does not end the command, so that the problems of both files are printed
+    try:
         checked = read_configuration(config)
     except typer.Exit:
         is_valid = False
     try:
-        tables = read_operator(operator)
+        tables = read_operator_file(operator)
     except typer.Exit:
         is_valid = False
     if not is_valid or checked is None:
@@ -51,37 +54,42 @@
 
 
 @app.command()
-def figures(form: FormOption = "table") -> None:
-    """Every metric that is exported to Graphite."""
+def figures(form: FormatOption = "table") -> None:
+    """List every metric that is exported to Graphite."""
     from ravenshelf.graphite.metrics import rows
 
-    show(("path", "unit", "importance", "source", "meaning", "formed"), rows(), form, "Below PREFIX.PILOT")
+    print_table(
+        ("path", "unit", "importance", "source", "meaning", "formed"),
+        rows(),
+        form,
+        "Paths below PREFIX.SERVER",
+    )
 
 
 def _field_list(fields: dict[str, str]) -> str:
-    return "; ".join(f"{name}: {unit}" for name, unit in fields.items())
+    return "; ".join(f"{name}: {description}" for name, description in fields.items())
 
 
 @app.command()
-def events(form: FormOption = "table") -> None:
-    """Every event of the log."""
+def events(form: FormatOption = "table") -> None:
+    """List every event of the log."""
     from ravenshelf.log_events import CATALOGUE
 
     rows = [
         (event.name, event.level, event.meaning, _field_list(event.fields)) for event in CATALOGUE.values()
     ]
-    show(("event", "level", "meaning", "fields"), rows, form, "Events")
+    print_table(("event", "level", "meaning", "fields"), rows, form, "Events")
 
 
 @app.command()
-def settings(form: FormOption = "table") -> None:
-    """Every key of the operator file."""
+def settings(form: FormatOption = "table") -> None:
+    """List every key of the operator file."""
     from ravenshelf.operator_config.keys import rows
 
-    show(("table", "key", "default", "expected"), rows(), form, "The operator file")
+    print_table(("table", "key", "default", "expected"), rows(), form, "Keys of the operator file")
 
 
 @app.command()
 def version() -> None:
-    """Print the version."""
+    """Print the version of ravenshelf."""
     print(f"ravenshelf {__version__}")
--- a/ravenshelf/commands/store.py
+++ b/ravenshelf/commands/store.py
@@ -1,4 +1,4 @@
-"""Commands for stored state."""
+"""Commands for the state that a server has stored on disk."""
 
 import json
 from pathlib import Path
@@ -6,17 +6,27 @@
 
 import typer
 
-from ravenshelf.commands.shared import JsonOption, reject
+from ravenshelf.commands.shared import JsonOption, error_exit
 
 if TYPE_CHECKING:
     from ravenshelf.store.journal import Journal
 
-app = typer.Typer(help="State on disk, of a server that does not run.", no_args_is_help=True)
-FolderArgument = Annotated[Path, typer.Argument(help="The folder that holds segments.")]
+app = typer.Typer(
+    help="Verify, print or compact the stored state of a server that is not running.", no_args_is_help=True
+)
+FolderArgument = Annotated[Path, typer.Argument(help="Path of the folder that contains the segments.")]
 
 
 def open_journal(folder: Path, readonly: bool) -> "Journal":
-    """Return the journal of a folder; exits where it is damaged."""
+    """Return the journal of a folder.
+
+    Args:
+        folder: The folder that contains the segments.
+        readonly: Whether the folder is neither locked nor changed.
+
+    Raises:
+        typer.Exit: The folder has no segments, is in use or is damaged; the reason is printed.
+    """
     from ravenshelf.store.errors import DamagedSegmentError
     from ravenshelf.store.journal import Journal
 
@@ -25,12 +35,12 @@
             raise DamagedSegmentError(folder, "expected a folder with segments")
         return Journal(folder, {}, readonly=readonly)
     except (DamagedSegmentError, OSError) as error:
-        raise reject(error) from None
+        raise error_exit(error) from None
 
 
 @app.command()
 def verify(folder: FolderArgument, as_json: JsonOption = False) -> None:
-    """Read all of it; exit code 2 names what is damaged."""
+    """Read and check all stored state; if it is damaged, print where, and exit with code 2."""
     journal = open_journal(folder, True)
     summary = {
         "identity": journal.identity,
@@ -51,18 +61,19 @@
 
 @app.command()
 def dump(folder: FolderArgument) -> None:
-    """Every entry, one JSON object a line."""
+    """Print each stored entry as a line with a JSON object."""
     for key, value in open_journal(folder, True).entries.items():
         print(json.dumps({"key": key, "value": value}, default=_as_text))
 
 
 @app.command()
 def compact(folder: FolderArgument) -> None:
-    """Write one segment with all that holds in place of the others."""
+    """Replace all segments by one segment that contains only the current entries."""
     journal = open_journal(folder, False)
-    before = sum(journal.segments.sizes.values())
+    size_before = sum(journal.segments.sizes.values())
     journal.compact()
     print(
-        f"{before} bytes before, {sum(journal.segments.sizes.values())} after, {len(journal.entries)} entries"
+        f"{size_before} bytes before, {sum(journal.segments.sizes.values())} bytes after, "
+        f"{len(journal.entries)} entries"
     )
     journal.close()
--- a/ravenshelf/errors.py
+++ b/ravenshelf/errors.py
@@ -1,5 +1,5 @@
-"""The common base of every exception that this package raises on purpose."""
+"""Common base class of the exceptions that ravenshelf defines."""
 
 
 class RavenshelfError(Exception):
-    """Base class: catching it catches every error that ravenshelf raises on purpose."""
+    """Base class of the exceptions that ravenshelf defines, for callers that catch all of them."""
--- a/ravenshelf/log_events.py
+++ b/ravenshelf/log_events.py
@@ -1,7 +1,8 @@
-"""The catalogue of log events: the stable name, level, text and fields of each, with the fields' units.
+"""Catalogue of log events: the stable name, level, text and fields of each event.
 
-Every log line is made from an entry of this catalogue; `ravenshelf events` and the operators' page list them.
-A field keeps its value: the text format inserts it into the text, the JSON format adds it as a key.
+Every log line is created from an entry of this catalogue. `ravenshelf events` and the operators' page list
+the entries. The text format of the log inserts the values of the fields into the text; the JSON format also
+writes each of them under the field's name.
 """
 
 from typing import NamedTuple
@@ -9,14 +10,20 @@
 from loguru import logger
 
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
-COUNTERS = "COUNTERS"  # above every other level: counters that were asked for are printed at any log level
-logger.level(COUNTERS, no=60)
+# This level is above all others, so that requested counters are printed at any log level.
+COUNTERS_LEVEL = "COUNTERS"
+logger.level(COUNTERS_LEVEL, no=60)
 
 
 class LogEvent(NamedTuple):
-    """A log event; calling it with its fields by name logs a line.
-
-    `fields` gives the unit or the meaning of each field.
+    """Entry of the catalogue; a call with the values of its fields as keyword arguments logs a line.
+
+    Attributes:
+        name: The stable name, which the JSON format writes as `event`.
+        level: One of LEVELS, or COUNTERS_LEVEL.
+        text: The text of the line, with the names of fields in braces.
+        meaning: What has happened and what follows from it, for operators.
+        fields: The unit or the meaning of each field, by the field's name.
     """
 
     name: str
@@ -26,7 +33,7 @@
     fields: dict[str, str]
 
     def __call__(self, **values: object) -> None:
-        """Log a line."""
+        """Log a line with these values of the fields."""
         logger.bind(event=self.name).log(self.level, self.text, **values)
 
     def with_traceback(self, error: BaseException | None = None, **values: object) -> None:
@@ -37,18 +44,22 @@
 CATALOGUE: dict[str, LogEvent] = {}
 
 
-def event(name: str, level: str, text: str, meaning: str, /, **fields: str) -> LogEvent:
-    """Add an event to the catalogue and return it; raises ValueError where the name is in use."""
+def add_event(name: str, level: str, text: str, meaning: str, /, **fields: str) -> LogEvent:
+    """Add an event to the catalogue and return it.
+
+    Raises:
+        ValueError: The catalogue already has an event with this name.
+    """
     if name in CATALOGUE:
-        raise ValueError(f"two log events are named {name}")
-    added = LogEvent(name, level, text, meaning, fields)
-    CATALOGUE[name] = added
-    return added
+        raise ValueError(f"expected each name once, found two log events with the name {name}")
+    new_event = LogEvent(name, level, text, meaning, fields)
+    CATALOGUE[name] = new_event
+    return new_event
 
 
-# --- control-plane server ---
+# Control-plane server
 
-SERVER_LISTENING = event(
+SERVER_LISTENING = add_event(
     "server.listening",
     "INFO",
     "{name} serves at {address}",
@@ -56,410 +67,412 @@
     name="the server's name",
     address="host:port",
 )
-SERVER_FAILED = event(
+SERVER_FAILED = add_event(
     "server.failed",
     "ERROR",
     "server failed; the process exits with code 1",
-    "The process exits with code 1.",
+    "An unexpected error ended the server. The process exits with code 1.",
 )
-COUNTERS_REPORTED = event(
+COUNTERS_REPORTED = add_event(
     "server.counters",
-    COUNTERS,
+    COUNTERS_LEVEL,
     "counters: {now} {since_start}",
-    "Requested by SIGUSR1 or --counters-every, or printed at exit.",
-    now="current sizes, counts",
-    since_start="sums since the start, counts or microseconds (_us)",
+    "The counters are logged at exit, on SIGUSR1 and at the interval of --counters-every.",
+    now="current numbers of connections, requests, endpoints and deadlines",
+    since_start="totals since the start: counts, or microseconds for names that end in _us",
 )
-DECISION_MESSAGE = event(
+DECISION_MESSAGE = add_event(
     "decisions.message",
     "INFO",
     "decisions: {text}",
-    "A message from the decision module.",
+    "The decisions have logged a message.",
     text="the message",
 )
-CONTROL_CYCLE_FAILED = event(
+CONTROL_CYCLE_FAILED = add_event(
     "control_cycle.failed",
     "ERROR",
     "control cycle failed while handling events {events}",
-    "The controller is created anew and all proxies are bound again.",
-    events="types of the cycle's events, at most 20",
+    "The decisions raised an error. A new controller is created, and all proxies are bound again.",
+    events="types of the cycle's events, at most 20 of them",
 )
-TIMER_FAILED = event(
+TIMER_FAILED = add_event(
     "server.timer_failed",
     "ERROR",
     "handler of timer {key} failed",
-    "A defect; other timers still run.",
+    "A defect in the handler. Other timers still run.",
     key="the timer's key",
 )
-CALLBACK_FAILED = event(
+CALLBACK_FAILED = add_event(
     "server.callback_failed",
     "ERROR",
     "event loop callback failed: {text}",
-    "A defect in a callback; the event loop goes on.",
-    text="the event loop's message",
+    "A defect in a callback. The event loop continues.",
+    text="the event loop's error message",
 )
 
-# --- configuration ---
+# Configuration
 
-CONFIGURATION_REJECTED = event(
+CONFIGURATION_REJECTED = add_event(
     "configuration.rejected",
     "WARNING",
     "new configuration rejected, the previous one stays in force: {why}",
-    "SIGHUP found a file that is not valid; the previous configuration stays in force.",
-    why="file, field, expectation",
+    "The configuration that was read at SIGHUP is not valid. The previous one stays in force.",
+    why="the file, the field and what was expected",
 )
-CONFIGURATION_RELOADED = event(
+CONFIGURATION_RELOADED = add_event(
     "configuration.reloaded",
     "INFO",
     "configuration reloaded: discovery at {discovery}{waiting}",
-    "SIGHUP reloaded the configuration.",
+    "The configuration was read at SIGHUP and is in force.",
     discovery="host:port",
-    waiting="fields that take effect after a restart",
+    waiting="a list of the changed fields that take effect after a restart, or empty",
 )
-OPERATOR_CONFIGURATION_REJECTED = event(
+OPERATOR_CONFIGURATION_REJECTED = add_event(
     "operator_configuration.rejected",
     "WARNING",
     "new operator file rejected, the previous one stays in force: {why}",
-    "SIGHUP found an operator file that is not valid; the previous one stays in force as a whole.",
-    why="file, table, key, found, expected",
+    "The operator file that was read at SIGHUP is not valid. All tables of the previous one stay in force.",
+    why="the file, the table, the key, what was found and what was expected",
 )
-OPERATOR_CONFIGURATION_RELOADED = event(
+OPERATOR_CONFIGURATION_RELOADED = add_event(
     "operator_configuration.reloaded",
     "INFO",
     "operator file reloaded: {changed}",
-    "SIGHUP reloaded the operator file.",
-    changed="tables that changed",
+    "The operator file was read at SIGHUP and is in force.",
+    changed="the tables that changed",
 )
-RESTART_REQUIRED = event(
+RESTART_REQUIRED = add_event(
     "operator_configuration.restart_required",
     "WARNING",
     "[{table}] changed; the change takes effect after a restart",
-    "All other tables were reloaded.",
-    table="table of the operator file",
+    "A reload does not apply changes of this table. Changes of other tables are in force.",
+    table="the table of the operator file",
 )
 
-# --- discovery and connections ---
+# Discovery and connections
 
-WATCH_EVENT_MALFORMED = event(
+WATCH_EVENT_MALFORMED = add_event(
     "discovery.watch_event_malformed",
     "WARNING",
     "malformed watch event from discovery, watch restarted: {why}",
-    "A line of the watch is no endpoint list; the watch is restarted.",
+    "A line of the watch is not a valid endpoint list. The watch is restarted.",
     why="what was expected",
 )
-ENDPOINT_LIST_MALFORMED = event(
+ENDPOINT_LIST_MALFORMED = add_event(
     "discovery.list_malformed",
     "WARNING",
     "malformed endpoint list from discovery, the previous list stays in force: {why}",
-    "A response is no endpoint list; the previous list stays in force.",
+    "A response is not a valid endpoint list. The previous list stays in force.",
     why="what was expected",
 )
-DISCOVERY_REQUEST_FAILED = event(
+DISCOVERY_REQUEST_FAILED = add_event(
     "discovery.request_failed",
     "INFO",
     "discovery {purpose} failed: {end}{status}",
-    "A request to discovery failed.",
+    "A request to discovery has failed.",
     purpose="watch or fetch",
     end="how the connection ended",
-    status="HTTP status, if any",
+    status="the HTTP status in parentheses, or empty if none was received",
 )
-ENDPOINT_ENTRY_MALFORMED = event(
+ENDPOINT_ENTRY_MALFORMED = add_event(
     "discovery.entry_malformed",
     "WARNING",
     "malformed entry in the endpoint list: {why}",
-    "The endpoint keeps its previous entry.",
-    why="the entry and what is wrong",
+    "An entry of an endpoint list is not valid. The endpoint keeps its previous entry.",
+    why="the entry and what is wrong with it",
 )
-RESTORED_ENTRY_MALFORMED = event(
+RESTORED_ENTRY_MALFORMED = add_event(
     "discovery.restored_entry_malformed",
     "WARNING",
     "malformed entry in the restored endpoint list: {why}",
-    "The entry is skipped.",
-    why="the entry and what is wrong",
+    "An entry of the endpoint list that is restored at the start is not valid. The entry is skipped.",
+    why="the entry and what is wrong with it",
 )
-MESSAGE_MALFORMED = event(
+MESSAGE_MALFORMED = add_event(
     "stream.message_malformed",
     "WARNING",
     "malformed message from {purpose} {peer}: {line}: {why}",
-    "The message is skipped; on an unidentified connection it closes the connection.",
-    purpose="kind of connection",
+    "The message is skipped. An unreadable connection, or one that is not identified yet, is closed.",
+    purpose="the kind of connection",
     peer="address",
-    line="the first 120 bytes",
+    line="the first 120 bytes of the message",
     why="what was expected",
 )
 
-# --- background jobs ---
+# Background jobs
 
-JOB_DROPPED = event(
+JOB_DROPPED = add_event(
     "background.job_dropped",
     "WARNING",
     "background job {job} ({priority}) dropped",
-    "The job queue was full, or the job's deadline had passed.",
-    job="its name",
-    priority="its priority",
+    "The job queue was full, the job's deadline had passed or the job was cancelled.",
+    job="the job's name",
+    priority="the job's priority",
 )
-JOB_FAILED = event(
+JOB_FAILED = add_event(
     "background.job_failed",
     "ERROR",
     "background job {job} failed",
-    "A defect; other jobs still run.",
-    job="its name",
+    "A defect in the job. Other jobs still run.",
+    job="the job's name",
 )
 
-# --- Graphite ---
+# Graphite
 
-RECEIVER_CONNECTED = event(
+RECEIVER_CONNECTED = add_event(
     "graphite.connected",
     "INFO",
     "connected to Graphite receiver {receiver}; {waiting} points queued",
-    "A connection is open.",
+    "A connection to the receiver is open.",
     receiver="host:port",
-    waiting="points",
+    waiting="number of queued points",
 )
-RECEIVER_STALLED = event(
+RECEIVER_STALLED = add_event(
     "graphite.stalled",
     "WARNING",
     "Graphite receiver {receiver} has read nothing for {seconds:.0f} s",
-    "Nothing more is written to it until it reads.",
+    "No more points are written to the receiver until it reads again.",
     receiver="host:port",
     seconds="s",
 )
-RECEIVER_DISCONNECTED = event(
+RECEIVER_DISCONNECTED = add_event(
     "graphite.disconnected",
     "WARNING",
     "connection to Graphite receiver {receiver} ended: {end}; reconnect in {rest:.1f} s",
-    "Its points stay queued within the queue's limit until the backoff has passed.",
+    "The receiver's points stay queued, up to the queue's limit, until the backoff has passed.",
     receiver="host:port",
     end="how the connection ended",
-    rest="s",
+    rest="backoff before the next attempt to connect, s",
 )
-RECEIVER_FAILED_OVER = event(
+RECEIVER_FAILED_OVER = add_event(
     "graphite.failed_over",
     "WARNING",
     "Graphite receiver {receiver} is down; {moved} points rerouted",
-    "Its share goes to the other receivers until it has recovered.",
+    "The receiver's share of the points goes to the other receivers until it has recovered.",
     receiver="host:port",
-    moved="points",
+    moved="number of points",
 )
-RECEIVER_RECOVERED = event(
+RECEIVER_RECOVERED = add_event(
     "graphite.recovered",
     "INFO",
     "Graphite receiver {receiver} recovered and gets its share again",
-    "It stayed connected long enough.",
+    "The receiver has stayed connected for long enough.",
     receiver="host:port",
 )
-POINTS_DROPPED = event(
+POINTS_DROPPED = add_event(
     "graphite.points_dropped",
     "WARNING",
     "{points} points for Graphite receiver {receiver} dropped ({importance})",
-    "The queue's limit was reached: the least important points go first, the oldest of these first.",
-    points="points",
+    "The queue was full. The least important points are dropped first, the oldest of these before others.",
+    points="number of points",
     receiver="host:port",
-    importance="importance of the metrics",
+    importance="the importance of the metrics",
 )
-SPOOL_FAILED = event(
+SPOOL_FAILED = add_event(
     "graphite.spool_failed",
     "WARNING",
     "spool of Graphite receiver {receiver} failed: {why}",
-    "The spool pauses; meanwhile the limit in memory applies.",
+    "The spool is not used for a while. Until then, points are queued in memory up to the queue's limit.",
     receiver="host:port",
     why="the system's error message",
 )
-SPOOL_CORRUPTED = event(
+SPOOL_CORRUPTED = add_event(
     "graphite.spool_corrupted",
     "WARNING",
     "spool of Graphite receiver {receiver} is corrupted: {bytes} bytes of {file} skipped",
-    "The bytes are skipped; what precedes and follows them is sent.",
+    "The bytes are skipped. The points before and after them are sent.",
     receiver="host:port",
     bytes="bytes",
-    file="segment",
+    file="the segment's file and the offset in it",
 )
 
-# --- collectd ---
+# collectd
 
-COLLECTD_LISTENING = event(
+COLLECTD_LISTENING = add_event(
     "collectd.listening",
     "INFO",
     "listens for collectd packets at {address} (security {security})",
-    "The listener is open.",
+    "The server receives collectd packets.",
     address="host:port",
-    security="lowest security level that is accepted",
+    security="the lowest accepted security level",
 )
-PACKET_REJECTED = event(
+PACKET_REJECTED = add_event(
     "collectd.packet_rejected",
     "WARNING",
     "collectd packet from {peer} rejected: {why}",
-    "Logged at most once in 10 s for each reason; the counters have every packet.",
-    peer="address",
+    "Logged at most once in 10 s for each reason. The counters include every rejected packet.",
+    peer="the sender's address",
     why="the reason",
 )
-COLLECTD_USERS_LOADED = event(
+COLLECTD_USERS_LOADED = add_event(
     "collectd.users_loaded",
     "INFO",
     "{users} collectd users loaded",
     "The password file was read.",
-    users="count",
+    users="number of users",
 )
-COLLECTD_USERS_REJECTED = event(
+COLLECTD_USERS_REJECTED = add_event(
     "collectd.users_rejected",
     "WARNING",
     "collectd's password file rejected, the previous users stay in force: {why}",
-    "The passwords that were read before stay in force.",
-    why="file, line, expectation",
+    "The password file is not valid or can't be read. The previous passwords stay in force.",
+    why="the file, the line and what was expected",
 )
-HOST_CLOCK_SKEWED = event(
+HOST_CLOCK_SKEWED = add_event(
     "collectd.host_clock_skewed",
     "INFO",
     "clock of host {host} is ahead by {ahead:.1f} s",
-    "The timestamps of its values are corrected.",
-    host="name",
-    ahead="s, below 0 where it is behind",
+    "The timestamps of the host's values are corrected.",
+    host="the host's name",
+    ahead="s; below 0 if the clock is behind",
 )
 
-# --- leases ---
+# Leases
 
-MEMBER_STARTED = event(
+MEMBER_STARTED = add_event(
     "leadership.started",
     "INFO",
-    "controller {name} started, one of {members}, incarnation {incarnation}: {state}",
-    "It connects to the others and takes part once its votes count.",
-    name="its name",
-    incarnation="starts since its disk was empty",
-    members="count",
-    state="votes, or recovers (an empty disk: reads from a quorum of the others first)",
-)
-MEMBER_CONNECTED = event(
+    "controller {name} started, one of {members} members, incarnation {incarnation}: {state}",
+    "The controller connects to the other members. While it recovers, it does not vote.",
+    name="the controller's name",
+    incarnation="number of starts since its disk was empty",
+    members="number of members",
+    state="votes, or recovers: its disk is empty, so it first reads the state of a quorum of the others",
+)
+MEMBER_CONNECTED = add_event(
     "leadership.member_connected",
     "INFO",
     "connected to controller {name}, incarnation {incarnation}",
-    "A connection is open.",
-    name="controller",
-    incarnation="starts",
+    "A connection to another member is open.",
+    name="the other controller's name",
+    incarnation="number of its starts since its disk was empty",
 )
-MEMBER_DISCONNECTED = event(
+MEMBER_DISCONNECTED = add_event(
     "leadership.member_disconnected",
     "WARNING",
     "connection to controller {name} ended: {end}",
-    "Others acquire its shards once its leases have expired.",
-    name="controller",
+    "If the controller has failed, others acquire its shards after its leases have expired.",
+    name="the other controller's name",
     end="how the connection ended",
 )
-MEMBER_REJECTED = event(
+MEMBER_REJECTED = add_event(
     "leadership.member_rejected",
     "WARNING",
     "connection with controller {peer} rejected: {why}",
-    "Another cluster, version, name, certificate or an older incarnation.",
-    peer="address or name",
+    "The peer's cluster, version, name, settings, certificate or incarnation differs from the expected one, "
+    "or its message is malformed.",
+    peer="the peer's address or name",
     why="what was expected",
 )
-LEASE_ACQUIRED = event(
+LEASE_ACQUIRED = add_event(
     "leadership.lease_acquired",
     "INFO",
     "lease for shard {shard} acquired in term {term}",
-    "A quorum has granted the lease and stored its record; the shard's proxies are bound.",
-    shard="number",
-    term="number",
+    "A quorum has granted the lease and stored the shard's record. The shard's proxies are bound.",
+    shard="number of the shard",
+    term="number of the term",
 )
-LEASE_EXPIRED = event(
+LEASE_EXPIRED = add_event(
     "leadership.lease_expired",
     "WARNING",
     "lease for shard {shard} expired in term {term}",
-    "No command that allows anything new is sent any more.",
-    shard="number",
-    term="number",
+    "No quorum renewed the lease in time. No command that admits more requests or retries is sent until the "
+    "lease is acquired again.",
+    shard="number of the shard",
+    term="number of the term",
 )
-LEASE_LOST = event(
+LEASE_LOST = add_event(
     "leadership.lease_lost",
     "INFO",
     "lease for shard {shard} lost in term {term}",
-    "Handed over, or another controller holds it.",
-    shard="number",
-    term="number",
+    "The shard was handed over, or another controller holds its lease.",
+    shard="number of the shard",
+    term="number of the term",
 )
-QUORUM_LOST = event(
+QUORUM_LOST = add_event(
     "leadership.quorum_lost",
     "ERROR",
-    "quorum lost; {shards} owned shards keep their last known tables",
-    "No new attempt is allowed and no admission limit is raised until the quorum is regained.",
-    shards="count",
+    "quorum lost; the proxies of {shards} owned shards keep their tables",
+    "No command that admits more requests or retries is sent until the quorum is regained.",
+    shards="number of owned shards",
 )
-QUORUM_REGAINED = event(
+QUORUM_REGAINED = add_event(
     "leadership.quorum_regained",
     "INFO",
     "quorum regained; {shards} shards owned",
-    "Commands that were held back are requested again.",
-    shards="count",
+    "Leases are requested again, and commands that wait for one are sent once it is acquired.",
+    shards="number of owned shards",
 )
-STORE_FAILED = event(
+STORE_FAILED = add_event(
     "store.failed",
     "ERROR",
     "store failed: {why}; the controller exits",
-    "The controller exits: what it cannot store it must not promise.",
+    "The controller exits, because it must not acknowledge a promise or a record that is not stored.",
     why="the system's error message",
 )
-CERTIFICATES_REJECTED = event(
+CERTIFICATES_REJECTED = add_event(
     "leadership.certificates_rejected",
     "WARNING",
     "new certificates rejected, the previous ones stay in force: {why}",
-    "The certificates that were read before stay in force.",
+    "The certificate files that were read at SIGHUP can't be used. The previous certificates stay in force.",
     why="the system's error message",
 )
 
-# --- distribution ---
+# Distribution
 
-RELAY_LISTENING = event(
+RELAY_LISTENING = add_event(
     "distribution.relay_listening",
     "INFO",
     "relay {name} listens at {address}, {parents} parents",
-    "It connects to its parents and accepts subscribers.",
-    name="its name",
+    "The relay connects to its parents and accepts subscribers.",
+    name="the relay's name",
     address="host:port",
-    parents="count",
+    parents="number of parents",
 )
-RELAY_STOPPED = event(
+RELAY_STOPPED = add_event(
     "distribution.relay_stopped",
     "INFO",
     "relay {name} stopped; {snapshot_bytes} bytes of snapshots sent",
-    "All connections are closed; subscribers go to other parents.",
-    name="its name",
-    snapshot_bytes="bytes since its start",
+    "All connections are closed. The subscribers connect to other parents.",
+    name="the relay's name",
+    snapshot_bytes="bytes since the relay's start",
 )
-SERVICE_OWNER_LISTENING = event(
+SERVICE_OWNER_LISTENING = add_event(
     "distribution.owner_listening",
     "INFO",
     "service owner {name} publishes at {address}; {services} services",
-    "It decides the services of the shards whose leases it acquires.",
-    name="its name",
+    "The service owner decides the services of the shards whose leases it acquires.",
+    name="the service owner's name",
     address="host:port",
-    services="in the file",
+    services="number of services in the services file",
 )
-SERVICES_RELOADED = event(
+SERVICES_RELOADED = add_event(
     "distribution.services_reloaded",
     "INFO",
     "services file reloaded: {services} services",
-    "SIGHUP reloaded the services file.",
-    services="count",
+    "The services file was read at SIGHUP and is in force.",
+    services="number of services in the services file",
 )
-SERVICES_REJECTED = event(
+SERVICES_REJECTED = add_event(
     "distribution.services_rejected",
     "WARNING",
     "services file rejected, the previous services stay in force: {why}",
-    "The services that were read before stay in force.",
-    why="what is wrong, and where",
+    "The services file that was read at SIGHUP is not valid. The previous services stay in force.",
+    why="the file, what is wrong and where",
 )
-DISTRIBUTION_FAILED = event(
+DISTRIBUTION_FAILED = add_event(
     "distribution.failed",
     "ERROR",
     "process failed: {why}",
-    "The process exits with code 1.",
+    "The relay or service owner can't go on. The process exits with code 1.",
     why="the system's error message",
 )
 
 
 def markdown() -> list[str]:
-    """Return the catalogue as the rows of a Markdown table, for the operators' page."""
+    """Return the lines of a Markdown table that lists the catalogue, for the operators' page."""
     rows = ["| event | level | meaning | fields |", "| --- | --- | --- | --- |"]
     for entry in CATALOGUE.values():
-        fields = "; ".join(f"`{name}`: {unit}" for name, unit in entry.fields.items())
+        fields = "; ".join(f"`{name}`: {description}" for name, description in entry.fields.items())
         rows.append(f"| `{entry.name}` | {entry.level} | {entry.meaning} | {fields} |")
     return rows
