--- a/ravenshelf/distribution/__init__.py
+++ b/ravenshelf/distribution/__init__.py
@@ -1,1 +1,4 @@
-"""Interest-scoped distribution: one owner decides each service, and servers subscribe to some services."""
+"""Interest-scoped distribution of tables and settings.
+
+The owner of a service decides it once for all servers, and servers subscribe to the services that they use.
+"""
--- a/ravenshelf/distribution/decisions/aggregation.py
+++ b/ravenshelf/distribution/decisions/aggregation.py
@@ -27,18 +27,20 @@
     window: int
 
 
-def add_endpoint_loads(first: EndpointLoad, second: EndpointLoad) -> EndpointLoad:
+def add_endpoint_loads(first_load: EndpointLoad, second_load: EndpointLoad) -> EndpointLoad:
     """Return the sum of two endpoint loads, field by field."""
     return EndpointLoad(
-        first.attempts + second.attempts,
-        first.failures + second.failures,
-        first.latency_sum + second.latency_sum,
+        first_load.attempts + second_load.attempts,
+        first_load.failures + second_load.failures,
+        first_load.latency_sum + second_load.latency_sum,
     )
 
 
-def add_group_demands(first: GroupDemand, second: GroupDemand) -> GroupDemand:
+def add_group_demands(first_demand: GroupDemand, second_demand: GroupDemand) -> GroupDemand:
     """Return the sum of two group demands, field by field."""
-    return GroupDemand(first.requests + second.requests, first.unanswered + second.unanswered)
+    return GroupDemand(
+        first_demand.requests + second_demand.requests, first_demand.unanswered + second_demand.unanswered
+    )
 
 
 def _may_always_send(_service: str) -> bool:
@@ -57,7 +59,7 @@
         self.name = name
         self.duplicate_count = 0
         self._sequence = 0
-        self._pending: dict[tuple[str, int], _PendingReport] = {}  # Keys are service and proxy zone.
+        self._pending_reports: dict[tuple[str, int], _PendingReport] = {}  # Keys are service and proxy zone.
         self._reporters: dict[str, _Reporter] = {}
 
     def add(self, report: ZoneLoadReport) -> bool:
@@ -71,14 +73,18 @@
             self.duplicate_count += 1
             return False
         self._reporters[report.reporter] = _Reporter(report.sequence, report.window)
-        pending = self._pending.setdefault((report.service, report.zone), _PendingReport(report.window))
-        pending.window = max(pending.window, report.window)
+        pending_report = self._pending_reports.setdefault(
+            (report.service, report.zone), _PendingReport(report.window)
+        )
+        pending_report.window = max(pending_report.window, report.window)
         for name, load in report.endpoints.items():
-            pending_load = pending.endpoints.get(name)
-            pending.endpoints[name] = load if pending_load is None else add_endpoint_loads(pending_load, load)
+            pending_load = pending_report.endpoints.get(name)
+            pending_report.endpoints[name] = (
+                load if pending_load is None else add_endpoint_loads(pending_load, load)
+            )
         for group, demand in report.groups.items():
-            pending_demand = pending.groups.get(group)
-            pending.groups[group] = (
+            pending_demand = pending_report.groups.get(group)
+            pending_report.groups[group] = (
                 demand if pending_demand is None else add_group_demands(pending_demand, demand)
             )
         return True
@@ -92,26 +98,28 @@
                 pending.
         """
         reports = []
-        for service, zone in [key for key in self._pending if may_send(key[0])]:
-            pending = self._pending.pop((service, zone))
+        for service, zone in [key for key in self._pending_reports if may_send(key[0])]:
+            pending_report = self._pending_reports.pop((service, zone))
             self._sequence += 1
             reports.append(
                 ZoneLoadReport(
                     service,
                     zone,
-                    pending.window,
+                    pending_report.window,
                     self.name,
                     self._sequence,
-                    pending.endpoints,
-                    pending.groups,
+                    pending_report.endpoints,
+                    pending_report.groups,
                 )
             )
         self._expire_reporters(window)
         return reports
 
     def _expire_reporters(self, window: int) -> None:
-        oldest = window - REPORTER_EXPIRY_WINDOWS
+        oldest_window = window - REPORTER_EXPIRY_WINDOWS
         if window % REPORTER_EXPIRY_WINDOWS == 0:
             self._reporters = {
-                name: reporter for name, reporter in self._reporters.items() if reporter.window >= oldest
+                name: reporter
+                for name, reporter in self._reporters.items()
+                if reporter.window >= oldest_window
             }
--- a/ravenshelf/distribution/decisions/allowance.py
+++ b/ravenshelf/distribution/decisions/allowance.py
@@ -36,18 +36,22 @@
         table: The lines by endpoint name.
         ejected: Endpoints that receive nothing.
     """
-    remaining = {name: line for name, line in table.items() if name not in ejected and line.weight > 0}
-    received: dict[str, float] = {}
+    remaining_lines = {name: line for name, line in table.items() if name not in ejected and line.weight > 0}
+    shares: dict[str, float] = {}
     open_share = 1.0
-    while remaining:
-        total = sum(line.weight for line in remaining.values())
-        bounded = [
-            name for name, line in remaining.items() if open_share * line.weight / total > line.largest_share
+    while remaining_lines:
+        total_weight = sum(line.weight for line in remaining_lines.values())
+        bounded_endpoints = [
+            name
+            for name, line in remaining_lines.items()
+            if open_share * line.weight / total_weight > line.largest_share
         ]
-        if not bounded:
-            received.update({name: open_share * line.weight / total for name, line in remaining.items()})
+        if not bounded_endpoints:
+            shares.update(
+                {name: open_share * line.weight / total_weight for name, line in remaining_lines.items()}
+            )
             break
-        for name in bounded:
-            received[name] = remaining.pop(name).largest_share
-        open_share = max(0.0, 1.0 - sum(received.values()))
-    return received
+        for name in bounded_endpoints:
+            shares[name] = remaining_lines.pop(name).largest_share
+        open_share = max(0.0, 1.0 - sum(shares.values()))
+    return shares
--- a/ravenshelf/distribution/decisions/backoff.py
+++ b/ravenshelf/distribution/decisions/backoff.py
@@ -76,7 +76,7 @@
     def ready_at(self, now: int, amount: float) -> int:
         """Return the time from which `try_consume` grants `amount`, if no tokens are consumed until then."""
         self._refill(now)
-        missing = min(amount, self.burst) - self.tokens
-        if missing <= 0:
+        missing_tokens = min(amount, self.burst) - self.tokens
+        if missing_tokens <= 0:
             return now
-        return now + max(0, int(missing / self.per_second * SECOND) + 1)
+        return now + max(0, int(missing_tokens / self.per_second * SECOND) + 1)
--- a/ravenshelf/distribution/decisions/client.py
+++ b/ravenshelf/distribution/decisions/client.py
@@ -174,7 +174,8 @@
     def tick(self, now: int) -> list[Action]:
         """Dial a parent, or leave a parent or a dial that has timed out, as far as it is due.
 
-        A connected parent that is not the preferred one is also left, for the preferred one, after a while.
+        A connection to another parent than the preferred one is ended after a time that is drawn from
+        PREFERRED_PARENT_RETRY_RANGE_US, and the preferred parent is dialled.
         """
         if now < self.due_at():
             return []
--- a/ravenshelf/distribution/decisions/distributed_controller.py
+++ b/ravenshelf/distribution/decisions/distributed_controller.py
@@ -57,16 +57,16 @@
         """
         local_tables = super().planned_tables(zone, effective_weights, partition_demand)
         source, table = self.owner_table(self.now, zone)
-        lines = self._lines(table) if source is not TableSource.LOCAL else {}
-        return [dict(lines) for _ in local_tables] if lines else local_tables
+        owner_weights = self._owner_weights(table) if source is not TableSource.LOCAL else {}
+        return [dict(owner_weights) for _ in local_tables] if owner_weights else local_tables
 
-    def _lines(self, table: dict[str, TableLine]) -> dict[int, float]:
+    def _owner_weights(self, table: dict[str, TableLine]) -> dict[int, float]:
         """Return the owner's weights of the endpoints that are open here, by endpoint index.
 
         The result is empty if these endpoints can't receive all requests.
         """
         indices: dict[str, int] = {}
-        unavailable: list[str] = []
+        unavailable_endpoints: list[str] = []
         for name in table:
             index = self.index_of(name)
             if (
@@ -74,15 +74,15 @@
                 or index not in self.endpoints
                 or not self.directory.is_usable(self.endpoints[index])
             ):
-                unavailable.append(name)
+                unavailable_endpoints.append(name)
             else:
                 indices[name] = index
-        received = received_shares(table, unavailable)
-        if sum(received.values()) < MIN_COMPLETE_SHARE:
+        shares = received_shares(table, unavailable_endpoints)
+        if sum(shares.values()) < MIN_COMPLETE_SHARE:
             return {}
         return {
             indices[name]: max(SMALLEST_WEIGHT, round(TABLE_WEIGHT_SUM * share, 2))
-            for name, share in received.items()
+            for name, share in shares.items()
         }
 
     def owner_table_changed(self) -> None:
--- a/ravenshelf/distribution/decisions/distributor.py
+++ b/ravenshelf/distribution/decisions/distributor.py
@@ -81,7 +81,7 @@
         self.snapshot_bytes = 0  # Total since the start.
         self._unreachable_topics: set[str] = set()
         self._bucket = TokenBucket(limits.snapshot_bytes_per_second, limits.snapshot_burst_bytes)
-        self._encoded: dict[str, _EncodedUpdates] = {}
+        self._encoded_updates: dict[str, _EncodedUpdates] = {}
 
     def add_subscriber(self, now: int, name: str) -> bool:
         """Accept a subscriber in place of an earlier one of the same name.
@@ -110,11 +110,11 @@
 
     def _remove_subscription(self, name: str, topic: str) -> bool:
         """Remove a subscription; return whether the topic no longer has a subscriber."""
-        remaining = self.subscriptions.get(topic, {})
-        remaining.pop(name, None)
-        if not remaining:
+        remaining_subscribers = self.subscriptions.get(topic, {})
+        remaining_subscribers.pop(name, None)
+        if not remaining_subscribers:
             self.subscriptions.pop(topic, None)
-        return not remaining
+        return not remaining_subscribers
 
     def receive(self, name: str, message: Subscribe | Unsubscribe | Resync) -> list[str]:
         """Change the subscriptions of a subscriber as its message requests.
@@ -145,13 +145,13 @@
 
     def _resync(self, name: str, subscriber: _Subscriber, message: Resync) -> list[str]:
         """Replace the recorded versions by the subscriber's, and unsubscribe topics that it does not list."""
-        changed = []
+        changed_topics = []
         for topic in subscriber.sent_versions.versions():
             if topic not in message.versions:
-                changed += self.receive(name, Unsubscribe(topic))
+                changed_topics += self.receive(name, Unsubscribe(topic))
         for topic, version in message.versions.items():
-            changed += self.receive(name, Subscribe(topic, version))
-        return changed
+            changed_topics += self.receive(name, Subscribe(topic, version))
+        return changed_topics
 
     def topic_changed(self, topic: str) -> Iterator[str]:
         """Record that a topic has a new version; yield the subscribers that `pull` now has messages for."""
@@ -175,7 +175,7 @@
 
     def remove_topic(self, topic: str) -> None:
         """Remove the encoded updates and the liveness of a topic that is no longer served."""
-        self._encoded.pop(topic, None)
+        self._encoded_updates.pop(topic, None)
         self._unreachable_topics.discard(topic)
 
     def pull(self, now: int, name: str, byte_limit: int) -> list[EncodedMessage]:
@@ -241,14 +241,14 @@
 
     def _updates(self, state: Topic, held_version: Version) -> list[EncodedMessage]:
         """Return the updates from a held version, encoded once for each present version of the topic."""
-        encoded = self._encoded.get(state.name)
-        if encoded is None or encoded.version != state.version:
-            encoded = self._encoded[state.name] = _EncodedUpdates(state.version)
-        if held_version not in encoded.updates:
-            encoded.updates[held_version] = [
+        encoded_updates = self._encoded_updates.get(state.name)
+        if encoded_updates is None or encoded_updates.version != state.version:
+            encoded_updates = self._encoded_updates[state.name] = _EncodedUpdates(state.version)
+        if held_version not in encoded_updates.updates:
+            encoded_updates.updates[held_version] = [
                 EncodedMessage(message) for message in state.updates_since(held_version)
             ]
-        return encoded.updates[held_version]
+        return encoded_updates.updates[held_version]
 
     def due_at(self, now: int, name: str) -> int:
         """Return the time of the next pull for a subscriber whose connection has capacity."""
--- a/ravenshelf/distribution/decisions/ownership.py
+++ b/ravenshelf/distribution/decisions/ownership.py
@@ -33,7 +33,7 @@
         shard: The replicated shard.
         owner: Member number of the shard's owner.
         weights: Placement weights of the living controllers, by member number.
-        count: Number of controllers to return, if so many are alive.
+        count: Largest number of controllers to return.
     """
     return [member for member in ranked_members(shard, weights) if member != owner][:count]
 
@@ -51,7 +51,7 @@
 
     def __init__(self) -> None:
         self._claims: dict[str, Claim] = {}
-        self._vacant: set[str] = set()  # Services whose last owner has withdrawn its claim.
+        self._vacant_services: set[str] = set()  # Services whose last owner has withdrawn its claim.
 
     def update(self, service: str, claim: Claim) -> bool:
         """Record a claim unless a later one is recorded.
@@ -60,12 +60,12 @@
             Whether the owner of the service changes.
         """
         last_claim = self._claims.get(service)
-        was_vacant = service in self._vacant
+        was_vacant = service in self._vacant_services
         # A controller claims the service again after a time in which it could not renew the same lease.
         is_renewed = was_vacant and claim == last_claim
         if last_claim is not None and claim.epoch <= last_claim.epoch and not is_renewed:
             return False
-        self._vacant.discard(service)
+        self._vacant_services.discard(service)
         self._claims[service] = claim
         return last_claim is None or was_vacant or last_claim.owner != claim.owner
 
@@ -81,16 +81,16 @@
         Returns:
             The services whose owner changes.
         """
-        changed = {service for service, claim in claims.items() if self.update(service, claim)}
+        changed_services = {service for service, claim in claims.items() if self.update(service, claim)}
         for service, claim in self._claims.items():
-            if claim.owner == owner and service not in claims and service not in self._vacant:
-                self._vacant.add(service)
-                changed.add(service)
-        return changed
+            if claim.owner == owner and service not in claims and service not in self._vacant_services:
+                self._vacant_services.add(service)
+                changed_services.add(service)
+        return changed_services
 
     def claim(self, service: str) -> Claim | None:
         """Return the latest claim, or None for a vacant or unknown service."""
-        return None if service in self._vacant else self._claims.get(service)
+        return None if service in self._vacant_services else self._claims.get(service)
 
 
 class PublicationLease:
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -27,8 +27,8 @@
 LEVEL_PREFIX = "l:"
 SETTING_PREFIX = "c:"
 
-DEFAULT_NOMINAL_RATE = 1.0  # A zone without load reports is assumed to have so many requests a second.
-SHARE_DIGITS = 4  # Published shares are rounded to so many decimal places.
+DEFAULT_NOMINAL_RATE = 1.0  # A zone without load reports is assumed to receive this many requests a second.
+SHARE_DIGITS = 4  # Published shares are rounded to this number of decimal places.
 NO_TABLE = -1
 NO_ENDPOINT = -1
 
@@ -60,7 +60,7 @@
         self.tables: dict[int, dict[int, float]] = {}  # Weight by table and endpoint.
         self.levels: dict[int, dict[int, tuple[float, int]]] = {}  # Level and retry mode by table and group.
         self.table_of_zone: dict[int, int] = {}
-        self.ejected: set[int] = set()
+        self.ejected_endpoints: set[int] = set()
         self.markers: list[int] = []  # Markers of requested acknowledgements.
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
@@ -79,9 +79,9 @@
     def set_ejected(self, endpoint: int, ejected: bool) -> None:
         """Eject an endpoint from all tables, or readmit it."""
         if ejected:
-            self.ejected.add(endpoint)
+            self.ejected_endpoints.add(endpoint)
         else:
-            self.ejected.discard(endpoint)
+            self.ejected_endpoints.discard(endpoint)
 
     def bind_proxy(self, proxy: int, table: int, groups: int = 0) -> None:  # noqa: ARG002 (one table for all groups)
         """Make a zone use a table, for all traffic groups."""
@@ -102,7 +102,7 @@
         self.markers.append(marker)
 
     def start_timer(self, at: int, key: str) -> None:
-        """Do nothing: the service owner runs a control cycle each quarter of a second anyway."""
+        """Do nothing: the service owner runs a control cycle each quarter of a second, without timers."""
 
     def watch_endpoints(self, enabled: bool) -> None:
         """Do nothing: endpoints come from the service's configuration."""
@@ -122,7 +122,9 @@
     def table_lines(self, zone: int) -> dict[int, float]:
         """Return the weights of a zone's table by endpoint, without ejected endpoints."""
         lines = self.tables.get(self.table_of_zone.get(zone, NO_TABLE), {})
-        return {endpoint: weight for endpoint, weight in lines.items() if endpoint not in self.ejected}
+        return {
+            endpoint: weight for endpoint, weight in lines.items() if endpoint not in self.ejected_endpoints
+        }
 
     def admission_levels(self, zone: int) -> dict[int, tuple[float, int]]:
         """Return the admission level and retry mode of each traffic group in a zone."""
@@ -206,8 +208,8 @@
         for name, load in report.endpoints.items():
             index = self._indices.get(name)
             if index is not None:
-                succeeded = max(1, load.attempts - load.failures)
-                mean_latency = load.latency_sum // succeeded
+                successes = max(1, load.attempts - load.failures)
+                mean_latency = load.latency_sum // successes
                 self._pending_events.append(
                     events.LoadReport(
                         report.zone, index, load.attempts, load.failures, mean_latency, window, ()
@@ -240,9 +242,9 @@
         """Return the present state of the topic of a proxy zone."""
         entries: dict[str, Entry] = {}
         lines = self.tables.table_lines(zone)
-        total = sum(lines.values()) or 1.0
+        total_weight = sum(lines.values()) or 1.0
         for index, weight in lines.items():
-            entries[LINE_PREFIX + self._names[index]] = self._line(index, weight, weight / total)
+            entries[LINE_PREFIX + self._names[index]] = self._line(index, weight, weight / total_weight)
         for group, (level, retry_mode) in self.tables.admission_levels(zone).items():
             entries[f"{LEVEL_PREFIX}{group}"] = AdmissionLevel(level, retry_mode)
         return entries
--- a/ravenshelf/distribution/decisions/publication.py
+++ b/ravenshelf/distribution/decisions/publication.py
@@ -27,7 +27,7 @@
             )
         self.topic = topic
         self.epoch = epoch
-        self._pending: Changes = {}
+        self._pending_changes: Changes = {}
         self._flush_at: int | None = 0  # The handover is due at once.
 
     @property
@@ -37,16 +37,18 @@
 
     def put(self, now: int, key: str, entry: Entry | None) -> None:
         """Set a key, or remove it (None), with the next flush; an equal entry is no change."""
-        current = self._pending[key] if key in self._pending else self.topic.entries.get(key)
-        if current == entry:
+        current_entry = (
+            self._pending_changes[key] if key in self._pending_changes else self.topic.entries.get(key)
+        )
+        if current_entry == entry:
             return
-        self._pending[key] = entry
+        self._pending_changes[key] = entry
         if self._flush_at is None:
             self._flush_at = now + FLUSH_INTERVAL_US
 
     def replace_entries(self, now: int, entries: Mapping[str, Entry]) -> None:
         """Make the topic's state equal to `entries` with the next flush."""
-        for key in [key for key in {**self.topic.entries, **self._pending} if key not in entries]:
+        for key in [key for key in {**self.topic.entries, **self._pending_changes} if key not in entries]:
             self.put(now, key, None)
         for key, entry in entries.items():
             self.put(now, key, entry)
@@ -56,9 +58,11 @@
         version = self.topic.version
         next_sequence = version.sequence + 1 if version.epoch == self.epoch else 1
         next_version = Version(self.epoch, next_sequence)
-        changes = {key: entry for key, entry in self._pending.items() if self.topic.entries.get(key) != entry}
+        changes = {
+            key: entry for key, entry in self._pending_changes.items() if self.topic.entries.get(key) != entry
+        }
         delta = Delta(self.topic.name, version, next_version, changes)
         self.topic.apply(delta)
-        self._pending = {}
+        self._pending_changes = {}
         self._flush_at = None
         return delta
--- a/ravenshelf/distribution/decisions/relay.py
+++ b/ravenshelf/distribution/decisions/relay.py
@@ -110,14 +110,14 @@
 
     def _route(self, topic: str, actions: NodeActions) -> None:
         """Subscribe to a topic at its present owner's upstream, and unsubscribe at the previous one."""
-        previous = self._routes.get(topic)
+        previous_upstream = self._routes.get(topic)
         upstream = self._upstream_of(service_of_topic(topic))
         self._routes[topic] = upstream
-        if previous is not None and previous != upstream:
+        if previous_upstream is not None and previous_upstream != upstream:
             actions.upstream_actions += [
-                (previous, action) for action in self.clients[previous].unsubscribe(topic)
+                (previous_upstream, action) for action in self.clients[previous_upstream].unsubscribe(topic)
             ]
-        if upstream is not None and previous != upstream:
+        if upstream is not None and previous_upstream != upstream:
             actions.upstream_actions += [
                 (upstream, action) for action in self.clients[upstream].subscribe(topic)
             ]
--- a/ravenshelf/distribution/decisions/service_decisions.py
+++ b/ravenshelf/distribution/decisions/service_decisions.py
@@ -93,11 +93,11 @@
     def _apply_load_reports(self, now: int) -> None:
         self._window = now // REPORT_WINDOW_US
         for report in self.aggregator.flush(self._window):
-            planned = self.planned_services.get(report.service)
-            if planned is not None:
-                if planned.first_report_at is None:
-                    planned.first_report_at = now
-                planned.planner.add_report(report, REPORT_WINDOW_US)
+            planned_service = self.planned_services.get(report.service)
+            if planned_service is not None:
+                if planned_service.first_report_at is None:
+                    planned_service.first_report_at = now
+                planned_service.planner.add_report(report, REPORT_WINDOW_US)
 
     def run_cycle(self, now: int) -> None:
         """Decide all services that have subscribers, and refresh their topics, each CYCLE_INTERVAL_US."""
@@ -120,14 +120,14 @@
         return zones_by_service
 
     def _decide(self, now: int, service: str, zones: set[int]) -> None:
-        planned = self._planned_service(now, service)
-        planner = planned.planner
+        planned_service = self._planned_service(now, service)
+        planner = planned_service.planner
         for zone in planner.zones - zones:
             planner.remove_zone(zone)
-            planned.inherited_tables.pop(zone, None)
+            planned_service.inherited_tables.pop(zone, None)
         for zone in sorted(zones - planner.zones):
             planner.add_zone(zone)
-            self._inherit_table(planned, service, zone)
+            self._inherit_table(planned_service, service, zone)
         planner.run_cycle(now)
         self.owner.refresh(now, service_topic(service))
         for zone in planner.zones:
@@ -135,20 +135,20 @@
 
     def _planned_service(self, now: int, service: str) -> _PlannedService:
         """Return the planned service, created if necessary, with its present configuration."""
-        planned = self.planned_services.get(service)
-        if planned is None:
-            planned = _PlannedService(ServicePlanner(service, self.deployment, self.seed), now)
-            self.planned_services[service] = planned
+        planned_service = self.planned_services.get(service)
+        if planned_service is None:
+            planned_service = _PlannedService(ServicePlanner(service, self.deployment, self.seed), now)
+            self.planned_services[service] = planned_service
         configuration = self.configuration_of(service)
-        if configuration != planned.configuration:
-            planned.configuration = configuration
-            planned.planner.configure(configuration.endpoints, configuration.settings)
-        return planned
+        if configuration != planned_service.configuration:
+            planned_service.configuration = configuration
+            planned_service.planner.configure(configuration.endpoints, configuration.settings)
+        return planned_service
 
-    def _inherit_table(self, planned: _PlannedService, service: str, zone: int) -> None:
+    def _inherit_table(self, planned_service: _PlannedService, service: str, zone: int) -> None:
         replicated_topic = self.owner.topics.get(zone_topic(service, zone))
         if replicated_topic is not None and read_table(replicated_topic.entries):
-            planned.inherited_tables[zone] = dict(replicated_topic.entries)
+            planned_service.inherited_tables[zone] = dict(replicated_topic.entries)
 
     def content(self, topic: str) -> Mapping[str, Entry] | None:
         """Return the present state of a topic of an owned service, or None before the state is available.
@@ -156,25 +156,27 @@
         A table is never emptied: if no endpoint is usable, the last table is returned.
         """
         service = service_of_topic(topic)
-        planned = self.planned_services.get(service)
-        if planned is None:
+        planned_service = self.planned_services.get(service)
+        if planned_service is None:
             return self._last_content(topic)
         if topic == service_topic(service):
-            return planned.planner.service_entries()
-        return self._zone_content(planned, topic, int(topic[len(service) + 1 :]))
+            return planned_service.planner.service_entries()
+        return self._zone_content(planned_service, topic, int(topic[len(service) + 1 :]))
 
     def _last_content(self, topic: str) -> Mapping[str, Entry] | None:
         """Return the state that this controller published last, or replicated; None if it is empty."""
         state = self.owner.topics.get(topic)
         return dict(state.entries) if state is not None and state.entries else None
 
-    def _zone_content(self, planned: _PlannedService, topic: str, zone: int) -> Mapping[str, Entry] | None:
-        planned_entries = planned.planner.zone_entries(zone)
-        if planned.is_warm(planned.planner.controller.now):
-            planned.inherited_tables.pop(zone, None)
-        inherited_entries = planned.inherited_tables.get(zone)
+    def _zone_content(
+        self, planned_service: _PlannedService, topic: str, zone: int
+    ) -> Mapping[str, Entry] | None:
+        planned_entries = planned_service.planner.zone_entries(zone)
+        if planned_service.is_warm(planned_service.planner.controller.now):
+            planned_service.inherited_tables.pop(zone, None)
+        inherited_entries = planned_service.inherited_tables.get(zone)
         usable_entries = (
-            self._usable_entries(planned, inherited_entries) if inherited_entries is not None else {}
+            self._usable_entries(planned_service, inherited_entries) if inherited_entries is not None else {}
         )
         for entries in (usable_entries, planned_entries):
             if read_table(entries):
@@ -182,12 +184,14 @@
         return self._last_content(topic)
 
     @staticmethod
-    def _usable_entries(planned: _PlannedService, inherited_entries: Mapping[str, Entry]) -> dict[str, Entry]:
+    def _usable_entries(
+        planned_service: _PlannedService, inherited_entries: Mapping[str, Entry]
+    ) -> dict[str, Entry]:
         """Return the inherited entries without endpoints that are draining, not listed or in slow start."""
         ready_endpoints = {
             name
-            for name, entry in read_endpoints(planned.planner.service_entries()).items()
-            if entry.ready and planned.planner.is_warm(name)
+            for name, entry in read_endpoints(planned_service.planner.service_entries()).items()
+            if entry.ready and planned_service.planner.is_warm(name)
         }
         return {
             key: entry
--- a/ravenshelf/distribution/decisions/service_owner.py
+++ b/ravenshelf/distribution/decisions/service_owner.py
@@ -88,13 +88,13 @@
         for topic in [topic for topic in known_topics if service_of_topic(topic) == service]:
             self._publish_topic(now, topic, lease)
 
-    def set_claimed(self, now: int, service: str, claimed: bool) -> None:
+    def set_claimed(self, now: int, service: str, is_claimed: bool) -> None:
         """Claim an owned service, or withdraw the claim while its lease can't be renewed.
 
         A withdrawn claim lets servers learn that the service has no owner.
         """
         key, entry = claim_entry(service, self.owned_services[service].epoch)
-        self._put(now, claims_topic(self.name), key, entry if claimed else None)
+        self._put(now, claims_topic(self.name), key, entry if is_claimed else None)
 
     def release(self, now: int, service: str) -> None:
         """Stop owning a service whose lease has expired or was released."""
--- a/ravenshelf/distribution/decisions/topics.py
+++ b/ravenshelf/distribution/decisions/topics.py
@@ -56,16 +56,18 @@
     def _receive_snapshot(self, part: Snapshot) -> UpdateOutcome:
         if part.version <= self.version:
             return self._outcome_of_old_update(part.version)
-        partial = self._partial_snapshot
-        if partial is None or partial.version < part.version:
-            partial = self._partial_snapshot = _PartialSnapshot(part.version, part.part_count, {})
-        elif partial.version > part.version:
+        partial_snapshot = self._partial_snapshot
+        if partial_snapshot is None or partial_snapshot.version < part.version:
+            partial_snapshot = self._partial_snapshot = _PartialSnapshot(part.version, part.part_count, {})
+        elif partial_snapshot.version > part.version:
             return UpdateOutcome.DUPLICATE
-        partial.entries[part.part_index] = part.entries
-        if len(partial.entries) < partial.part_count:
+        partial_snapshot.entries[part.part_index] = part.entries
+        if len(partial_snapshot.entries) < partial_snapshot.part_count:
             return UpdateOutcome.INCOMPLETE
         entries = {
-            key: entry for index in sorted(partial.entries) for key, entry in partial.entries[index].items()
+            key: entry
+            for index in sorted(partial_snapshot.entries)
+            for key, entry in partial_snapshot.entries[index].items()
         }
         self.replace(part.version, entries)
         return UpdateOutcome.APPLIED
@@ -97,8 +99,8 @@
         """Return whether the delta contains all changes since the present version."""
         # The first delta of a new owner starts from exactly the version that the owner had replicated.
         if delta.version.epoch != self.version.epoch:
-            return delta.since == self.version
-        return delta.since <= self.version and delta.since.epoch == self.version.epoch
+            return delta.base_version == self.version
+        return delta.base_version <= self.version and delta.base_version.epoch == self.version.epoch
 
     def apply(self, delta: Delta) -> None:
         """Apply a delta without checking that it covers all changes since the present version."""
@@ -107,7 +109,7 @@
                 self.entries.pop(key, None)
             else:
                 self.entries[key] = entry
-        if delta.since != self.version:
+        if delta.base_version != self.version:
             delta = Delta(delta.topic, self.version, delta.version, delta.changes)
         self.version = delta.version
         self._partial_snapshot = None
@@ -139,13 +141,13 @@
         return [*self.snapshot()]
 
     def _delta_since(self, held_version: Version) -> Delta | None:
-        first = next(
-            (index for index, delta in enumerate(self._history) if delta.since == held_version), None
+        first_index = next(
+            (index for index, delta in enumerate(self._history) if delta.base_version == held_version), None
         )
-        if first is None:
+        if first_index is None:
             return None
         changes: Changes = {}
-        for delta in list(self._history)[first:]:
+        for delta in list(self._history)[first_index:]:
             changes.update(delta.changes)
         return Delta(self.name, held_version, self.version, changes)
 
--- a/ravenshelf/distribution/decisions/tree.py
+++ b/ravenshelf/distribution/decisions/tree.py
@@ -34,16 +34,16 @@
             f"found {servers} servers and a fan-out of {fan_out}"
         )
     planned_children = max(1, fan_out // 2)
-    counts: list[int] = []  # The level next to the servers comes first.
+    relay_counts: list[int] = []  # The level next to the servers comes first.
     count_below = servers
-    while count_below > planned_children or not counts:
+    while count_below > planned_children or not relay_counts:
         count_below = max(1, ceil(count_below / planned_children))
-        counts.append(count_below)
+        relay_counts.append(count_below)
         if planned_children == 1:
             break
     return [
         RelayLevel(tuple(f"{prefix}-{depth}-{number}" for number in range(count)))
-        for depth, count in enumerate(reversed(counts), 1)
+        for depth, count in enumerate(reversed(relay_counts), 1)
     ]
 
 
--- a/ravenshelf/distribution/leased_services.py
+++ b/ravenshelf/distribution/leased_services.py
@@ -15,7 +15,7 @@
 from ravenshelf.distribution.owner_service import OwnerService
 from ravenshelf.leadership.decisions import Member, Permission
 
-# The claims of a shard's services are withdrawn after so long without a valid lease.
+# The claims of a shard's services are withdrawn after this time without a valid lease.
 CLAIM_WITHDRAWAL_DELAY_US = 5_000_000
 
 
@@ -133,9 +133,9 @@
             elif self._invalid_since.pop(shard, None) is not None:
                 self._set_claimed(shard, True)
 
-    def _set_claimed(self, shard: int, claimed: bool) -> None:
+    def _set_claimed(self, shard: int, is_claimed: bool) -> None:
         for service in self._services_of(shard):
-            self.publisher.set_claimed(service, claimed)
+            self.publisher.set_claimed(service, is_claimed)
 
     def update_followed_shards(self) -> None:
         """Replicate the shards that this controller is likely to take over, from their present owners.
--- a/ravenshelf/distribution/messages.py
+++ b/ravenshelf/distribution/messages.py
@@ -94,10 +94,10 @@
 
 
 class Delta(msgspec.Struct, frozen=True, array_like=True, tag=19):
-    """Changes from version `since` to `version`, as absolute values."""
+    """Changes from `base_version` to `version`, as absolute values."""
 
     topic: str
-    since: Version
+    base_version: Version
     version: Version
     changes: Changes
 
--- a/ravenshelf/distribution/owner_service.py
+++ b/ravenshelf/distribution/owner_service.py
@@ -60,9 +60,9 @@
         self.owner.acquire(self.clock(), service, lease)
         self.publish()
 
-    def set_claimed(self, service: str, claimed: bool) -> None:
+    def set_claimed(self, service: str, is_claimed: bool) -> None:
         """Claim an owned service, or withdraw the claim, and publish what is due."""
-        self.owner.set_claimed(self.clock(), service, claimed)
+        self.owner.set_claimed(self.clock(), service, is_claimed)
         self.publish()
 
     def release(self, service: str) -> None:
--- a/ravenshelf/distribution/server_distribution.py
+++ b/ravenshelf/distribution/server_distribution.py
@@ -58,7 +58,7 @@
         self.zones: set[int] = set()
         self.proxies: dict[int, int] = {}  # Zone of each joined proxy.
         self._unreachable_topics: set[str] = set()
-        # The owner may be reachable for the topics of some zones only.
+        # Keys are zones, as liveness is reported for the topic of each zone.
         self._reachability: defaultdict[int, OwnerReachability] = defaultdict(OwnerReachability)
         self._controller: DistributedController | None = None
         self._timers: Timers[str] = Timers(node.loop, node.clock, self._report_due)
@@ -113,9 +113,9 @@
                 self._proxy_joined(proxy, zone)
             case ProxyLeft(proxy):
                 self.proxies.pop(proxy, None)
-            case LoadReport(zone, endpoint, attempts, failed, mean_latency):
-                succeeded = max(0, attempts - failed)
-                load = EndpointLoad(attempts, failed, succeeded * mean_latency)
+            case LoadReport(zone, endpoint, attempts, failures, mean_latency):
+                successes = max(0, attempts - failures)
+                load = EndpointLoad(attempts, failures, successes * mean_latency)
                 self._add_load(zone, {self.name_of(endpoint): load}, {})
             case DemandReport(proxy, group, requests, unanswered):
                 if proxy in self.proxies:
--- a/ravenshelf/distribution/serving.py
+++ b/ravenshelf/distribution/serving.py
@@ -67,9 +67,9 @@
     def _tick_due(self, _key: str) -> None:
         self.tick()
 
-    def schedule_tick(self, at: int) -> None:
+    def schedule_tick(self, due_at: int) -> None:
         """Schedule the next tick, at most MAX_TICK_INTERVAL_US from now."""
-        self._timers.set(TICK_TIMER, min(at, self.clock() + MAX_TICK_INTERVAL_US))
+        self._timers.set(TICK_TIMER, min(due_at, self.clock() + MAX_TICK_INTERVAL_US))
 
     def execute(self, actions: NodeActions) -> None:
         """Perform the actions of a decision."""
--- a/ravenshelf/distribution/subscribers.py
+++ b/ravenshelf/distribution/subscribers.py
@@ -59,10 +59,10 @@
         self.distributor = distributor
         self.listener = listener
         self.connections: dict[str, MessageConnection] = {}
-        self.rejected_count = 0  # Number of connections since the start.
+        self.rejected_count = 0  # Rejected connections are counted since the start.
         self.bytes_out = 0  # Bytes of all messages since the start, without frames.
-        self._unidentified: dict[int, MessageConnection] = {}
-        self._timers: Timers[_TimerKey] = Timers(node.loop, node.clock, self._due)
+        self._unidentified_connections: dict[int, MessageConnection] = {}
+        self._timers: Timers[_TimerKey] = Timers(node.loop, node.clock, self._timer_due)
         self._server: asyncio.Server | None = None
 
     async def start(self, listen: str) -> str:
@@ -79,25 +79,25 @@
         if self._server is not None:
             self._server.close()
         self._timers.stop()
-        connections = [*self.connections.values(), *self._unidentified.values()]
+        connections = [*self.connections.values(), *self._unidentified_connections.values()]
         self.connections.clear()
-        self._unidentified.clear()
+        self._unidentified_connections.clear()
         for connection in connections:
             connection.close(ConnectionEnd.STOPPING)
 
     def connection_opened(self, connection: MessageConnection) -> None:
         """Accept a connection, unless too many connections are unidentified."""
-        if len(self._unidentified) >= MAX_UNIDENTIFIED_CONNECTIONS:
+        if len(self._unidentified_connections) >= MAX_UNIDENTIFIED_CONNECTIONS:
             connection.close(ConnectionEnd.NO_CAPACITY)
             return
-        self._unidentified[id(connection)] = connection
+        self._unidentified_connections[id(connection)] = connection
         self._timers.set(
             (IDENTIFICATION_TIMER, id(connection)), self.node.clock() + IDENTIFICATION_TIMEOUT_US
         )
 
     def message_received(self, connection: MessageConnection, message: Message) -> None:
         """Handle a message; the first message of a connection must identify the subscriber."""
-        if id(connection) in self._unidentified:
+        if id(connection) in self._unidentified_connections:
             self._identify(connection, message)
         elif isinstance(message, Subscribe | Unsubscribe | Resync):
             self.listener.subscriber_message_received(connection.name, message)
@@ -113,9 +113,9 @@
             self._reject(connection)
             return
         assert isinstance(message, Hello)
-        superseded = self.connections.pop(message.name, None)
-        if superseded is not None:  # The process has dialled again.
-            superseded.close(ConnectionEnd.SUPERSEDED)
+        superseded_connection = self.connections.pop(message.name, None)
+        if superseded_connection is not None:  # The process has dialled again.
+            superseded_connection.close(ConnectionEnd.SUPERSEDED)
             self.listener.subscriber_lost(message.name)
         if not self.distributor.add_subscriber(self.node.clock(), message.name):
             self._reject(connection)
@@ -134,7 +134,7 @@
         connection.close(ConnectionEnd.DECLINED)
 
     def _remove_unidentified(self, connection: MessageConnection) -> None:
-        if self._unidentified.pop(id(connection), None) is not None:
+        if self._unidentified_connections.pop(id(connection), None) is not None:
             self._timers.remove((IDENTIFICATION_TIMER, id(connection)))
 
     def connection_ended(self, connection: MessageConnection) -> None:
@@ -159,19 +159,19 @@
             if connection is None or connection.is_paused:
                 continue
             now = self.node.clock()
-            for outgoing in self.distributor.pull(now, name, WRITE_BUFFER_BYTES):
-                connection.write(outgoing.payload)
-                self.bytes_out += len(outgoing.payload)
+            for message in self.distributor.pull(now, name, WRITE_BUFFER_BYTES):
+                connection.write(message.payload)
+                self.bytes_out += len(message.payload)
             if connection.is_paused:
                 self._timers.set((UNREAD_TIMER, name), now + UNREAD_TIMEOUT_US)
             elif connection.end is None:
                 self._timers.set((PULL_TIMER, name), self.distributor.due_at(now, name))
 
-    def _due(self, key: _TimerKey) -> None:
+    def _timer_due(self, key: _TimerKey) -> None:
         if key[0] == IDENTIFICATION_TIMER:
-            unidentified = self._unidentified.get(key[1])
-            if unidentified is not None:
-                unidentified.close(ConnectionEnd.SILENT)
+            connection = self._unidentified_connections.get(key[1])
+            if connection is not None:
+                connection.close(ConnectionEnd.SILENT)
         elif key[0] == PULL_TIMER:
             self.send_pending([key[1]])
         else:
--- a/ravenshelf/distribution/timers.py
+++ b/ravenshelf/distribution/timers.py
@@ -26,9 +26,9 @@
         self._handle: asyncio.TimerHandle | None = None
         self._armed_for: int | None = None
 
-    def set(self, key: Key, at: int) -> None:
+    def set(self, key: Key, deadline: int) -> None:
         """Set the deadline of a key, in place of an earlier one."""
-        self._deadlines.set(key, at)
+        self._deadlines.set(key, deadline)
         self._arm()
 
     def remove(self, key: Key) -> None:
--- a/tests/distribution/test_distribution_decisions.py
+++ b/tests/distribution/test_distribution_decisions.py
@@ -69,8 +69,8 @@
     return topic
 
 
-def make_delta(since: Version, until: Version, **changes) -> Delta:
-    return Delta("t", since, until, changes)
+def make_delta(base_version: Version, until: Version, **changes) -> Delta:
+    return Delta("t", base_version, until, changes)
 
 
 @pytest.mark.parametrize(
@@ -568,7 +568,7 @@
 def run_planner(
     seconds: int, attempts_by_zone=(40, 40), failures_by_zone=(0, 0), has_restart=None
 ) -> ServicePlanner:
-    """Return a planner after so many seconds, for a service of four endpoints in each of two zones.
+    """Return a planner that has run for this time, for a service of four endpoints in each of two zones.
 
     With `has_restart` endpoint e0 is listed as restarted one second before the end.
     """
--- a/tests/distribution/test_distribution_sockets.py
+++ b/tests/distribution/test_distribution_sockets.py
@@ -370,11 +370,11 @@
         await installation.wait_until(lambda: installation.all_subscribers_have("0"))
         listen = installation.relay_address
         installation.relay.stop()  # The process started below replaces this relay.
-        admin = tmp_path / "relay.sock"
+        admin_socket = tmp_path / "relay.sock"
         file = tmp_path / "operator.toml"
         file.write_text(
             f'[distribution]\nname = "relay-0"\ncluster = "test"\nlisten = "{listen}"\nowners = true\n'
-            f'admin = "{admin}"\n[distribution.parents]\nowner-0 = "{installation.owner_address}"\n'
+            f'admin = "{admin_socket}"\n[distribution.parents]\nowner-0 = "{installation.owner_address}"\n'
         )
         process = await asyncio.create_subprocess_exec(
             *command("relay", "--operator", str(file)), cwd=ROOT, stderr=asyncio.subprocess.PIPE
@@ -386,9 +386,9 @@
             line = json.loads(output)
             assert code == 0 and line["topic"] == "s@" and line["epoch"] == 1
             assert line["entries"] == {"c:x": {"value": "7"}}
-            code, output, _ = await run_command("status", "--admin", str(admin), "--json")
+            code, output, _ = await run_command("status", "--admin", str(admin_socket), "--json")
             assert code == 0 and json.loads(output)["subscribers"] == 3
-            code, output, _ = await run_command("status", "--admin", str(admin))
+            code, output, _ = await run_command("status", "--admin", str(admin_socket))
             assert code == 0 and "relay-0 of test" in output and "connected" in output
         finally:
             process.send_signal(signal.SIGTERM)
@@ -520,8 +520,8 @@
             for service in (*subscription_services, relay, owner):
                 service.stop()
 
-    first, second = asyncio.run(run_until_avoided())
-    assert first == second and set(first) == set(names)
+    first_table, second_table = asyncio.run(run_until_avoided())
+    assert first_table == second_table and set(first_table) == set(names)
 
 
 def test_a_relay_sends_its_metrics_to_graphite(tmp_path):
--- a/tests/distribution/test_distribution_world.py
+++ b/tests/distribution/test_distribution_world.py
@@ -248,14 +248,14 @@
     world.run(60)
     assert not any(topic in relay.relay.topics for level in world.levels for relay in level)
     owner = owner_node(world, service_of_topic(topic))
-    served = owner.messages_out
+    messages_before = owner.messages_out
     world.run(0.01)
     for _ in range(50):
         world.change(service_of_topic(topic))
     world.run(0.5)
-    relays = len(owner.served)
+    relay_count = len(owner.served)
     # The remaining messages are heartbeats of the relays and messages to two replicas.
-    assert owner.messages_out - served <= 2 * relays + 2
+    assert owner.messages_out - messages_before <= 2 * relay_count + 2
 
 
 def broken_schedules(name: str = "") -> dict[int, Violation]:
