--- a/ravenshelf/distribution/decisions/distributor.py
+++ b/ravenshelf/distribution/decisions/distributor.py
@@ -52,23 +52,29 @@
 
 @dataclass
 class _EncodedUpdates:
-    version: Version  # The topic's version to which the updates lead.
-    updates: dict[Version, list[EncodedMessage]] = field(default_factory=dict)  # Keys are held versions.
+    """Updates that lead to `version` of a topic, by the version that a subscriber holds."""
+
+    version: Version
+    updates: dict[Version, list[EncodedMessage]] = field(default_factory=dict)
 
 
 @dataclass
 class _Subscriber:
+    """State of one subscriber.
+
+    `dirty_topics` may have updates for the subscriber, the oldest first. `queued_messages` are sent before
+    all others. `unreachable_topics` are those that were reported to the subscriber as not live.
+    """
+
     heartbeat_at: int
     sent_versions: Digest = field(default_factory=Digest)
-    dirty_topics: dict[str, None] = field(
-        default_factory=dict
-    )  # These may have updates; the oldest is first.
-    queued_messages: deque[EncodedMessage] = field(default_factory=deque)  # These are sent before any other.
-    unreachable_topics: set[str] = field(default_factory=set)  # Reported to the subscriber as not live.
+    dirty_topics: dict[str, None] = field(default_factory=dict)
+    queued_messages: deque[EncodedMessage] = field(default_factory=deque)
+    unreachable_topics: set[str] = field(default_factory=set)
 
 
 class Distributor:
-    """Serves topics to subscribers. Times are in microseconds.
+    """Serving side for a set of topics and their subscribers. Times are in microseconds.
 
     `topics` is shared with the caller, who keeps it up to date and reports each change.
     """
@@ -77,7 +83,7 @@
         self.topics = topics
         self.limits = limits
         self.subscribers: dict[str, _Subscriber] = {}
-        self.subscriptions: dict[str, dict[str, None]] = {}  # Ordered subscriber names by topic.
+        self.subscriptions: dict[str, dict[str, None]] = {}  # The subscribers of each topic are ordered.
         self.snapshot_bytes = 0  # Total since the start.
         self._unreachable_topics: set[str] = set()
         self._bucket = TokenBucket(limits.snapshot_bytes_per_second, limits.snapshot_burst_bytes)
