--- a/benchmarks/scale/servers.py
+++ b/benchmarks/scale/servers.py
@@ -194,8 +194,8 @@
         decode_settings(settings(64, 1)), registry.index_of, registry.index_by_name.get
     )
     started_at = time.process_time()
-    document = decoder.read(body)
-    entries, addresses, _ = decoder.entries(document["targets"])
+    document = decoder.decode_list(body)
+    entries, addresses, _ = decoder.decode_entries(document["targets"])
     registry.update(ListKind.REPLACE, document["rev"], entries, addresses)
     return time.process_time() - started_at
 
--- a/ravenshelf/distribution/connection.py
+++ b/ravenshelf/distribution/connection.py
@@ -5,7 +5,7 @@
 from ravenshelf.distribution.messages import MalformedMessageError, Message, decode, encode
 from ravenshelf.net.buffered_connection import BufferedConnection
 from ravenshelf.net.connection_end import ConnectionEnd
-from ravenshelf.net.frames import Frames, pack
+from ravenshelf.net.frames import FrameDecoder, pack_frame
 from ravenshelf.state.buffers import BufferPool
 
 WRITE_BUFFER_BYTES = 65_536  # With more unsent bytes no further messages are pulled for a subscriber.
@@ -44,7 +44,7 @@
         super().__init__(buffers)
         self.listener = listener
         self.name = name
-        self.frames = Frames()
+        self.frames = FrameDecoder()
         self.is_paused = False
         self.bytes_in = 0
         self.bytes_out = 0
@@ -70,7 +70,7 @@
         if self.end is None:
             self.listener.write_resumed(self)
 
-    def received(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Decode received bytes and pass the messages to the listener.
 
         Bytes that can't be decoded end the connection.
@@ -98,8 +98,8 @@
         if self.end is None and self.transport is not None:
             self.messages_out += 1
             self.bytes_out += len(payload)
-            self.transport.write(pack(payload))
+            self.transport.write(pack_frame(payload))
 
-    def ended(self) -> None:
+    def handle_end(self) -> None:
         """Notify the listener; called once, whichever side ended the connection."""
         self.listener.connection_ended(self)
--- a/ravenshelf/distribution/subscribers.py
+++ b/ravenshelf/distribution/subscribers.py
@@ -21,7 +21,7 @@
 from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.timers import Timers
 from ravenshelf.net.connection_end import ConnectionEnd
-from ravenshelf.net.datagrams import address
+from ravenshelf.net.datagrams import parse_address
 from ravenshelf.state.buffers import BufferPool
 
 IDENTIFICATION_TIMEOUT_US = 2_000_000  # The first message of a connection must arrive within this time.
@@ -67,7 +67,7 @@
 
     async def start(self, listen: str) -> str:
         """Listen at host:port; return the address, with the port that the system chose for port 0."""
-        host, port = address(listen)
+        host, port = parse_address(listen)
         self._server = await self.node.loop.create_server(
             lambda: MessageConnection(self.buffers, self), host, port
         )
--- a/ravenshelf/distribution/timers.py
+++ b/ravenshelf/distribution/timers.py
@@ -53,6 +53,6 @@
     def _fire(self) -> None:
         self._handle = None
         self._armed_for = None
-        for key in self._deadlines.take_expired(self.clock()):
+        for key in self._deadlines.pop_expired(self.clock()):
             self.on_due(cast(Key, key))
         self._arm()
--- a/ravenshelf/distribution/upstreams.py
+++ b/ravenshelf/distribution/upstreams.py
@@ -9,7 +9,7 @@
 from ravenshelf.distribution.messages import PROTOCOL, Hello, Message
 from ravenshelf.distribution.node import Node
 from ravenshelf.net.connection_end import ConnectionEnd
-from ravenshelf.net.datagrams import address
+from ravenshelf.net.datagrams import parse_address
 from ravenshelf.state.buffers import BufferPool
 
 
@@ -95,7 +95,7 @@
 
         There is no timeout here: a client whose dial takes too long disconnects, which cancels this task.
         """
-        host, port = address(self.node.parent_addresses[parent])
+        host, port = parse_address(self.node.parent_addresses[parent])
         try:
             _, connection = await self.node.loop.create_connection(
                 lambda: MessageConnection(self.buffers, upstream, parent), host, port
--- a/ravenshelf/graphite/collector.py
+++ b/ravenshelf/graphite/collector.py
@@ -26,7 +26,7 @@
     ProxyLeft,
 )
 from ravenshelf.settings import Settings
-from ravenshelf.state.message_part import MessagePart
+from ravenshelf.state.table_update import TableUpdate
 
 DEFAULT_LATENCY_OBJECTIVE = 10 * SECOND  # for traffic groups that have no latency objective
 
@@ -96,15 +96,15 @@
             case BatchAcknowledged():
                 self._on_acknowledged(event, now)
 
-    def on_message(self, proxy: int, parts: Iterable[MessagePart], marker: int | None) -> None:
+    def on_message(self, proxy: int, updates: Iterable[TableUpdate], marker: int | None) -> None:
         """Record a message that was sent to a proxy.
 
         The proxy acknowledges the message with `marker`; None means that it does not acknowledge it.
         """
         if marker is None or not self.drains.pending_drains:
             return
-        for part in parts:
-            for endpoint in part.ejected:
+        for update in updates:
+            for endpoint in update.ejected_endpoints:
                 self.drains.record_removal_sent(endpoint, proxy, marker)
 
     def on_control_cycle(self, delay: int, duration: int) -> None:
--- a/ravenshelf/graphite/connection.py
+++ b/ravenshelf/graphite/connection.py
@@ -69,9 +69,9 @@
             return not self.is_paused
         return not self.is_paused and self.transport.get_write_buffer_size() == 0
 
-    def received(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Ignore the data: carbon sends nothing on these connections."""
 
-    def ended(self) -> None:
+    def handle_end(self) -> None:
         """Report the end of the connection."""
         self.on_close(self)
--- a/ravenshelf/graphite/dialing.py
+++ b/ravenshelf/graphite/dialing.py
@@ -8,7 +8,7 @@
 from ravenshelf.graphite.connection import ReceiverConnection
 from ravenshelf.graphite.decisions.connection import CONNECT_TIMEOUT, SECOND
 from ravenshelf.net.connection_end import ConnectionEnd
-from ravenshelf.net.datagrams import address
+from ravenshelf.net.datagrams import parse_address
 
 SocketAddress = tuple[Any, ...]
 Resolve = Callable[[str, int], Awaitable[Sequence[SocketAddress]]]
@@ -50,7 +50,7 @@
         loop: The event loop.
     """
     try:
-        host, port = address(receiver)
+        host, port = parse_address(receiver)
         addresses = list(dict.fromkeys(await resolve(host.strip("[]"), port)))
         first_index = attempt % len(addresses) if addresses else 0
         for socket_address in addresses[first_index:] + addresses[:first_index]:
--- a/ravenshelf/leadership/lease_filter.py
+++ b/ravenshelf/leadership/lease_filter.py
@@ -15,7 +15,7 @@
 from ravenshelf.leadership.shard_placement import shard_of_proxy
 from ravenshelf.policy.events import EndpointsListed, EndpointState, Event, ProxyJoined, ProxyLeft
 from ravenshelf.state.counters import Counters
-from ravenshelf.state.message_part import AdmissionLevel, MessagePart
+from ravenshelf.state.table_update import AdmissionLevel, TableUpdate
 
 # A complete table resets the admission levels. An inherited level is commanded again after it, with a retry
 # mode of at most this.
@@ -162,8 +162,8 @@
             self.bound_proxies.discard(proxy)
             self._report_event(ProxyLeft(proxy, True))
 
-    def apply_inherited_state(self, proxy: int, parts: list[MessagePart]) -> None:
-        """Change the parts of a message in place according to the state of the shard's previous holder.
+    def apply_inherited_state(self, proxy: int, updates: list[TableUpdate]) -> None:
+        """Change the updates of a message in place according to the state of the shard's previous holder.
 
         Endpoints that were drained by a newer list than the local one stay ejected, and load that the
         previous holder shed is admitted step by step. Both ends with the inherited state.
@@ -172,45 +172,49 @@
         now = self.clock()
         if held_shard is None or held_shard.inherited_state.has_ended(now):
             return
-        self._keep_drained(held_shard.inherited_state, parts)
-        for part in parts:
-            commanded_level = part.admission_level
+        self._keep_drained(held_shard.inherited_state, updates)
+        for update in updates:
+            commanded_level = update.admission_level
             if commanded_level is not None:
-                group_names = [self.groups[group] for group in part.groups] or self.groups
+                group_names = [self.groups[group] for group in update.groups] or self.groups
                 level = min(
                     held_shard.inherited_state.limit_level(now, group, commanded_level.level)
                     for group in group_names
                 )
-                part.admission_level = AdmissionLevel(level, commanded_level.retry_mode)
-        self._restore_levels(now, held_shard.inherited_state, parts)
+                update.admission_level = AdmissionLevel(level, commanded_level.retry_mode)
+        self._restore_levels(now, held_shard.inherited_state, updates)
 
-    def _keep_drained(self, inherited_state: InheritedState, parts: list[MessagePart]) -> None:
+    def _keep_drained(self, inherited_state: InheritedState, updates: list[TableUpdate]) -> None:
         """Eject the drained endpoints that the message would readmit or give a weight."""
         indices = map(self._endpoint_index, inherited_state.drained_at)
         drained_endpoints = {index for index in indices if index is not None}
         if not drained_endpoints:
             return
-        for part in parts:
-            part.readmitted = [endpoint for endpoint in part.readmitted if endpoint not in drained_endpoints]
-            part.ejected = part.ejected + [
+        for update in updates:
+            update.readmitted_endpoints = [
+                endpoint for endpoint in update.readmitted_endpoints if endpoint not in drained_endpoints
+            ]
+            update.ejected_endpoints = update.ejected_endpoints + [
                 endpoint
-                for endpoint, weight in part.weights
-                if weight and endpoint in drained_endpoints and endpoint not in part.ejected
+                for endpoint, weight in update.weights
+                if weight and endpoint in drained_endpoints and endpoint not in update.ejected_endpoints
             ]
 
-    def _restore_levels(self, now: int, inherited_state: InheritedState, parts: list[MessagePart]) -> None:
+    def _restore_levels(self, now: int, inherited_state: InheritedState, updates: list[TableUpdate]) -> None:
         """Add the inherited admission levels after each complete table, since a table resets them."""
-        complete_tables = [part for part in parts if part.is_complete and part.admission_level is None]
-        for part in complete_tables:
-            for group in part.groups or range(len(self.groups)):
+        complete_tables = [
+            update for update in updates if update.is_complete and update.admission_level is None
+        ]
+        for update in complete_tables:
+            for group in update.groups or range(len(self.groups)):
                 group_name = self.groups[group]
                 recorded_admission = inherited_state.record.admission_levels.get(group_name)
                 level = inherited_state.limit_level(now, group_name, float("inf"))
                 if recorded_admission is not None and level < float("inf"):
                     retry_mode = min(recorded_admission[1], INHERITED_RETRY_MODE_LIMIT)
-                    parts.append(MessagePart((group,), admission_level=AdmissionLevel(level, retry_mode)))
+                    updates.append(TableUpdate((group,), admission_level=AdmissionLevel(level, retry_mode)))
 
-    def submit(self, proxy: int, parts: list[MessagePart], message: bytes, marker: int | None) -> None:
+    def submit(self, proxy: int, updates: list[TableUpdate], message: bytes, marker: int | None) -> None:
         """Accept an encoded command, which is sent as soon as it is permitted.
 
         Without a lease of the proxy's shard the command is dropped and counted.
@@ -220,20 +224,20 @@
         if held_shard is None:
             self.counters["orders_without_lease"] += 1
             return
-        requirements = self._requirements(held_shard, parts)
+        requirements = self._requirements(held_shard, updates)
         if held_shard.gate.submit(proxy, EncodedCommand(message, marker), requirements):
             self._extend_record(shard, held_shard)
         self._send_permitted_of(shard)
 
-    def _requirements(self, held_shard: HeldShard, parts: list[MessagePart]) -> RecordRequirements:
-        """Return what the shard's record has to contain before a message of these parts is sent."""
+    def _requirements(self, held_shard: HeldShard, updates: list[TableUpdate]) -> RecordRequirements:
+        """Return what the shard's record has to contain before a message of these updates is sent."""
         requirements = RecordRequirements()
-        for part in parts:
-            if part.admission_level is not None:
-                level, retry_mode = part.admission_level
-                for group in part.groups or range(len(self.groups)):
+        for update in updates:
+            if update.admission_level is not None:
+                level, retry_mode = update.admission_level
+                for group in update.groups or range(len(self.groups)):
                     requirements.levels.append((self.groups[group], level, retry_mode))
-            for endpoint in part.ejected:
+            for endpoint in update.ejected_endpoints:
                 endpoint_name = self._endpoint_name(endpoint)
                 if not held_shard.inherited_state.is_drained(endpoint_name):
                     requirements.drains.append((endpoint_name, self._list_version()))
--- a/ravenshelf/leadership/link.py
+++ b/ravenshelf/leadership/link.py
@@ -26,10 +26,10 @@
 
 def encode_frame(message: Any) -> bytes:
     """Return the frame of a message, which is given as a list of its kind and its fields."""
-    return net_frames.pack(msgspec.msgpack.encode(message))
+    return net_frames.pack_frame(msgspec.msgpack.encode(message))
 
 
-class Frames(net_frames.Frames):
+class Frames(net_frames.FrameDecoder):
     """Decodes a byte stream into messages, each a list whose first item is its kind."""
 
     def feed(self, data: bytes) -> list:
@@ -78,7 +78,7 @@
             return
         transport.write(encode_frame(self.hello))
 
-    def received(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Decode messages and hand them to the owner; undecodable bytes end the connection."""
         try:
             messages = self.frames.feed(data)
@@ -122,7 +122,7 @@
             "",
         )
 
-    def ended(self) -> None:
+    def handle_end(self) -> None:
         """Report the end of the connection to the owner."""
         self.owner.link_closed(self)
 
--- a/ravenshelf/leadership/message_codec.py
+++ b/ravenshelf/leadership/message_codec.py
@@ -42,7 +42,7 @@
 
 def encode(message: Message) -> bytes:
     """Return the frame of a message."""
-    return frames.pack(msgspec.msgpack.encode((KIND_OF_TYPE[type(message)], *message)))
+    return frames.pack_frame(msgspec.msgpack.encode((KIND_OF_TYPE[type(message)], *message)))
 
 
 def decode(message: list[Any]) -> Message:
--- a/ravenshelf/leadership/peer_connections.py
+++ b/ravenshelf/leadership/peer_connections.py
@@ -12,7 +12,7 @@
 from ravenshelf.leadership.link import Link
 from ravenshelf.leadership.message_codec import MalformedMessageError
 from ravenshelf.net.connection_end import ConnectionEnd
-from ravenshelf.net.datagrams import address
+from ravenshelf.net.datagrams import parse_address
 from ravenshelf.state.buffers import BufferPool
 from ravenshelf.state.counters import Counters
 
@@ -86,7 +86,7 @@
         Raises:
             OSError: The address can't be bound.
         """
-        host, port = address(self.settings.members[self.membership.name])
+        host, port = parse_address(self.settings.members[self.membership.name])
         self._server = await self.loop.create_server(self.make_link, host, port, ssl=self._accept_context)
 
     def start_dialling(self) -> None:
@@ -100,7 +100,11 @@
             if member not in self.links:
                 with suppress(TimeoutError, OSError, ValueError):
                     await links.dial(
-                        self.loop, address(member_address), self.make_link, self._dial_context, DIAL_TIMEOUT_S
+                        self.loop,
+                        parse_address(member_address),
+                        self.make_link,
+                        self._dial_context,
+                        DIAL_TIMEOUT_S,
                     )
             await asyncio.sleep(DIAL_INTERVAL_S)
 
--- a/ravenshelf/net/accepted.py
+++ b/ravenshelf/net/accepted.py
@@ -6,7 +6,7 @@
 
 from ravenshelf.net.buffered_connection import BufferedConnection
 from ravenshelf.net.connection_end import STREAM, UNIDENTIFIED, ConnectionEnd
-from ravenshelf.net.stream_codec import LINE_LIMIT_BYTES, may_begin
+from ravenshelf.net.stream_codec import LINE_LIMIT_BYTES, may_begin_message
 from ravenshelf.state.buffers import BUFFER_BYTES, BufferPool
 
 UNSENT_LIMIT_BYTES = 256 * 1024  # beyond the socket before one more message; who lags by more is not reading
@@ -17,20 +17,20 @@
 class ConnectionOwner(Protocol):
     """Takes what happens on accepted connections."""
 
-    def connected(self, connection: "AcceptedConnection") -> None:
+    def on_connection_opened(self, connection: "AcceptedConnection") -> None:
         """Take a new connection."""
 
-    def received(self, connection: "AcceptedConnection", line: bytes) -> None:
+    def on_line(self, connection: "AcceptedConnection", line: bytes) -> None:
         """Take a line, without its end."""
 
-    def closed(self, connection: "AcceptedConnection") -> None:
+    def on_connection_ended(self, connection: "AcceptedConnection") -> None:
         """Take a connection's end; called once."""
 
-    def socket_closed(self, connection: "AcceptedConnection") -> None:
+    def on_socket_closed(self, connection: "AcceptedConnection") -> None:
         """Take note that the socket is closed, which may be later than the connection's end."""
 
     @property
-    def next_turn(self) -> Callable[[Callable[[], None]], object]:
+    def call_soon(self) -> Callable[[Callable[[], None]], object]:
         """Have a call made in the loop's next turn."""
 
 
@@ -38,7 +38,7 @@
     """A stream of a proxy, a collector, or a connection that has not said yet what it is.
 
     `pending_markers` holds when each marker was written on this stream that is not yet acknowledged;
-    `connected_at` is in microseconds. `has_spoken` holds since the acceptor's last sweep.
+    `connected_at` is in microseconds. `has_sent_message` holds since the acceptor's last sweep.
     """
 
     def __init__(self, buffers: BufferPool, owner: ConnectionOwner):
@@ -51,16 +51,16 @@
         self.zone: int | None = None
         self.peer = ""
         self.pending_markers: dict[int, int] = {}
-        self.checks_terms = False  # a proxy that rejects orders of an older term
+        self.has_term_check = False  # a proxy that rejects orders of an older term
         self.is_superseded = False
-        self.has_spoken = True
+        self.has_sent_message = True
         self.connected_at = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begin; called by the loop."""
         super().connection_made(transport)
         self.peer = str(transport.get_extra_info("peername"))
-        self.owner.connected(self)
+        self.owner.on_connection_opened(self)
 
     def buffer_updated(self, count: int) -> None:
         """Take one buffer a turn.
@@ -71,13 +71,13 @@
         super().buffer_updated(count)
         if count == BUFFER_BYTES and not self.transport.is_closing():
             self.transport.pause_reading()
-            self.owner.next_turn(self._resume_reading)
+            self.owner.call_soon(self._resume_reading)
 
     def _resume_reading(self) -> None:
         if not self.transport.is_closing():
             self.transport.resume_reading()
 
-    def received(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Pass complete lines to the owner."""
         searched = len(self.partial_line)
         self.partial_line += data
@@ -87,10 +87,10 @@
             searched = 0
             if self._end_if_too_long(len(line)):
                 return
-            self.owner.received(self, line)
+            self.owner.on_line(self, line)
             if self.end is not None:
                 return
-        if not self._end_if_too_long(len(self.partial_line)) and not may_begin(self.partial_line):
+        if not self._end_if_too_long(len(self.partial_line)) and not may_begin_message(self.partial_line):
             self.close(ConnectionEnd.UNREADABLE)
 
     def _end_if_too_long(self, size: int) -> bool:
@@ -122,9 +122,9 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """End, and tell the owner that the socket is closed; called by the loop."""
         super().connection_lost(exc)
-        self.owner.socket_closed(self)
+        self.owner.on_socket_closed(self)
 
-    def ended(self) -> None:
+    def handle_end(self) -> None:
         """Tell the owner."""
         self.partial_line = bytearray()
-        self.owner.closed(self)
+        self.owner.on_connection_ended(self)
--- a/ravenshelf/net/buffered_connection.py
+++ b/ravenshelf/net/buffered_connection.py
@@ -18,7 +18,7 @@
 
     def __init__(self, buffers: BufferPool):
         self.buffers = buffers
-        self.lent: bytearray | None = None
+        self.read_buffer: bytearray | None = None
         self.transport = cast(asyncio.Transport, None)
         self.end: ConnectionEnd | None = None
 
@@ -28,22 +28,22 @@
 
     def get_buffer(self, _sizehint: int) -> bytearray:
         """Return the buffer to read into; called by the loop."""
-        if self.lent is None:
-            self.lent = self.buffers.lend()
-        return self.lent
+        if self.read_buffer is None:
+            self.read_buffer = self.buffers.acquire()
+        return self.read_buffer
 
     def buffer_updated(self, count: int) -> None:
         """Take the bytes that were read; called by the loop."""
-        assert self.lent is not None
-        data = bytes(memoryview(self.lent)[:count])
-        self._give_back()
+        assert self.read_buffer is not None
+        data = bytes(memoryview(self.read_buffer)[:count])
+        self._release_buffer()
         if self.end is None:
-            self.received(data)
+            self.handle_data(data)
 
-    def _give_back(self) -> None:
-        if self.lent is not None:
-            self.buffers.give_back(self.lent)
-            self.lent = None
+    def _release_buffer(self) -> None:
+        if self.read_buffer is not None:
+            self.buffers.release(self.read_buffer)
+            self.read_buffer = None
 
     def eof_received(self) -> bool:
         """End: the other side writes no more; called by the loop."""
@@ -52,7 +52,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """End: the socket is closed; called by the loop."""
-        self._give_back()
+        self._release_buffer()
         if exc is None:
             self.close(ConnectionEnd.CLOSED)
         else:  # the loop also closes the socket of a callback that raised
@@ -65,7 +65,7 @@
         self.end = end
         if self.transport is not None:
             self.close_transport(end)
-        self.ended()
+        self.handle_end()
 
     def close_transport(self, end: ConnectionEnd) -> None:
         """Close the socket; at the server's stop, once it has taken what was written."""
@@ -74,10 +74,10 @@
         else:
             self.transport.abort()
 
-    def received(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Take the bytes of one read."""
         raise NotImplementedError
 
-    def ended(self) -> None:
+    def handle_end(self) -> None:
         """Take the connection's end; called once, when `end` is set."""
         raise NotImplementedError
--- a/ravenshelf/net/connection_end.py
+++ b/ravenshelf/net/connection_end.py
@@ -41,7 +41,7 @@
 )
 
 
-def outcome(
+def end_event_type(
     purpose: str, end: ConnectionEnd
 ) -> type[ProxyLeft] | type[HealthCheckCompleted] | type[WatchFailed] | None:
     """Return the type of event that reports the end, or None where the controller is told nothing."""
--- a/ravenshelf/net/datagrams.py
+++ b/ravenshelf/net/datagrams.py
@@ -7,24 +7,30 @@
 DATAGRAM_LIMIT_BYTES = 256  # a longer one voids the run
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Return host and port of "host:port"; raises ValueError where the port is no number."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class PeerDatagrams(asyncio.DatagramProtocol):
     """Sends to peers by number and passes on what they send.
 
-    `peers` are addresses by number, `everyone` is the address that reaches them all. `received(peer,
-    payload)` gets each datagram; the peer is None for an unknown sender or a datagram that is too long.
+    `peers` are addresses by number, `broadcast_address` is the address that reaches them all.
+    `on_datagram(peer, payload)` gets each datagram; the peer is None for an unknown sender
+    or a datagram that is too long.
     """
 
-    def __init__(self, peers: list[str], everyone: str | None, received: Callable[[int | None, bytes], None]):
-        self.peers = [address(peer) for peer in peers]
+    def __init__(
+        self,
+        peers: list[str],
+        broadcast_address: str | None,
+        on_datagram: Callable[[int | None, bytes], None],
+    ):
+        self.peers = [parse_address(peer) for peer in peers]
         self.number_by_address = {peer: number for number, peer in enumerate(self.peers)}
-        self.everyone = address(everyone) if everyone else None
-        self.received = received
+        self.broadcast_address = parse_address(broadcast_address) if broadcast_address else None
+        self.on_datagram = on_datagram
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -34,7 +40,7 @@
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
         """Pass on a datagram; called by the loop."""
         is_short = len(data) <= DATAGRAM_LIMIT_BYTES
-        self.received(self.number_by_address.get(addr[:2]) if is_short else None, data)
+        self.on_datagram(self.number_by_address.get(addr[:2]) if is_short else None, data)
 
     def error_received(self, exc: Exception) -> None:
         """Pass over a peer that is down: datagrams promise nothing; called by the loop."""
@@ -49,5 +55,5 @@
 
     def _destination(self, peer: int | None) -> tuple[str, int] | None:
         if peer is None:
-            return self.everyone
+            return self.broadcast_address
         return self.peers[peer] if 0 <= peer < len(self.peers) else None
--- a/ravenshelf/net/endpoint_codec.py
+++ b/ravenshelf/net/endpoint_codec.py
@@ -25,29 +25,29 @@
 class EndpointListDecoder:
     """Decodes lists by the names that the settings give.
 
-    `index_of` gives a listed endpoint's name its index, `known_index_of` only that of a name that has one.
+    `index_of` gives a listed endpoint's name its index, `find_index` only that of a name that has one.
     """
 
     def __init__(
         self,
         settings: Settings,
         index_of: Callable[[str], int],
-        known_index_of: Callable[[str], int | None],
+        find_index: Callable[[str], int | None],
     ):
         self.zones = {name: number for number, name in enumerate(settings.zones)}
         self.machine_kinds = {name: number for number, name in enumerate(settings.machine_kinds)}
         self.index_of = index_of
-        self.known_index_of = known_index_of
+        self.find_index = find_index
 
-    def read(self, text: bytes | str) -> dict[str, Any]:
+    def decode_list(self, text: bytes | str) -> dict[str, Any]:
         """Parse and check a list; raises UnreadableListError."""
         try:
-            return self.check(json.loads(text))
+            return self.check_list(json.loads(text))
         except ValueError as error:  # bad JSON or bad UTF-8
             raise UnreadableListError(str(error)) from error
 
     @staticmethod
-    def check(listed: object) -> dict[str, Any]:
+    def check_list(listed: object) -> dict[str, Any]:
         """Return a list with its version and entries checked; raises UnreadableListError."""
         if isinstance(listed, dict):
             version = listed.get("rev")
@@ -56,7 +56,7 @@
                 return listed
         raise UnreadableListError("expected an object with rev and targets")
 
-    def entries(
+    def decode_entries(
         self, targets: list[Any]
     ) -> tuple[list[ListedEndpoint], dict[int, str], list[tuple[int | None, str]]]:
         """Return entries, addresses by index, and malformed ones: the index, if known, and why."""
@@ -72,7 +72,7 @@
                 fields = self._fields(target)
             except (KeyError, TypeError, ValueError, OverflowError) as error:
                 reason = f"{name}: {type(error).__name__} {error}"
-                malformed.append((self.known_index_of(name), reason))
+                malformed.append((self.find_index(name), reason))
                 continue
             index = self.index_of(name)
             entries[index] = ListedEndpoint(index, *fields)
--- a/ravenshelf/net/frames.py
+++ b/ravenshelf/net/frames.py
@@ -2,18 +2,18 @@
 
 import struct
 
-MOST_FRAME = 8 * 1024 * 1024  # bytes of a body
+FRAME_LIMIT_BYTES = 8 * 1024 * 1024  # bytes of a body
 SIZE = struct.Struct("!I")
 
 
-def pack(body: bytes) -> bytes:
+def pack_frame(body: bytes) -> bytes:
     """Return the frame of a body; raises ValueError where it is longer than a frame may be."""
-    if len(body) > MOST_FRAME:
+    if len(body) > FRAME_LIMIT_BYTES:
         raise ValueError(f"a frame of {len(body)} bytes")
     return SIZE.pack(len(body)) + body
 
 
-class Frames:
+class FrameDecoder:
     """Splits bytes in pieces into the bodies of frames."""
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         bodies = []
         while len(self.rest) >= SIZE.size:
             size = SIZE.unpack_from(self.rest)[0]
-            if size > MOST_FRAME:
+            if size > FRAME_LIMIT_BYTES:
                 raise ValueError(f"a frame of {size} bytes")
             if len(self.rest) < SIZE.size + size:
                 break
--- a/ravenshelf/net/http.py
+++ b/ravenshelf/net/http.py
@@ -18,7 +18,7 @@
 class HttpCall(BufferedConnection):
     """One call to `address` (host:port).
 
-    `done(call)` is called once, with `end`, `status` and `body` set; `on_line(call, line)` gets the lines
+    `on_end(call)` is called once, with `end`, `status` and `body` set; `on_line(call, line)` gets the lines
     of a body as they come, and such a call collects none. `slot` is its owner's.
     """
 
@@ -27,13 +27,13 @@
         buffers: BufferPool,
         address: str,
         path: str,
-        done: Callable[["HttpCall"], None],
+        on_end: Callable[["HttpCall"], None],
         on_line: Callable[["HttpCall", bytes], None] | None = None,
     ):
         super().__init__(buffers)
         self.address = address
         self.path = path
-        self.done = done
+        self.on_end = on_end
         self.on_line = on_line
         self.parser = httptools.HttpResponseParser(self)
         self.status = 0
@@ -82,7 +82,7 @@
             self._close_complete()
         return False
 
-    def received(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         """Parse what was read."""
         if not self.status:
             self.head_bytes += len(data)
@@ -150,6 +150,6 @@
         """The body as far as it has come."""
         return b"".join(self.chunks)
 
-    def ended(self) -> None:
+    def handle_end(self) -> None:
         """Tell the owner."""
-        self.done(self)
+        self.on_end(self)
--- a/ravenshelf/net/stream_codec.py
+++ b/ravenshelf/net/stream_codec.py
@@ -1,4 +1,4 @@
-"""The codec of the proxies' protocol: lines of streams and collectors into events, message parts into lines.
+"""The codec of the proxies' protocol: lines of streams and collectors into events, table updates into lines.
 
 The words of the wire stand here alone.
 """
@@ -8,10 +8,10 @@
 from ravenshelf.errors import RavenshelfError
 from ravenshelf.policy.events import BatchAcknowledged, DemandReport, LoadReport, ProxyJoined
 from ravenshelf.settings import Settings
-from ravenshelf.state.message_part import MessagePart
+from ravenshelf.state.table_update import TableUpdate
 
 # what load reports on streams call the columns of the settings' telemetry
-LOAD_WORDS = {
+LOAD_COLUMN_ALIASES = {
     "inflight": "active",
     "queue": "waiting",
     "util": "cpu",
@@ -21,7 +21,7 @@
 }
 
 LINE_LIMIT_BYTES = 1024 * 1024  # a message holds no more
-PARTS_LIMIT = 64
+UPDATES_LIMIT = 64
 NUMBER_LIMIT = 2.0**32  # beyond any count or time that is meant
 SPAN_LIMIT_MS = 600_000.0  # ms: beyond any window that a report is counted over
 MEAN_TOLERANCE = 4  # a reported mean may lie so far over what is true
@@ -66,14 +66,14 @@
     return fields
 
 
-def may_begin(rest: bytes | bytearray) -> bool:
+def may_begin_message(rest: bytes | bytearray) -> bool:
     """Return whether a message may begin so; a guard against lines without end."""
     first, space, _ = bytes(rest[:BEGINNING_BYTES]).partition(b" ")
     word = first.rstrip(b"\r").decode("latin-1")
     return word in KINDS if space else any(kind.startswith(word) for kind in KINDS)
 
 
-def number(fields: dict[str, str], name: str, most: float = NUMBER_LIMIT) -> float:
+def parse_number(fields: dict[str, str], name: str, most: float = NUMBER_LIMIT) -> float:
     """Return a field that is a number from 0 to `most`; raises MalformedMessageError."""
     try:
         value = float(fields[name])
@@ -86,9 +86,9 @@
     return value
 
 
-def whole_number(fields: dict[str, str], name: str, beyond: int | None = None) -> int:
+def parse_whole_number(fields: dict[str, str], name: str, beyond: int | None = None) -> int:
     """Return a field that is a whole number, below `beyond` where that is given."""
-    value = number(fields, name)
+    value = parse_number(fields, name)
     if value != int(value) or (beyond is not None and value >= beyond):
         raise MalformedMessageError(
             f"expected a whole number{f' below {beyond}' if beyond else ''} as {name}, not {value:g}"
@@ -96,29 +96,29 @@
     return int(value)
 
 
-def microseconds(fields: dict[str, str], name: str, most: float = SPAN_LIMIT_MS) -> int:
+def parse_microseconds(fields: dict[str, str], name: str, most: float = SPAN_LIMIT_MS) -> int:
     """Return a field that is in milliseconds, as microseconds."""
-    return round(number(fields, name, most) * 1000)
+    return round(parse_number(fields, name, most) * 1000)
 
 
-def attempt_counts(fields: dict[str, str]) -> tuple[int, int, int]:
+def parse_attempt_counts(fields: dict[str, str]) -> tuple[int, int, int]:
     """Return attempts, how many of them failed, and the window that they were counted over (us)."""
-    attempts = whole_number(fields, "tries")
-    failed = whole_number(fields, "failed")
-    window_us = microseconds(fields, "span_ms")
+    attempts = parse_whole_number(fields, "tries")
+    failed = parse_whole_number(fields, "failed")
+    window_us = parse_microseconds(fields, "span_ms")
     if not window_us:
         raise MalformedMessageError("expected span_ms above 0")
     return attempts, failed, window_us
 
 
-def flag(fields: dict[str, str], name: str) -> bool:
+def parse_flag(fields: dict[str, str], name: str) -> bool:
     """Return a field that is 0 or 1."""
     if fields.get(name) not in ("0", "1"):
         raise MalformedMessageError(f"expected 0 or 1 as {name}")
     return fields[name] == "1"
 
 
-def load_report(values: Iterable[tuple[str, str]], columns: Sequence[str]) -> tuple[float, ...]:
+def decode_load_columns(values: Iterable[tuple[str, str]], columns: Sequence[str]) -> tuple[float, ...]:
     """Return the load columns in the settings' order; () where one is missing or malformed."""
     reported = {}
     for name, text in values:
@@ -128,22 +128,22 @@
             return ()
         if not 0 <= value <= NUMBER_LIMIT:
             return ()
-        reported[LOAD_WORDS.get(name, name)] = value
+        reported[LOAD_COLUMN_ALIASES.get(name, name)] = value
     load = []
     for column in columns:
-        wanted = reported.get(LOAD_WORDS.get(column, column))
+        wanted = reported.get(LOAD_COLUMN_ALIASES.get(column, column))
         if wanted is None:
             return ()
         load.append(wanted)
     return tuple(load)
 
 
-def checks_terms(fields: dict[str, str]) -> bool:
+def has_term_check(fields: dict[str, str]) -> bool:
     """Return whether a proxy that joins rejects orders of an older term."""
     return fields.get("term") == "1"
 
 
-def named_values(text: str, between: str) -> list[tuple[str, str]]:
+def parse_named_values(text: str, between: str) -> list[tuple[str, str]]:
     """Return the names and values of a list with commas, such as "a=1,b=2"."""
     if not text:
         return []
@@ -171,7 +171,7 @@
         self.columns = settings.telemetry.columns
         self.endpoint = endpoint
 
-    def zone(self, fields: dict[str, str]) -> int:
+    def decode_zone(self, fields: dict[str, str]) -> int:
         """Return the index of the zone that a message names."""
         return self._named(fields, "zone", self.zones)
 
@@ -183,38 +183,42 @@
             )
         return known[fields[name]]
 
-    def proxy(self, fields: dict[str, str]) -> int:
+    def decode_proxy(self, fields: dict[str, str]) -> int:
         """Return the number of the proxy that a message names."""
-        return whole_number(fields, "proxy", self.proxies)
+        return parse_whole_number(fields, "proxy", self.proxies)
 
-    def joined(self, fields: dict[str, str]) -> ProxyJoined:
+    def decode_join(self, fields: dict[str, str]) -> ProxyJoined:
         """Decode a SUBSCRIBE; a proxy whose usual rate is not known may leave it out."""
         return ProxyJoined(
-            self.proxy(fields),
-            self.zone(fields),
-            number({"weight": "0"} | fields, "weight"),
-            flag(fields, "fresh"),
+            self.decode_proxy(fields),
+            self.decode_zone(fields),
+            parse_number({"weight": "0"} | fields, "weight"),
+            parse_flag(fields, "fresh"),
         )
 
-    def acknowledged(self, fields: dict[str, str]) -> BatchAcknowledged:
+    def decode_acknowledgement(self, fields: dict[str, str]) -> BatchAcknowledged:
         """Decode an ACK."""
         return BatchAcknowledged(
-            self.proxy(fields), whole_number(fields, "mark", 65536), microseconds(fields, "took_ms")
+            self.decode_proxy(fields),
+            parse_whole_number(fields, "mark", 65536),
+            parse_microseconds(fields, "took_ms"),
         )
 
-    def demand_report(self, fields: dict[str, str]) -> DemandReport:
+    def decode_demand_report(self, fields: dict[str, str]) -> DemandReport:
         """Decode a RATE."""
         return DemandReport(
-            self.proxy(fields), self._named(fields, "class", self.groups), *attempt_counts(fields)
+            self.decode_proxy(fields),
+            self._named(fields, "class", self.groups),
+            *parse_attempt_counts(fields),
         )
 
-    def load_report(self, fields: dict[str, str]) -> LoadReport | None:
+    def decode_load_report(self, fields: dict[str, str]) -> LoadReport | None:
         """Decode a LOAD; None where the endpoint was never listed, which says nothing against the line."""
-        zone = self.zone(fields)
-        attempts, failed, window_us = attempt_counts(fields)
+        zone = self.decode_zone(fields)
+        attempts, failed, window_us = parse_attempt_counts(fields)
         if failed > attempts:  # of RATE it may be so: what failed may have come in the window before
             raise MalformedMessageError(f"expected failed up to tries={attempts}, not {failed}")
-        mean_us = microseconds(
+        mean_us = parse_microseconds(
             {"mean_ms": "0"} | fields if failed == attempts else fields, "mean_ms", self.longest
         )
         if failed < attempts and not mean_us:
@@ -222,49 +226,51 @@
         if not fields.get("server"):
             raise MalformedMessageError("expected server=")
         index = self.endpoint(fields["server"])
-        load = load_report(named_values(fields.get("load", ""), ":"), self.columns)
+        load = decode_load_columns(parse_named_values(fields.get("load", ""), ":"), self.columns)
         return None if index is None else LoadReport(zone, index, attempts, failed, mean_us, window_us, load)
 
 
-def decimal_text(value: float) -> str:
+def format_decimal(value: float) -> str:
     """Return a number in plain decimals, above 0 where it is above 0."""
     text = f"{value:.6f}".rstrip("0").rstrip(".")
     return text if float(text) or not value else f"{max(value, 1e-12):.12f}".rstrip("0")
 
 
-def encode_message(parts: list[MessagePart], names: list[str], groups: list[str]) -> bytes:
-    """Encode one message: its parts as lines, all but the last saying that more follow.
+def encode_message(updates: list[TableUpdate], names: list[str], groups: list[str]) -> bytes:
+    """Encode one message: its updates as lines, all but the last saying that more follow.
 
     `names` are those of the endpoints and `groups` those of the traffic groups, each by index. Raises
-    ValueError where the message has too many parts or bytes.
+    ValueError where the message has too many updates or bytes.
     """
-    if len(parts) > PARTS_LIMIT:
-        raise ValueError(f"a message of {len(parts)} parts")
-    last = len(parts) - 1
-    lines = [_part_line(part, number < last, names, groups) for number, part in enumerate(parts)]
+    if len(updates) > UPDATES_LIMIT:
+        raise ValueError(f"a message of {len(updates)} parts")
+    last = len(updates) - 1
+    lines = [_update_line(update, number < last, names, groups) for number, update in enumerate(updates)]
     message = ("\r\n".join(lines) + "\r\n").encode()
     if len(message) > LINE_LIMIT_BYTES:
         raise ValueError(f"a message of {len(message)} bytes")
     return message
 
 
-def _part_line(part: MessagePart, has_more: bool, names: list[str], groups: list[str]) -> str:
+def _update_line(update: TableUpdate, has_more: bool, names: list[str], groups: list[str]) -> str:
     words = ["CONFIG"]
-    if part.groups:
-        words.append("classes=" + "+".join(groups[group] for group in part.groups))
-    if part.is_complete:
+    if update.groups:
+        words.append("classes=" + "+".join(groups[group] for group in update.groups))
+    if update.is_complete:
         words.append("whole=1")
-    if part.weights:
-        words.append("lines=" + ",".join(f"{names[e]}:{decimal_text(weight)}" for e, weight in part.weights))
-    if part.admission_level is not None:
-        level = part.admission_level
-        words.append(f"level={decimal_text(level.level)} retry={level.retry_mode}")
-    if part.ejected:
-        words.append("out=" + ",".join(names[endpoint] for endpoint in part.ejected))
-    if part.readmitted:
-        words.append("back=" + ",".join(names[endpoint] for endpoint in part.readmitted))
-    if part.marker is not None:
-        words.append(f"ticket={part.marker}")
+    if update.weights:
+        words.append(
+            "lines=" + ",".join(f"{names[e]}:{format_decimal(weight)}" for e, weight in update.weights)
+        )
+    if update.admission_level is not None:
+        level = update.admission_level
+        words.append(f"level={format_decimal(level.level)} retry={level.retry_mode}")
+    if update.ejected_endpoints:
+        words.append("out=" + ",".join(names[endpoint] for endpoint in update.ejected_endpoints))
+    if update.readmitted_endpoints:
+        words.append("back=" + ",".join(names[endpoint] for endpoint in update.readmitted_endpoints))
+    if update.marker is not None:
+        words.append(f"ticket={update.marker}")
     if has_more:
         words.append("more=1")
     return " ".join(words)
--- a/ravenshelf/process/acceptor.py
+++ b/ravenshelf/process/acceptor.py
@@ -12,7 +12,7 @@
     STREAM,
     UNIDENTIFIED,
     ConnectionEnd,
-    outcome,
+    end_event_type,
 )
 from ravenshelf.net.stream_codec import MalformedMessageError, StreamDecoder, UnreadableConnectionError
 from ravenshelf.policy.events import Event, ProxyLeft
@@ -55,7 +55,7 @@
         counters: Counters of connections, messages and faults.
         clock: Function that returns the time in microseconds.
         publish: Function that is called with each event.
-        next_turn: Function that schedules a callback for the event loop's next iteration.
+        call_soon: Function that schedules a callback for the event loop's next iteration.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         counters: Counters,
         clock: Callable[[], int],
         publish: Callable[[Event], None],
-        next_turn: Callable[[Callable[[], None]], object],
+        call_soon: Callable[[Callable[[], None]], object],
     ):
         self.decoder = decoder
         self.slots = slots
@@ -76,7 +76,7 @@
         self.counters = counters
         self.clock = clock
         self.publish = publish
-        self.next_turn = next_turn
+        self.call_soon = call_soon
         self.streams: dict[int, AcceptedConnection] = {}  # by proxy
         self.collectors: dict[int, AcceptedConnection] = {}  # by zone; the newest collector of each zone
         self.unidentified_connections: dict[AcceptedConnection, None] = {}  # ordered by connection time
@@ -99,7 +99,7 @@
 
     # Connections
 
-    def connected(self, connection: AcceptedConnection) -> None:
+    def on_connection_opened(self, connection: AcceptedConnection) -> None:
         """Accept a new connection, or close it if no slot can be freed for it or the server is stopping."""
         self.counters["accepted"] += 1
         connection.connected_at = self.clock()
@@ -141,7 +141,7 @@
     def _next_idle_stream(self) -> AcceptedConnection | None:
         while self.idle_streams:
             stream = self.idle_streams.pop()
-            if stream.end is None and not stream.has_spoken:
+            if stream.end is None and not stream.has_sent_message:
                 return stream
         return None
 
@@ -151,11 +151,11 @@
             return
         self.last_idle_sweep_at = now
         streams = list(self.streams.values())
-        silent_streams = [stream for stream in streams if not stream.has_spoken]
+        silent_streams = [stream for stream in streams if not stream.has_sent_message]
         # Streams with unacknowledged markers are more likely to be dead; they sort last and are closed first.
         self.idle_streams = sorted(silent_streams, key=lambda stream: bool(stream.pending_markers))
         for stream in streams:
-            stream.has_spoken = False
+            stream.has_sent_message = False
 
     def _set_purpose(self, connection: AcceptedConnection, purpose: str) -> None:
         connection.purpose = purpose
@@ -181,7 +181,7 @@
         self.superseded_connections[connection] = None
         self.timers.set(ConnectionTimeout(connection), self.clock() + IDLE_TIMEOUT_US)
 
-    def closed(self, connection: AcceptedConnection) -> None:
+    def on_connection_ended(self, connection: AcceptedConnection) -> None:
         """Remove a connection that has ended, and publish ProxyLeft if it was a proxy's current stream."""
         assert connection.end is not None
         self.counters[f"{connection.purpose}_{connection.end.name.lower()}"] += 1
@@ -194,7 +194,7 @@
         if connection.purpose != STREAM or proxy is None or self.streams.get(proxy) is not connection:
             return
         del self.streams[proxy]
-        if outcome(STREAM, connection.end) is not None:
+        if end_event_type(STREAM, connection.end) is not None:
             # If the server ended the stream, the lines queued for it still count as queued.
             self.publish(ProxyLeft(proxy, connection.end in ENDS_BY_SERVER))
 
@@ -216,17 +216,17 @@
         for connection in list(self.lingering_connections):
             connection.transport.abort()
 
-    def socket_closed(self, connection: AcceptedConnection) -> None:
-        """Handle the closing of a socket; the connection's end was reported to `closed` before."""
+    def on_socket_closed(self, connection: AcceptedConnection) -> None:
+        """Handle the closing of a socket; `on_connection_ended` was called for the connection before."""
         if connection in self.lingering_connections:
             self.lingering_connections.discard(connection)
             if not self.lingering_connections and self.on_all_closed is not None:
                 self.on_all_closed()
 
-    def checks_terms(self, proxy: int) -> bool:
+    def has_term_check(self, proxy: int) -> bool:
         """Return whether the proxy announced, when it joined, that it rejects commands of an older term."""
         stream = self.streams.get(proxy)
-        return stream is not None and stream.checks_terms
+        return stream is not None and stream.has_term_check
 
     def write(self, proxy: int, message: bytes, marker: int | None) -> None:
         """Write a message to a proxy's stream, if it has one.
@@ -244,13 +244,13 @@
 
     # Messages
 
-    def received(self, connection: AcceptedConnection, line: bytes) -> None:
+    def on_line(self, connection: AcceptedConnection, line: bytes) -> None:
         """Handle a line of a connection.
 
         A malformed message is logged, counted and skipped. If the line is unreadable, or the connection has
         not identified itself yet, the connection is closed.
         """
-        connection.has_spoken = True
+        connection.has_sent_message = True
         if connection.is_superseded:
             self._restart_idle_timeout(connection)
         kind = "unreadable"
@@ -274,7 +274,7 @@
                 self.counters[f"malformed_{kind.lower()}"] += 1
 
     def _subscribe(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
-        join_event = self.decoder.joined(fields)
+        join_event = self.decoder.decode_join(fields)
         proxy = join_event.proxy
         if connection.purpose == COLLECTOR or connection.proxy not in (None, proxy):
             raise UnreadableConnectionError(
@@ -289,14 +289,14 @@
             self.publish(ProxyLeft(proxy, True))
         self.streams[proxy] = connection
         connection.proxy = proxy
-        connection.checks_terms = stream_codec.checks_terms(fields)
+        connection.has_term_check = stream_codec.has_term_check(fields)
         self._set_purpose(connection, STREAM)
         if previous_stream is not None and previous_stream is not connection:
             self._supersede(previous_stream)  # when it ends later, no event is published
         self.publish(join_event)
 
     def _identify_collector(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
-        zone = self.decoder.zone(fields)
+        zone = self.decoder.decode_zone(fields)
         if connection.proxy is not None:
             raise UnreadableConnectionError("expected SOURCE on a collector, found it on a proxy's stream")
         previous_collector = self.collectors.get(zone)
@@ -309,8 +309,8 @@
     def _handle_load_report(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
         if connection.purpose != COLLECTOR:
             raise MalformedMessageError("expected SOURCE before LOAD on the connection, found no SOURCE")
-        report = self.decoder.load_report(fields)
-        if self.decoder.zone(fields) != connection.zone:
+        report = self.decoder.decode_load_report(fields)
+        if self.decoder.decode_zone(fields) != connection.zone:
             raise MalformedMessageError("expected the zone of the collector's SOURCE, found another zone")
         if report is None:
             self.counters["reports_of_unknown"] += 1
@@ -318,12 +318,12 @@
         self.publish(report)
 
     def _handle_demand_report(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
-        report = self.decoder.demand_report(fields)
+        report = self.decoder.decode_demand_report(fields)
         if not self._is_stale(connection, report.proxy):
             self.publish(report)
 
     def _handle_acknowledgement(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
-        acknowledged = self.decoder.acknowledged(fields)
+        acknowledged = self.decoder.decode_acknowledgement(fields)
         if connection.purpose == COLLECTOR:
             raise MalformedMessageError("expected ACK on the proxy's stream, found it on a collector")
         if self._is_stale(connection, acknowledged.proxy):
--- a/ravenshelf/process/configuration.py
+++ b/ravenshelf/process/configuration.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from ravenshelf.errors import RavenshelfError
-from ravenshelf.net.datagrams import address
+from ravenshelf.net.datagrams import parse_address
 from ravenshelf.net.endpoint_codec import EndpointListDecoder, UnreadableListError
 
 FILE_VARIABLE = "RELAY_CONFIG"  # environment variable that holds the path of the configuration file
@@ -43,7 +43,7 @@
 
 def _check_address(value: Any, path: str) -> None:
     try:
-        host, port = address(value)
+        host, port = parse_address(value)
         if not host or not 0 <= port < PORT_LIMIT:
             raise ValueError
     except (AttributeError, TypeError, ValueError) as error:
@@ -119,7 +119,7 @@
     _check_peers(configuration)
     if configuration.get("known") is not None:
         try:
-            EndpointListDecoder.check(configuration["known"])
+            EndpointListDecoder.check_list(configuration["known"])
         except UnreadableListError as error:
             raise ConfigurationError("known", str(error)) from error
     return configuration
--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -11,8 +11,8 @@
 from ravenshelf.settings import Settings
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.endpoint_registry import EndpointRegistry
-from ravenshelf.state.message_part import MessagePart
 from ravenshelf.state.proxy_tables import ProxyMessage, ProxyTables
+from ravenshelf.state.table_update import TableUpdate
 
 LOGGED_EVENTS_LIMIT = 20
 LINES_TOLERANCE = 1e-6  # lines; charges are sums of floats and may differ by rounding
@@ -77,10 +77,10 @@
             if event.proxy in self.join_events:
                 self.deliver(events.ProxyLeft(event.proxy))
             self.join_events[event.proxy] = event
-            self.proxy_tables.proxy_joined(event.proxy, event.is_fresh)
+            self.proxy_tables.add_proxy(event.proxy, event.is_fresh)
         elif isinstance(event, events.ProxyLeft):
             self.join_events.pop(event.proxy, None)
-            self.proxy_tables.proxy_left(event.proxy)
+            self.proxy_tables.remove_proxy(event.proxy)
         self.events.append(event)
 
     def run(self, now: int, write: Callable[[int, bytes, int | None], None]) -> list[commands.Command] | None:
@@ -103,7 +103,7 @@
             self._reconcile(channel)
             self.controller.run_cycle(now, cycle_events, self.proxy_tables)
             changes = self.proxy_tables.changes
-            messages = self.proxy_tables.take_messages(self._encode)
+            messages = self.proxy_tables.build_messages(self._encode)
         except Exception:
             names = [type(event).__name__ for event in cycle_events[:LOGGED_EVENTS_LIMIT]]
             log_events.CONTROL_CYCLE_FAILED.with_traceback(events=str(names))
@@ -117,10 +117,10 @@
         self.counters["control_cycles"] += 1
         return [*changes.commands, *changes.timers]
 
-    def _encode(self, proxy: int, parts: list[MessagePart]) -> bytes:
+    def _encode(self, proxy: int, updates: list[TableUpdate]) -> bytes:
         if self.admission_gate is not None:
-            self.admission_gate.apply_inherited_state(proxy, parts)
-        return stream_codec.encode_message(parts, self.registry.names, self.group_names)
+            self.admission_gate.apply_inherited_state(proxy, updates)
+        return stream_codec.encode_message(updates, self.registry.names, self.group_names)
 
     def _write(
         self,
@@ -130,8 +130,8 @@
     ) -> float:
         """Write all messages and return their number of lines, including the message overhead."""
         written_lines: float = 0
-        for proxy, parts, payload in messages:
-            line_count = sum(part.line_count() for part in parts)
+        for proxy, updates, payload in messages:
+            line_count = sum(update.count_lines() for update in updates)
             written_lines += line_count + self.message_overhead_lines
             self.counters["messages_sent"] += 1
             self.counters["lines_sent"] += line_count
@@ -139,9 +139,9 @@
             if self.admission_gate is None:
                 write(proxy, payload, marker)
             else:
-                self.admission_gate.submit(proxy, parts, payload, marker)
+                self.admission_gate.submit(proxy, updates, payload, marker)
             if self.cycle_observer is not None:
-                self.cycle_observer.on_message(proxy, parts, marker)
+                self.cycle_observer.on_message(proxy, updates, marker)
         return written_lines
 
     def _settle_charges(
@@ -167,7 +167,7 @@
             return
         for proxy, endpoints in self.proxy_tables.proxies_to_reconcile():
             if channel.has_capacity(len(endpoints), [proxy], False):
-                self.proxy_tables.confirm_ejections(proxy, endpoints)
+                self.proxy_tables.reconcile_ejections(proxy, endpoints)
                 channel.charge([proxy], len(endpoints))
 
     def _replace_failed_controller(self) -> None:
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -75,7 +75,7 @@
         self.reloader = Reloader(
             lambda: self.configuration, self._apply_configuration, self.timers, clock, self.counters
         )
-        self.peers: datagrams.Datagrams | None = None
+        self.peers: datagrams.PeerDatagrams | None = None
         self.may_message_peers = settings.limits.peer_messages_allowed
         self.listener: asyncio.Server | None = None
         self.counters_every_us = 0  # interval between log lines with the counters; 0 for none
@@ -91,8 +91,8 @@
         self.registry = EndpointRegistry(
             self.clock,
             self.proxy_tables.has_endpoint,
-            self.proxy_tables.index_reassigned,
-            self.proxy_tables.endpoint_returned,
+            self.proxy_tables.forget_ejections,
+            self.proxy_tables.assume_ejected,
         )
         self.endpoint_decoder = EndpointListDecoder(
             settings, self.registry.index_of, self.registry.index_by_name.get
@@ -229,7 +229,7 @@
             await self._open_peer_socket()
             if self.is_stopping:  # `stop` was called while the socket opened, so nothing more may start
                 return
-        host, port = datagrams.address(self.configuration["listen"])
+        host, port = datagrams.parse_address(self.configuration["listen"])
         self.listener = await self.loop.create_server(
             lambda: AcceptedConnection(self.buffers, self.acceptor), host, port, backlog=BACKLOG
         )
@@ -241,7 +241,7 @@
         restored_list = self.configuration.get("known")
         if restored_list is None:
             return
-        entries, addresses, malformed_entries = self.endpoint_decoder.entries(restored_list["targets"])
+        entries, addresses, malformed_entries = self.endpoint_decoder.decode_entries(restored_list["targets"])
         listed_entries = [entry for entry in entries if entry.state is not events.EndpointState.GONE]
         self.registry.update(events.ListKind.REPLACE, restored_list["rev"], listed_entries, addresses)
         for _, reason in malformed_entries:
@@ -251,8 +251,8 @@
         peers = self.configuration.get("peers") or []
         all_peers_address = self.configuration.get("peers_all")
         _, self.peers = await self.loop.create_datagram_endpoint(
-            lambda: datagrams.Datagrams(peers, all_peers_address, self._receive_from_peer),
-            local_addr=datagrams.address(self.configuration["peer_listen"]),
+            lambda: datagrams.PeerDatagrams(peers, all_peers_address, self._receive_from_peer),
+            local_addr=datagrams.parse_address(self.configuration["peer_listen"]),
         )
 
     def reload(self) -> None:
--- a/ravenshelf/process/health_checks.py
+++ b/ravenshelf/process/health_checks.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable
 
-from ravenshelf.net.connection_end import HEALTH_CHECK, ConnectionEnd, outcome
+from ravenshelf.net.connection_end import HEALTH_CHECK, ConnectionEnd, end_event_type
 from ravenshelf.net.http import HttpCall
-from ravenshelf.net.stream_codec import load_report, named_values
+from ravenshelf.net.stream_codec import decode_load_columns, parse_named_values
 from ravenshelf.policy.events import Event, HealthCheckCompleted
 from ravenshelf.process.registry_client import CallOpener
 from ravenshelf.settings import Settings
@@ -71,9 +71,9 @@
 
     def _publish_result(self, call: HttpCall, endpoint: int, started_at: int) -> None:
         assert call.end is not None
-        if outcome(HEALTH_CHECK, call.end) is None:
+        if end_event_type(HEALTH_CHECK, call.end) is None:
             return
         has_succeeded = call.end is ConnectionEnd.ANSWERED
         text = call.body.decode("utf-8", "replace").strip() if has_succeeded and self.has_load else ""
-        load = load_report(named_values(text, "="), self.columns)
+        load = decode_load_columns(parse_named_values(text, "="), self.columns)
         self.publish(HealthCheckCompleted(endpoint, has_succeeded, self.clock() - started_at, load))
--- a/ravenshelf/process/operations/collectd_signals.py
+++ b/ravenshelf/process/operations/collectd_signals.py
@@ -11,7 +11,7 @@
 from ravenshelf import log_events
 from ravenshelf.background.decisions import Priority
 from ravenshelf.background.scheduler import BackgroundScheduler
-from ravenshelf.net.datagrams import address
+from ravenshelf.net.datagrams import parse_address
 from ravenshelf.operator_config.tables import OperatorConfiguration
 from ravenshelf.process.operations.feature import SECOND, Measurements
 
@@ -78,7 +78,7 @@
         )
         self.listener = listener
         transport, _ = await server.loop.create_datagram_endpoint(
-            lambda: listener, local_addr=address(table.listen)
+            lambda: listener, local_addr=parse_address(table.listen)
         )
         host, port = transport.get_extra_info("sockname")[:2]
         log_events.COLLECTD_LISTENING(address=f"{host}:{port}", security=table.security)
--- a/ravenshelf/process/operations/leases.py
+++ b/ravenshelf/process/operations/leases.py
@@ -67,7 +67,7 @@
 
     def _write(self, proxy: int, message: bytes, marker: int | None, term: int) -> None:
         acceptor = self.server.acceptor
-        if acceptor.checks_terms(proxy):
+        if acceptor.has_term_check(proxy):
             acceptor.write(proxy, add_term(message, term), marker)
         else:
             acceptor.write(proxy, message, marker)
--- a/ravenshelf/process/optional_features.py
+++ b/ravenshelf/process/optional_features.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from ravenshelf.policy.events import Event
-from ravenshelf.state.message_part import MessagePart
+from ravenshelf.state.table_update import TableUpdate
 
 if TYPE_CHECKING:  # not loaded by `ravenshelf serve` without an operator file
     from ravenshelf.operator_config.tables import OperatorConfiguration
@@ -20,7 +20,7 @@
 class CycleObserver(Protocol):
     """Observer of control cycles and of the messages that they write."""
 
-    def on_message(self, proxy: int, parts: list[MessagePart], marker: int | None) -> None:
+    def on_message(self, proxy: int, updates: list[TableUpdate], marker: int | None) -> None:
         """Observe a message to a proxy, with the marker to acknowledge if it has one."""
 
     def on_control_cycle(self, delay: int, duration: int) -> None:
@@ -33,10 +33,10 @@
     def passes(self, event: Event) -> bool:
         """Return whether the event is for this server's controller."""
 
-    def apply_inherited_state(self, proxy: int, parts: list[MessagePart]) -> None:
-        """Change the parts of a message in place before it is encoded."""
+    def apply_inherited_state(self, proxy: int, updates: list[TableUpdate]) -> None:
+        """Change the table updates of a message in place before it is encoded."""
 
-    def submit(self, proxy: int, parts: list[MessagePart], message: bytes, marker: int | None) -> None:
+    def submit(self, proxy: int, updates: list[TableUpdate], message: bytes, marker: int | None) -> None:
         """Accept an encoded message; the gate writes it once that is permitted, or discards it."""
 
 
--- a/ravenshelf/process/outgoing_calls.py
+++ b/ravenshelf/process/outgoing_calls.py
@@ -42,7 +42,7 @@
     def open(
         self,
         path: str,
-        done: Callable[[HttpCall], None],
+        on_end: Callable[[HttpCall], None],
         on_line: Callable[[HttpCall, bytes], None] | None,
         timeout_us: int,
         address: str | None = None,
@@ -51,7 +51,7 @@
 
         Args:
             path: The path to request.
-            done: Function that is called once, when the call has ended.
+            on_end: Function that is called once, when the call has ended.
             on_line: Function that is called with each line of the response as it arrives; if None, the call
                 collects the response's body.
             timeout_us: Time from now after which the call is closed, unless it is extended.
@@ -61,12 +61,12 @@
             The call. If no slot is free, it ends with NO_CAPACITY in the next iteration of the event loop.
         """
 
-        def ended(call: HttpCall) -> None:
+        def handle_end(call: HttpCall) -> None:
             self.timers.cancel(CallTimeout(call))
             self.slots.release(call.slot)
-            done(call)
+            on_end(call)
 
-        call = HttpCall(self.buffers, address or self.registry_address(), path, ended, on_line)
+        call = HttpCall(self.buffers, address or self.registry_address(), path, handle_end, on_line)
         call.slot = self.slots.acquire(call)
         if call.slot is None:
             self.loop.call_soon(call.close, ConnectionEnd.NO_CAPACITY)
--- a/ravenshelf/process/registry_client.py
+++ b/ravenshelf/process/registry_client.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from ravenshelf import log_events
-from ravenshelf.net.connection_end import FETCH, WATCH, ConnectionEnd, outcome
+from ravenshelf.net.connection_end import FETCH, WATCH, ConnectionEnd, end_event_type
 from ravenshelf.net.endpoint_codec import EndpointListDecoder, UnreadableListError
 from ravenshelf.net.http import HttpCall
 from ravenshelf.policy.events import EndpointsListed, Event, ListKind, WatchFailed
@@ -29,7 +29,7 @@
     def open(
         self,
         path: str,
-        done: Callable[[HttpCall], None],
+        on_end: Callable[[HttpCall], None],
         on_line: Callable[[HttpCall, bytes], None] | None,
         timeout_us: int,
         address: str | None = None,
@@ -173,7 +173,7 @@
                 self._publish_watch_changes(call)
             return
         try:
-            endpoint_list = self.decoder.read(line)
+            endpoint_list = self.decoder.decode_list(line)
         except UnreadableListError as error:
             log_events.WATCH_EVENT_MALFORMED(why=str(error))
             call.close(ConnectionEnd.UNREADABLE)
@@ -249,7 +249,7 @@
             self._report_failure(FETCH, ConnectionEnd.DECLINED, call)
             return
         try:
-            endpoint_list = self.decoder.read(call.body)
+            endpoint_list = self.decoder.decode_list(call.body)
         except UnreadableListError as error:
             log_events.ENDPOINT_LIST_MALFORMED(why=str(error))
             self._report_failure(FETCH, ConnectionEnd.UNREADABLE, call)
@@ -261,7 +261,7 @@
 
     def _report_failure(self, purpose: str, end: ConnectionEnd | None, call: HttpCall) -> None:
         assert end is not None
-        if outcome(purpose, end) is None:
+        if end_event_type(purpose, end) is None:
             return
         self.counters[f"discovery_{end.name.lower()}"] += 1
         log_events.DISCOVERY_REQUEST_FAILED(
@@ -291,7 +291,7 @@
         Raises:
             VersionGapError: The update applies to a later version than the registry's.
         """
-        entries, addresses, malformed_entries = self.decoder.entries(endpoint_list["targets"])
+        entries, addresses, malformed_entries = self.decoder.decode_entries(endpoint_list["targets"])
         for index, reason in malformed_entries:
             self.counters["list_entries_malformed"] += 1
             log_events.ENDPOINT_ENTRY_MALFORMED(why=reason)
--- a/ravenshelf/process/timers.py
+++ b/ravenshelf/process/timers.py
@@ -79,7 +79,7 @@
         self.loop_timer = None
         self.fires_at = None
         secondary = []
-        for key in self.deadlines.take_expired(now):
+        for key in self.deadlines.pop_expired(now):
             if self.is_secondary(key):
                 secondary.append(key)
             else:
--- a/ravenshelf/simulator/__main__.py
+++ b/ravenshelf/simulator/__main__.py
@@ -4,7 +4,7 @@
 from io import BufferedReader
 from typing import BinaryIO, cast
 
-from ravenshelf.simulator.decode import SHOWN_LENGTH, MalformedLineError
+from ravenshelf.simulator.decode import SHOWN_LINE_LENGTH, MalformedLineError
 from ravenshelf.simulator.host import Host
 
 
@@ -27,11 +27,11 @@
 def _read_line(source: BufferedReader) -> str:
     raw = source.readline()
     if not raw.endswith(b"\n"):
-        raise MalformedLineError(raw[:SHOWN_LENGTH], "more of the batch, its input ended")
+        raise MalformedLineError(raw[:SHOWN_LINE_LENGTH], "more of the batch, its input ended")
     try:
         return raw[:-1].decode("utf-8")
     except UnicodeDecodeError as error:
-        raise MalformedLineError(raw[:SHOWN_LENGTH], "UTF-8 text") from error
+        raise MalformedLineError(raw[:SHOWN_LINE_LENGTH], "UTF-8 text") from error
 
 
 if __name__ == "__main__":
--- a/ravenshelf/simulator/decode.py
+++ b/ravenshelf/simulator/decode.py
@@ -19,7 +19,7 @@
 STATES = {state.value: state for state in events.EndpointState}
 LIST_KINDS = {kind.value: kind for kind in events.ListKind}
 LIST_UNAVAILABLE = "unavailable"
-SHOWN_LENGTH = 120  # characters of a line in an error
+SHOWN_LINE_LENGTH = 120  # characters of a line in an error
 ENTRY_VALUES = 8  # of a list entry, with its first word
 LIST_COUNT_POSITION = 4  # of the number of entries, which may be missing
 ENTRY_FORM = (
@@ -189,7 +189,7 @@
         return _decode_list(text, values, index_of, next_line)
     decoder = DECODERS.get(name)
     if decoder is None:
-        raise MalformedLineError(text[:SHOWN_LENGTH], "an event of the wire, or eob")
+        raise MalformedLineError(text[:SHOWN_LINE_LENGTH], "an event of the wire, or eob")
     try:
         if len(values) < decoder.value_count + 2:
             raise ValueError("too short")
@@ -207,7 +207,7 @@
             raise ValueError("not an object")
         return int(instance), Boot(int(seed), settings)
     except ValueError as error:
-        raise MalformedLineError(text[:SHOWN_LENGTH], "boot i rng-seed env (a JSON object)") from error
+        raise MalformedLineError(text[:SHOWN_LINE_LENGTH], "boot i rng-seed env (a JSON object)") from error
 
 
 def _decode_exit(text: str, values: list[str]) -> tuple[int, Exit]:
--- a/ravenshelf/simulator/host.py
+++ b/ravenshelf/simulator/host.py
@@ -7,7 +7,7 @@
 from ravenshelf.policy.controller import Controller
 from ravenshelf.settings import decode_settings
 from ravenshelf.simulator.decode import (
-    SHOWN_LENGTH,
+    SHOWN_LINE_LENGTH,
     Boot,
     EndpointIndex,
     Exit,
@@ -108,7 +108,7 @@
     def _instance(self, number: int, text: str) -> Instance:
         instance = self._instances.get(number)
         if instance is None:
-            raise MalformedLineError(text[:SHOWN_LENGTH], f"an instance that was booted, not {number}")
+            raise MalformedLineError(text[:SHOWN_LINE_LENGTH], f"an instance that was booted, not {number}")
         return instance
 
     def _index_of(self, number: int, text: str) -> EndpointIndex:
@@ -123,4 +123,4 @@
             raise ValueError("not a head")
         return decode_time(values[1]), int(values[2])
     except ValueError as error:
-        raise MalformedLineError(head[:SHOWN_LENGTH], "clock t-ms frame") from error
+        raise MalformedLineError(head[:SHOWN_LINE_LENGTH], "clock t-ms frame") from error
--- a/ravenshelf/state/buffers.py
+++ b/ravenshelf/state/buffers.py
@@ -8,13 +8,13 @@
     """Lends buffers of `BUFFER_BYTES` and caches up to `POOL_LIMIT` that were given back."""
 
     def __init__(self) -> None:
-        self.free: list[bytearray] = []
+        self.free_buffers: list[bytearray] = []
 
-    def lend(self) -> bytearray:
+    def acquire(self) -> bytearray:
         """Return a buffer; its bytes are those of the former borrower."""
-        return self.free.pop() if self.free else bytearray(BUFFER_BYTES)
+        return self.free_buffers.pop() if self.free_buffers else bytearray(BUFFER_BYTES)
 
-    def give_back(self, buffer: bytearray) -> None:
+    def release(self, buffer: bytearray) -> None:
         """Take back a lent buffer."""
-        if len(self.free) < POOL_LIMIT:
-            self.free.append(buffer)
+        if len(self.free_buffers) < POOL_LIMIT:
+            self.free_buffers.append(buffer)
--- a/ravenshelf/state/deadlines.py
+++ b/ravenshelf/state/deadlines.py
@@ -49,7 +49,7 @@
             heapq.heappop(self.heap)
         return self.heap[0][0] if self.heap else None
 
-    def take_expired(self, now: int) -> Iterator[Hashable]:
+    def pop_expired(self, now: int) -> Iterator[Hashable]:
         """Yield the keys whose deadline has come, earliest first, each removed as its turn comes.
 
         What is set meanwhile waits for the next call. Handling one key may cancel or move another that
--- a/ravenshelf/state/endpoint_registry.py
+++ b/ravenshelf/state/endpoint_registry.py
@@ -6,16 +6,16 @@
 from ravenshelf.policy.events import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 
 # an index is reassigned no sooner after its endpoint left: evidence about it has faded by then
-INDEX_REST_US = 600_000_000
+INDEX_REUSE_DELAY_US = 600_000_000
 FORMER_NAMES_LIMIT = 65_536  # names remembered of endpoints whose index was reassigned
 
 
 class VersionGapError(RavenshelfError):
     """Changes start at a version beyond the one held, so some were missed."""
 
-    def __init__(self, held_version: int, after_version: int):
-        super().__init__(f"expected changes that follow version {held_version}, not {after_version}")
-        self.held_version = held_version
+    def __init__(self, current_version: int, after_version: int):
+        super().__init__(f"expected changes that follow version {current_version}, not {after_version}")
+        self.current_version = current_version
         self.after_version = after_version
 
 
@@ -27,8 +27,8 @@
     """The endpoint list as this server holds it.
 
     `clock` gives microseconds. `is_in_use(index)` says whether a table still holds an endpoint that is no
-    longer listed. `index_reassigned(index)` is called when an index becomes another endpoint's, and
-    `endpoint_returned(index)` when an endpoint comes back whose former index was reassigned.
+    longer listed. `on_index_reassigned(index)` is called when an index becomes another endpoint's, and
+    `on_endpoint_returned(index)` when an endpoint comes back whose former index was reassigned.
 
     `names` is by index; `entries` holds what the controller was last told of each listed endpoint.
     """
@@ -37,13 +37,13 @@
         self,
         clock: Callable[[], int],
         is_in_use: Callable[[int], bool],
-        index_reassigned: Callable[[int], None] = _ignore_index,
-        endpoint_returned: Callable[[int], None] = _ignore_index,
+        on_index_reassigned: Callable[[int], None] = _ignore_index,
+        on_endpoint_returned: Callable[[int], None] = _ignore_index,
     ):
         self.clock = clock
         self.is_in_use = is_in_use
-        self.index_reassigned = index_reassigned
-        self.endpoint_returned = endpoint_returned
+        self.on_index_reassigned = on_index_reassigned
+        self.on_endpoint_returned = on_endpoint_returned
         self.version = 0
         self.updated_at = clock()  # when a list or a change was last taken
         self.names: list[str] = []
@@ -58,7 +58,7 @@
         index = self.index_by_name.get(name)
         if index is not None:
             return index
-        index = self._index_at_rest()
+        index = self._reusable_index()
         if index is None:
             index = len(self.names)
             self.names.append(name)
@@ -67,7 +67,7 @@
         self.index_by_name[name] = index
         if name in self.former_names:
             del self.former_names[name]
-            self.endpoint_returned(index)
+            self.on_endpoint_returned(index)
         return index
 
     def _reassign(self, index: int, name: str) -> None:
@@ -78,10 +78,10 @@
         if len(self.former_names) > FORMER_NAMES_LIMIT:
             del self.former_names[next(iter(self.former_names))]
         self.names[index] = name
-        self.index_reassigned(index)
+        self.on_index_reassigned(index)
 
-    def _index_at_rest(self) -> int | None:
-        latest = self.clock() - INDEX_REST_US
+    def _reusable_index(self) -> int | None:
+        latest = self.clock() - INDEX_REUSE_DELAY_US
         for index, delisted_at in self.delisted_at.items():
             if delisted_at > latest:
                 break
--- a/ravenshelf/state/message_building.py
+++ b/ravenshelf/state/message_building.py
@@ -3,9 +3,9 @@
 from collections.abc import Iterable
 
 from ravenshelf.policy.commands import ALL_TABLES
-from ravenshelf.state.message_part import AdmissionLevel, MessagePart
 from ravenshelf.state.proxy_table_state import ProxyTableState
 from ravenshelf.state.table_contents import CycleChanges, TableContents
+from ravenshelf.state.table_update import AdmissionLevel, TableUpdate
 
 
 class MessageBuilder:
@@ -19,21 +19,21 @@
         self.contents = contents
         self.changes = changes
 
-    def parts(self, proxy: ProxyTableState) -> list[MessagePart]:
-        """Return the parts of the proxy's message; empty where nothing changes for it."""
-        parts: list[MessagePart] = []
+    def build_updates(self, proxy: ProxyTableState) -> list[TableUpdate]:
+        """Return the updates of the proxy's message; empty where nothing changes for it."""
+        updates: list[TableUpdate] = []
         added: dict[int, None] = {}  # endpoints to which the message gives a weight
         for table, groups in self._groups_by_table(proxy).items():
             if table is None:
-                self._add_levels(None, groups, parts)
+                self._add_levels(None, groups, updates)
             else:
-                self._add_table(proxy, table, groups, parts, added)
+                self._add_table(proxy, table, groups, updates, added)
         ejected, readmitted = self._ejections(proxy, added)
         if ejected or readmitted:
-            parts = parts or [MessagePart()]
-            parts[0].ejected = ejected
-            parts[0].readmitted = readmitted
-        return parts
+            updates = updates or [TableUpdate()]
+            updates[0].ejected_endpoints = ejected
+            updates[0].readmitted_endpoints = readmitted
+        return updates
 
     def _groups_by_table(self, proxy: ProxyTableState) -> dict[int | None, list[int]]:
         groups: dict[int | None, list[int]] = {}
@@ -46,7 +46,7 @@
         proxy: ProxyTableState,
         table: int,
         groups: list[int],
-        parts: list[MessagePart],
+        updates: list[TableUpdate],
         added: dict[int, None],
     ) -> None:
         """Add the complete table for new groups, its changes for the others, then the levels."""
@@ -55,22 +55,22 @@
         new_groups = [group for group in groups if is_cleared or group in proxy.rebound_groups]
         old_groups = [group for group in groups if group not in new_groups]
         if new_groups:
-            parts.append(MessagePart(self._part_groups(new_groups), True, list(weights.items())))
+            updates.append(TableUpdate(self._groups_or_all(new_groups), True, list(weights.items())))
             added.update(dict.fromkeys(weights))
         changes = [(endpoint, weights.get(endpoint, 0.0)) for endpoint in self.changes.weights.get(table, ())]
         if old_groups and changes:
-            parts.append(MessagePart(self._part_groups(old_groups), False, changes))
+            updates.append(TableUpdate(self._groups_or_all(old_groups), False, changes))
             added.update(dict.fromkeys(endpoint for endpoint, weight in changes if weight))
-        self._add_levels(table, old_groups, parts, new_groups)
+        self._add_levels(table, old_groups, updates, new_groups)
 
-    def _part_groups(self, groups: list[int]) -> tuple[int, ...]:
+    def _groups_or_all(self, groups: list[int]) -> tuple[int, ...]:
         return () if len(groups) == len(self.groups) else tuple(groups)
 
     def _add_levels(
         self,
         table: int | None,
         old_groups: list[int],
-        parts: list[MessagePart],
+        updates: list[TableUpdate],
         new_groups: Iterable[int] = (),
     ) -> None:
         """Add the admission levels that changed.
@@ -82,15 +82,15 @@
             changed = changed | self.changes.level_groups.get(table, set())
         groups_by_level: dict[AdmissionLevel, list[int]] = {}
         for group in sorted([*new_groups, *(group for group in old_groups if group in changed)]):
-            level = self.contents.effective_level(table, group)
+            level = self.contents.effective_admission_level(table, group)
             if level is not None:
                 groups_by_level.setdefault(level, []).append(group)
         for level, groups in groups_by_level.items():
-            part_groups = self._part_groups(groups)
-            if parts and parts[-1].groups == part_groups and parts[-1].admission_level is None:
-                parts[-1].admission_level = level
+            update_groups = self._groups_or_all(groups)
+            if updates and updates[-1].groups == update_groups and updates[-1].admission_level is None:
+                updates[-1].admission_level = level
             else:
-                parts.append(MessagePart(part_groups, admission_level=level))
+                updates.append(TableUpdate(update_groups, admission_level=level))
 
     def _ejections(self, proxy: ProxyTableState, added: dict[int, None]) -> tuple[list[int], list[int]]:
         """Return the endpoints to eject and to readmit: as few as its tables after this cycle need."""
@@ -99,16 +99,16 @@
         tables = [self.contents.weights.get(table, {}) for table in set(proxy.table_by_group.values())]
         is_partly_bound = len(proxy.table_by_group) < len(self.groups)  # its other tables may hold anything
         for endpoint in sorted({*proxy.changed_ejections, *added}):
-            if endpoint in self.contents.ejected:
+            if endpoint in self.contents.ejected_endpoints:
                 may_hold = is_partly_bound or any(endpoint in weights for weights in tables)
-                if may_hold and endpoint not in proxy.ejected:
+                if may_hold and endpoint not in proxy.ejected_endpoints:
                     ejected.append(endpoint)
-            elif proxy.has_ejected(endpoint) or self._is_to_confirm(proxy, endpoint):
+            elif proxy.has_ejected(endpoint) or self._needs_reconciliation(proxy, endpoint):
                 readmitted.append(endpoint)
         return ejected, readmitted
 
     @staticmethod
-    def _is_to_confirm(proxy: ProxyTableState, endpoint: int) -> bool:
-        if not proxy.has_unknown_history or endpoint in proxy.confirmed:
+    def _needs_reconciliation(proxy: ProxyTableState, endpoint: int) -> bool:
+        if not proxy.has_unknown_history or endpoint in proxy.reconciled_endpoints:
             return False
         return endpoint in proxy.changed_ejections
--- a/ravenshelf/state/slots.py
+++ b/ravenshelf/state/slots.py
@@ -12,7 +12,7 @@
     def __init__(self, size: int):
         self.size = size
         self.items: dict[int, Item] = {}
-        self.free: list[int] = []  # a heap of released numbers
+        self.free_numbers: list[int] = []  # a heap of released numbers
         self.next_number = 0
 
     def __len__(self) -> int:
@@ -22,8 +22,8 @@
         """Put the item under the lowest free number and return that, or None where all are in use."""
         if len(self.items) >= self.size:
             return None
-        if self.free:
-            number = heapq.heappop(self.free)
+        if self.free_numbers:
+            number = heapq.heappop(self.free_numbers)
         else:
             number = self.next_number
             self.next_number += 1
@@ -37,4 +37,4 @@
     def release(self, number: int | None) -> None:
         """Make a number free again; one that is not in use, or None, changes nothing."""
         if number is not None and self.items.pop(number, None) is not None:
-            heapq.heappush(self.free, number)
+            heapq.heappush(self.free_numbers, number)
--- a/ravenshelf/state/table_contents.py
+++ b/ravenshelf/state/table_contents.py
@@ -2,7 +2,7 @@
 
 from ravenshelf.policy import commands
 from ravenshelf.policy.commands import ALL_TABLES
-from ravenshelf.state.message_part import AdmissionLevel
+from ravenshelf.state.table_update import AdmissionLevel
 
 
 class TableContents:
@@ -11,13 +11,13 @@
     def __init__(self) -> None:
         self.weights: dict[int, dict[int, float]] = {}  # by table and endpoint; none is 0
         self.admission_levels: dict[int, dict[int, AdmissionLevel]] = {}  # by table and traffic group
-        self.ejected: set[int] = set()
+        self.ejected_endpoints: set[int] = set()
 
     def has_endpoint(self, endpoint: int) -> bool:
         """Return whether a table holds the endpoint."""
         return any(endpoint in weights for weights in self.weights.values())
 
-    def effective_level(self, table: int | None, group: int) -> AdmissionLevel | None:
+    def effective_admission_level(self, table: int | None, group: int) -> AdmissionLevel | None:
         """Return the lower of the table's level and the level of all tables, with the table's retry mode."""
         own = self.admission_levels.get(table, {}).get(group) if table is not None else None
         common = self.admission_levels.get(ALL_TABLES, {}).get(group)
@@ -34,7 +34,7 @@
         self.level_groups: dict[int, set[int]] = {}  # by table: traffic groups with another admission level
         self.cleared_tables: set[int] = set()
         self.marker: int | None = None
-        self.marker_for_everyone = False
+        self.marker_for_all_proxies = False
         self.timers: list[commands.StartTimer] = []
         self.commands: list[commands.Command] = []
 
--- a/ravenshelf/state/message_part.py
+++ b/ravenshelf/state/table_update.py
@@ -15,23 +15,23 @@
 
 
 @dataclass
-class MessagePart:
+class TableUpdate:
     """What changes for some traffic groups of one proxy.
 
     `groups` are indices of traffic groups (empty: all). A complete part replaces the table of its groups; any
-    other part changes the weights that it names, where 0 removes the endpoint. `ejected` and `readmitted` are
-    endpoints and hold for every group of the proxy.
+    other part changes the weights that it names, where 0 removes the endpoint. `ejected_endpoints` and
+    `readmitted_endpoints` hold for every group of the proxy.
     """
 
     groups: tuple[int, ...] = ()
     is_complete: bool = False
     weights: list[tuple[int, float]] = field(default_factory=list)
     admission_level: AdmissionLevel | None = None
-    ejected: list[int] = field(default_factory=list)
-    readmitted: list[int] = field(default_factory=list)
+    ejected_endpoints: list[int] = field(default_factory=list)
+    readmitted_endpoints: list[int] = field(default_factory=list)
     marker: int | None = None
 
-    def line_count(self) -> int:
+    def count_lines(self) -> int:
         """Lines as the control channel counts them, without the message overhead."""
         singles = self.is_complete + (self.admission_level is not None) + (self.marker is not None)
-        return singles + len(self.weights) + len(self.ejected) + len(self.readmitted)
+        return singles + len(self.weights) + len(self.ejected_endpoints) + len(self.readmitted_endpoints)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -312,7 +312,7 @@
 
     def pass_time(self, seconds):
         self.now += round(seconds * SECOND)
-        for key in self.deadlines.take_expired(self.now):
+        for key in self.deadlines.pop_expired(self.now):
             key.connection.close(ConnectionEnd.SILENT)
 
 
--- a/tests/distribution/test_distribution_sockets.py
+++ b/tests/distribution/test_distribution_sockets.py
@@ -38,7 +38,7 @@
 from ravenshelf.distribution.owner_service import OwnerService
 from ravenshelf.distribution.relay_service import RelayService
 from ravenshelf.distribution.subscription_service import SubscriptionService
-from ravenshelf.net.frames import MOST_FRAME, Frames, pack
+from ravenshelf.net.frames import FRAME_LIMIT_BYTES, FrameDecoder, pack_frame
 from ravenshelf.operator_config.tables import Graphite, OperatorConfiguration
 from ravenshelf.process.relay_metrics_export import RelayMetricsExport
 from ravenshelf.state.buffers import BufferPool
@@ -251,15 +251,15 @@
 
 
 def test_frames_are_read_from_pieces_of_any_size_and_too_long_ones_are_rejected():
-    data = pack(b"one") + pack(b"") + pack(b"x" * 70_000)
-    frames, bodies = Frames(), []
+    data = pack_frame(b"one") + pack_frame(b"") + pack_frame(b"x" * 70_000)
+    frames, bodies = FrameDecoder(), []
     for start in range(0, len(data), 7):
         bodies += frames.feed(data[start : start + 7])
     assert bodies == [b"one", b"", b"x" * 70_000]
     with pytest.raises(ValueError, match="a frame of"):
-        pack(b"x" * (MOST_FRAME + 1))
+        pack_frame(b"x" * (FRAME_LIMIT_BYTES + 1))
     with pytest.raises(ValueError, match="a frame of"):
-        Frames().feed(b"\xff\xff\xff\xff")
+        FrameDecoder().feed(b"\xff\xff\xff\xff")
 
 
 def test_a_subscriber_on_sockets_receives_the_same_messages_and_bytes_as_a_simulated_one():
--- a/tests/graphite/exporting.py
+++ b/tests/graphite/exporting.py
@@ -38,7 +38,7 @@
         )
 
     def run_due(self):
-        for key in self.deadlines.take_expired(self.now):
+        for key in self.deadlines.pop_expired(self.now):
             self.background.run_turn() if key == "background" else self.service.run_due(key)
 
     async def wait_until(self, condition, timeout_s=20.0):
--- a/tests/graphite/test_collector.py
+++ b/tests/graphite/test_collector.py
@@ -15,7 +15,7 @@
     ProxyLeft,
 )
 from ravenshelf.settings import SECOND, Settings, TrafficGroup
-from ravenshelf.state.message_part import MessagePart
+from ravenshelf.state.table_update import TableUpdate
 
 SETTINGS = Settings(
     zones=("a", "b"),
@@ -91,8 +91,8 @@
     harness.observe(
         EndpointsListed(ListKind.UPDATE, (ListedEndpoint(1, 0, 0, 0, EndpointState.DRAINING, 1.0, 0),))
     )
-    harness.collector.on_message(0, [MessagePart(ejected=[1])], 7)
-    harness.collector.on_message(1, [MessagePart(ejected=[1])], 7)
+    harness.collector.on_message(0, [TableUpdate(ejected_endpoints=[1])], 7)
+    harness.collector.on_message(1, [TableUpdate(ejected_endpoints=[1])], 7)
     harness.now += 200_000
     harness.observe(BatchAcknowledged(0, 7, 100))
     points = harness.end_interval(0)
@@ -116,11 +116,11 @@
             ),
         )
     )
-    harness.collector.on_message(0, [MessagePart(ejected=[1, 2])], 7)
+    harness.collector.on_message(0, [TableUpdate(ejected_endpoints=[1, 2])], 7)
     # The server closed this connection itself. The controller receives the event in this case too, and the
     # metrics are the same.
     harness.observe(ProxyLeft(0, True))
-    harness.collector.on_message(1, [MessagePart(ejected=[1])], 8)
+    harness.collector.on_message(1, [TableUpdate(ejected_endpoints=[1])], 8)
     harness.observe(
         EndpointsListed(ListKind.UPDATE, (ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 1.0, 0),))
     )
--- a/tests/net/test_connection_end.py
+++ b/tests/net/test_connection_end.py
@@ -10,7 +10,7 @@
     UNIDENTIFIED,
     WATCH,
     ConnectionEnd,
-    outcome,
+    end_event_type,
 )
 from ravenshelf.policy.events import (
     HealthCheckCompleted,
@@ -56,4 +56,4 @@
     ],
 )
 def test_each_connection_end_has_one_outcome(purpose, end, told):
-    assert outcome(purpose, end) is told
+    assert end_event_type(purpose, end) is told
--- a/tests/net/test_datagrams.py
+++ b/tests/net/test_datagrams.py
@@ -5,7 +5,7 @@
 
 def test_datagrams_identify_their_sender_by_address():
     told, sent = [], []
-    peers = datagrams.Datagrams(
+    peers = datagrams.PeerDatagrams(
         ["127.0.0.1:1", "127.0.0.1:2"], "127.0.0.9:3", lambda *said: told.append(said)
     )
     assert not peers.send(0, b"too early")
--- a/tests/net/test_endpoint_codec.py
+++ b/tests/net/test_endpoint_codec.py
@@ -28,7 +28,7 @@
 )
 def test_unreadable_lists_are_rejected(text):
     with pytest.raises(endpoint_codec.UnreadableListError):
-        endpoint_codec.EndpointListDecoder(Settings(), None, None).read(text)
+        endpoint_codec.EndpointListDecoder(Settings(), None, None).decode_list(text)
 
 
 def test_entries_are_decoded_and_malformed_ones_reported():
@@ -49,7 +49,7 @@
         target("s-7", endpoint=None, colour="blue"),
         {"uid": "s-8"},
     ]
-    entries, addresses, broken = read.entries(json.loads(json.dumps(said)))
+    entries, addresses, broken = read.decode_entries(json.loads(json.dumps(said)))
     assert entries == [
         ListedEndpoint(0, 1, 1, 3, EndpointState.DRAINING, 4.0, 1_500_500),
         ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 4.0, 0),
--- a/tests/net/test_stream_codec.py
+++ b/tests/net/test_stream_codec.py
@@ -3,8 +3,8 @@
 import pytest
 
 from ravenshelf.net import stream_codec
-from ravenshelf.net.stream_codec import LOAD_WORDS
-from ravenshelf.state.message_part import AdmissionLevel, MessagePart
+from ravenshelf.net.stream_codec import LOAD_COLUMN_ALIASES
+from ravenshelf.state.table_update import AdmissionLevel, TableUpdate
 
 
 @pytest.mark.parametrize(
@@ -22,21 +22,21 @@
     ],
 )
 def test_encoded_numbers_decode_to_the_same_value(value, text):
-    assert stream_codec.decimal_text(value) == text and (float(text) > 0) == (value > 0)
+    assert stream_codec.format_decimal(value) == text and (float(text) > 0) == (value > 0)
 
 
 def test_a_message_of_several_parts_is_encoded_as_lines():
-    parts = [
-        MessagePart((0, 1), True, [(0, 1.5), (1, 0)], None, [1], [0]),
-        MessagePart((1,), admission_level=AdmissionLevel(0.5, 1), marker=9),
+    updates = [
+        TableUpdate((0, 1), True, [(0, 1.5), (1, 0)], None, [1], [0]),
+        TableUpdate((1,), admission_level=AdmissionLevel(0.5, 1), marker=9),
     ]
-    assert stream_codec.encode_message(parts, ["s-1", "s-2"], ["look", "pay"]) == (
+    assert stream_codec.encode_message(updates, ["s-1", "s-2"], ["look", "pay"]) == (
         b"CONFIG classes=look+pay whole=1 lines=s-1:1.5,s-2:0 out=s-2 back=s-1 more=1\r\n"
         b"CONFIG classes=pay level=0.5 retry=1 ticket=9\r\n"
     )
-    assert [p.line_count() for p in parts] == [5, 2]
+    assert [p.count_lines() for p in updates] == [5, 2]
     with pytest.raises(ValueError):
-        stream_codec.encode_message([MessagePart()] * 65, [], [])
+        stream_codec.encode_message([TableUpdate()] * 65, [], [])
 
 
 @pytest.mark.parametrize(
@@ -49,11 +49,11 @@
         ("util=0.5,x0=3", ["cpu"], (0.5,)),
         ("inflight", ["active"], ()),
         (
-            ",".join(f"{word}={n}" for n, word in enumerate(LOAD_WORDS)),
-            list(LOAD_WORDS.values()),
+            ",".join(f"{word}={n}" for n, word in enumerate(LOAD_COLUMN_ALIASES)),
+            list(LOAD_COLUMN_ALIASES.values()),
             tuple(range(6)),
         ),
     ],
 )
 def test_load_columns_are_decoded_by_name(text, columns, report):
-    assert stream_codec.load_report(stream_codec.named_values(text, "="), columns) == report
+    assert stream_codec.decode_load_columns(stream_codec.parse_named_values(text, "="), columns) == report
--- a/tests/process/registry_doubles.py
+++ b/tests/process/registry_doubles.py
@@ -23,8 +23,8 @@
 class RecordedCall:
     """An open call, whose response the test sends."""
 
-    def __init__(self, path, done, on_line, timeout_us, address=None):
-        self.path, self.done, self.on_line, self.address = path, done, on_line, address
+    def __init__(self, path, on_end, on_line, timeout_us, address=None):
+        self.path, self.on_end, self.on_line, self.address = path, on_end, on_line, address
         self.end, self.status, self.body = None, 200, b""
 
     def send_list(self, version, *targets, is_complete=False):
@@ -33,7 +33,7 @@
     def close(self, end):
         if self.end is None:
             self.end = end
-            self.done(self)
+            self.on_end(self)
 
     def respond(self, version, *targets, is_complete=True):
         self.body = json.dumps({"rev": version, "all": is_complete, "targets": targets}).encode()
--- a/tests/process/test_control_cycle.py
+++ b/tests/process/test_control_cycle.py
@@ -173,7 +173,10 @@
     driver.registry.names = names
     # The new controller has the endpoint list and has bound no proxy yet.
     driver.proxy_tables.set_ejected(0, True)
-    assert [(message.proxy, message.parts[0].ejected) for message in driver.proxy_tables.take_messages()] == [
+    assert [
+        (message.proxy, message.updates[0].ejected_endpoints)
+        for message in driver.proxy_tables.build_messages()
+    ] == [
         (0, [0]),
         (1, [0]),
     ]
--- a/tests/process/test_endings.py
+++ b/tests/process/test_endings.py
@@ -106,7 +106,7 @@
             proxy = await connected_proxy(port)
             server.stop()
             watch_count, cycle_count = server.counters["discovery_watches"], server.counters["control_cycles"]
-            server.acceptor.connected(
+            server.acceptor.on_connection_opened(
                 late_connection := type(
                     "LateConnection", (), {"close": lambda self, end: setattr(self, "end", end)}
                 )()
@@ -211,7 +211,7 @@
                 asyncio.get_running_loop(),
                 0,
                 0,
-                server.acceptor.received,
+                server.acceptor.on_line,
             )
 
             def count_line(connection, line):
@@ -224,7 +224,7 @@
                 maximum_bytes, iteration_bytes = max(maximum_bytes, iteration_bytes), 0
                 loop.call_soon(count_iteration)
 
-            server.acceptor.received = count_line
+            server.acceptor.on_line = count_line
             proxy_socket = socket.socket(fileno=os.dup(proxy.transport.get_extra_info("socket").fileno()))
             sent_bytes = 0
             with contextlib.suppress(BlockingIOError):
--- a/tests/process/test_schedules.py
+++ b/tests/process/test_schedules.py
@@ -95,7 +95,7 @@
 
     def record_call(self, call):
         self.opened_at[call] = self.last_data_at[call] = self.loop.now
-        done = call.done
+        on_end = call.on_end
 
         def ended(call):
             if (
@@ -105,9 +105,9 @@
                 self.violations.append(
                     "a call that had just been opened or received data was ended as silent"
                 )
-            done(call)
+            on_end(call)
 
-        call.done = ended
+        call.on_end = ended
         return call
 
     # Events
@@ -415,8 +415,8 @@
     if fault == "deadlines by slot":
         from ravenshelf.state.deadlines import DeadlineQueue
 
-        take_expired, set_ = DeadlineQueue.take_expired, DeadlineQueue.set
-        monkeypatch.setattr(DeadlineQueue, "take_expired", lambda self, now: list(take_expired(self, now)))
+        pop_expired, set_ = DeadlineQueue.pop_expired, DeadlineQueue.set
+        monkeypatch.setattr(DeadlineQueue, "pop_expired", lambda self, now: list(pop_expired(self, now)))
         monkeypatch.setattr(ControlPlaneServer, "handle_deadline", handle_deadline_by_slot)
         key_by_slot = lambda key: CallTimeout(CallSlot(key.call)) if isinstance(key, CallTimeout) else key  # noqa: E731
         monkeypatch.setattr(DeadlineQueue, "set", lambda self, key, at: set_(self, key_by_slot(key), at))
--- a/tests/state/proxy_messages.py
+++ b/tests/state/proxy_messages.py
@@ -1,5 +1,5 @@
 """The messages of proxy tables by proxy."""
 
 
-def parts_by_proxy(tables):
-    return {message.proxy: message.parts for message in tables.take_messages()}
+def updates_by_proxy(tables):
+    return {message.proxy: message.updates for message in tables.build_messages()}
--- a/tests/state/test_endpoint_registry.py
+++ b/tests/state/test_endpoint_registry.py
@@ -1,10 +1,10 @@
 """The copy of the endpoint list: versions, and the indices of endpoints."""
 
 import pytest
-from proxy_messages import parts_by_proxy
+from proxy_messages import updates_by_proxy
 
 from ravenshelf.policy.events import EndpointsListed, EndpointState, ListedEndpoint, ListKind
-from ravenshelf.state.endpoint_registry import INDEX_REST_US, EndpointRegistry, VersionGapError
+from ravenshelf.state.endpoint_registry import INDEX_REUSE_DELAY_US, EndpointRegistry, VersionGapError
 from ravenshelf.state.proxy_tables import ProxyTables
 
 
@@ -43,12 +43,13 @@
     registry = two_listed_endpoints()
     with pytest.raises(VersionGapError) as raised:
         registry.update(ListKind.UPDATE, 7, [GONE], {}, 6)
-    assert (raised.value.held_version, raised.value.after_version) == (5, 6)
+    assert (raised.value.current_version, raised.value.after_version) == (5, 6)
     assert sorted(registry.entries) == [0, 1] == sorted(registry.addresses)
 
 
 @pytest.mark.parametrize(
-    "waited, used, index", [(INDEX_REST_US, set(), 1), (INDEX_REST_US - 1, set(), 3), (INDEX_REST_US, {1}, 3)]
+    "waited, used, index",
+    [(INDEX_REUSE_DELAY_US, set(), 1), (INDEX_REUSE_DELAY_US - 1, set(), 3), (INDEX_REUSE_DELAY_US, {1}, 3)],
 )
 def test_an_index_is_reassigned_only_long_after_its_endpoint_left(waited, used, index):
     now = [1000]
@@ -72,7 +73,7 @@
 def test_a_reassigned_index_carries_no_ejections_and_a_returning_endpoint_is_readmitted():
     now, tables = [1000], ProxyTables(group_count=1, is_only_server=True)
     registry = EndpointRegistry(
-        lambda: now[0], tables.has_endpoint, tables.index_reassigned, tables.endpoint_returned
+        lambda: now[0], tables.has_endpoint, tables.forget_ejections, tables.assume_ejected
     )
 
     def told(index):
@@ -81,19 +82,20 @@
             tables.set_weight(0, index, 1.0)
             tables.bind_proxy(proxy, 0)
         return [
-            (proxy, parts[0].ejected, parts[0].readmitted) for proxy, parts in parts_by_proxy(tables).items()
+            (proxy, updates[0].ejected_endpoints, updates[0].readmitted_endpoints)
+            for proxy, updates in updates_by_proxy(tables).items()
         ]
 
     registry.update(ListKind.REPLACE, 1, [entry(registry.index_of("s-1"))], {})
-    tables.proxy_joined(1, True)
+    tables.add_proxy(1, True)
     assert told(0) == [(1, [], [])]
-    tables.proxy_joined(2, True)  # holds a table of which nothing is known yet: it is told to shut s-1 out
+    tables.add_proxy(2, True)  # holds a table of which nothing is known yet: it is told to shut s-1 out
     tables.set_ejected(0, True)
     tables.set_weight(0, 7, 1.0)
     tables.set_weight(0, 0, 0)
-    assert parts_by_proxy(tables)[2][0].ejected == [0]
+    assert updates_by_proxy(tables)[2][0].ejected_endpoints == [0]
     registry.update(ListKind.UPDATE, 2, [entry(0, EndpointState.GONE)], {})
-    now[0] += INDEX_REST_US
+    now[0] += INDEX_REUSE_DELAY_US
     assert registry.index_of("s-2") == 0
     registry.update(ListKind.UPDATE, 3, [entry(0)], {})
     assert told(0) == [(1, [], []), (2, [], [])]  # nobody ever shut out s-2
