--- a/ravenshelf/operator_config/__init__.py
+++ b/ravenshelf/operator_config/__init__.py
@@ -1,1 +1,1 @@
-"""The operator file: its tables, how it is read, what is wrong with it."""
+"""Operator file: the types of its tables, and how it is read and checked."""
--- a/ravenshelf/operator_config/decoding.py
+++ b/ravenshelf/operator_config/decoding.py
@@ -1,4 +1,4 @@
-"""Decodes a TOML document into the tables of the operator file; all that is wrong is raised at once."""
+"""Decoding of a TOML document into the tables of the operator file."""
 
 import difflib
 from collections.abc import Mapping, Sequence
@@ -7,26 +7,35 @@
 import msgspec
 
 from ravenshelf.operator_config.consistency import consistency_problems
-from ravenshelf.operator_config.errors import OperatorConfigurationError, Problem, shown
+from ravenshelf.operator_config.errors import OperatorConfigurationError, Problem, shortened_repr
 from ravenshelf.operator_config.keys import expected_value, key_types, table_types
 from ravenshelf.operator_config.tables import OperatorConfiguration
 
-MIN_SIMILARITY = 0.5
+MIN_SIMILARITY = 0.5  # least similarity, from 0 to 1, of a name that an error message suggests
 
 
 def decode(document: Mapping[str, Any], file: str) -> OperatorConfiguration:
-    """Return the tables of a document; raises OperatorConfigurationError, whose problems name `file`."""
+    """Return the tables of a document; a key that it lacks has its default.
+
+    Args:
+        document: The parsed TOML document.
+        file: The file's path for the problems.
+
+    Raises:
+        OperatorConfigurationError: The document has problems. The error has all problems of single keys, or
+            all problems that concern several keys if each key by itself is valid.
+    """
     problems: list[Problem] = []
-    known = table_types()
+    types_by_table = table_types()
     tables: dict[str, Any] = {}
     for name, value in document.items():
-        if name not in known:
+        if name not in types_by_table:
             kind = "table" if isinstance(value, dict) else "key"
-            problems.append(Problem(file, name, _unknown(kind, name, list(known))))
+            problems.append(Problem(file, name, _unknown_name(kind, name, list(types_by_table))))
         elif isinstance(value, dict):
-            tables[name] = _decode_table(file, name, known[name], value, problems)
+            tables[name] = _decode_table(file, name, types_by_table[name], value, problems)
         else:
-            problems.append(Problem(file, f"[{name}]", shown(value), "a table"))
+            problems.append(Problem(file, f"[{name}]", shortened_repr(value), "a table"))
     operator = OperatorConfiguration(**tables)
     if not problems:
         problems += consistency_problems(operator, file)
@@ -36,24 +45,24 @@
 
 
 def _decode_table(
-    file: str, name: str, table_type: type[msgspec.Struct], value: dict[str, Any], problems: list[Problem]
+    file: str, name: str, table_type: type[msgspec.Struct], table: dict[str, Any], problems: list[Problem]
 ) -> msgspec.Struct:
-    known = key_types(table_type)
-    decoded = {}
-    for key, found in value.items():
-        if key not in known:
-            problems.append(Problem(file, f"[{name}] {key}", _unknown("key", key, list(known))))
+    types_by_key = key_types(table_type)
+    values = {}
+    for key, value in table.items():
+        if key not in types_by_key:
+            problems.append(Problem(file, f"[{name}] {key}", _unknown_name("key", key, list(types_by_key))))
             continue
         try:
-            decoded[key] = msgspec.convert(found, known[key])
+            values[key] = msgspec.convert(value, types_by_key[key])
         except msgspec.ValidationError as error:
             position = str(error).partition(" - at `$")[2].rstrip("`")
             path = f"[{name}] {key}{position}"
-            problems.append(Problem(file, path, shown(found), expected_value(known[key])))
-    return table_type(**decoded)
+            problems.append(Problem(file, path, shortened_repr(value), expected_value(types_by_key[key])))
+    return table_type(**values)
 
 
-def _unknown(kind: str, name: str, known: Sequence[str]) -> str:
-    similar = difflib.get_close_matches(name, known, 1, MIN_SIMILARITY)
-    hint = f"did you mean {similar[0]}?" if similar else f"known here: {', '.join(known)}"
+def _unknown_name(kind: str, name: str, valid_names: Sequence[str]) -> str:
+    similar_names = difflib.get_close_matches(name, valid_names, 1, MIN_SIMILARITY)
+    hint = f"did you mean {similar_names[0]}?" if similar_names else f"known names: {', '.join(valid_names)}"
     return f"a {kind} that is not known; {hint}"
--- a/ravenshelf/operator_config/errors.py
+++ b/ravenshelf/operator_config/errors.py
@@ -1,44 +1,52 @@
-"""What is wrong with an operator file: every problem has its path, what was found and what was expected."""
+"""Problems of an operator file, and the exception that reports them."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
 
 from ravenshelf.errors import RavenshelfError
 
-MAX_SHOWN = 60
+MAX_VALUE_LENGTH = 60  # characters
 
 
-def shown(value: object) -> str:
-    """Return a value as it is shown in a problem, cut where it is long."""
+def shortened_repr(value: object) -> str:
+    """Return the repr of a value, truncated to MAX_VALUE_LENGTH characters."""
     text = repr(value)
-    return text if len(text) <= MAX_SHOWN else text[: MAX_SHOWN - 3] + "..."
+    return text if len(text) <= MAX_VALUE_LENGTH else text[: MAX_VALUE_LENGTH - 3] + "..."
 
 
 class Problem(NamedTuple):
-    """One thing that is wrong.
-
-    `path` is "[TABLE] KEY", "[TABLE]", the name of something that is not known, or empty for the file itself.
-    `expected` is empty for something that is not known; `detail` replaces both where a file could not be
-    read.
+    """Problem at one place of an operator file.
+
+    Attributes:
+        file: The path of the operator file.
+        path: "[TABLE] KEY", "[TABLE]", the name of an unknown table or key, or empty for the file itself.
+        actual_value: What was found there.
+        expectation: What was expected there; empty for an unknown name.
+        detail: An error message that is shown in place of `actual_value` and `expectation`, for a file that
+            can't be read or is malformed.
     """
 
     file: str
     path: str
-    found: str = ""
-    expected: str = ""
+    actual_value: str = ""
+    expectation: str = ""
     detail: str = ""
 
     def __str__(self) -> str:
-        place = f"{self.file}: {self.path}" if self.path else self.file
+        location = f"{self.file}: {self.path}" if self.path else self.file
         if self.detail:
-            return f"{place}: {self.detail}"
-        if not self.expected:
-            return f"{place}: found {self.found}"
-        return f"{place}: found {self.found}, expected {self.expected}"
+            return f"{location}: {self.detail}"
+        if not self.expectation:
+            return f"{location}: found {self.actual_value}"
+        return f"{location}: found {self.actual_value}, expected {self.expectation}"
 
 
 class OperatorConfigurationError(RavenshelfError):
-    """An operator file that cannot be used; the text has a line for each of `problems`."""
+    """Error for an operator file that can't be used; its text has a line for each problem.
+
+    Attributes:
+        problems: The problems, in the order in which they were found.
+    """
 
     def __init__(self, problems: Sequence[Problem]) -> None:
         super().__init__("\n".join(map(str, problems)))
--- a/ravenshelf/operator_config/named_files.py
+++ b/ravenshelf/operator_config/named_files.py
@@ -1,4 +1,7 @@
-"""Reads the files that an operator file names, and looks for the extras that it needs, as a start would."""
+"""Checks of the files and extras that an operator file requires.
+
+A start of the process would read the same files and import the same modules.
+"""
 
 import importlib.util
 from collections.abc import Iterator
@@ -9,7 +12,12 @@
 
 
 def named_file_problems(operator: OperatorConfiguration, file: str) -> list[Problem]:
-    """Return the problems of what the operator file `file` refers to."""
+    """Return the problems of the files that an operator file names, and the extras that are not installed.
+
+    Args:
+        operator: The operator file's tables.
+        file: The file's path for the problems.
+    """
     return [
         *_missing_extras(operator, file),
         *_users_problems(operator, file),
@@ -18,17 +26,19 @@
 
 
 def _missing_extras(operator: OperatorConfiguration, file: str) -> Iterator[Problem]:
-    needed_modules = (
+    required_modules = (
         ("graphite", operator.graphite.receivers, ("hdrh", "xxhash")),
         ("collectd", operator.collectd.listen, ("cryptography", "xxhash")),
         ("leadership", operator.leadership.name, ("xxhash",)),
         ("distribution", operator.distribution.name, ("xxhash",)),
     )
-    for extra, is_on, modules in needed_modules:
-        missing = [module for module in modules if is_on and importlib.util.find_spec(module) is None]
-        if missing:
-            expected = f"the extra {extra} to be installed"
-            yield Problem(file, f"[{extra}]", f"no {', '.join(missing)}", expected)
+    for extra, is_enabled, modules in required_modules:
+        missing_modules = [
+            module for module in modules if is_enabled and importlib.util.find_spec(module) is None
+        ]
+        if missing_modules:
+            expectation = f"the extra {extra} to be installed"
+            yield Problem(file, f"[{extra}]", f"no module {', '.join(missing_modules)}", expectation)
 
 
 def _users_problems(operator: OperatorConfiguration, file: str) -> Iterator[Problem]:
--- a/ravenshelf/operator_config/reading.py
+++ b/ravenshelf/operator_config/reading.py
@@ -1,4 +1,4 @@
-"""Reads an operator file: TOML into its tables, with the files that it names."""
+"""Reading of an operator file, with a check of the files that it names."""
 
 import tomllib
 from pathlib import Path
@@ -10,7 +10,12 @@
 
 
 def read(path: str | Path) -> OperatorConfiguration:
-    """Return the tables of a file; raises OperatorConfigurationError with everything that is wrong."""
+    """Return the tables of an operator file.
+
+    Raises:
+        OperatorConfigurationError: The operator file or a file that it names can't be read or is not valid,
+            or an extra that it requires is not installed.
+    """
     file = str(path)
     try:
         document = tomllib.loads(Path(path).read_text(encoding="utf-8"))
@@ -28,12 +33,16 @@
 
 
 def summary(operator: OperatorConfiguration) -> str:
-    """Return one line that says what the file turns on."""
+    """Return one line that describes an operator file's log, metrics export and collectd listener."""
     graphite = operator.graphite
     collectd = operator.collectd
-    exports = "no metrics"
+    metrics_summary = "no metrics"
     if graphite.receivers:
         receivers = ", ".join(graphite.receivers)
-        exports = f"metrics every {graphite.every_s} s to {receivers} ({graphite.protocol}, {graphite.route})"
-    listens = f"collectd at {collectd.listen} ({collectd.security})" if collectd.listen else "no collectd"
-    return f"operator file: log as {operator.log.format}; {exports}; {listens}"
+        metrics_summary = (
+            f"metrics every {graphite.every_s} s to {receivers} ({graphite.protocol}, {graphite.route})"
+        )
+    collectd_summary = (
+        f"collectd at {collectd.listen} ({collectd.security})" if collectd.listen else "no collectd"
+    )
+    return f"operator file: log format {operator.log.format}; {metrics_summary}; {collectd_summary}"
--- a/ravenshelf/operator_config/tables.py
+++ b/ravenshelf/operator_config/tables.py
@@ -1,6 +1,7 @@
-"""The tables of the operator file: every key with its type, bounds and default. Everything is off by default.
+"""Tables of the operator file: every key with its type, bounds and default.
 
-A key's description is what the check names as expected.
+By default every optional feature is off. Error messages and the catalogue of keys show a key's description as
+its expected value.
 """
 
 from typing import Annotated, Literal
@@ -9,13 +10,20 @@
 
 
 class Log(Struct, forbid_unknown_fields=True, frozen=True):
-    """The form of the log."""
+    """Format of the log."""
 
     format: Annotated[Literal["text", "json"], Meta(description='"text" or "json"')] = "text"
 
 
 class Background(Struct, forbid_unknown_fields=True, frozen=True):
-    """The event loop's time for background jobs."""
+    """Limits of the background jobs on the event loop.
+
+    Attributes:
+        jobs: The most queued jobs.
+        turn_ms: The most time of one turn, in milliseconds.
+        a_second_ms: The most time of all jobs per second, in milliseconds.
+        ageing_s: Waiting time, in seconds, after which a job's priority rises by one level.
+    """
 
     jobs: Annotated[int, Meta(description="a whole number from 8 to 100000", ge=8, le=100_000)] = 256
     turn_ms: Annotated[float, Meta(description="a number from 0.1 to 20", ge=0.1, le=20)] = 2.0
@@ -24,7 +32,19 @@
 
 
 class Graphite(Struct, forbid_unknown_fields=True, frozen=True):
-    """The export of metrics to carbon receivers; off without receivers."""
+    """Export of metrics to Graphite (carbon) receivers; off without receivers.
+
+    Attributes:
+        receivers: The addresses of the receivers.
+        protocol: The format in which points are sent.
+        prefix: The first component or components of all metric paths.
+        every_s: Interval between measurements, in seconds.
+        route: "all" sends every point to every receiver; "hash" sends each metric to one receiver.
+        buffer_points: The most points that are queued for one receiver in memory.
+        backfill_points_s: The most old points that are sent to one receiver per second.
+        spool_mb: The most megabytes of points that are queued on disk for one receiver; 0 for none.
+        spool_dir: The folder of the points on disk.
+    """
 
     receivers: Annotated[list[str], Meta(description='a list of "host:port"')] = field(default_factory=list)
     protocol: Annotated[Literal["plaintext", "pickle"], Meta(description='"plaintext" or "pickle"')] = (
@@ -33,7 +53,7 @@
     prefix: Annotated[
         str,
         Meta(
-            description="words parted by dots, of letters, digits, _ and -",
+            description="words separated by dots, each of letters, digits, _ and -",
             pattern=r"^[A-Za-z0-9_\-]+(\.[A-Za-z0-9_\-]+)*$",
             max_length=120,
         ),
@@ -53,13 +73,23 @@
 
 
 class Collectd(Struct, forbid_unknown_fields=True, frozen=True):
-    """Host loads of collectd's values; off without an address to listen at."""
+    """Measurement of host loads from collectd packets; off without an address to listen at.
+
+    Attributes:
+        listen: The UDP address for packets.
+        security: The lowest accepted security level.
+        users: The file with the passwords of users that sign or encrypt packets.
+        plugins: The plugins whose values are used.
+        hosts: The names of the endpoints on each host. Without an entry, an endpoint belongs to the host that
+            has its name or its address.
+        types: A types.db that replaces the built-in types; "" for the built-in types.
+    """
 
     listen: Annotated[str, Meta(description='"host:port", or "" for off')] = ""
     security: Annotated[
         Literal["none", "sign", "encrypt"], Meta(description='"none", "sign" or "encrypt"')
     ] = "none"
-    users: Annotated[str, Meta(description="the path of a file of `user: password` lines")] = ""
+    users: Annotated[str, Meta(description="the path of a file with `user: password` lines")] = ""
     plugins: Annotated[list[Literal["cpu", "load"]], Meta(description='a list of "cpu" and "load"')] = field(
         default_factory=lambda: ["cpu"]
     )
@@ -70,12 +100,25 @@
 
 
 class Leadership(Struct, forbid_unknown_fields=True, frozen=True):
-    """Leases between several servers on one fleet; off without a name.
-
-    Changes take effect after a restart, except those of the certificates' files, which SIGHUP reads again.
+    """Leases of controllers that share a fleet; off without a name.
+
+    Changes take effect after a restart, except for the content of the certificate files, which are read again
+    at SIGHUP.
+
+    Attributes:
+        name: The name of this member.
+        cluster: The name of the cluster.
+        members: The address of each member, this one included.
+        shards: The number of shards that the proxies, or the services of a service owner, are divided into.
+        lease_ms: The duration of a lease, in milliseconds.
+        capacity: The weight of this member in proportion to that of the others.
+        certificate: The certificate of this member. Without it, connections are not encrypted.
+        key: The certificate's private key.
+        authority: The certificate of the cluster's certificate authority.
+        admin: The Unix socket for administration; "" for none.
     """
 
-    name: Annotated[str, Meta(description='one of members, or "" for off')] = ""
+    name: Annotated[str, Meta(description='the name of one of members, or "" for off')] = ""
     cluster: Annotated[str, Meta(description="a name that all members share")] = ""
     members: Annotated[
         dict[str, str], Meta(description='a table of name = "host:port", the same at all members')
@@ -90,44 +133,64 @@
     certificate: Annotated[
         str, Meta(description="the path of a PEM file whose common name is this member's")
     ] = ""
-    key: Annotated[str, Meta(description="the path of its key")] = ""
-    authority: Annotated[str, Meta(description="the path of the cluster's own authority")] = ""
+    key: Annotated[str, Meta(description="the path of the certificate's key")] = ""
+    authority: Annotated[
+        str, Meta(description="the path of a PEM file with the cluster's certificate authority")
+    ] = ""
     admin: Annotated[str, Meta(description="the path of a Unix socket")] = ""
 
 
 class Distribution(Struct, forbid_unknown_fields=True, frozen=True):
-    """Tables that are decided once for a service; off without a name.
-
-    With `service` the server subscribes to its tables. With `listen` the file is a relay's or, with
-    `services` too, a service owner's, which are processes of their own: `ravenshelf distribution`.
+    """Distribution of tables that a service owner decides for all servers; off without a name.
+
+    With `service`, a server subscribes to the tables of that service. With `listen`, the file configures a
+    relay, and with `listen` and `services` a service owner. These are separate processes, which
+    `ravenshelf distribution relay` and `ravenshelf distribution controller` run.
+
+    Attributes:
+        name: The name of this process.
+        service: The service whose tables a server uses.
+        cluster: The name of the cluster.
+        listen: The address for subscribers.
+        services: The services file of a service owner.
+        parents: The address of each parent by its name. The parents of a service owner are the other
+            members.
+        owners: Whether the parents are service owners and not relays.
+        subscribers: The most subscribers.
+        snapshot_mb_s: The most megabytes of snapshots that are sent per second.
+        admin: The Unix socket for administration; "" for none.
     """
 
-    name: Annotated[str, Meta(description='this process\'s name, its own in the cluster, or "" for off')] = ""
+    name: Annotated[
+        str, Meta(description='the name of this process, unique in the cluster, or "" for off')
+    ] = ""
     service: Annotated[
-        str, Meta(description='the service that this pilot\'s proxies call, or "" for none')
+        str, Meta(description='the service that this server\'s proxies call, or "" for none')
     ] = ""
     cluster: Annotated[str, Meta(description="a name that all relays and controllers share")] = ""
     listen: Annotated[str, Meta(description='"host:port" for subscribers')] = ""
-    services: Annotated[str, Meta(description="the path of a controller's file of services")] = ""
+    services: Annotated[str, Meta(description="the path of a services file, for a controller")] = ""
     parents: Annotated[
         dict[str, str], Meta(description='a table of name = "host:port", the preferred parent first')
     ] = field(default_factory=dict)
-    owners: Annotated[bool, Meta(description="true where the parents are the controllers that publish")] = (
-        False
-    )
+    owners: Annotated[bool, Meta(description="true if the parents are the controllers that publish")] = False
     subscribers: Annotated[int, Meta(description="a whole number from 1 to 65536", ge=1, le=65_536)] = 128
     snapshot_mb_s: Annotated[float, Meta(description="a number from 0.01 to 10000", ge=0.01, le=10_000)] = 4.0
     admin: Annotated[str, Meta(description="the path of a Unix socket")] = ""
 
 
 class Store(Struct, forbid_unknown_fields=True, frozen=True):
-    """Stored state, which survives a crash."""
+    """State on disk, which survives a crash.
+
+    Attributes:
+        folder: The folder of the journal; "" for none.
+    """
 
-    folder: Annotated[str, Meta(description="the path of a folder of this pilot's own")] = ""
+    folder: Annotated[str, Meta(description="the path of a folder that only this server uses")] = ""
 
 
 class OperatorConfiguration(Struct, forbid_unknown_fields=True, frozen=True):
-    """The tables of an operator file."""
+    """Tables of an operator file."""
 
     log: Log = field(default_factory=Log)
     background: Background = field(default_factory=Background)
--- a/tests/operator_config/test_operator_file.py
+++ b/tests/operator_config/test_operator_file.py
@@ -32,7 +32,10 @@
             {"graphite": {"every_s": True}},
             "f: [graphite] every_s: found True, expected a whole number from 1 to 3600",
         ),
-        ({"graphite": {"prefix": "a b"}}, "f: [graphite] prefix: found 'a b', expected words parted by dots"),
+        (
+            {"graphite": {"prefix": "a b"}},
+            "f: [graphite] prefix: found 'a b', expected words separated by dots",
+        ),
         (
             {"graphite": {"receivers": ["a:1", 2]}},
             "f: [graphite] receivers[1]: found ['a:1', 2], expected a list",
@@ -40,7 +43,7 @@
         ({"graphite": {"receivers": ["a"]}}, "f: [graphite] receivers[0]: found 'a', expected host:port"),
         (
             {"graphite": {"receivers": ["a:1", "a:1"]}},
-            "f: [graphite] receivers[1]: found 'a:1' again, expected each once",
+            "f: [graphite] receivers[1]: found 'a:1' again, expected each receiver once",
         ),
         (
             {"graphite": {"spool_mb": 3}},
