--- a/tests/architecture/test_code_style.py
+++ b/tests/architecture/test_code_style.py
@@ -1,4 +1,4 @@
-"""The linter and the formatter find nothing."""
+"""The linter and the formatter report no problem."""
 
 import subprocess
 import sys
@@ -10,12 +10,12 @@
 
 
 @pytest.mark.parametrize("arguments", [("check",), ("format", "--check")], ids=["linter", "formatter"])
-def test_the_linter_and_the_formatter_find_nothing(arguments):
-    """Over the whole tree; pyproject.toml excepts no module from the rules."""
-    done = subprocess.run(
+def test_the_linter_and_the_formatter_report_no_problem(arguments):
+    """The whole repository is checked; pyproject.toml exempts no module from the rules."""
+    result = subprocess.run(
         [str(Path(sys.executable).parent / "ruff"), *arguments, "--no-cache"],
         cwd=ROOT,
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 0, done.stdout
+    assert result.returncode == 0, result.stdout
--- a/tests/architecture/test_imports.py
+++ b/tests/architecture/test_imports.py
@@ -1,4 +1,4 @@
-"""Imports follow the layers, and serve loads nothing that it does not use."""
+"""Imports follow the layers, and `serve` loads no module that it does not use."""
 
 import subprocess
 import sys
@@ -7,17 +7,17 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 
 
-def loaded_modules(*operator):
+def loaded_modules(*features):
     program = (
         "import sys\nfrom ravenshelf import __main__\n"
         + "from ravenshelf.process import logs, run, control_plane, serving\n"
-        + ("from ravenshelf.process.operations import composer\n" if operator else "")
+        + ("from ravenshelf.process.operations import composer\n" if features else "")
         + "print('\\n'.join(sorted(sys.modules)))"
     )
-    out = subprocess.run(
+    output = subprocess.run(
         [sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, check=True
     ).stdout
-    return set(out.split())
+    return set(output.split())
 
 
 EXTRAS = (
@@ -37,7 +37,7 @@
     "grpc",
 )
 COMMAND_LINE = ("typer", "click", "rich", "shellingham", "markdown_it", "pygments")
-OWN = (
+UNUSED_PACKAGES = (
     "ravenshelf.graphite",
     "ravenshelf.collectd",
     "ravenshelf.store",
@@ -49,23 +49,31 @@
 )
 
 
-def test_serve_loads_nothing_that_it_does_not_use():
+def test_serve_loads_no_module_that_it_does_not_use():
     modules = loaded_modules()
     assert "ravenshelf.policy.controller" in modules
-    assert not [m for m in modules if m.split(".")[0] in (*EXTRAS, "msgspec") or m.startswith(OWN)]
-    assert not [m for m in modules if m.split(".")[0] in COMMAND_LINE or m.startswith("ravenshelf.commands")]
     assert not [
-        m
-        for m in loaded_modules("operator")
-        if m.split(".")[0] in EXTRAS or m.startswith(("ravenshelf.graphite", "ravenshelf.collectd"))
+        module
+        for module in modules
+        if module.split(".")[0] in (*EXTRAS, "msgspec") or module.startswith(UNUSED_PACKAGES)
+    ]
+    assert not [
+        module
+        for module in modules
+        if module.split(".")[0] in COMMAND_LINE or module.startswith("ravenshelf.commands")
+    ]
+    assert not [
+        module
+        for module in loaded_modules("operator")
+        if module.split(".")[0] in EXTRAS or module.startswith(("ravenshelf.graphite", "ravenshelf.collectd"))
     ]
 
 
 def test_imports_follow_the_layers():
-    done = subprocess.run(
+    result = subprocess.run(
         [str(Path(sys.executable).parent / "lint-imports"), "--no-cache"],
         cwd=ROOT,
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 0, done.stdout
+    assert result.returncode == 0, result.stdout
--- a/tests/operations/test_log_events.py
+++ b/tests/operations/test_log_events.py
@@ -1,4 +1,4 @@
-"""Log events: every call gives an event its fields, in text and in JSON."""
+"""Log events: every call passes the fields of its event, and JSON lines contain them."""
 
 import ast
 import json
@@ -10,8 +10,8 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 
 
-def test_every_log_call_gives_the_fields_of_its_event():
-    used = set()
+def test_every_log_call_passes_the_fields_of_its_event_and_every_event_is_used():
+    used_events = set()
     for path in (ROOT / "ravenshelf").rglob("*.py"):
         tree = ast.parse(path.read_text())
         for node in ast.walk(tree):
@@ -24,7 +24,7 @@
                     f"{path}:{node.lineno}"
                 )
                 if node.value.id == "log_events" and node.attr.isupper():
-                    used.add(node.attr)
+                    used_events.add(node.attr)
             if (
                 isinstance(node, ast.Call)
                 and isinstance(node.func, ast.Attribute)
@@ -35,11 +35,13 @@
                     assert {keyword.arg for keyword in node.keywords} == set(event.fields), (
                         f"{path}:{node.lineno}"
                     )
-    defined = {name for name in dir(log_events) if isinstance(getattr(log_events, name), log_events.LogEvent)}
-    assert defined == used
+    defined_events = {
+        name for name in dir(log_events) if isinstance(getattr(log_events, name), log_events.LogEvent)
+    }
+    assert defined_events == used_events
 
 
-def test_json_lines_have_the_fields_as_values():
+def test_json_lines_contain_the_fields_of_their_event():
     lines = []
     sink = logs.start("INFO", "json", lines.append)
     log_events.RECEIVER_DISCONNECTED(receiver="a:1", end="reset", rest=1.25)
@@ -48,15 +50,20 @@
     except ZeroDivisionError as error:
         log_events.JOB_FAILED.with_traceback(error, job="x")
     sink.finish(2)
-    first, second = map(json.loads, lines)
-    assert (first["event"], first["level"], first["rest"], first["receiver"]) == (
+    disconnection, failure = map(json.loads, lines)
+    assert (
+        disconnection["event"],
+        disconnection["level"],
+        disconnection["rest"],
+        disconnection["receiver"],
+    ) == (
         "graphite.disconnected",
         "WARNING",
         1.25,
         "a:1",
     )
     assert (
-        first["message"] == "connection to Graphite receiver a:1 ended: reset; reconnect in 1.2 s"
-        and "at" in first
+        disconnection["message"] == "connection to Graphite receiver a:1 ended: reset; reconnect in 1.2 s"
+        and "at" in disconnection
     )
-    assert "ZeroDivisionError" in second["trace"] and second["job"] == "x"
+    assert "ZeroDivisionError" in failure["trace"] and failure["job"] == "x"
--- a/tests/operations/test_server_operations.py
+++ b/tests/operations/test_server_operations.py
@@ -1,4 +1,4 @@
-"""A server with everything that an operator file turns on, and processes that read one."""
+"""A server with the features that an operator file enables, and processes that read such a file."""
 
 import asyncio
 import json
@@ -14,25 +14,27 @@
 from ravenshelf.process.clock import Clock
 from ravenshelf.process.control_plane import ControlPlaneServer
 from ravenshelf.process.operations.composer import Operations
-from standins import collectd as sender
+from standins import collectd as collectd_sender
 from standins.carbon import CarbonReceiver, StopReading
 from standins.loopback import LoopbackProxy, LoopbackRegistry, listed_endpoint, server_configuration
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 
 
-def test_a_server_exports_metrics_and_reads_collectd_while_a_receiver_hangs(tmp_path):
+def test_a_server_exports_metrics_and_reads_collectd_packets_while_a_receiver_hangs(tmp_path):
     async def test():
         loop = asyncio.get_running_loop()
-        discovery = await LoopbackRegistry([listed_endpoint(f"s-{n}", "north") for n in range(4)]).start()
-        carbon, hangs = (
+        discovery = await LoopbackRegistry(
+            [listed_endpoint(f"s-{number}", "north") for number in range(4)]
+        ).start()
+        receiver, hanging_receiver = (
             await CarbonReceiver().start(),
             await CarbonReceiver([StopReading()], buffer_bytes=2048).start(),
         )
         (tmp_path / "users").write_text("u: pw\n")
         operator = decode(
             {
-                "graphite": {"receivers": [carbon.address, hangs.address], "every_s": 1},
+                "graphite": {"receivers": [receiver.address, hanging_receiver.address], "every_s": 1},
                 "collectd": {
                     "listen": "127.0.0.1:0",
                     "security": "sign",
@@ -47,27 +49,29 @@
         server.optional_features = Operations(operator, server, random.Random(1))
         await server.optional_features.start()
         address = f"127.0.0.1:{server.listener.sockets[0].getsockname()[1]}"
-        proxies = [LoopbackProxy(lambda: address, n, "north") for n in range(2)]
+        proxies = [LoopbackProxy(lambda: address, number, "north") for number in range(2)]
         tasks = [loop.create_task(proxy.run()) for proxy in proxies]
-        await carbon.wait_until(
+        await receiver.wait_until(
             lambda: any(
-                path.endswith("proxies.bound") and value == 2 for (path, _), value in carbon.points.items()
+                path.endswith("proxies.bound") and value == 2 for (path, _), value in receiver.points.items()
             )
         )
         host, collectd_address = (
-            sender.SimulatedHost("machine", busy=0.9),
+            collectd_sender.SimulatedHost("machine", busy=0.9),
             server.optional_features.collectd.listener.transport.get_extra_info("sockname"),
         )
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as out:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
             now = server.clock() / 1e6
-            for n in range(3):
-                out.sendto(sender.sign(host.packet(now - 20 + 10 * n), "u", "pw"), collectd_address)
-            out.sendto(host.packet(now), collectd_address)
+            for number in range(3):
+                udp_socket.sendto(
+                    collectd_sender.sign(host.packet(now - 20 + 10 * number), "u", "pw"), collectd_address
+                )
+            udp_socket.sendto(host.packet(now), collectd_address)
         endpoints = server.control_cycle.controller.endpoints
-        await carbon.wait_until(
+        await receiver.wait_until(
             lambda: any(
                 path.endswith("collectd.rejected_per_s") and value
-                for (path, _), value in carbon.points.items()
+                for (path, _), value in receiver.points.items()
             )
         )
         assert [endpoints[index].host_load.read(server.clock())[0] > 0 for index in range(4)] == [
@@ -76,25 +80,29 @@
             False,
             False,
         ]
-        names = {path.split(".", 2)[2] for path, _ in carbon.points}
+        names = {path.split(".", 2)[2] for path, _ in receiver.points}
         assert {
             "process.memory_mb",
             "channel.queue_lines",
             "group.order.weighted_goodput_per_s",
             "control_cycles.duration_ms.p99",
-            f"graphite.{hangs.address.replace('.', '_').replace(':', '_')}.queued_points",
+            f"graphite.{hanging_receiver.address.replace('.', '_').replace(':', '_')}.queued_points",
         } <= names
-        assert all(path.startswith("ravenshelf.toy.") for path, _ in carbon.points) and not carbon.malformed
-        # a new operator file: the metrics go to another receiver, collectd ends
-        moved = await CarbonReceiver().start()
-        done = []
+        assert (
+            all(path.startswith("ravenshelf.toy.") for path, _ in receiver.points) and not receiver.malformed
+        )
+        # the new operator file has another receiver, and no collectd listener
+        new_receiver = await CarbonReceiver().start()
+        reloaded_tables = []
         server.optional_features.reload(
-            decode({"graphite": {"receivers": [moved.address], "every_s": 1, "prefix": "x"}}, "f"),
-            done.append,
+            decode({"graphite": {"receivers": [new_receiver.address], "every_s": 1, "prefix": "x"}}, "f"),
+            reloaded_tables.append,
+        )
+        assert reloaded_tables == ["[graphite], [collectd]"]
+        await new_receiver.wait_until(
+            lambda: any(path.startswith("x.toy.") for path, _ in new_receiver.points)
         )
-        assert done == ["[graphite], [collectd]"]
-        await moved.wait_until(lambda: any(path.startswith("x.toy.") for path, _ in moved.points))
-        server.optional_features.reload(decode({}, "f"), done.append)
+        server.optional_features.reload(decode({}, "f"), reloaded_tables.append)
         assert (
             server.control_cycle.cycle_observer is None
             and not server.observers
@@ -103,15 +111,15 @@
         for task in tasks:
             task.cancel()
         server.stop()
-        for receiver in (carbon, hangs, moved):
-            await receiver.stop()
+        for started_receiver in (receiver, hanging_receiver, new_receiver):
+            await started_receiver.stop()
 
     asyncio.run(asyncio.wait_for(test(), 40))
 
 
 def test_sighup_reloads_a_valid_operator_file_and_rejects_an_invalid_one(tmp_path):
     async def test():
-        discovery, carbon = (
+        discovery, receiver = (
             await LoopbackRegistry([listed_endpoint("s-0", "north")]).start(),
             await CarbonReceiver().start(),
         )
@@ -131,32 +139,32 @@
             stderr=subprocess.PIPE,
         )
 
-        async def event(name):
+        async def logged_event(name):
             while True:
-                logged = json.loads(await process.stderr.readline())
-                if logged["event"] == name:
-                    return logged
+                line = json.loads(await process.stderr.readline())
+                if line["event"] == name:
+                    return line
 
-        assert (await event("server.listening"))["name"] == "toy"
+        assert (await logged_event("server.listening"))["name"] == "toy"
         file.write_text("[graphite]\nevery = 3\n")
         process.send_signal(signal.SIGHUP)
-        assert "did you mean every_s?" in (await event("operator_configuration.rejected"))["why"]
+        assert "did you mean every_s?" in (await logged_event("operator_configuration.rejected"))["why"]
         file.write_text(
-            f"[log]\nformat = 'json'\n[graphite]\nreceivers = ['{carbon.address}']\nevery_s = 1\n"
+            f"[log]\nformat = 'json'\n[graphite]\nreceivers = ['{receiver.address}']\nevery_s = 1\n"
         )
         process.send_signal(signal.SIGHUP)
-        assert (await event("operator_configuration.reloaded"))["changed"] == "[graphite]"
-        await carbon.wait_until(lambda: carbon.points)
+        assert (await logged_event("operator_configuration.reloaded"))["changed"] == "[graphite]"
+        await receiver.wait_until(lambda: receiver.points)
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
-        await carbon.stop()
+        await receiver.stop()
 
     asyncio.run(asyncio.wait_for(test(), 40))
 
 
-def test_check_reads_the_configuration_and_the_operator_file_together(tmp_path):
+def test_check_reads_the_configuration_file_and_the_operator_file(tmp_path):
     (tmp_path / "o.toml").write_text("[graphite]\nrecievers = []\n")
-    done = subprocess.run(
+    result = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -171,10 +179,10 @@
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 2 and "did you mean receivers?" in done.stderr
+    assert result.returncode == 2 and "did you mean receivers?" in result.stderr
 
 
-def test_the_toy_world_starts_a_server_shows_tables_and_ends_on_ctrl_c():
+def test_the_toy_example_starts_a_server_prints_tables_and_ends_on_sigint():
     process = subprocess.Popen(
         [sys.executable, "-m", "examples.toy", "--with-pilot"],
         cwd=ROOT,
@@ -185,5 +193,5 @@
     while "lines=" not in (line := process.stdout.readline()):
         assert line
     process.send_signal(signal.SIGINT)
-    rest = process.stdout.read()
-    assert process.wait(20) == 0 and "over: the proxy's table was {'s-" in rest
+    remaining_output = process.stdout.read()
+    assert process.wait(20) == 0 and "over: the proxy's table was {'s-" in remaining_output
--- a/tests/operator_config/test_operator_file.py
+++ b/tests/operator_config/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator file: every problem is named with its place, and files that it names are read."""
+"""The operator file: the location of each problem in error messages, and files that the file names."""
 
 from pathlib import Path
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    "document, complaint",
+    "document, message",
     [
         (
             {"graphite": {"recievers": []}},
@@ -60,66 +60,70 @@
     ids=[
         "unknown key",
         "unknown table",
-        "a table that is none",
-        "a number as text",
-        "below the least",
-        "a truth value for a number",
+        "a number in place of a table",
+        "a number as a string",
+        "a number below the minimum",
+        "a boolean in place of a number",
         "a prefix with a space",
-        "a receiver that is no text",
+        "a receiver that is not a string",
         "a receiver without a port",
         "a receiver twice",
         "a spool without a folder",
         "an unknown log format",
         "signatures without users",
         "an unknown plugin",
-        "a turn beyond the second",
+        "a turn longer than the time per second",
     ],
 )
-def test_each_problem_names_file_table_key_what_was_found_and_expected(document, complaint):
-    with pytest.raises(OperatorConfigurationError) as rejected:
+def test_a_problem_names_the_file_the_table_the_key_and_the_value_found_and_expected(document, message):
+    with pytest.raises(OperatorConfigurationError) as raised:
         decode(document, "f")
-    assert str(rejected.value).startswith(complaint)
+    assert str(raised.value).startswith(message)
 
 
-@pytest.mark.parametrize("members, is_accepted", [(1024, True), (1025, True), (4096, True), (4097, False)])
-def test_as_many_members_as_terms_can_tell_apart(members, is_accepted):
+@pytest.mark.parametrize(
+    "member_count, is_accepted", [(1024, True), (1025, True), (4096, True), (4097, False)]
+)
+def test_the_number_of_members_is_limited_to_those_whose_terms_are_distinct(member_count, is_accepted):
     document = {
         "leadership": {
             "name": "m0",
             "cluster": "c",
-            "members": {f"m{n}": f"10.0.{n // 250}.{n % 250}:7000" for n in range(members)},
+            "members": {
+                f"m{number}": f"10.0.{number // 250}.{number % 250}:7000" for number in range(member_count)
+            },
         },
         "store": {"folder": "/tmp"},
     }
     if is_accepted:
-        assert len(decode(document, "f").leadership.members) == members
+        assert len(decode(document, "f").leadership.members) == member_count
     else:
         with pytest.raises(OperatorConfigurationError, match="expected up to 4096"):
             decode(document, "f")
 
 
-def test_all_problems_are_raised_at_once():
-    with pytest.raises(OperatorConfigurationError) as rejected:
+def test_all_problems_are_reported_in_one_error():
+    with pytest.raises(OperatorConfigurationError) as raised:
         decode({"graphite": {"every_s": 0, "route": "some"}, "lag": {}}, "f")
-    assert len(str(rejected.value).splitlines()) == 3
+    assert len(str(raised.value).splitlines()) == 3
 
 
-def test_an_empty_file_turns_nothing_on_and_the_deployed_one_is_empty():
+def test_an_empty_file_enables_no_feature_and_the_deployed_file_equals_it():
     operator = decode({}, "f")
     assert not operator.graphite.receivers and not operator.collectd.listen and operator.log.format == "text"
     assert reading.read(ROOT / "deploy" / "operator.toml") == operator
 
 
-def test_files_that_it_names_are_read_as_well(tmp_path):
+def test_files_that_the_operator_file_names_are_read_and_checked(tmp_path):
     file = tmp_path / "operator.toml"
-    for text, complaint in (
+    for text, message in (
         ("[collectd]\nusers = 'none'", "No such file"),
         ("[log\n", "expected TOML"),
         (f"[collectd]\ntypes = '{tmp_path / 't'}'", "expected name:KIND"),
     ):
         (tmp_path / "t").write_text("x y")
         file.write_text(text)
-        with pytest.raises(OperatorConfigurationError, match=complaint):
+        with pytest.raises(OperatorConfigurationError, match=message):
             reading.read(file)
     with pytest.raises(OperatorConfigurationError, match=r"gone\.toml: No such file"):
         reading.read(tmp_path / "gone.toml")
