--- a/ravenshelf/leadership/decisions/__init__.py
+++ b/ravenshelf/leadership/decisions/__init__.py
@@ -12,8 +12,8 @@
 shard record that contains it (`Member.write_record`, `Member.permission`). A member that requests the lease
 later reads the records of a quorum and continues from the newest one: it writes that record under its own
 term before its first command. This is Paxos for one register per shard, with the term as ballot; it relies
-on any two quorums having a voter in common. `tests/leadership` and `benchmarks.leases` check it against a
-checker.
+on any two quorums having a voter in common. `tests/leadership` and `benchmarks.leases` run simulated members
+under faults and check their histories.
 
 Times are microseconds of a clock that also counts while the machine is suspended. Members are numbers from 0.
 """
--- a/ravenshelf/leadership/decisions/balancer.py
+++ b/ravenshelf/leadership/decisions/balancer.py
@@ -104,7 +104,7 @@
 
     def on_release(self, now: int, member: int, message: LeaseRelease, output: LeaseOutput) -> None:
         """Handle the release of leases by their holder: a named successor requests them at once."""
-        for shard, term, successor in message.released:
+        for shard, term, successor in message.released_leases:
             if not self._voter.end_grant(member, shard, term) or successor is None:
                 continue
             self.successors[shard] = Successor(successor, now + 2 * self.configuration.renewal_interval_us)
--- a/ravenshelf/leadership/decisions/lease_holder.py
+++ b/ravenshelf/leadership/decisions/lease_holder.py
@@ -110,7 +110,7 @@
 
         The lease is held from the moment when a quorum has accepted the first record of its term.
         """
-        for shard, term, seq in reply.written:
+        for shard, term, seq in reply.written_records:
             claim = self.claims[shard]
             if claim.term != term or claim.state not in GRANTED_STATES:
                 continue
@@ -121,7 +121,7 @@
             is_established = claim.state is LeaseState.ESTABLISHING and claim.committed_seq >= 1
             if is_established and now < claim.valid_until:
                 self._set_state(shard, LeaseState.HELD, output)
-        self._on_superseded_terms(now, reply.rejected)
+        self._on_superseded_terms(now, reply.rejected_terms)
 
     def probe(self, now: int, shards: Sequence[int], output: LeaseOutput) -> None:
         """Ask all voters whether they would grant leases, before any voter promises a term.
@@ -139,15 +139,15 @@
 
     def on_probe_reply(self, now: int, member: int, reply: ProbeReply, output: LeaseOutput) -> None:
         """Request the leases that a quorum of voters would grant."""
-        available_shards: list[int] = []
-        for shard in reply.available:
+        requestable_shards: list[int] = []
+        for shard in reply.available_shards:
             claim = self.claims[shard]
             if claim.state is LeaseState.PROBING:
                 claim.available_voters.add(member)
                 if len(claim.available_voters) >= self.quorum:
-                    available_shards.append(shard)
-        if available_shards:
-            self._request(now, available_shards, output)
+                    requestable_shards.append(shard)
+        if requestable_shards:
+            self._request(now, requestable_shards, output)
 
     def _request(self, now: int, shards: Sequence[int], output: LeaseOutput) -> None:
         """Request leases, each in a term later than any that this member has seen for the shard."""
@@ -171,14 +171,14 @@
 
         The next request for a rejected shard uses a later term than the promised one.
         """
-        for grant in reply.granted:
+        for grant in reply.granted_leases:
             claim = self.claims[grant.shard]
             if claim.state is not LeaseState.REQUESTING or claim.term != grant.term:
                 continue
             claim.grants[member] = grant
             if len(claim.grants) >= self.quorum:
                 self._establish(now, grant.shard, claim, output)
-        for shard, promised_term in reply.rejected:
+        for shard, promised_term in reply.rejected_terms:
             claim = self.claims[shard]
             claim.highest_promised_term = max(claim.highest_promised_term, promised_term)
 
@@ -207,11 +207,11 @@
         renewal = self._renewals.find(reply.number)
         if renewal is not None:
             usable_lease_us = self.configuration.usable_lease_us()
-            for shard in reply.renewed:
+            for shard in reply.renewed_shards:
                 claim = self.claims[shard]
                 if renewal.terms.get(shard) == claim.term and claim.state in TERM_STATES:
                     count_renewal(claim, renewal, member, self.quorum, usable_lease_us)
-        self._on_superseded_terms(now, reply.rejected)
+        self._on_superseded_terms(now, reply.rejected_terms)
 
     def expire(self, now: int, quorum_last_contact: int, output: LeaseOutput) -> None:
         """Mark leases that were not renewed in time as expired.
@@ -295,14 +295,14 @@
             return claim.retry_at
         return claim.valid_until if claim.state is LeaseState.HELD else None
 
-    def _on_superseded_terms(self, now: int, rejected: Iterable[SupersededTerm]) -> None:
+    def _on_superseded_terms(self, now: int, rejected_terms: Iterable[SupersededTerm]) -> None:
         """Schedule a request in a later term for leases that a voter rejected.
 
         The voter has promised a later term than that of the lease. One voter alone doesn't end the lease,
         since a quorum decides; but it doesn't renew it any more either. A request in a still later term,
         sent after one to two lease lengths, makes it count again.
         """
-        for shard, term, promised_term in rejected:
+        for shard, term, promised_term in rejected_terms:
             claim = self.claims[shard]
             claim.highest_promised_term = max(claim.highest_promised_term, promised_term)
             if claim.state is LeaseState.HELD and claim.term == term and not claim.advance_term_at:
--- a/ravenshelf/leadership/decisions/messages.py
+++ b/ravenshelf/leadership/decisions/messages.py
@@ -103,8 +103,8 @@
     """The shards whose lease the voter has renewed, and those for which it promised a later term."""
 
     number: int
-    renewed: list[int]
-    rejected: list[SupersededTerm]
+    renewed_shards: list[int]
+    rejected_terms: list[SupersededTerm]
 
 
 class ProbeRequest(NamedTuple):
@@ -116,7 +116,7 @@
 class ProbeReply(NamedTuple):
     """The shards whose lease the voter would grant."""
 
-    available: list[int]
+    available_shards: list[int]
 
 
 class LeaseRequest(NamedTuple):
@@ -128,8 +128,8 @@
 class LeaseReply(NamedTuple):
     """The leases that the voter has granted, and those that it has rejected."""
 
-    granted: list[Grant]
-    rejected: list[PromisedTerm]
+    granted_leases: list[Grant]
+    rejected_terms: list[PromisedTerm]
 
 
 class RecordWrite(NamedTuple):
@@ -141,14 +141,14 @@
 class RecordWriteReply(NamedTuple):
     """The records that the voter has accepted, and those for which it promised a later term."""
 
-    written: list[WrittenRecord]
-    rejected: list[SupersededTerm]
+    written_records: list[WrittenRecord]
+    rejected_terms: list[SupersededTerm]
 
 
 class LeaseRelease(NamedTuple):
     """The leases that their holder has released."""
 
-    released: list[ReleasedLease]
+    released_leases: list[ReleasedLease]
 
 
 Message: TypeAlias = (
--- a/ravenshelf/leadership/decisions/voter.py
+++ b/ravenshelf/leadership/decisions/voter.py
@@ -105,39 +105,39 @@
 
     def on_probe(self, now: int, member: int, request: ProbeRequest, output: LeaseOutput) -> None:
         """Reply which leases this voter would grant now; nothing is promised."""
-        available = [
+        available_shards = [
             shard
             for shard in request.shards
             if now >= self.quiet_until and self.votes[shard].is_available_to(now, member)
         ]
-        output.send(member, ProbeReply(available))
+        output.send(member, ProbeReply(available_shards))
 
     def on_lease_request(self, now: int, member: int, request: LeaseRequest, output: LeaseOutput) -> None:
         """Grant each lease whose term is later than the promised one, unless another member holds a grant."""
-        granted: list[Grant] = []
-        rejected: list[PromisedTerm] = []
+        granted_leases: list[Grant] = []
+        rejected_terms: list[PromisedTerm] = []
         for shard, term in request.terms:
             vote = self.votes[shard]
             is_available = vote.is_available_to(now, member)
             if term <= vote.promised_term or not is_available or now < self.quiet_until:
-                rejected.append(PromisedTerm(shard, vote.promised_term))
+                rejected_terms.append(PromisedTerm(shard, vote.promised_term))
                 continue
             vote.promised_term = term
             vote.holder = member
             vote.granted_until = now + self.configuration.lease_us
             self.store(shard, output)
-            granted.append(Grant(shard, term, vote.accepted_term, vote.accepted_seq, vote.record))
+            granted_leases.append(Grant(shard, term, vote.accepted_term, vote.accepted_seq, vote.record))
             self._on_promise(shard, output)
-        output.send(member, LeaseReply(granted, rejected))
+        output.send(member, LeaseReply(granted_leases, rejected_terms))
 
     def on_record_write(self, now: int, member: int, request: RecordWrite, output: LeaseOutput) -> None:
         """Accept records of the promised term or a later one."""
-        written: list[WrittenRecord] = []
-        rejected: list[SupersededTerm] = []
+        written_records: list[WrittenRecord] = []
+        rejected_terms: list[SupersededTerm] = []
         for shard, term, seq, record in request.records:
             vote = self.votes[shard]
             if term < vote.promised_term:
-                rejected.append(SupersededTerm(shard, term, vote.promised_term))
+                rejected_terms.append(SupersededTerm(shard, term, vote.promised_term))
                 continue
             if (term, seq) > (vote.accepted_term, vote.accepted_seq):
                 vote.promised_term = term
@@ -150,13 +150,13 @@
                     vote.granted_until = max(vote.granted_until, now + self.configuration.lease_us)
                 self.store(shard, output)
                 self._on_promise(shard, output)
-            written.append(WrittenRecord(shard, term, seq))
-        output.send(member, RecordWriteReply(written, rejected))
+            written_records.append(WrittenRecord(shard, term, seq))
+        output.send(member, RecordWriteReply(written_records, rejected_terms))
 
     def on_renewal(self, now: int, member: int, request: RenewalRequest, output: LeaseOutput) -> None:
         """Renew grants of the promised term or a later one."""
-        renewed: list[int] = []
-        rejected: list[SupersededTerm] = []
+        renewed_shards: list[int] = []
+        rejected_terms: list[SupersededTerm] = []
         for shard, term in request.terms:
             vote = self.votes[shard]
             if term > vote.promised_term and vote.is_available_to(now, member):
@@ -168,10 +168,10 @@
             if term == vote.promised_term and vote.is_available_to(now, member):
                 vote.holder = member
                 vote.granted_until = now + self.configuration.lease_us
-                renewed.append(shard)
+                renewed_shards.append(shard)
             elif term < vote.promised_term:
-                rejected.append(SupersededTerm(shard, term, vote.promised_term))
-        output.send(member, RenewalReply(request.number, renewed, rejected))
+                rejected_terms.append(SupersededTerm(shard, term, vote.promised_term))
+        output.send(member, RenewalReply(request.number, renewed_shards, rejected_terms))
 
     def end_grant(self, member: int, shard: int, term: int) -> bool:
         """End the grant of a lease that its holder has released.
--- a/ravenshelf/leadership/gate.py
+++ b/ravenshelf/leadership/gate.py
@@ -68,16 +68,16 @@
         record: The record that was written last.
         seq: Its number.
         committed_seq: The number of the newest record that a quorum has accepted.
-        waiting: The waiting commands by proxy, in the order in which they are sent.
-        overflowed: Proxies that have to be bound again, because a command for them was dropped.
+        queues: The waiting commands by proxy, in the order in which they are sent.
+        overflowed_proxies: Proxies that have to be bound again, because a command for them was dropped.
     """
 
     def __init__(self, record: Record) -> None:
         self.record = record
         self.seq = 0
         self.committed_seq = 0
-        self.waiting: dict[int, deque[WaitingCommand]] = {}
-        self.overflowed: set[int] = set()
+        self.queues: dict[int, deque[WaitingCommand]] = {}
+        self.overflowed_proxies: set[int] = set()
 
     def submit(self, proxy: int, payload: Any, requirements: RecordRequirements) -> bool:
         """Add a command, or drop it and mark its proxy as overflowed if too many are waiting.
@@ -85,9 +85,9 @@
         Returns:
             True if the record has to be extended: call `extended_record`, then `record_written`.
         """
-        queue = self.waiting.setdefault(proxy, deque())
+        queue = self.queues.setdefault(proxy, deque())
         if len(queue) >= WAITING_LIMIT:
-            self.overflowed.add(proxy)
+            self.overflowed_proxies.add(proxy)
             return False
         is_recorded = requirements.is_met_by(self.record)
         recorded_seq = NO_RECORD if requirements.is_empty() else self.seq
@@ -176,20 +176,20 @@
         """
         self.committed_seq = max(self.committed_seq, committed_seq)
         permitted_commands = []
-        for proxy, queue in list(self.waiting.items()):
+        for proxy, queue in list(self.queues.items()):
             while queue and 0 <= queue[0].seq <= self.committed_seq and is_permitted(queue[0]):
                 permitted_commands.append(queue.popleft())
             if not queue:
-                del self.waiting[proxy]
+                del self.queues[proxy]
         return permitted_commands
 
     def discard(self, proxy: int) -> None:
         """Drop the waiting commands of a proxy, and its mark as overflowed."""
-        self.overflowed.discard(proxy)
-        self.waiting.pop(proxy, None)
+        self.overflowed_proxies.discard(proxy)
+        self.queues.pop(proxy, None)
 
     def _commands(self) -> Iterable[WaitingCommand]:
-        return (command for queue in self.waiting.values() for command in queue)
+        return (command for queue in self.queues.values() for command in queue)
 
     def __len__(self) -> int:
-        return sum(map(len, self.waiting.values()))
+        return sum(map(len, self.queues.values()))
--- a/ravenshelf/leadership/lease_filter.py
+++ b/ravenshelf/leadership/lease_filter.py
@@ -284,7 +284,7 @@
         # the permission is checked again, because this process may have been paused since the first check
         if self.member.permission(self.clock(), shard, command.seq) is None:
             self.counters["orders_not_permitted"] += 1
-            held_shard.gate.overflowed.add(command.proxy)
+            held_shard.gate.overflowed_proxies.add(command.proxy)
             return
         self.counters["orders_fenced"] += 1
         self._write(command.proxy, command.payload.message, command.payload.marker, held_shard.term)
@@ -294,9 +294,9 @@
 
         The decisions count these commands as sent, so they have to start again with these proxies.
         """
-        if not held_shard.gate.overflowed or self.member.permission(self.clock(), shard) is None:
+        if not held_shard.gate.overflowed_proxies or self.member.permission(self.clock(), shard) is None:
             return
-        for proxy in list(held_shard.gate.overflowed):
+        for proxy in list(held_shard.gate.overflowed_proxies):
             held_shard.gate.discard(proxy)
             if proxy in self.bound_proxies:
                 self._report_event(ProxyLeft(proxy, True))
--- a/tests/leadership/test_order_gate.py
+++ b/tests/leadership/test_order_gate.py
@@ -52,7 +52,7 @@
 def test_a_proxy_with_too_many_waiting_orders_is_marked_as_overflowed(gate):
     for number in range(WAITING_LIMIT + 1):
         gate.submit(1, number, RecordRequirements())
-    assert gate.overflowed == {1} and len(gate) == WAITING_LIMIT
+    assert gate.overflowed_proxies == {1} and len(gate) == WAITING_LIMIT
 
 
 def test_a_successor_begins_from_a_lower_level_that_was_sent():
