--- a/ravenshelf/commands/controllers.py
+++ b/ravenshelf/commands/controllers.py
@@ -18,24 +18,25 @@
     """Show the members of the cluster, and the shards that this controller owns or requests."""
     from ravenshelf import output
 
-    status_now = request_reply(admin, {"ask": "status"})["status"]
+    member_status = request_reply(admin, {"ask": "status"})["status"]
     if as_json:
-        print(json.dumps(status_now, indent=1))
+        print(json.dumps(member_status, indent=1))
         return
-    conditions = [condition for condition in ("recovering", "alone", "draining") if status_now[condition]]
+    conditions = [key for key in ("recovering", "alone", "draining") if member_status[key]]
     print(
-        f"{status_now['name']} of {status_now['cluster']}, incarnation {status_now['incarnation']}"
-        f"{', ' + ', '.join(conditions) if conditions else ''}: {status_now['proxies']} connected proxies, "
-        f"{status_now['held_orders']} waiting commands, event loop delay {status_now['late_ms']} ms"
+        f"{member_status['name']} of {member_status['cluster']}, incarnation {member_status['incarnation']}"
+        f"{', ' + ', '.join(conditions) if conditions else ''}: "
+        f"{member_status['proxies']} connected proxies, {member_status['held_orders']} waiting commands, "
+        f"event loop delay {member_status['late_ms']} ms"
     )
     output.print_table(
         ("member", "met", "incarnation", "weight", "shards"),
-        [tuple(member.values()) for member in status_now["members"]],
+        [tuple(member.values()) for member in member_status["members"]],
         title="Members",
     )
     output.print_table(
         ("shard", "state", "term", "record", "lease ms", "proxies"),
-        [tuple(shard.values()) for shard in status_now["shards"]],
+        [tuple(shard.values()) for shard in member_status["shards"]],
         title="Shards",
     )
 
--- a/ravenshelf/commands/distribution.py
+++ b/ravenshelf/commands/distribution.py
@@ -44,7 +44,7 @@
     level: LogLevelOption = "INFO",
 ) -> None:
     r"""Run a controller until SIGTERM, using \[distribution] and \[leadership] of the operator file."""
-    checked = read_configuration(config)
+    server_configuration = read_configuration(config)
     tables = read_operator_file(operator)
     if tables is None or not tables.distribution.services:
         raise error_exit(
@@ -55,7 +55,7 @@
     from ravenshelf.process import controller
 
     try:
-        raise typer.Exit(controller.run(checked, tables, level.upper()))
+        raise typer.Exit(controller.run(server_configuration, tables, level.upper()))
     except ServicesFileError as error:
         raise error_exit(error) from None
 
--- a/ravenshelf/commands/general.py
+++ b/ravenshelf/commands/general.py
@@ -33,20 +33,20 @@
 @app.command()
 def check(config: ConfigOption = None, operator: OperatorOption = None) -> None:
     """Check a configuration file, and an operator file if one is given, and print a summary of both."""
-    checked = tables = None
+    server_configuration = tables = None
     is_valid = True
     # a problem in the first file does not end the command, so that the problems of both files are printed
     try:
-        checked = read_configuration(config)
+        server_configuration = read_configuration(config)
     except typer.Exit:
         is_valid = False
     try:
         tables = read_operator_file(operator)
     except typer.Exit:
         is_valid = False
-    if not is_valid or checked is None:
+    if not is_valid or server_configuration is None:
         raise typer.Exit(EXIT_INVALID)
-    print(configuration.summary(checked))
+    print(configuration.summary(server_configuration))
     if tables is not None:
         from ravenshelf.operator_config.reading import summary
 
--- a/ravenshelf/log_events.py
+++ b/ravenshelf/log_events.py
@@ -85,7 +85,7 @@
     "decisions.message",
     "INFO",
     "decisions: {text}",
-    "The decisions have logged a message.",
+    "A message that the decision module logs.",
     text="the message",
 )
 CONTROL_CYCLE_FAILED = add_event(
--- a/ravenshelf/operator_config/tables.py
+++ b/ravenshelf/operator_config/tables.py
@@ -118,7 +118,7 @@
         admin: The Unix socket for administration; "" for none.
     """
 
-    name: Annotated[str, Meta(description='the name of one of members, or "" for off')] = ""
+    name: Annotated[str, Meta(description='a name in members, or "" for off')] = ""
     cluster: Annotated[str, Meta(description="a name that all members share")] = ""
     members: Annotated[
         dict[str, str], Meta(description='a table of name = "host:port", the same at all members')
