--- a/ravenshelf/state/__init__.py
+++ b/ravenshelf/state/__init__.py
@@ -1,1 +1,1 @@
-"""What the server keeps in memory: slots, deadlines, buffers, counters, endpoints, tables by proxy."""
+"""State in memory: endpoints, tables of the proxies, deadlines, slots, buffers and counters."""
--- a/ravenshelf/state/buffers.py
+++ b/ravenshelf/state/buffers.py
@@ -1,20 +1,21 @@
-"""Read buffers of one size, used again."""
+"""Pool of reusable read buffers of one size."""
 
 BUFFER_BYTES = 16 * 1024
-POOL_LIMIT = 64  # more than are ever lent at a time: one is lent from a read's start to its end
+# A buffer is in use only from the start of a read to its end, so there are never this many in use at a time.
+POOL_LIMIT = 64
 
 
 class BufferPool:
-    """Lends buffers of `BUFFER_BYTES` and caches up to `POOL_LIMIT` that were given back."""
+    """Pool of buffers of `BUFFER_BYTES`, of which it caches up to `POOL_LIMIT`."""
 
     def __init__(self) -> None:
         self.free_buffers: list[bytearray] = []
 
     def acquire(self) -> bytearray:
-        """Return a buffer; its bytes are those of the former borrower."""
+        """Return a buffer, which may still contain the bytes of its previous use."""
         return self.free_buffers.pop() if self.free_buffers else bytearray(BUFFER_BYTES)
 
     def release(self, buffer: bytearray) -> None:
-        """Take back a lent buffer."""
+        """Accept back a buffer that `acquire` returned."""
         if len(self.free_buffers) < POOL_LIMIT:
             self.free_buffers.append(buffer)
--- a/ravenshelf/state/counters.py
+++ b/ravenshelf/state/counters.py
@@ -1,20 +1,20 @@
-"""Counters of what was received, sent and acknowledged."""
+"""Counters of the server's events, such as messages received and lines sent."""
 
 from collections import Counter
 
 
 class Counters(Counter[str]):
-    """Numbers by name; a name that was never counted reads 0."""
+    """Numbers by name; a name that was never counted has the value 0."""
 
     def record_maximum(self, name: str, value: int) -> None:
-        """Keep the largest value seen."""
+        """Raise the counter to the value if that is larger."""
         if value > self[name]:
             self[name] = value
 
     def add(self, name: str, amount: float) -> None:
-        """Add an amount that need not be a whole number, such as lines of the control channel."""
+        """Add an amount that may be fractional, such as lines of the control channel."""
         self[name] += amount  # type: ignore[assignment]
 
     def text(self) -> str:
-        """Return "name=value" for each counter, in the order of the names."""
+        """Return all counters as "name=value", sorted by name and separated by spaces."""
         return " ".join(f"{name}={value:.6g}" for name, value in sorted(self.items()))
--- a/ravenshelf/state/endpoint_registry.py
+++ b/ravenshelf/state/endpoint_registry.py
@@ -1,17 +1,29 @@
-"""This server's copy of the endpoint list; names of endpoints become small indices that outlive restarts."""
+"""The server's copy of the endpoint list, and the indices that stand for endpoints' names.
+
+An endpoint's index is a small integer. It stays the same when the endpoint restarts.
+"""
 
 from collections.abc import Callable
 
 from ravenshelf.errors import RavenshelfError
 from ravenshelf.policy.events import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 
-# an index is reassigned no sooner after its endpoint left: evidence about it has faded by then
+# An index is reassigned this long after its endpoint was delisted, at the earliest. By then the evidence
+# about that endpoint has decayed.
 INDEX_REUSE_DELAY_US = 600_000_000
-FORMER_NAMES_LIMIT = 65_536  # names remembered of endpoints whose index was reassigned
+# Number of names that are remembered of endpoints whose index was reassigned.
+FORMER_NAMES_LIMIT = 65_536
 
 
 class VersionGapError(RavenshelfError):
-    """Changes start at a version beyond the one held, so some were missed."""
+    """Changes to the endpoint list that start at a later version than the current one.
+
+    The changes in between were missed.
+
+    Attributes:
+        current_version: Version of the server's copy.
+        after_version: Version that the changes start from.
+    """
 
     def __init__(self, current_version: int, after_version: int):
         super().__init__(f"expected changes that follow version {current_version}, not {after_version}")
@@ -24,13 +36,26 @@
 
 
 class EndpointRegistry:
-    """The endpoint list as this server holds it.
-
-    `clock` gives microseconds. `is_in_use(index)` says whether a table still holds an endpoint that is no
-    longer listed. `on_index_reassigned(index)` is called when an index becomes another endpoint's, and
-    `on_endpoint_returned(index)` when an endpoint comes back whose former index was reassigned.
-
-    `names` is by index; `entries` holds what the controller was last told of each listed endpoint.
+    """The server's copy of the endpoint list.
+
+    Args:
+        clock: Function that returns the time in microseconds.
+        is_in_use: Function that returns whether a table still contains an endpoint that is no longer listed,
+            by index.
+        on_index_reassigned: Function that is called with an index when it is reassigned to another endpoint.
+        on_endpoint_returned: Function that is called with the new index of an endpoint that is listed again
+            after its former index was reassigned.
+
+    Attributes:
+        version: Version of the copy; 0 before the first list.
+        updated_at: Time of the last list or change that was accepted, in microseconds; at first, that of the
+            creation.
+        names: Names of endpoints, by index.
+        index_by_name: Indices of endpoints, by name.
+        entries: Listed endpoints as last reported to the controller, by index.
+        addresses: host:port of listed endpoints, by index.
+        delisted_at: Times at which endpoints were delisted, by index, the earliest first.
+        former_names: Names of endpoints whose index was reassigned, the oldest first.
     """
 
     def __init__(
@@ -45,16 +70,19 @@
         self.on_index_reassigned = on_index_reassigned
         self.on_endpoint_returned = on_endpoint_returned
         self.version = 0
-        self.updated_at = clock()  # when a list or a change was last taken
+        self.updated_at = clock()
         self.names: list[str] = []
         self.index_by_name: dict[str, int] = {}
         self.entries: dict[int, ListedEndpoint] = {}
         self.addresses: dict[int, str] = {}
-        self.delisted_at: dict[int, int] = {}  # by index, the one that left first first
-        self.former_names: dict[str, None] = {}  # whose index was reassigned, the oldest first
+        self.delisted_at: dict[int, int] = {}
+        self.former_names: dict[str, None] = {}
 
     def index_of(self, name: str) -> int:
-        """Return the endpoint's index; a new name gets an index at rest, or the next one."""
+        """Return the index of an endpoint's name.
+
+        A new name is assigned a reusable index, or else the next unused number.
+        """
         index = self.index_by_name.get(name)
         if index is not None:
             return index
@@ -81,9 +109,10 @@
         self.on_index_reassigned(index)
 
     def _reusable_index(self) -> int | None:
-        latest = self.clock() - INDEX_REUSE_DELAY_US
+        """Return the index that has been delisted longest, of those that may be reassigned, or None."""
+        latest_delisting = self.clock() - INDEX_REUSE_DELAY_US
         for index, delisted_at in self.delisted_at.items():
-            if delisted_at > latest:
+            if delisted_at > latest_delisting:
                 break
             if not self.is_in_use(index):
                 return index
@@ -97,11 +126,24 @@
         addresses: dict[int, str],
         after_version: int | None = None,
     ) -> EndpointsListed | None:
-        """Take a complete list, or changes to it; return what of it is new to the controller, or None.
+        """Apply a complete list, or changes to the list.
+
+        A list older than the current version is ignored. So are changes that lead to the current version or
+        an earlier one, except that changes of version 0 are applied as long as the current version is 0.
+
+        Args:
+            kind: Whether `entries` are changes (UPDATE) or complete.
+            version: Version of the list, or the version that the changes lead to.
+            entries: Endpoints of the list, or changed endpoints.
+            addresses: host:port of endpoints, by index.
+            after_version: Version that the changes start from, if known.
+
+        Returns:
+            The event for the controller, or None if the list or the changes were ignored.
 
-        A list older than the one held changes nothing. `after_version` is the version that changes start
-        from: raises `VersionGapError` where it lies beyond the version held, for then something was missed
-        and only a complete list helps.
+        Raises:
+            VersionGapError: The changes start from a version later than the current one. The changes in
+                between were missed, so a complete list is needed.
         """
         is_update = kind is ListKind.UPDATE
         if version < self.version or (is_update and version == self.version and version != 0):
@@ -117,10 +159,10 @@
             if entry.state is EndpointState.GONE:
                 del self.entries[entry.endpoint]
         self.addresses.update(addresses)
-        self._note_delisted()
+        self._update_delisting_times()
         return EndpointsListed(kind, tuple(entries))
 
-    def _note_delisted(self) -> None:
+    def _update_delisting_times(self) -> None:
         for index in range(len(self.names)):
             if index in self.entries:
                 self.delisted_at.pop(index, None)
--- a/ravenshelf/state/slots.py
+++ b/ravenshelf/state/slots.py
@@ -1,4 +1,4 @@
-"""Numbered slots for connections and calls: a number is used again only after it was released."""
+"""Numbered slots for connections and calls, limited in number."""
 
 import heapq
 from typing import Generic, TypeVar
@@ -7,19 +7,19 @@
 
 
 class SlotTable(Generic[Item]):
-    """Up to `size` items, each under a number below `size`."""
+    """Up to `size` items, each under a number below `size`; a number is reused only after its release."""
 
     def __init__(self, size: int):
         self.size = size
         self.items: dict[int, Item] = {}
-        self.free_numbers: list[int] = []  # a heap of released numbers
+        self.free_numbers: list[int] = []  # heap of released numbers
         self.next_number = 0
 
     def __len__(self) -> int:
         return len(self.items)
 
     def acquire(self, item: Item) -> int | None:
-        """Put the item under the lowest free number and return that, or None where all are in use."""
+        """Store the item under the lowest free number and return that, or None if all slots are in use."""
         if len(self.items) >= self.size:
             return None
         if self.free_numbers:
@@ -31,10 +31,10 @@
         return number
 
     def get(self, number: int) -> Item | None:
-        """Return the item under a number, or None."""
+        """Return the item under a number, or None if the number is not in use."""
         return self.items.get(number)
 
     def release(self, number: int | None) -> None:
-        """Make a number free again; one that is not in use, or None, changes nothing."""
+        """Free a number; do nothing if it is None or not in use."""
         if number is not None and self.items.pop(number, None) is not None:
             heapq.heappush(self.free_numbers, number)
--- a/ravenshelf/state/table_update.py
+++ b/ravenshelf/state/table_update.py
@@ -1,13 +1,15 @@
-"""The parts of a message to one proxy, in this server's numbers; the codec puts them into words."""
+"""The updates that make up a message to a proxy, with endpoints and traffic groups as indices."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
 
 class AdmissionLevel(NamedTuple):
-    """How much of a traffic group a proxy admits, and how it retries.
+    """The limit on the requests of a traffic group that a proxy admits, and the way in which it retries.
 
-    `level` is a rate (requests/s) or a share, as the settings say; `retry_mode` is 0 to 3.
+    Attributes:
+        level: A rate in requests per second or a share of the requests, depending on the settings.
+        retry_mode: 0 to 3.
     """
 
     level: float
@@ -16,11 +18,17 @@
 
 @dataclass
 class TableUpdate:
-    """What changes for some traffic groups of one proxy.
-
-    `groups` are indices of traffic groups (empty: all). A complete part replaces the table of its groups; any
-    other part changes the weights that it names, where 0 removes the endpoint. `ejected_endpoints` and
-    `readmitted_endpoints` hold for every group of the proxy.
+    """A change for some traffic groups of one proxy; a message has one or several.
+
+    Attributes:
+        groups: Indices of the traffic groups; empty for all groups.
+        is_complete: Whether `weights` replace the table of the groups. If not, only the weights of the listed
+            endpoints change.
+        weights: Indices of endpoints with their weights; a weight of 0 removes the endpoint.
+        admission_level: New admission level of the groups, or None.
+        ejected_endpoints: Indices of endpoints that the proxy ejects, in all its groups.
+        readmitted_endpoints: Indices of endpoints that the proxy readmits, in all its groups.
+        marker: Marker that the proxy acknowledges, or None.
     """
 
     groups: tuple[int, ...] = ()
@@ -32,6 +40,6 @@
     marker: int | None = None
 
     def count_lines(self) -> int:
-        """Lines as the control channel counts them, without the message overhead."""
-        singles = self.is_complete + (self.admission_level is not None) + (self.marker is not None)
-        return singles + len(self.weights) + len(self.ejected_endpoints) + len(self.readmitted_endpoints)
+        """Return the number of lines that the control channel counts, without the message overhead."""
+        single_lines = self.is_complete + (self.admission_level is not None) + (self.marker is not None)
+        return single_lines + len(self.weights) + len(self.ejected_endpoints) + len(self.readmitted_endpoints)
