--- a/ravenshelf/net/__init__.py
+++ b/ravenshelf/net/__init__.py
@@ -1,1 +1,1 @@
-"""Connections and codecs: stream lines, HTTP, datagrams, frames. Nothing here decides or keeps tables."""
+"""Connections and codecs: stream lines, HTTP, datagrams and frames, without decisions or tables."""
--- a/ravenshelf/net/accepted.py
+++ b/ravenshelf/net/accepted.py
@@ -1,4 +1,4 @@
-"""A connection that was accepted: bytes in pieces into lines, messages out."""
+"""An accepted connection: it splits received bytes into lines and writes messages."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,36 +9,54 @@
 from ravenshelf.net.stream_codec import LINE_LIMIT_BYTES, may_begin_message
 from ravenshelf.state.buffers import BUFFER_BYTES, BufferPool
 
-UNSENT_LIMIT_BYTES = 256 * 1024  # beyond the socket before one more message; who lags by more is not reading
-# an unidentified connection's line is a join: many without end must not fill the memory
+# A connection with more than this unsent, beyond the socket's own buffer, is closed when the next message is
+# written to it: its peer does not read.
+UNSENT_LIMIT_BYTES = 256 * 1024
+# The first line of an unidentified connection is a short join message. Many such connections that send lines
+# without an end must not fill the memory.
 UNIDENTIFIED_LINE_LIMIT_BYTES = 4 * 1024
 
 
 class ConnectionOwner(Protocol):
-    """Takes what happens on accepted connections."""
+    """Handler of the events of accepted connections."""
 
     def on_connection_opened(self, connection: "AcceptedConnection") -> None:
-        """Take a new connection."""
+        """Handle a new connection."""
 
     def on_line(self, connection: "AcceptedConnection", line: bytes) -> None:
-        """Take a line, without its end."""
+        """Handle a received line, which is passed without its line end."""
 
     def on_connection_ended(self, connection: "AcceptedConnection") -> None:
-        """Take a connection's end; called once."""
+        """Handle the end of a connection, given in its `end`; called once."""
 
     def on_socket_closed(self, connection: "AcceptedConnection") -> None:
-        """Take note that the socket is closed, which may be later than the connection's end."""
+        """Handle the closing of the connection's socket, which may follow the end of the connection later."""
 
     @property
     def call_soon(self) -> Callable[[Callable[[], None]], object]:
-        """Have a call made in the loop's next turn."""
+        """Function that schedules a callback for the event loop's next iteration."""
 
 
 class AcceptedConnection(BufferedConnection):
-    """A stream of a proxy, a collector, or a connection that has not said yet what it is.
-
-    `pending_markers` holds when each marker was written on this stream that is not yet acknowledged;
-    `connected_at` is in microseconds. `has_sent_message` holds since the acceptor's last sweep.
+    """A connection of a proxy or a collector, or one that has not identified itself yet.
+
+    Args:
+        buffers: Pool of the read buffers.
+        owner: Handler of the connection's events.
+
+    Attributes:
+        partial_line: Received bytes of a line that is not complete yet.
+        slot: Slot that the owner assigned to the connection, or None.
+        purpose: STREAM, COLLECTOR or UNIDENTIFIED.
+        proxy: Index of the proxy, if the connection is a stream.
+        zone: Index of the zone, if the connection is a collector.
+        peer: Address of the other side, for the log.
+        pending_markers: Time at which each unacknowledged marker was written to this stream, in microseconds,
+            by marker.
+        has_term_check: Whether the proxy rejects commands of an older term.
+        is_superseded: Whether a newer connection of the same proxy or zone has replaced this one.
+        has_sent_message: Whether the peer has sent a message since the acceptor's last idle sweep.
+        connected_at: Time at which the connection was accepted, in microseconds.
     """
 
     def __init__(self, buffers: BufferPool, owner: ConnectionOwner):
@@ -51,22 +69,23 @@
         self.zone: int | None = None
         self.peer = ""
         self.pending_markers: dict[int, int] = {}
-        self.has_term_check = False  # a proxy that rejects orders of an older term
+        self.has_term_check = False
         self.is_superseded = False
         self.has_sent_message = True
         self.connected_at = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin; called by the loop."""
+        """Report the new connection to the owner; called by the event loop."""
         super().connection_made(transport)
         self.peer = str(transport.get_extra_info("peername"))
         self.owner.on_connection_opened(self)
 
     def buffer_updated(self, count: int) -> None:
-        """Take one buffer a turn.
+        """Handle one buffer of data per iteration of the event loop; called by the event loop.
 
-        The loop itself would read on as long as a flood lasts, and everyone else would wait. The price:
-        whoever has more to say at once than fits in a buffer needs several turns for it.
+        Without a pause the event loop would read from this connection as long as data keeps coming, and all
+        other connections would wait. In return, a peer that sends more at once than fits into a buffer needs
+        several iterations for it.
         """
         super().buffer_updated(count)
         if count == BUFFER_BYTES and not self.transport.is_closing():
@@ -78,13 +97,16 @@
             self.transport.resume_reading()
 
     def handle_data(self, data: bytes) -> None:
-        """Pass complete lines to the owner."""
-        searched = len(self.partial_line)
+        """Pass complete lines to the owner.
+
+        The connection ends if a line is too long, or if the incomplete line can't become a valid message.
+        """
+        searched_bytes = len(self.partial_line)
         self.partial_line += data
-        while (end := self.partial_line.find(b"\n", searched)) >= 0:
-            line = bytes(self.partial_line[:end]).removesuffix(b"\r")
-            del self.partial_line[: end + 1]
-            searched = 0
+        while (line_end := self.partial_line.find(b"\n", searched_bytes)) >= 0:
+            line = bytes(self.partial_line[:line_end]).removesuffix(b"\r")
+            del self.partial_line[: line_end + 1]
+            searched_bytes = 0
             if self._end_if_too_long(len(line)):
                 return
             self.owner.on_line(self, line)
@@ -94,13 +116,13 @@
             self.close(ConnectionEnd.UNREADABLE)
 
     def _end_if_too_long(self, size: int) -> bool:
-        """Return whether the connection has ended."""
+        """Close the connection if a line of this size is too long; return whether it has ended."""
         if size > (UNIDENTIFIED_LINE_LIMIT_BYTES if self.purpose == UNIDENTIFIED else LINE_LIMIT_BYTES):
             self.close(ConnectionEnd.TOO_LONG)
         return self.end is not None
 
     def write(self, data: bytes) -> None:
-        """Write a message; ends a connection that leaves too much unread."""
+        """Write a message, or close the connection if too much is unsent; do nothing after its end."""
         if self.end is not None:
             return
         if self.transport.get_write_buffer_size() > UNSENT_LIMIT_BYTES:
@@ -109,10 +131,11 @@
         self.transport.write(data)
 
     def close_transport(self, end: ConnectionEnd) -> None:
-        """At the server's stop, let a stream have all that was written to it before its end.
+        """Close the transport; when the server stops, deliver to a stream what was written before.
 
-        What the proxy still sends is read meanwhile and dropped: were it unread at the close, the system
-        would reset the connection and drop what is in flight, maybe in the middle of a message.
+        Data that the proxy still sends is read and dropped meanwhile. If data were unread when the socket is
+        closed, the operating system would reset the connection and drop what is in flight, possibly in the
+        middle of a message.
         """
         if end is ConnectionEnd.STOPPING and self.purpose == STREAM and not self.transport.is_closing():
             self.transport.write_eof()
@@ -120,11 +143,11 @@
             super().close_transport(end)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End, and tell the owner that the socket is closed; called by the loop."""
+        """End the connection and report the closed socket to the owner; called by the event loop."""
         super().connection_lost(exc)
         self.owner.on_socket_closed(self)
 
     def handle_end(self) -> None:
-        """Tell the owner."""
+        """Drop an incomplete line and report the end to the owner."""
         self.partial_line = bytearray()
         self.owner.on_connection_ended(self)
--- a/ravenshelf/net/buffered_connection.py
+++ b/ravenshelf/net/buffered_connection.py
@@ -1,4 +1,4 @@
-"""Reads into buffers of a pool; protocols of lines, frames or HTTP build on it."""
+"""Base of all stream connections: it reads into pooled buffers and ends exactly once."""
 
 import asyncio
 from typing import cast
@@ -8,10 +8,17 @@
 
 
 class BufferedConnection(asyncio.BufferedProtocol):
-    """A connection that ends once, with one ConnectionEnd; what arrives later is dropped.
+    """A connection that ends once, with one `ConnectionEnd`; data that arrives after its end is dropped.
 
-    `transport` is set from `connection_made` on; Subclasses take data in `received`
-    and the end in `ended`.
+    Subclasses implement `handle_data` and `handle_end`.
+
+    Args:
+        buffers: Pool of the read buffers.
+
+    Attributes:
+        transport: The transport; None before `connection_made`.
+        read_buffer: Buffer of the read in progress, or None.
+        end: How the connection ended, or None while it is open.
     """
 
     transport: asyncio.Transport
@@ -23,17 +30,17 @@
         self.end: ConnectionEnd | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin; called by the loop."""
+        """Store the transport; called by the event loop."""
         self.transport = cast(asyncio.Transport, transport)
 
     def get_buffer(self, _sizehint: int) -> bytearray:
-        """Return the buffer to read into; called by the loop."""
+        """Return the buffer for the next read; called by the event loop."""
         if self.read_buffer is None:
             self.read_buffer = self.buffers.acquire()
         return self.read_buffer
 
     def buffer_updated(self, count: int) -> None:
-        """Take the bytes that were read; called by the loop."""
+        """Handle the bytes that were read; called by the event loop."""
         assert self.read_buffer is not None
         data = bytes(memoryview(self.read_buffer)[:count])
         self._release_buffer()
@@ -46,20 +53,24 @@
             self.read_buffer = None
 
     def eof_received(self) -> bool:
-        """End: the other side writes no more; called by the loop."""
+        """End the connection because the other side writes no more; called by the event loop."""
         self.close(ConnectionEnd.CLOSED)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End: the socket is closed; called by the loop."""
+        """End the connection because its socket is closed; called by the event loop."""
         self._release_buffer()
         if exc is None:
             self.close(ConnectionEnd.CLOSED)
-        else:  # the loop also closes the socket of a callback that raised
+        else:
+            # The event loop also closes the socket if a callback has raised an error; that is not an OSError.
             self.close(ConnectionEnd.RESET if isinstance(exc, OSError) else ConnectionEnd.FAILED)
 
     def close(self, end: ConnectionEnd) -> None:
-        """End the connection and report it at once: the report must not wait for the socket."""
+        """End the connection, if it has not ended yet, and call `handle_end` at once.
+
+        The end is reported without waiting for the socket to close.
+        """
         if self.end is not None:
             return
         self.end = end
@@ -68,16 +79,16 @@
         self.handle_end()
 
     def close_transport(self, end: ConnectionEnd) -> None:
-        """Close the socket; at the server's stop, once it has taken what was written."""
+        """Close the socket: after sending what was written if the server stops, otherwise at once."""
         if end is ConnectionEnd.STOPPING:
             self.transport.close()
         else:
             self.transport.abort()
 
     def handle_data(self, data: bytes) -> None:
-        """Take the bytes of one read."""
+        """Handle the bytes of one read."""
         raise NotImplementedError
 
     def handle_end(self) -> None:
-        """Take the connection's end; called once, when `end` is set."""
+        """Handle the connection's end; called once, after `end` is set."""
         raise NotImplementedError
--- a/ravenshelf/net/connection_end.py
+++ b/ravenshelf/net/connection_end.py
@@ -1,4 +1,4 @@
-"""How a connection ended, whatever it was for, and which event reports that to the controller."""
+"""The ways in which a connection can end, and the events that report them to the controller."""
 
 from enum import Enum
 
@@ -6,33 +6,33 @@
 
 
 class ConnectionEnd(Enum):
-    """Every way in which a connection can end; the value completes "the connection ..."."""
+    """How a connection ended; the value is a description for the log that continues "the connection ..."."""
 
     ANSWERED = "answered in full"
     CLOSED = "closed by the other side"
     RESET = "reset by the other side"
     REFUSED = "could not be opened"
-    SILENT = "said nothing until its deadline"
-    CUT_OFF = "ended before its answer was whole"
-    DECLINED = "answered, but not with what was asked for"
-    UNREADABLE = "brought what can't be read"
-    TOO_LONG = "brought more than a message may hold"
-    UNREAD = "left too much unread"
+    SILENT = "sent nothing before its deadline"
+    CUT_OFF = "ended before its response was complete"
+    DECLINED = "answered, but not with what was requested"
+    UNREADABLE = "sent data that can't be decoded"
+    TOO_LONG = "sent more than a message may contain"
+    UNREAD = "left too much data unread"
     SUPERSEDED = "was superseded by a newer one"
-    NO_CAPACITY = "made room at the limit of descriptors"
-    FAILED = "met a fault of ours"
-    STOPPING = "the server stops"
+    NO_CAPACITY = "was closed at the limit of descriptors"
+    FAILED = "failed because of an internal error"
+    STOPPING = "was closed because the server stops"
 
 
-# what a connection is for; the words appear in the log and in the names of counters
-STREAM = "stream"  # of a proxy
-COLLECTOR = "collector"  # of load reports
-UNIDENTIFIED = "unidentified"  # accepted, and has not said yet what it is
+# Purposes of connections. The words appear in the log and in the names of counters.
+STREAM = "stream"  # a proxy's stream of messages
+COLLECTOR = "collector"  # a connection that sends load reports
+UNIDENTIFIED = "unidentified"  # an accepted connection that has not identified itself yet
 WATCH = "watch"
 FETCH = "fetch"
 HEALTH_CHECK = "health check"
 
-# ends of a stream that the server chose, though the proxy may be well
+# The server itself ended a stream in these ways, and the proxy may be healthy.
 ENDS_BY_SERVER = (
     ConnectionEnd.UNREAD,
     ConnectionEnd.NO_CAPACITY,
@@ -44,7 +44,15 @@
 def end_event_type(
     purpose: str, end: ConnectionEnd
 ) -> type[ProxyLeft] | type[HealthCheckCompleted] | type[WatchFailed] | None:
-    """Return the type of event that reports the end, or None where the controller is told nothing."""
+    """Return the type of the event that reports a connection's end to the controller.
+
+    Args:
+        purpose: Purpose of the connection, such as STREAM.
+        end: How the connection ended.
+
+    Returns:
+        The type of the event, or None if the end is not reported.
+    """
     if end is ConnectionEnd.STOPPING:
         return None
     if purpose == HEALTH_CHECK:
--- a/ravenshelf/net/datagrams.py
+++ b/ravenshelf/net/datagrams.py
@@ -1,24 +1,31 @@
-"""Datagrams between control-plane servers: the sender's address tells which server sent one."""
+"""Datagrams between control-plane servers, which are identified by their addresses."""
 
 import asyncio
 from collections.abc import Callable
 from typing import Any, cast
 
-DATAGRAM_LIMIT_BYTES = 256  # a longer one voids the run
+# The service allows no longer datagrams: a run in which one is sent is void.
+DATAGRAM_LIMIT_BYTES = 256
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Return host and port of "host:port"; raises ValueError where the port is no number."""
+    """Return host and port of "host:port".
+
+    Raises:
+        ValueError: The port is not a number.
+    """
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 class PeerDatagrams(asyncio.DatagramProtocol):
-    """Sends to peers by number and passes on what they send.
+    """Socket that sends datagrams to peers and passes on those that it receives.
 
-    `peers` are addresses by number, `broadcast_address` is the address that reaches them all.
-    `on_datagram(peer, payload)` gets each datagram; the peer is None for an unknown sender
-    or a datagram that is too long.
+    Args:
+        peers: host:port of each peer; a peer's number is its position.
+        broadcast_address: host:port that reaches all peers, or None.
+        on_datagram: Function that is called with each datagram: the sender's number and the payload. The
+            number is None if the sender is not a peer or the datagram is too long.
     """
 
     def __init__(
@@ -34,19 +41,31 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin; called by the loop."""
+        """Store the transport; called by the event loop."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Pass on a datagram; called by the loop."""
+        """Pass on a datagram; called by the event loop."""
         is_short = len(data) <= DATAGRAM_LIMIT_BYTES
         self.on_datagram(self.number_by_address.get(addr[:2]) if is_short else None, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over a peer that is down: datagrams promise nothing; called by the loop."""
+        """Ignore an error, such as that of a peer that is down; called by the event loop.
+
+        Datagrams are not guaranteed to arrive in any case.
+        """
 
     def send(self, peer: int | None, payload: bytes) -> bool:
-        """Send to one peer or, with None, to all; return False where it has no address or is too long."""
+        """Send a datagram.
+
+        Args:
+            peer: Number of the peer; None for all peers.
+            payload: Content of the datagram.
+
+        Returns:
+            Whether the datagram was sent. It is not if the socket is not open yet, the peer has no address or
+            the payload is too long.
+        """
         destination = self._destination(peer)
         if self.transport is None or destination is None or len(payload) > DATAGRAM_LIMIT_BYTES:
             return False
--- a/ravenshelf/net/endpoint_codec.py
+++ b/ravenshelf/net/endpoint_codec.py
@@ -1,4 +1,4 @@
-"""The codec of the endpoint registry's JSON: complete lists and changes into entries."""
+"""Decoder of the endpoint registry's JSON: complete lists, and changes to the list."""
 
 import json
 from collections.abc import Callable
@@ -13,19 +13,23 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.GONE,
 }
-FORBIDDEN_IN_NAMES = set(" \t\r\n,:=")  # no message on a proxy's stream could name such an endpoint
+# An endpoint with one of these characters in its name could not be named in a message on a proxy's stream.
+FORBIDDEN_NAME_CHARACTERS = set(" \t\r\n,:=")
 START_LIMIT_MS = 1e15
 LOGGED_TEXT_LENGTH = 80
 
 
 class UnreadableListError(RavenshelfError):
-    """A list, or a line of a watch, that is no list; the text says why."""
+    """A text that is not an endpoint list; the error's text says why."""
 
 
 class EndpointListDecoder:
-    """Decodes lists by the names that the settings give.
+    """Decoder of endpoint lists, with zones and machine kinds by their names in the settings.
 
-    `index_of` gives a listed endpoint's name its index, `find_index` only that of a name that has one.
+    Args:
+        settings: Settings of the deployment.
+        index_of: Function that returns the index of an endpoint's name; a new name is assigned an index.
+        find_index: Function that returns the index of an endpoint's name, or None if it has none.
     """
 
     def __init__(
@@ -40,52 +44,76 @@
         self.find_index = find_index
 
     def decode_list(self, text: bytes | str) -> dict[str, Any]:
-        """Parse and check a list; raises UnreadableListError."""
+        """Parse a complete list or a line of a watch, and check its outer structure.
+
+        Returns:
+            The JSON object, whose `rev` is an integer and whose `targets` is a list of unchecked entries.
+
+        Raises:
+            UnreadableListError: The text is not JSON in UTF-8, or does not have that structure.
+        """
         try:
             return self.check_list(json.loads(text))
-        except ValueError as error:  # bad JSON or bad UTF-8
+        except ValueError as error:  # raised for invalid JSON and for invalid UTF-8
             raise UnreadableListError(str(error)) from error
 
     @staticmethod
     def check_list(listed: object) -> dict[str, Any]:
-        """Return a list with its version and entries checked; raises UnreadableListError."""
+        """Return a parsed list after checking that it has a version and a list of entries.
+
+        Raises:
+            UnreadableListError: The list has another structure.
+        """
         if isinstance(listed, dict):
             version = listed.get("rev")
             is_version = isinstance(version, int) and not isinstance(version, bool)
             if is_version and isinstance(listed.get("targets"), list):
                 return listed
-        raise UnreadableListError("expected an object with rev and targets")
+        raise UnreadableListError("expected an object with an integer rev and a list of targets")
 
     def decode_entries(
         self, targets: list[Any]
     ) -> tuple[list[ListedEndpoint], dict[int, str], list[tuple[int | None, str]]]:
-        """Return entries, addresses by index, and malformed ones: the index, if known, and why."""
+        """Decode the entries of a list.
+
+        Args:
+            targets: The `targets` of the list.
+
+        Returns:
+            The valid entries, the addresses (host:port) by index, and the malformed entries, each with the
+            endpoint's index, or None if it has none, and the reason.
+        """
         entries: dict[int, ListedEndpoint] = {}
         addresses: dict[int, str] = {}
-        malformed: list[tuple[int | None, str]] = []
+        malformed_entries: list[tuple[int | None, str]] = []
         for target in targets:
             name = target.get("uid") if isinstance(target, dict) else None
-            if not isinstance(name, str) or not name or FORBIDDEN_IN_NAMES & set(name):
-                malformed.append((None, f"no uid in {str(target)[:LOGGED_TEXT_LENGTH]}"))
+            if not isinstance(name, str) or not name or FORBIDDEN_NAME_CHARACTERS & set(name):
+                malformed_entries.append(
+                    (None, f"expected a valid uid, found {str(target)[:LOGGED_TEXT_LENGTH]}")
+                )
                 continue
             try:
                 fields = self._fields(target)
             except (KeyError, TypeError, ValueError, OverflowError) as error:
                 reason = f"{name}: {type(error).__name__} {error}"
-                malformed.append((self.find_index(name), reason))
+                malformed_entries.append((self.find_index(name), reason))
                 continue
             index = self.index_of(name)
             entries[index] = ListedEndpoint(index, *fields)
             if isinstance(target.get("endpoint"), str):
                 addresses[index] = target["endpoint"]
-        return list(entries.values()), addresses, malformed
+        return list(entries.values()), addresses, malformed_entries
 
     def _fields(self, target: dict[str, Any]) -> tuple[int, int, int, EndpointState, float, int]:
-        """Return the fields of a ListedEndpoint after its index."""
+        """Return the fields of a `ListedEndpoint` that follow its index."""
         weight = float(target.get("capacity_hint", 1.0))
         start_ms = float(target.get("boot_ms") or 0)
         if not 0 <= weight < float("inf") or not 0 <= start_ms < START_LIMIT_MS:
-            raise ValueError(f"capacity_hint {weight}, boot_ms {start_ms}")
+            raise ValueError(
+                "expected a finite capacity_hint of 0 or more and a boot_ms from 0 to below 1e15, "
+                f"found capacity_hint {weight}, boot_ms {start_ms}"
+            )
         return (
             self.zones[target["az"]],
             self.machine_kinds.get(target.get("model", ""), 0),
--- a/ravenshelf/net/http.py
+++ b/ravenshelf/net/http.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 request: dial, request, read the answer, complete or line by line."""
+"""One HTTP/1.1 GET request, whose response is read as a whole or line by line."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,16 +10,33 @@
 from ravenshelf.state.buffers import BufferPool
 
 BODY_LIMIT_BYTES = 16 * 1024 * 1024
-HEAD_LIMIT_BYTES = 64 * 1024  # before the status is known: a head without end must not fill the memory
+# Limit on the data received before the status is known. A head without an end must not fill the memory.
+HEAD_LIMIT_BYTES = 64 * 1024
 STATUS_OK = 200
 STATUS_SWITCHING_PROTOCOLS = 101
 
 
 class HttpCall(BufferedConnection):
-    """One call to `address` (host:port).
-
-    `on_end(call)` is called once, with `end`, `status` and `body` set; `on_line(call, line)` gets the lines
-    of a body as they come, and such a call collects none. `slot` is its owner's.
+    """A connection for one request and its response.
+
+    Args:
+        buffers: Pool of the read buffers.
+        address: host:port of the server.
+        path: Path to request.
+        on_end: Function that is called once, with the call, when the call has ended. `end`, `status` and
+            `body` are set by then.
+        on_line: Function that is called with the call and each line of a successful response as it arrives.
+            If it is None, or the response is not successful, the body is collected instead.
+
+    Attributes:
+        status: Status of the response; 0 until it is received.
+        chunks: Received pieces of the body or, if lines are passed on, of the incomplete line.
+        chunk_bytes: Total length of `chunks`.
+        head_bytes: Number of bytes received before the status was known.
+        is_complete: Whether the response is complete.
+        has_length: Whether the head says where the body ends, by its length or by chunked encoding.
+        slot: Slot that the call's owner assigned to it, or None.
+        dialing: Task that opens the connection, or None before `dial`.
     """
 
     def __init__(
@@ -41,12 +58,12 @@
         self.chunk_bytes = 0
         self.head_bytes = 0
         self.is_complete = False
-        self.has_length = False  # the body's end is told by its head
+        self.has_length = False
         self.slot: int | None = None
         self.dialing: asyncio.Task[None] | None = None
 
     def dial(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Begin to connect."""
+        """Start to open the connection; if that fails, the call ends with REFUSED."""
         self.dialing = loop.create_task(self._dial(loop))
 
     async def _dial(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -57,7 +74,7 @@
             self.close(ConnectionEnd.REFUSED)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the request; called by the loop."""
+        """Send the request, or abort the connection if the call has ended; called by the event loop."""
         super().connection_made(transport)
         if self.end is not None:
             self.transport.abort()
@@ -68,7 +85,10 @@
         )
 
     def close(self, end: ConnectionEnd) -> None:
-        """End the call, and the dial where that is still under way."""
+        """End the call, and cancel its dial if that is still in progress.
+
+        A connection that the other side closes before the response is complete ends with CUT_OFF.
+        """
         if self.dialing is not None and self.transport is None and end is not ConnectionEnd.REFUSED:
             self.dialing.cancel()
         if end is ConnectionEnd.CLOSED and not self.is_complete:
@@ -76,14 +96,14 @@
         super().close(end)
 
     def eof_received(self) -> bool:
-        """Take the end of a body that has no length; called by the loop."""
+        """Complete a response whose body has no length; called by the event loop."""
         if self.status and not self.has_length:
             self.is_complete = True
             self._close_complete()
         return False
 
     def handle_data(self, data: bytes) -> None:
-        """Parse what was read."""
+        """Parse received data, and end the call if the response is complete, malformed or too long."""
         if not self.status:
             self.head_bytes += len(data)
             if self.head_bytes > HEAD_LIMIT_BYTES:
@@ -92,7 +112,7 @@
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if not self.is_complete:  # what follows the answer is no part of it
+            if not self.is_complete:  # data after a complete response does not matter
                 self.close(ConnectionEnd.UNREADABLE)
         if self.is_complete:
             self._close_complete()
@@ -100,19 +120,19 @@
     def _close_complete(self) -> None:
         self.close(ConnectionEnd.ANSWERED if self.status == STATUS_OK else ConnectionEnd.DECLINED)
 
-    # --- called by the parser ---
+    # Callbacks of the parser
 
     def on_header(self, name: bytes, _value: bytes) -> None:
-        """Take one field of the head."""
+        """Handle one field of the response's head."""
         self.has_length = self.has_length or name.lower() in (b"content-length", b"transfer-encoding")
 
     def on_headers_complete(self) -> None:
-        """Take the head's end."""
+        """Record the status at the end of the response's head."""
         if not self.is_complete:
             self.status = self.parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the body."""
+        """Collect a piece of the body or pass on its lines; end the call if it collects too much."""
         if self.is_complete or self.end is not None:
             return
         if self.on_line is None or self.status != STATUS_OK:
@@ -124,7 +144,7 @@
             self.close(ConnectionEnd.TOO_LONG)
 
     def _pass_lines(self, body: bytes, on_line: Callable[["HttpCall", bytes], None]) -> None:
-        *line_ends, rest = body.split(b"\n")
+        *line_ends, incomplete_line = body.split(b"\n")
         for line_end in line_ends:
             self.chunks.append(line_end)
             line = b"".join(self.chunks)
@@ -132,11 +152,11 @@
             self.chunk_bytes = 0
             if self.end is None:
                 on_line(self, line.strip())
-        self.chunk_bytes += len(rest)
-        self.chunks.append(rest)
+        self.chunk_bytes += len(incomplete_line)
+        self.chunks.append(incomplete_line)
 
     def on_message_complete(self) -> None:
-        """Take the answer's end; an interim answer (1xx) is passed over."""
+        """Mark the response as complete, or discard an interim response (1xx) before the next one."""
         if 100 <= self.status < 200 and self.status != STATUS_SWITCHING_PROTOCOLS:
             self.status = 0
             self.chunks = []
@@ -147,9 +167,9 @@
 
     @property
     def body(self) -> bytes:
-        """The body as far as it has come."""
+        """Body of the response as far as it was received and collected."""
         return b"".join(self.chunks)
 
     def handle_end(self) -> None:
-        """Tell the owner."""
+        """Report the end to the call's owner."""
         self.on_end(self)
--- a/ravenshelf/net/stream_codec.py
+++ b/ravenshelf/net/stream_codec.py
@@ -1,6 +1,6 @@
-"""The codec of the proxies' protocol: lines of streams and collectors into events, table updates into lines.
+"""Codec of the protocol on proxies' streams and collectors: lines into events, table updates into lines.
 
-The words of the wire stand here alone.
+The words of this protocol occur in this module only.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -10,7 +10,7 @@
 from ravenshelf.settings import Settings
 from ravenshelf.state.table_update import TableUpdate
 
-# what load reports on streams call the columns of the settings' telemetry
+# Columns of the settings' telemetry, by the names that load reports on streams use for them.
 LOAD_COLUMN_ALIASES = {
     "inflight": "active",
     "queue": "waiting",
@@ -20,16 +20,18 @@
     "eps": "err_rps",
 }
 
-LINE_LIMIT_BYTES = 1024 * 1024  # a message holds no more
-UPDATES_LIMIT = 64
-NUMBER_LIMIT = 2.0**32  # beyond any count or time that is meant
-SPAN_LIMIT_MS = 600_000.0  # ms: beyond any window that a report is counted over
-MEAN_TOLERANCE = 4  # a reported mean may lie so far over what is true
-BEGINNING_BYTES = 12  # of a line: more than any kind of message has
+LINE_LIMIT_BYTES = 1024 * 1024  # maximum length of a message
+UPDATES_LIMIT = 64  # maximum number of table updates in a message
+NUMBER_LIMIT = 2.0**32  # larger than any valid count or time
+WINDOW_LIMIT_MS = 600_000.0  # longer than any window that a report covers
+# A reported mean latency may exceed the longest possible one by this factor.
+MEAN_LATENCY_TOLERANCE = 4
+# Length of the start of a line that is compared with the message kinds; longer than any of them.
+KIND_PREFIX_BYTES = 12
 PING = "PING"
 PONG = b"PONG\r\n"
 SUBSCRIBE = "SUBSCRIBE"  # a proxy joins
-SOURCE = "SOURCE"  # a collector says which zone its load reports are of
+SOURCE = "SOURCE"  # a collector names the zone of its load reports
 LOAD = "LOAD"  # a load report
 RATE = "RATE"  # a demand report
 ACK = "ACK"  # an acknowledgement
@@ -37,26 +39,40 @@
 
 
 class MalformedMessageError(RavenshelfError):
-    """A message of a known kind that is malformed; the text says what was expected."""
+    """A malformed message of a known kind; the error's text says what was expected."""
 
 
 class UnreadableConnectionError(MalformedMessageError):
-    """No message at all, or one that is not valid on its connection, which is of no further use."""
+    """A line that is not a message, or a message that is not valid on its connection.
+
+    The connection must be closed, because nothing else on it can be trusted.
+    """
 
 
 def split_line(line: bytes) -> tuple[str, list[str]]:
-    """Return the kind of a message and its words; raises UnreadableConnectionError."""
+    """Return the kind of a message and the words that follow it.
+
+    Raises:
+        UnreadableConnectionError: The line is empty or not UTF-8, or its first word is not a message kind.
+    """
     try:
-        kind, *rest = line.decode("utf-8").split()
-    except (UnicodeDecodeError, ValueError) as why:
-        raise UnreadableConnectionError("expected a kind and words in UTF-8") from why
+        kind, *words = line.decode("utf-8").split()
+    except (UnicodeDecodeError, ValueError) as error:
+        raise UnreadableConnectionError("expected a message kind and fields in UTF-8") from error
     if kind not in KINDS:
-        raise UnreadableConnectionError("expected a kind of message that is known")
-    return kind, rest
+        raise UnreadableConnectionError("expected a known message kind")
+    return kind, words
 
 
 def parse_fields(words: list[str]) -> dict[str, str]:
-    """Return the fields of a message by name; raises MalformedMessageError where a name comes twice."""
+    """Return the fields of a message by name.
+
+    Args:
+        words: The message's words after its kind, each "name=value".
+
+    Raises:
+        MalformedMessageError: A word has another form, or a name occurs twice.
+    """
     fields = {}
     for word in words:
         name, equals, value = word.partition("=")
@@ -66,61 +82,110 @@
     return fields
 
 
-def may_begin_message(rest: bytes | bytearray) -> bool:
-    """Return whether a message may begin so; a guard against lines without end."""
-    first, space, _ = bytes(rest[:BEGINNING_BYTES]).partition(b" ")
-    word = first.rstrip(b"\r").decode("latin-1")
+def may_begin_message(data: bytes | bytearray) -> bool:
+    """Return whether an incomplete line may become a message of a known kind.
+
+    It rejects a peer that sends something else without a line end before its data fills the memory.
+    """
+    first_bytes, space, _ = bytes(data[:KIND_PREFIX_BYTES]).partition(b" ")
+    word = first_bytes.rstrip(b"\r").decode("latin-1")
     return word in KINDS if space else any(kind.startswith(word) for kind in KINDS)
 
 
-def parse_number(fields: dict[str, str], name: str, most: float = NUMBER_LIMIT) -> float:
-    """Return a field that is a number from 0 to `most`; raises MalformedMessageError."""
+def parse_number(fields: dict[str, str], name: str, maximum: float = NUMBER_LIMIT) -> float:
+    """Return the value of a field that is a number.
+
+    Args:
+        fields: Fields of the message.
+        name: Name of the field.
+        maximum: Largest valid value; the smallest is 0.
+
+    Raises:
+        MalformedMessageError: The field is missing, is not a number or is out of range.
+    """
     try:
         value = float(fields[name])
-    except KeyError as why:
-        raise MalformedMessageError(f"expected {name}=") from why
-    except ValueError as why:
-        raise MalformedMessageError(f"expected a number as {name}, not {fields[name][:40]!r}") from why
-    if not 0 <= value <= most:
-        raise MalformedMessageError(f"expected {name} from 0 to {most:g}, not {fields[name][:40]!r}")
+    except KeyError as error:
+        raise MalformedMessageError(f"expected {name}=") from error
+    except ValueError as error:
+        raise MalformedMessageError(f"expected a number as {name}, not {fields[name][:40]!r}") from error
+    if not 0 <= value <= maximum:
+        raise MalformedMessageError(f"expected {name} from 0 to {maximum:g}, not {fields[name][:40]!r}")
     return value
 
 
-def parse_whole_number(fields: dict[str, str], name: str, beyond: int | None = None) -> int:
-    """Return a field that is a whole number, below `beyond` where that is given."""
+def parse_whole_number(fields: dict[str, str], name: str, limit: int | None = None) -> int:
+    """Return the value of a field that is a whole number.
+
+    Args:
+        fields: Fields of the message.
+        name: Name of the field.
+        limit: Number that the value must be below, or None.
+
+    Raises:
+        MalformedMessageError: The field is missing, is not a whole number or is out of range.
+    """
     value = parse_number(fields, name)
-    if value != int(value) or (beyond is not None and value >= beyond):
+    if value != int(value) or (limit is not None and value >= limit):
         raise MalformedMessageError(
-            f"expected a whole number{f' below {beyond}' if beyond else ''} as {name}, not {value:g}"
+            f"expected a whole number{f' below {limit}' if limit else ''} as {name}, not {value:g}"
         )
     return int(value)
 
 
-def parse_microseconds(fields: dict[str, str], name: str, most: float = SPAN_LIMIT_MS) -> int:
-    """Return a field that is in milliseconds, as microseconds."""
-    return round(parse_number(fields, name, most) * 1000)
+def parse_microseconds(fields: dict[str, str], name: str, maximum: float = WINDOW_LIMIT_MS) -> int:
+    """Return the value of a field that is a time in milliseconds, as microseconds.
+
+    Args:
+        fields: Fields of the message.
+        name: Name of the field.
+        maximum: Largest valid value in milliseconds.
+
+    Raises:
+        MalformedMessageError: The field is missing, is not a number or is out of range.
+    """
+    return round(parse_number(fields, name, maximum) * 1000)
 
 
 def parse_attempt_counts(fields: dict[str, str]) -> tuple[int, int, int]:
-    """Return attempts, how many of them failed, and the window that they were counted over (us)."""
+    """Return the number of attempts, how many of them failed, and the length of their window.
+
+    Returns:
+        The two counts, and the window in microseconds.
+
+    Raises:
+        MalformedMessageError: A field is missing or invalid, or the window is 0.
+    """
     attempts = parse_whole_number(fields, "tries")
-    failed = parse_whole_number(fields, "failed")
+    failed_attempts = parse_whole_number(fields, "failed")
     window_us = parse_microseconds(fields, "span_ms")
     if not window_us:
         raise MalformedMessageError("expected span_ms above 0")
-    return attempts, failed, window_us
+    return attempts, failed_attempts, window_us
 
 
 def parse_flag(fields: dict[str, str], name: str) -> bool:
-    """Return a field that is 0 or 1."""
+    """Return the value of a field that is 0 or 1.
+
+    Raises:
+        MalformedMessageError: The field is missing or has another value.
+    """
     if fields.get(name) not in ("0", "1"):
         raise MalformedMessageError(f"expected 0 or 1 as {name}")
     return fields[name] == "1"
 
 
 def decode_load_columns(values: Iterable[tuple[str, str]], columns: Sequence[str]) -> tuple[float, ...]:
-    """Return the load columns in the settings' order; () where one is missing or malformed."""
-    reported = {}
+    """Return the values of the load columns.
+
+    Args:
+        values: Names and values of a load report, in any order.
+        columns: Names of the columns, as in the settings.
+
+    Returns:
+        The values in the order of `columns`; empty if a column is missing or any value is invalid.
+    """
+    value_by_column = {}
     for name, text in values:
         try:
             value = float(text)
@@ -128,67 +193,79 @@
             return ()
         if not 0 <= value <= NUMBER_LIMIT:
             return ()
-        reported[LOAD_COLUMN_ALIASES.get(name, name)] = value
+        value_by_column[LOAD_COLUMN_ALIASES.get(name, name)] = value
     load = []
     for column in columns:
-        wanted = reported.get(LOAD_COLUMN_ALIASES.get(column, column))
-        if wanted is None:
+        column_value = value_by_column.get(LOAD_COLUMN_ALIASES.get(column, column))
+        if column_value is None:
             return ()
-        load.append(wanted)
+        load.append(column_value)
     return tuple(load)
 
 
 def has_term_check(fields: dict[str, str]) -> bool:
-    """Return whether a proxy that joins rejects orders of an older term."""
+    """Return whether a proxy that joins rejects commands of an older term."""
     return fields.get("term") == "1"
 
 
-def parse_named_values(text: str, between: str) -> list[tuple[str, str]]:
-    """Return the names and values of a list with commas, such as "a=1,b=2"."""
+def parse_named_values(text: str, separator: str) -> list[tuple[str, str]]:
+    """Return the names and values of a comma-separated list.
+
+    Args:
+        text: The list, such as "a=1,b=2"; may be empty.
+        separator: Text between a name and its value.
+
+    Returns:
+        Pairs of name and value; the value is empty if an item has no separator.
+    """
     if not text:
         return []
-    found = []
+    named_values = []
     for item in text.split(","):
-        name, _, value = item.partition(between)
-        found.append((name, value))
-    return found
+        name, _, value = item.partition(separator)
+        named_values.append((name, value))
+    return named_values
 
 
 class StreamDecoder:
-    """Turns the fields of a message into an event; raises MalformedMessageError.
+    """Decoder of the fields of messages into events.
 
-    `endpoint` gives the index of an endpoint's name, or None where it was never listed.
+    Its methods raise MalformedMessageError if a field is missing or invalid.
+
+    Args:
+        settings: Settings of the deployment: zones, traffic groups, load columns and the number of proxies.
+        find_endpoint: Function that returns the index of an endpoint's name, or None if the endpoint was
+            never listed.
     """
 
-    def __init__(self, settings: Settings, endpoint: Callable[[str], int | None]):
-        self.zones = {name: n for n, name in enumerate(settings.zones)}
-        self.groups = {group.name: n for n, group in enumerate(settings.traffic_groups)}
-        self.proxies = settings.service.proxy_count or 65536
-        longest = max([group.deadline_us for group in settings.traffic_groups], default=0)
-        self.longest = (
-            MEAN_TOLERANCE * longest / 1000 or SPAN_LIMIT_MS
-        )  # no attempt outlasts the longest deadline
+    def __init__(self, settings: Settings, find_endpoint: Callable[[str], int | None]):
+        self.zones = {name: number for number, name in enumerate(settings.zones)}
+        self.groups = {group.name: number for number, group in enumerate(settings.traffic_groups)}
+        self.proxy_limit = settings.service.proxy_count or 65536
+        # An attempt can't take longer than the longest deadline.
+        longest_deadline_us = max([group.deadline_us for group in settings.traffic_groups], default=0)
+        self.mean_latency_limit_ms = MEAN_LATENCY_TOLERANCE * longest_deadline_us / 1000 or WINDOW_LIMIT_MS
         self.columns = settings.telemetry.columns
-        self.endpoint = endpoint
+        self.find_endpoint = find_endpoint
 
     def decode_zone(self, fields: dict[str, str]) -> int:
         """Return the index of the zone that a message names."""
-        return self._named(fields, "zone", self.zones)
+        return self._index_of_name(fields, "zone", self.zones)
 
     @staticmethod
-    def _named(fields: dict[str, str], name: str, known: dict[str, int]) -> int:
-        if fields.get(name) not in known:
+    def _index_of_name(fields: dict[str, str], name: str, indices: dict[str, int]) -> int:
+        if fields.get(name) not in indices:
             raise MalformedMessageError(
                 f"expected a {name} of the settings, not {fields.get(name, '')[:40]!r}"
             )
-        return known[fields[name]]
+        return indices[fields[name]]
 
     def decode_proxy(self, fields: dict[str, str]) -> int:
-        """Return the number of the proxy that a message names."""
-        return parse_whole_number(fields, "proxy", self.proxies)
+        """Return the index of the proxy that a message names."""
+        return parse_whole_number(fields, "proxy", self.proxy_limit)
 
     def decode_join(self, fields: dict[str, str]) -> ProxyJoined:
-        """Decode a SUBSCRIBE; a proxy whose usual rate is not known may leave it out."""
+        """Decode a SUBSCRIBE, in which a proxy without a known nominal rate may omit `weight`."""
         return ProxyJoined(
             self.decode_proxy(fields),
             self.decode_zone(fields),
@@ -208,47 +285,70 @@
         """Decode a RATE."""
         return DemandReport(
             self.decode_proxy(fields),
-            self._named(fields, "class", self.groups),
+            self._index_of_name(fields, "class", self.groups),
             *parse_attempt_counts(fields),
         )
 
     def decode_load_report(self, fields: dict[str, str]) -> LoadReport | None:
-        """Decode a LOAD; None where the endpoint was never listed, which says nothing against the line."""
+        """Decode a LOAD.
+
+        Returns:
+            The event, or None if the endpoint was never listed. The message counts as well-formed in that
+            case too.
+        """
         zone = self.decode_zone(fields)
-        attempts, failed, window_us = parse_attempt_counts(fields)
-        if failed > attempts:  # of RATE it may be so: what failed may have come in the window before
-            raise MalformedMessageError(f"expected failed up to tries={attempts}, not {failed}")
+        attempts, failed_attempts, window_us = parse_attempt_counts(fields)
+        # A demand report may count more failures than requests, because a request that fails in this window
+        # may have arrived in the window before. A load report may not.
+        if failed_attempts > attempts:
+            raise MalformedMessageError(f"expected failed up to tries={attempts}, not {failed_attempts}")
         mean_us = parse_microseconds(
-            {"mean_ms": "0"} | fields if failed == attempts else fields, "mean_ms", self.longest
+            {"mean_ms": "0"} | fields if failed_attempts == attempts else fields,
+            "mean_ms",
+            self.mean_latency_limit_ms,
         )
-        if failed < attempts and not mean_us:
+        if failed_attempts < attempts and not mean_us:
             raise MalformedMessageError("expected mean_ms above 0")
         if not fields.get("server"):
             raise MalformedMessageError("expected server=")
-        index = self.endpoint(fields["server"])
+        index = self.find_endpoint(fields["server"])
         load = decode_load_columns(parse_named_values(fields.get("load", ""), ":"), self.columns)
-        return None if index is None else LoadReport(zone, index, attempts, failed, mean_us, window_us, load)
+        return (
+            None
+            if index is None
+            else LoadReport(zone, index, attempts, failed_attempts, mean_us, window_us, load)
+        )
 
 
 def format_decimal(value: float) -> str:
-    """Return a number in plain decimals, above 0 where it is above 0."""
+    """Return a number of 0 or more in decimal notation, without an exponent.
+
+    A value above 0 never becomes "0": the smallest is 0.000000000001.
+    """
     text = f"{value:.6f}".rstrip("0").rstrip(".")
     return text if float(text) or not value else f"{max(value, 1e-12):.12f}".rstrip("0")
 
 
 def encode_message(updates: list[TableUpdate], names: list[str], groups: list[str]) -> bytes:
-    """Encode one message: its updates as lines, all but the last saying that more follow.
+    """Encode a message: one line for each table update, of which all but the last say that more follow.
+
+    Args:
+        updates: The table updates.
+        names: Names of the endpoints, by index.
+        groups: Names of the traffic groups, by index.
 
-    `names` are those of the endpoints and `groups` those of the traffic groups, each by index. Raises
-    ValueError where the message has too many updates or bytes.
+    Raises:
+        ValueError: The message has more than `UPDATES_LIMIT` updates or `LINE_LIMIT_BYTES` bytes.
     """
     if len(updates) > UPDATES_LIMIT:
-        raise ValueError(f"a message of {len(updates)} parts")
-    last = len(updates) - 1
-    lines = [_update_line(update, number < last, names, groups) for number, update in enumerate(updates)]
+        raise ValueError(f"a message exceeds UPDATES_LIMIT with {len(updates)} parts")
+    last_number = len(updates) - 1
+    lines = [
+        _update_line(update, number < last_number, names, groups) for number, update in enumerate(updates)
+    ]
     message = ("\r\n".join(lines) + "\r\n").encode()
     if len(message) > LINE_LIMIT_BYTES:
-        raise ValueError(f"a message of {len(message)} bytes")
+        raise ValueError(f"a message exceeds LINE_LIMIT_BYTES with {len(message)} bytes")
     return message
 
 
@@ -260,7 +360,8 @@
         words.append("whole=1")
     if update.weights:
         words.append(
-            "lines=" + ",".join(f"{names[e]}:{format_decimal(weight)}" for e, weight in update.weights)
+            "lines="
+            + ",".join(f"{names[index]}:{format_decimal(weight)}" for index, weight in update.weights)
         )
     if update.admission_level is not None:
         level = update.admission_level
