--- a/ravenshelf/simulator/__init__.py
+++ b/ravenshelf/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: decode, one controller an instance, encode."""
+"""The controller on the simulator's line protocol, with one controller for each instance."""
--- a/ravenshelf/simulator/__main__.py
+++ b/ravenshelf/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""python -m ravenshelf.simulator: the simulator's wire on standard input and output."""
+"""`python -m ravenshelf.simulator`: the simulator's line protocol on standard input and output."""
 
 import sys
 from io import BufferedReader
@@ -9,7 +9,16 @@
 
 
 def main(source: BufferedReader, sink: BinaryIO) -> int:
-    """Answer batches until the input ends; gives the exit code (1: malformed input, or nobody reads)."""
+    """Answer batches until the input ends.
+
+    Args:
+        source: Input, such as standard input.
+        sink: Output for the replies, such as standard output.
+
+    Returns:
+        The exit code: 0 at the end of the input; 1 if the input is malformed, which is reported on standard
+        error, or if the reader of the output has gone.
+    """
     host = Host()
     try:
         while source.peek(1):
@@ -25,13 +34,15 @@
 
 
 def _read_line(source: BufferedReader) -> str:
-    raw = source.readline()
-    if not raw.endswith(b"\n"):
-        raise MalformedLineError(raw[:SHOWN_LINE_LENGTH], "more of the batch, its input ended")
+    line = source.readline()
+    if not line.endswith(b"\n"):
+        raise MalformedLineError(
+            line[:SHOWN_LINE_LENGTH], "a complete line of the batch, but the input ended"
+        )
     try:
-        return raw[:-1].decode("utf-8")
+        return line[:-1].decode("utf-8")
     except UnicodeDecodeError as error:
-        raise MalformedLineError(raw[:SHOWN_LINE_LENGTH], "UTF-8 text") from error
+        raise MalformedLineError(line[:SHOWN_LINE_LENGTH], "UTF-8 text") from error
 
 
 if __name__ == "__main__":
--- a/ravenshelf/simulator/decode.py
+++ b/ravenshelf/simulator/decode.py
@@ -1,7 +1,7 @@
-"""Decodes lines of the simulator's wire into events of the policy.
+"""Decoder of lines of the simulator's protocol into the controller's events.
 
-Times become whole microseconds, words become enumerations, and endpoint names small indices. The words of the
-wire stand here and in `encode` only.
+Times become whole microseconds, words become enumerations, and names of endpoints become small indices. The
+words of the protocol occur in this module and in `encode` only.
 """
 
 import base64
@@ -15,34 +15,39 @@
 from ravenshelf.policy import events
 
 MICROSECONDS_PER_MILLISECOND = 1000
-NOTHING = "-"  # in the place of a value
+NO_VALUE = "-"  # read in place of a missing value
 STATES = {state.value: state for state in events.EndpointState}
 LIST_KINDS = {kind.value: kind for kind in events.ListKind}
 LIST_UNAVAILABLE = "unavailable"
-SHOWN_LINE_LENGTH = 120  # characters of a line in an error
-ENTRY_VALUES = 8  # of a list entry, with its first word
-LIST_COUNT_POSITION = 4  # of the number of entries, which may be missing
-ENTRY_FORM = (
-    "'endpoint' name rack-zone family-type unit-group availability share last-start-ms"  # as the wire says it
-)
+SHOWN_LINE_LENGTH = 120  # characters of a line that an error message shows
+ENTRY_LENGTH = 8  # number of words of a list entry, including its first word
+LIST_COUNT_POSITION = 4  # position of the number of entries in the line, which may omit it
+# Names of an entry's values in the protocol's own terms
+ENTRY_SYNTAX = "'endpoint' name rack-zone family-type unit-group availability share last-start-ms"
 
-EndpointIndex = Callable[[str], int]  # index of an endpoint's name in one instance
-IndexOfInstance = Callable[[int, str], EndpointIndex]  # by instance and the line that names it
+EndpointIndex = Callable[[str], int]  # returns the index of an endpoint's name in one instance
+# Returns the index function of an instance. The second argument is the line that names it, for errors.
+IndexOfInstance = Callable[[int, str], EndpointIndex]
 
 
 class Boot(NamedTuple):
-    """An instance starts; its settings are still the JSON object."""
+    """The start of an instance, with the seed of its controller and its settings as a JSON object."""
 
     seed: int
     settings: dict[str, Any]
 
 
 class Exit(NamedTuple):
-    """An instance ends."""
+    """The end of an instance."""
 
 
 class MalformedLineError(RavenshelfError):
-    """A line that the wire must not have; `line` is its text or bytes, `expected` what may stand there."""
+    """A line that the protocol does not allow.
+
+    Attributes:
+        line: Text or bytes of the line, or of its start.
+        expected: What the protocol allows in its place.
+    """
 
     def __init__(self, line: str | bytes, expected: str):
         super().__init__(f"line {line!r}: expected {expected}")
@@ -53,34 +58,38 @@
 def _number(text: str) -> float:
     value = float(text)
     if not isfinite(value):
-        raise ValueError("not finite")
+        raise ValueError("expected a finite number")
     return value
 
 
 def decode_time(text: str) -> int:
-    """Milliseconds as whole microseconds; raises `ValueError`."""
-    return 0 if text == NOTHING else round(_number(text) * MICROSECONDS_PER_MILLISECOND)
+    """Return a time in milliseconds as whole microseconds; a missing value is 0.
+
+    Raises:
+        ValueError: The text is not a finite number.
+    """
+    return 0 if text == NO_VALUE else round(_number(text) * MICROSECONDS_PER_MILLISECOND)
 
 
 def _flag(text: str) -> bool:
     if text not in ("0", "1"):
-        raise ValueError("not a flag")
+        raise ValueError("expected 0 or 1")
     return text == "1"
 
 
 def _load(text: str) -> tuple[float, ...]:
-    return () if text == NOTHING else tuple(_number(part) for part in text.split(","))
+    return () if text == NO_VALUE else tuple(_number(value) for value in text.split(","))
 
 
 def _payload(text: str) -> bytes:
     try:
-        return b"" if text == NOTHING else base64.b64decode(text, validate=True)
+        return b"" if text == NO_VALUE else base64.b64decode(text, validate=True)
     except binascii.Error as error:
-        raise ValueError("not base64") from error
+        raise ValueError("expected base64") from error
 
 
 def _proxy_joined(_: EndpointIndex, values: list[str]) -> events.ProxyJoined:
-    nominal_rate = 0.0 if values[0] == NOTHING else _number(values[0])
+    nominal_rate = 0.0 if values[0] == NO_VALUE else _number(values[0])
     return events.ProxyJoined(int(values[3]), int(values[2]), nominal_rate, _flag(values[1]))
 
 
@@ -147,11 +156,17 @@
 
 
 class EventDecoder(NamedTuple):
-    """How a kind of line becomes an event: from so many values after the instance; `form` names them."""
+    """Decoder of one kind of line.
+
+    Attributes:
+        value_count: Number of values that follow the instance's number.
+        decode: Function that returns the event of these values.
+        syntax: Names of the values in the protocol's own terms, for errors.
+    """
 
     value_count: int
     decode: Callable[[EndpointIndex, list[str]], events.Event]
-    form: str
+    syntax: str
 
 
 DECODERS = {
@@ -174,10 +189,18 @@
 def decode_line(
     text: str, index_of: IndexOfInstance, next_line: Callable[[], str]
 ) -> tuple[int, Boot | Exit | events.Event]:
-    """One line of a batch: the instance, and what it is told.
+    """Decode one line of a batch, and the lines of entries that follow an endpoint list.
+
+    Args:
+        text: The line.
+        index_of: Function of an instance and the line that returns the instance's index function.
+        next_line: Function that returns the next line of the batch.
+
+    Returns:
+        The number of the instance, and its start, its end or the event for it.
 
-    `index_of` gives an instance's endpoint indices, `next_line` the entries that belong to a list. Raises
-    `MalformedLineError`.
+    Raises:
+        MalformedLineError: The line, or that of an entry, is malformed.
     """
     values = text.split(" ")
     name = values[0]
@@ -192,11 +215,11 @@
         raise MalformedLineError(text[:SHOWN_LINE_LENGTH], "an event of the wire, or eob")
     try:
         if len(values) < decoder.value_count + 2:
-            raise ValueError("too short")
+            raise ValueError("expected more values")
         instance = int(values[1])
         return instance, decoder.decode(index_of(instance, text), values[2:])
     except ValueError as error:
-        raise MalformedLineError(text, f"{name} i {decoder.form}") from error
+        raise MalformedLineError(text, f"{name} i {decoder.syntax}") from error
 
 
 def _decode_boot(text: str) -> tuple[int, Boot]:
@@ -204,7 +227,7 @@
         _, instance, seed, environment = text.split(" ", 3)
         settings = json.loads(environment)
         if not isinstance(settings, dict):
-            raise ValueError("not an object")
+            raise ValueError("expected a JSON object")
         return int(instance), Boot(int(seed), settings)
     except ValueError as error:
         raise MalformedLineError(text[:SHOWN_LINE_LENGTH], "boot i rng-seed env (a JSON object)") from error
@@ -223,10 +246,10 @@
     try:
         instance = int(values[1])
         kind = values[2]
-        int(values[3])  # the version, which is not used
+        int(values[3])  # the version is checked but not used
         count = int(values[LIST_COUNT_POSITION]) if len(values) > LIST_COUNT_POSITION else 0
         if (kind not in LIST_KINDS and kind != LIST_UNAVAILABLE) or count < 0:
-            raise ValueError("not a list")
+            raise ValueError("expected a list")
     except (ValueError, IndexError) as error:
         raise MalformedLineError(text, "topology i kind version members-list") from error
     endpoint_index = index_of(instance, text)
@@ -239,8 +262,8 @@
 def _decode_entry(text: str, endpoint_index: EndpointIndex) -> events.ListedEndpoint:
     values = text.split(" ")
     try:
-        if values[0] != "endpoint" or len(values) < ENTRY_VALUES or values[5] not in STATES:
-            raise ValueError("not an entry")
+        if values[0] != "endpoint" or len(values) < ENTRY_LENGTH or values[5] not in STATES:
+            raise ValueError("expected an entry of a list")
         return events.ListedEndpoint(
             endpoint=endpoint_index(values[1]),
             zone=int(values[2]),
@@ -251,4 +274,4 @@
             started_at=decode_time(values[7]),
         )
     except ValueError as error:
-        raise MalformedLineError(text, ENTRY_FORM) from error
+        raise MalformedLineError(text, ENTRY_SYNTAX) from error
--- a/ravenshelf/simulator/encode.py
+++ b/ravenshelf/simulator/encode.py
@@ -1,17 +1,22 @@
-"""Encodes the controller's commands as lines of the simulator's wire."""
+"""Encoder of the controller's commands as lines of the simulator's protocol."""
 
 import base64
 from collections.abc import Sequence
 
-EVERY_PEER = "*"
-NOTHING = "-"  # in the place of a value
+ALL_PEERS = "*"
+NO_VALUE = "-"  # written in place of a missing value
 MICROSECONDS_PER_MILLISECOND = 1000
 
 
 class WireWriter:
-    """A `CommandWriter` for one instance: `lines` holds what was ordered, in that order.
+    """A `CommandWriter` that collects the commands of one instance as lines.
 
-    `names` are the endpoint names by index; it may grow meanwhile.
+    Args:
+        instance: Number of the instance.
+        names: Names of the endpoints, by index. Names may be added to it later.
+
+    Attributes:
+        lines: The encoded commands, in the order of the calls.
     """
 
     def __init__(self, instance: int, names: Sequence[str]):
@@ -20,57 +25,57 @@
         self._names = names
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
-        """See `CommandWriter`."""
+        """Append the command's line; see `CommandWriter`."""
         self.lines.append(f"set_line {self._instance} {self._names[endpoint]} {table} {weight:.6g}")
 
     def clear_table(self, table: int) -> None:
-        """See `CommandWriter`."""
+        """Append the command's line; see `CommandWriter`."""
         self.lines.append(f"truncate {self._instance} {table}")
 
     def set_ejected(self, endpoint: int, ejected: bool) -> None:
-        """See `CommandWriter`."""
+        """Append the command's line; see `CommandWriter`."""
         self.lines.append(f"bench {self._instance} {int(ejected)} {self._names[endpoint]}")
 
     def bind_proxy(self, proxy: int, table: int, groups: int = 0) -> None:
-        """See `CommandWriter`."""
+        """Append the command's line; see `CommandWriter`."""
         self.lines.append(f"subscribe_to {self._instance} {proxy} {table} {groups}")
 
     def set_admission_level(self, table: int, groups: int, level: float, retry_mode: int) -> None:
-        """See `CommandWriter`."""
+        """Append the command's line; see `CommandWriter`."""
         self.lines.append(f"set_level {self._instance} {level:.6g} {groups} {table} {retry_mode}")
 
     def request_acknowledgement(self, marker: int, all_proxies: bool = False) -> None:
-        """See `CommandWriter`."""
+        """Append the command's line; see `CommandWriter`."""
         self.lines.append(f"mark {self._instance} {marker} {int(all_proxies)}")
 
     def start_timer(self, at: int, key: str) -> None:
-        """See `CommandWriter`."""
+        """Append the command's line; see `CommandWriter`."""
         self.lines.append(f"sleep {self._instance} {at / MICROSECONDS_PER_MILLISECOND:.3f} {key}")
 
     def watch_endpoints(self, enabled: bool) -> None:
-        """See `CommandWriter`."""
+        """Append the command's line; see `CommandWriter`."""
         self.lines.append(f"observe {self._instance} {int(enabled)}")
 
     def fetch_endpoints(self) -> None:
-        """See `CommandWriter`."""
+        """Append the command's line; see `CommandWriter`."""
         self.lines.append(f"get_list {self._instance}")
 
     def check_health(self, endpoint: int) -> None:
-        """See `CommandWriter`."""
+        """Append the command's line; see `CommandWriter`."""
         self.lines.append(f"poll {self._instance} {self._names[endpoint]}")
 
     def send_peer_message(self, peer: int | None, payload: bytes) -> None:
-        """See `CommandWriter`."""
-        receiver = EVERY_PEER if peer is None else peer
-        text = base64.b64encode(payload).decode() or NOTHING
+        """Append the command's line; see `CommandWriter`."""
+        receiver = ALL_PEERS if peer is None else peer
+        text = base64.b64encode(payload).decode() or NO_VALUE
         self.lines.append(f"announce {self._instance} {receiver} {text}")
 
     def log(self, text: str) -> None:
-        """See `CommandWriter`."""
+        """Append the command's line; see `CommandWriter`."""
         self.lines.append(f"record {self._instance} {_on_one_line(text)}")
 
-    def replace_by_fault(self, text: str) -> None:
-        """The controller has failed: report why, and nothing of what it ordered before."""
+    def replace_with_exception(self, text: str) -> None:
+        """Replace all commands by a line that reports why the controller failed."""
         self.lines = [f"exception {self._instance} {_on_one_line(text)}"]
 
 
