--- a/tests/leadership/test_shard_placement.py
+++ b/tests/leadership/test_shard_placement.py
@@ -49,3 +49,16 @@
 def test_a_draining_member_has_no_weight_and_a_late_event_loop_lowers_it():
     assert member_weight(1.0, True, 0, 1) == 0
     assert member_weight(1.0, False, 2, 1) == 0.25
+
+
+def test_at_most_one_shard_of_each_remaining_member_migrates_after_a_loss():
+    """Check a case that the property test above does not draw: its bound does not hold with these weights."""
+    weights = {6: 2.0, 0: 1.0, 2: 1.0}
+    lost_member = 2
+    holders = place_shards([None] * 63, weights)
+    remaining = {member: weight for member, weight in weights.items() if member != lost_member}
+    new_holders = place_shards([None if member == lost_member else member for member in holders], remaining)
+    migrated = sum(new != old for new, old in zip(new_holders, holders, strict=True) if old != lost_member)
+    limits = shard_limits(63, remaining)
+    assert all(holders.count(member) <= limits[member] for member in remaining)
+    assert migrated <= len(remaining)
