--- a/tests/leadership/test_lease_schedules.py
+++ b/tests/leadership/test_lease_schedules.py
@@ -9,13 +9,13 @@
 from standins.controllers import END_US, Defect, SimulatedCluster
 from standins.histories import (
     BindProxy,
+    CommandApplied,
+    CommandSent,
     EjectEndpoint,
     FaultsEnded,
     GrantRetry,
-    LeaseHeld,
+    LeaseAcquired,
     MemberStopped,
-    OrderObeyed,
-    OrderSent,
     ReadmitEndpoint,
     Rule,
     check,
@@ -56,10 +56,10 @@
     stopped = 0
     for seed in range(10):
         events = SimulatedCluster(seed, 3).run()
-        acquired += sum(isinstance(event, LeaseHeld) for event in events)
+        acquired += sum(isinstance(event, LeaseAcquired) for event in events)
         stopped += sum(isinstance(event, MemberStopped) for event in events)
-        sent = [event.order for event in events if isinstance(event, OrderSent)]
-        retries += sum(isinstance(order, GrantRetry) for order in sent)
+        sent = [event.command for event in events if isinstance(event, CommandSent)]
+        retries += sum(isinstance(command, GrantRetry) for command in sent)
     assert acquired > 90 and stopped > 10 and retries > 400
 
 
@@ -92,20 +92,20 @@
 
 def test_the_checker_finds_the_smallest_violations():
     two_holders = [
-        OrderSent(1.0, 0, 0, 70, Permission.FULL, BindProxy()),
-        OrderSent(2.0, 1, 0, 65, Permission.FULL, BindProxy()),
+        CommandSent(1.0, 0, 0, 70, Permission.FULL, BindProxy()),
+        CommandSent(2.0, 1, 0, 65, Permission.FULL, BindProxy()),
     ]
     assert broken_rules(two_holders, 1) == [Rule.SINGLE_LEASE_HOLDER]
     readmitted_by_the_same_list = [
-        OrderObeyed(1.0, 0, 0, 70, EjectEndpoint("s", 3)),
-        OrderObeyed(2.0, 0, 1, 135, ReadmitEndpoint("s", 3)),
+        CommandApplied(1.0, 0, 0, 70, EjectEndpoint("s", 3)),
+        CommandApplied(2.0, 0, 1, 135, ReadmitEndpoint("s", 3)),
     ]
     assert broken_rules(readmitted_by_the_same_list, 1) == [Rule.DRAIN_KEPT]
     not_taken_over = [
-        LeaseHeld(1.0, 0, 0),
+        LeaseAcquired(1.0, 0, 0),
         MemberStopped(2.0, 0),
         FaultsEnded(2.5),
-        OrderObeyed(9.0, 0, 1, 1, BindProxy()),
+        CommandApplied(9.0, 0, 1, 1, BindProxy()),
     ]
     assert broken_rules(not_taken_over, 3) == [Rule.TAKEOVER_IN_TIME]
     assert END_US > 0
