--- a/ravenshelf/net/endpoint_codec.py
+++ b/ravenshelf/net/endpoint_codec.py
@@ -94,7 +94,7 @@
                 )
                 continue
             try:
-                fields = self._fields(target)
+                fields = self._decode_fields(target)
             except (KeyError, TypeError, ValueError, OverflowError) as error:
                 reason = f"{name}: {type(error).__name__} {error}"
                 malformed_entries.append((self.find_index(name), reason))
@@ -105,7 +105,7 @@
                 addresses[index] = target["endpoint"]
         return list(entries.values()), addresses, malformed_entries
 
-    def _fields(self, target: dict[str, Any]) -> tuple[int, int, int, EndpointState, float, int]:
+    def _decode_fields(self, target: dict[str, Any]) -> tuple[int, int, int, EndpointState, float, int]:
         """Return the fields of a `ListedEndpoint` that follow its index."""
         weight = float(target.get("capacity_hint", 1.0))
         start_ms = float(target.get("boot_ms") or 0)
--- a/ravenshelf/net/stream_codec.py
+++ b/ravenshelf/net/stream_codec.py
@@ -344,7 +344,7 @@
         raise ValueError(f"a message exceeds UPDATES_LIMIT with {len(updates)} parts")
     last_number = len(updates) - 1
     lines = [
-        _update_line(update, number < last_number, names, groups) for number, update in enumerate(updates)
+        _encode_update(update, number < last_number, names, groups) for number, update in enumerate(updates)
     ]
     message = ("\r\n".join(lines) + "\r\n").encode()
     if len(message) > LINE_LIMIT_BYTES:
@@ -352,7 +352,7 @@
     return message
 
 
-def _update_line(update: TableUpdate, has_more: bool, names: list[str], groups: list[str]) -> str:
+def _encode_update(update: TableUpdate, has_more: bool, names: list[str], groups: list[str]) -> str:
     words = ["CONFIG"]
     if update.groups:
         words.append("classes=" + "+".join(groups[group] for group in update.groups))
--- a/ravenshelf/simulator/decode.py
+++ b/ravenshelf/simulator/decode.py
@@ -55,7 +55,7 @@
         self.expected = expected
 
 
-def _number(text: str) -> float:
+def _parse_number(text: str) -> float:
     value = float(text)
     if not isfinite(value):
         raise ValueError("expected a finite number")
@@ -68,36 +68,36 @@
     Raises:
         ValueError: The text is not a finite number.
     """
-    return 0 if text == NO_VALUE else round(_number(text) * MICROSECONDS_PER_MILLISECOND)
+    return 0 if text == NO_VALUE else round(_parse_number(text) * MICROSECONDS_PER_MILLISECOND)
 
 
-def _flag(text: str) -> bool:
+def _parse_flag(text: str) -> bool:
     if text not in ("0", "1"):
         raise ValueError("expected 0 or 1")
     return text == "1"
 
 
-def _load(text: str) -> tuple[float, ...]:
-    return () if text == NO_VALUE else tuple(_number(value) for value in text.split(","))
+def _parse_load(text: str) -> tuple[float, ...]:
+    return () if text == NO_VALUE else tuple(_parse_number(value) for value in text.split(","))
 
 
-def _payload(text: str) -> bytes:
+def _parse_payload(text: str) -> bytes:
     try:
         return b"" if text == NO_VALUE else base64.b64decode(text, validate=True)
     except binascii.Error as error:
         raise ValueError("expected base64") from error
 
 
-def _proxy_joined(_: EndpointIndex, values: list[str]) -> events.ProxyJoined:
-    nominal_rate = 0.0 if values[0] == NO_VALUE else _number(values[0])
-    return events.ProxyJoined(int(values[3]), int(values[2]), nominal_rate, _flag(values[1]))
+def _decode_proxy_joined(_: EndpointIndex, values: list[str]) -> events.ProxyJoined:
+    nominal_rate = 0.0 if values[0] == NO_VALUE else _parse_number(values[0])
+    return events.ProxyJoined(int(values[3]), int(values[2]), nominal_rate, _parse_flag(values[1]))
 
 
-def _proxy_left(_: EndpointIndex, values: list[str]) -> events.ProxyLeft:
+def _decode_proxy_left(_: EndpointIndex, values: list[str]) -> events.ProxyLeft:
     return events.ProxyLeft(int(values[0]))
 
 
-def _load_report(endpoint_index: EndpointIndex, values: list[str]) -> events.LoadReport:
+def _decode_load_report(endpoint_index: EndpointIndex, values: list[str]) -> events.LoadReport:
     return events.LoadReport(
         zone=int(values[0]),
         endpoint=endpoint_index(values[2]),
@@ -105,11 +105,11 @@
         failures=int(values[1]),
         mean_latency=decode_time(values[3]),
         window=decode_time(values[4]),
-        load=_load(values[6]),
+        load=_parse_load(values[6]),
     )
 
 
-def _demand_report(_: EndpointIndex, values: list[str]) -> events.DemandReport:
+def _decode_demand_report(_: EndpointIndex, values: list[str]) -> events.DemandReport:
     return events.DemandReport(
         proxy=int(values[0]),
         group=int(values[1]),
@@ -119,25 +119,27 @@
     )
 
 
-def _batch_acknowledged(_: EndpointIndex, values: list[str]) -> events.BatchAcknowledged:
+def _decode_batch_acknowledged(_: EndpointIndex, values: list[str]) -> events.BatchAcknowledged:
     return events.BatchAcknowledged(int(values[0]), int(values[1]), decode_time(values[2]))
 
 
-def _timer_expired(_: EndpointIndex, values: list[str]) -> events.TimerExpired:
+def _decode_timer_expired(_: EndpointIndex, values: list[str]) -> events.TimerExpired:
     return events.TimerExpired(values[0])
 
 
-def _health_check_completed(endpoint_index: EndpointIndex, values: list[str]) -> events.HealthCheckCompleted:
+def _decode_health_check_completed(
+    endpoint_index: EndpointIndex, values: list[str]
+) -> events.HealthCheckCompleted:
     return events.HealthCheckCompleted(
-        endpoint_index(values[0]), values[1] == "OK", decode_time(values[2]), _load(values[3])
+        endpoint_index(values[0]), values[1] == "OK", decode_time(values[2]), _parse_load(values[3])
     )
 
 
-def _peer_message_received(_: EndpointIndex, values: list[str]) -> events.PeerMessageReceived:
-    return events.PeerMessageReceived(int(values[0]), _payload(values[1]))
+def _decode_peer_message_received(_: EndpointIndex, values: list[str]) -> events.PeerMessageReceived:
+    return events.PeerMessageReceived(int(values[0]), _parse_payload(values[1]))
 
 
-def _slice_demand_report(_: EndpointIndex, values: list[str]) -> events.SliceDemandReport:
+def _decode_slice_demand_report(_: EndpointIndex, values: list[str]) -> events.SliceDemandReport:
     return events.SliceDemandReport(
         slice=int(values[4]),
         group=int(values[3]),
@@ -147,12 +149,12 @@
     )
 
 
-def _slice_assigned(_: EndpointIndex, values: list[str]) -> events.SliceAssigned:
-    return events.SliceAssigned(int(values[0]), _flag(values[1]))
+def _decode_slice_assigned(_: EndpointIndex, values: list[str]) -> events.SliceAssigned:
+    return events.SliceAssigned(int(values[0]), _parse_flag(values[1]))
 
 
-def _slice_weight_stored(endpoint_index: EndpointIndex, values: list[str]) -> events.SliceWeightStored:
-    return events.SliceWeightStored(int(values[1]), endpoint_index(values[0]), _number(values[2]))
+def _decode_slice_weight_stored(endpoint_index: EndpointIndex, values: list[str]) -> events.SliceWeightStored:
+    return events.SliceWeightStored(int(values[1]), endpoint_index(values[0]), _parse_number(values[2]))
 
 
 class EventDecoder(NamedTuple):
@@ -170,19 +172,19 @@
 
 
 DECODERS = {
-    "enrolled": EventDecoder(4, _proxy_joined, "share on rack-zone proxy"),
-    "detached": EventDecoder(1, _proxy_left, "proxy"),
+    "enrolled": EventDecoder(4, _decode_proxy_joined, "share on rack-zone proxy"),
+    "detached": EventDecoder(1, _decode_proxy_left, "proxy"),
     "tally": EventDecoder(
-        7, _load_report, "rack-zone unanswered endpoint cost-time-ms window-ms number metrics"
+        7, _decode_load_report, "rack-zone unanswered endpoint cost-time-ms window-ms number metrics"
     ),
-    "proxy_stats": EventDecoder(5, _demand_report, "proxy grade number unanswered window-ms"),
-    "acked": EventDecoder(3, _batch_acknowledged, "proxy version cost-time-ms"),
-    "due": EventDecoder(1, _timer_expired, "key-back"),
-    "checked": EventDecoder(4, _health_check_completed, "endpoint rc cost-time-ms metrics"),
-    "neighbour_says": EventDecoder(2, _peer_message_received, "neighbour octets"),
-    "slice_load": EventDecoder(5, _slice_demand_report, "window-ms unanswered number grade tbl"),
-    "handed": EventDecoder(2, _slice_assigned, "tbl on"),
-    "in_store": EventDecoder(3, _slice_weight_stored, "endpoint tbl share"),
+    "proxy_stats": EventDecoder(5, _decode_demand_report, "proxy grade number unanswered window-ms"),
+    "acked": EventDecoder(3, _decode_batch_acknowledged, "proxy version cost-time-ms"),
+    "due": EventDecoder(1, _decode_timer_expired, "key-back"),
+    "checked": EventDecoder(4, _decode_health_check_completed, "endpoint rc cost-time-ms metrics"),
+    "neighbour_says": EventDecoder(2, _decode_peer_message_received, "neighbour octets"),
+    "slice_load": EventDecoder(5, _decode_slice_demand_report, "window-ms unanswered number grade tbl"),
+    "handed": EventDecoder(2, _decode_slice_assigned, "tbl on"),
+    "in_store": EventDecoder(3, _decode_slice_weight_stored, "endpoint tbl share"),
 }
 
 
@@ -270,7 +272,7 @@
             machine_kind=int(values[3]),
             cell=int(values[4]),
             state=STATES[values[5]],
-            weight=_number(values[6]),
+            weight=_parse_number(values[6]),
             started_at=decode_time(values[7]),
         )
     except ValueError as error:
--- a/ravenshelf/state/message_building.py
+++ b/ravenshelf/state/message_building.py
@@ -31,7 +31,7 @@
                 self._add_levels(None, groups, updates)
             else:
                 self._add_table(proxy, table, groups, updates, weighted_endpoints)
-        endpoints_to_eject, endpoints_to_readmit = self._ejections(proxy, weighted_endpoints)
+        endpoints_to_eject, endpoints_to_readmit = self._select_ejections(proxy, weighted_endpoints)
         if endpoints_to_eject or endpoints_to_readmit:
             updates = updates or [TableUpdate()]
             updates[0].ejected_endpoints = endpoints_to_eject
@@ -102,7 +102,7 @@
             else:
                 updates.append(TableUpdate(update_groups, admission_level=level))
 
-    def _ejections(
+    def _select_ejections(
         self, proxy: ProxyTableState, weighted_endpoints: dict[int, None]
     ) -> tuple[list[int], list[int]]:
         """Return the endpoints that the message ejects and those that it readmits.
