--- a/tests/net/test_connection_end.py
+++ b/tests/net/test_connection_end.py
@@ -1,4 +1,4 @@
-"""Which event reports each end of a connection."""
+"""The event type that reports each end of a connection."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    "purpose, end, told",
+    "purpose, end, expected_type",
     [
         (STREAM, ConnectionEnd.CLOSED, ProxyLeft),
         (STREAM, ConnectionEnd.RESET, ProxyLeft),
@@ -55,5 +55,5 @@
         ],
     ],
 )
-def test_each_connection_end_has_one_outcome(purpose, end, told):
-    assert end_event_type(purpose, end) is told
+def test_each_connection_end_is_reported_by_its_event_type(purpose, end, expected_type):
+    assert end_event_type(purpose, end) is expected_type
--- a/tests/net/test_endpoint_codec.py
+++ b/tests/net/test_endpoint_codec.py
@@ -1,4 +1,4 @@
-"""The endpoint registry's lists."""
+"""Decoding of the endpoint registry's lists."""
 
 import json
 
@@ -33,12 +33,12 @@
 
 def test_entries_are_decoded_and_malformed_ones_reported():
     names = []
-    read = endpoint_codec.EndpointListDecoder(
+    decoder = endpoint_codec.EndpointListDecoder(
         Settings(zones=("a", "b"), machine_kinds=("m1", "m2")),
         lambda name: names.append(name) or len(names) - 1,
         {"s-2": 9}.get,
     )
-    said = [
+    targets = [
         target("s-1", "b", "DRAINING", model="m2", pod_group=3, boot_ms=1500.5, endpoint="10.0.0.1:8080"),
         target("s-2", state="ASLEEP"),
         target("s-3", az="z"),
@@ -49,9 +49,9 @@
         target("s-7", endpoint=None, colour="blue"),
         {"uid": "s-8"},
     ]
-    entries, addresses, broken = read.decode_entries(json.loads(json.dumps(said)))
+    entries, addresses, malformed_entries = decoder.decode_entries(json.loads(json.dumps(targets)))
     assert entries == [
         ListedEndpoint(0, 1, 1, 3, EndpointState.DRAINING, 4.0, 1_500_500),
         ListedEndpoint(1, 0, 0, 0, EndpointState.READY, 4.0, 0),
     ]
-    assert addresses == {0: "10.0.0.1:8080"} and [index for index, _ in broken] == [9] + 6 * [None]
+    assert addresses == {0: "10.0.0.1:8080"} and [index for index, _ in malformed_entries] == [9] + 6 * [None]
--- a/tests/net/test_stream_codec.py
+++ b/tests/net/test_stream_codec.py
@@ -1,4 +1,4 @@
-"""The encoding of messages and the decoding of load columns."""
+"""Encoding of messages and decoding of load columns."""
 
 import pytest
 
@@ -25,7 +25,7 @@
     assert stream_codec.format_decimal(value) == text and (float(text) > 0) == (value > 0)
 
 
-def test_a_message_of_several_parts_is_encoded_as_lines():
+def test_a_message_is_encoded_as_one_line_for_each_update():
     updates = [
         TableUpdate((0, 1), True, [(0, 1.5), (1, 0)], None, [1], [0]),
         TableUpdate((1,), admission_level=AdmissionLevel(0.5, 1), marker=9),
@@ -34,13 +34,13 @@
         b"CONFIG classes=look+pay whole=1 lines=s-1:1.5,s-2:0 out=s-2 back=s-1 more=1\r\n"
         b"CONFIG classes=pay level=0.5 retry=1 ticket=9\r\n"
     )
-    assert [p.count_lines() for p in updates] == [5, 2]
+    assert [update.count_lines() for update in updates] == [5, 2]
     with pytest.raises(ValueError):
         stream_codec.encode_message([TableUpdate()] * 65, [], [])
 
 
 @pytest.mark.parametrize(
-    "text, columns, report",
+    "text, columns, expected_load",
     [
         ("inflight=7,queue=2,util=0.61", ["cpu", "active"], (0.61, 7.0)),
         ("inflight=7", ["active", "cpu"], ()),
@@ -49,11 +49,13 @@
         ("util=0.5,x0=3", ["cpu"], (0.5,)),
         ("inflight", ["active"], ()),
         (
-            ",".join(f"{word}={n}" for n, word in enumerate(LOAD_COLUMN_ALIASES)),
+            ",".join(f"{word}={number}" for number, word in enumerate(LOAD_COLUMN_ALIASES)),
             list(LOAD_COLUMN_ALIASES.values()),
             tuple(range(6)),
         ),
     ],
 )
-def test_load_columns_are_decoded_by_name(text, columns, report):
-    assert stream_codec.decode_load_columns(stream_codec.parse_named_values(text, "="), columns) == report
+def test_load_columns_are_decoded_by_name(text, columns, expected_load):
+    assert (
+        stream_codec.decode_load_columns(stream_codec.parse_named_values(text, "="), columns) == expected_load
+    )
--- a/tests/state/test_counters.py
+++ b/tests/state/test_counters.py
@@ -1,4 +1,4 @@
-"""Counters."""
+"""Maximum and text of counters."""
 
 from ravenshelf.state.counters import Counters
 
--- a/tests/state/test_endpoint_registry.py
+++ b/tests/state/test_endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The copy of the endpoint list: versions, and the indices of endpoints."""
+"""Versions of the endpoint list, and reuse of indices."""
 
 import pytest
 from proxy_messages import updates_by_proxy
@@ -23,23 +23,25 @@
 
 
 @pytest.mark.parametrize(
-    "kind, rev, after, taken, left",
+    "kind, version, after_version, expected_event, expected_indices",
     [
         (ListKind.UPDATE, 6, 5, EndpointsListed(ListKind.UPDATE, (GONE,)), [1]),
         (ListKind.UPDATE, 9, 4, EndpointsListed(ListKind.UPDATE, (GONE,)), [1]),
-        (ListKind.UPDATE, 5, 4, None, [0, 1]),  # a watch that a fetched list has overtaken
+        (ListKind.UPDATE, 5, 4, None, [0, 1]),  # the current list contains these changes
         (ListKind.REPLACE, 7, None, EndpointsListed(ListKind.REPLACE, (GONE,)), []),
         (ListKind.REPLACE, 5, None, EndpointsListed(ListKind.REPLACE, (GONE,)), []),
-        (ListKind.REPLACE, 4, None, None, [0, 1]),  # an older list overwrites nothing
+        (ListKind.REPLACE, 4, None, None, [0, 1]),  # an older list is ignored
     ],
 )
-def test_lists_and_changes_are_taken_by_version(kind, rev, after, taken, left):
+def test_lists_and_changes_of_older_versions_are_ignored(
+    kind, version, after_version, expected_event, expected_indices
+):
     registry = two_listed_endpoints()
-    assert registry.update(kind, rev, [GONE], {}, after) == taken
-    assert sorted(registry.entries) == left == sorted(registry.addresses)
+    assert registry.update(kind, version, [GONE], {}, after_version) == expected_event
+    assert sorted(registry.entries) == expected_indices == sorted(registry.addresses)
 
 
-def test_changes_that_start_beyond_the_version_held_are_rejected():
+def test_changes_that_start_after_the_current_version_are_rejected():
     registry = two_listed_endpoints()
     with pytest.raises(VersionGapError) as raised:
         registry.update(ListKind.UPDATE, 7, [GONE], {}, 6)
@@ -48,35 +50,38 @@
 
 
 @pytest.mark.parametrize(
-    "waited, used, index",
+    "elapsed_us, used_indices, expected_index",
     [(INDEX_REUSE_DELAY_US, set(), 1), (INDEX_REUSE_DELAY_US - 1, set(), 3), (INDEX_REUSE_DELAY_US, {1}, 3)],
 )
-def test_an_index_is_reassigned_only_long_after_its_endpoint_left(waited, used, index):
+def test_an_index_is_reassigned_only_if_unused_and_long_after_its_endpoint_was_delisted(
+    elapsed_us, used_indices, expected_index
+):
     now = [1000]
-    registry = EndpointRegistry(lambda: now[0], used.__contains__)
-    assert [registry.index_of(n) for n in ("s-1", "s-2", "s-1", "s-3")] == [0, 1, 0, 2]
+    registry = EndpointRegistry(lambda: now[0], used_indices.__contains__)
+    assert [registry.index_of(name) for name in ("s-1", "s-2", "s-1", "s-3")] == [0, 1, 0, 2]
     registry.update(ListKind.REPLACE, 1, [entry(0), entry(1), entry(2)], {})
     registry.update(ListKind.UPDATE, 2, [entry(1, EndpointState.GONE), entry(2, EndpointState.DRAINING)], {})
     now[0] += 5
     registry.update(ListKind.REPLACE, 3, [entry(0), entry(2, EndpointState.DRAINING)], {})
-    now[0] += waited - 5
+    now[0] += elapsed_us - 5
     assert (
-        registry.index_of("s-4") == index
-        and registry.names[index] == "s-4"
+        registry.index_of("s-4") == expected_index
+        and registry.names[expected_index] == "s-4"
         and registry.index_by_name["s-1"] == 0
     )
-    assert ("s-2" in registry.index_by_name) == (index == 3) and len(registry.index_by_name) == len(
+    assert ("s-2" in registry.index_by_name) == (expected_index == 3) and len(registry.index_by_name) == len(
         registry.names
     )
 
 
-def test_a_reassigned_index_carries_no_ejections_and_a_returning_endpoint_is_readmitted():
+def test_a_reassigned_index_has_no_ejections_and_a_returning_endpoint_is_readmitted():
     now, tables = [1000], ProxyTables(group_count=1, is_only_server=True)
     registry = EndpointRegistry(
         lambda: now[0], tables.has_endpoint, tables.forget_ejections, tables.assume_ejected
     )
 
-    def told(index):
+    def ejections_after_readmission(index):
+        """Readmit the endpoint, send its table and return the ejections and readmissions by proxy."""
         tables.set_ejected(index, False)
         for proxy in (1, 2):
             tables.set_weight(0, index, 1.0)
@@ -88,8 +93,9 @@
 
     registry.update(ListKind.REPLACE, 1, [entry(registry.index_of("s-1"))], {})
     tables.add_proxy(1, True)
-    assert told(0) == [(1, [], [])]
-    tables.add_proxy(2, True)  # holds a table of which nothing is known yet: it is told to shut s-1 out
+    assert ejections_after_readmission(0) == [(1, [], [])]
+    # Proxy 2 is not bound to a table, so it may use s-1 and is sent the ejection.
+    tables.add_proxy(2, True)
     tables.set_ejected(0, True)
     tables.set_weight(0, 7, 1.0)
     tables.set_weight(0, 0, 0)
@@ -98,9 +104,9 @@
     now[0] += INDEX_REUSE_DELAY_US
     assert registry.index_of("s-2") == 0
     registry.update(ListKind.UPDATE, 3, [entry(0)], {})
-    assert told(0) == [(1, [], []), (2, [], [])]  # nobody ever shut out s-2
+    assert ejections_after_readmission(0) == [(1, [], []), (2, [], [])]  # s-2 was never ejected
     registry.update(ListKind.UPDATE, 4, [entry(registry.index_of("s-1"))], {})
-    assert registry.index_by_name["s-1"] == 1 and told(1) == [
+    assert registry.index_by_name["s-1"] == 1 and ejections_after_readmission(1) == [
         (1, [], [1]),
         (2, [], [1]),
-    ]  # somebody may shut out s-1 still
+    ]  # any proxy may still have s-1 ejected
--- a/tests/state/test_proxy_tables_model.py
+++ b/tests/state/test_proxy_tables_model.py
@@ -1,4 +1,4 @@
-"""Random commands against what they mean to proxies, and the work of a control cycle."""
+"""Random commands against a model of proxies, and the number of messages that a control cycle builds."""
 
 import random
 
@@ -11,35 +11,52 @@
 from ravenshelf.state.table_update import TableUpdate
 
 
-class Obedient:
-    """A proxy that does as messages say and keeps what it holds when its stream breaks."""
+class ModelProxy:
+    """A proxy that applies messages, and keeps its tables and ejections when its stream ends."""
 
     def __init__(self):
-        self.lines, self.levels, self.out = {0: {9: 1.0}, 1: {9: 1.0}}, {}, set()
+        self.lines_by_group, self.levels, self.excluded_endpoints = {0: {9: 1.0}, 1: {9: 1.0}}, {}, set()
 
-    def obey(self, updates):
+    def apply(self, updates):
         for update in updates:
-            for g in update.groups or (0, 1):
+            for group in update.groups or (0, 1):
                 if update.is_complete:
-                    self.lines[g], self.levels = {}, {k: v for k, v in self.levels.items() if k != g}
-                self.lines[g] = {e: w for e, w in {**self.lines[g], **dict(update.weights)}.items() if w}
+                    self.lines_by_group[group], self.levels = (
+                        {},
+                        {key: level for key, level in self.levels.items() if key != group},
+                    )
+                self.lines_by_group[group] = {
+                    endpoint: weight
+                    for endpoint, weight in {**self.lines_by_group[group], **dict(update.weights)}.items()
+                    if weight
+                }
                 if update.admission_level:
-                    self.levels[g] = update.admission_level
-            self.out = (self.out | set(update.ejected_endpoints)) - set(update.readmitted_endpoints)
+                    self.levels[group] = update.admission_level
+            self.excluded_endpoints = (self.excluded_endpoints | set(update.ejected_endpoints)) - set(
+                update.readmitted_endpoints
+            )
 
-    def picks(self, group):
-        return {e: w for e, w in self.lines[group].items() if e not in self.out}
+    def usable_weights(self, group):
+        return {
+            endpoint: weight
+            for endpoint, weight in self.lines_by_group[group].items()
+            if endpoint not in self.excluded_endpoints
+        }
 
 
-def join_proxies(chance, tables, proxies, alone):
+def join_proxies(random_source, tables, proxies, has_no_other_server):
     for number, proxy in proxies.items():
-        if number not in tables.proxies and chance.random() < 0.5:
-            if not alone:  # another server had it meanwhile
-                proxy.obey(
-                    [TableUpdate(ejected_endpoints=chance.sample(range(6), 2), readmitted_endpoints=[])]
+        if number not in tables.proxies and random_source.random() < 0.5:
+            if not has_no_other_server:  # the proxy was connected to another server in between
+                proxy.apply(
+                    [
+                        TableUpdate(
+                            ejected_endpoints=random_source.sample(range(6), 2), readmitted_endpoints=[]
+                        )
+                    ]
                 )
-            fresh = number not in tables.past_ejections and alone
-            tables.add_proxy(number, fresh)
+            is_fresh = number not in tables.past_ejections and has_no_other_server
+            tables.add_proxy(number, is_fresh)
 
 
 def reconcile(tables):
@@ -47,16 +64,19 @@
         tables.reconcile_ejections(number, tables.possible_ejections(number))
 
 
-def give_random_command(chance, tables):
-    table, endpoint = chance.randrange(3), chance.randrange(6)
-    chance.choice(
+def give_random_command(random_source, tables):
+    table, endpoint = random_source.randrange(3), random_source.randrange(6)
+    random_source.choice(
         [
-            lambda: tables.set_weight(table, endpoint, chance.choice([0, 1.0, 2.5])),
+            lambda: tables.set_weight(table, endpoint, random_source.choice([0, 1.0, 2.5])),
             lambda: tables.set_weight(table, endpoint, 1.5),
-            lambda: tables.set_ejected(endpoint, chance.random() < 0.6),
-            lambda: tables.bind_proxy(chance.randrange(4), table, chance.randrange(4)),
+            lambda: tables.set_ejected(endpoint, random_source.random() < 0.6),
+            lambda: tables.bind_proxy(random_source.randrange(4), table, random_source.randrange(4)),
             lambda: tables.set_admission_level(
-                chance.choice([table, ALL_TABLES]), chance.randrange(4), chance.random(), 1
+                random_source.choice([table, ALL_TABLES]),
+                random_source.randrange(4),
+                random_source.random(),
+                1,
             ),
             lambda: tables.clear_table(table),
         ]
@@ -64,7 +84,7 @@
 
 
 def lowest_level(contents, table, group):
-    levels = [contents.admission_levels.get(each, {}).get(group) for each in (table, ALL_TABLES)]
+    levels = [contents.admission_levels.get(key, {}).get(group) for key in (table, ALL_TABLES)]
     return min((level for level, _ in filter(None, levels)), default=None)
 
 
@@ -73,63 +93,72 @@
     for number, state in tables.proxies.items():
         for group, table in state.table_by_group.items():
             weights = contents.weights.get(table, {})
-            meant = {e: weight for e, weight in weights.items() if e not in contents.ejected_endpoints}
-            assert proxies[number].picks(group) == meant
+            expected_weights = {
+                endpoint: weight
+                for endpoint, weight in weights.items()
+                if endpoint not in contents.ejected_endpoints
+            }
+            assert proxies[number].usable_weights(group) == expected_weights
             level = proxies[number].levels.get(group, (None,))[0]
             assert level == lowest_level(contents, table, group)
 
 
-@pytest.mark.parametrize("alone", [True, False])
+@pytest.mark.parametrize("has_no_other_server", [True, False])
 @pytest.mark.parametrize("seed", range(12))
-def test_proxies_end_up_with_what_the_commands_mean(seed, alone):
-    chance, tables = random.Random(seed), ProxyTables(2, alone)
-    proxies = {number: Obedient() for number in range(4)}
+def test_proxies_hold_what_random_commands_specify(seed, has_no_other_server):
+    random_source, tables = random.Random(seed), ProxyTables(2, has_no_other_server)
+    proxies = {number: ModelProxy() for number in range(4)}
     for _ in range(60):
-        join_proxies(chance, tables, proxies, alone)
+        join_proxies(random_source, tables, proxies, has_no_other_server)
         reconcile(tables)
-        for _ in range(chance.randrange(4)):
-            give_random_command(chance, tables)
-        lost = chance.choice([*tables.proxies, *[None] * 8])
+        for _ in range(random_source.randrange(4)):
+            give_random_command(random_source, tables)
+        lost_proxy = random_source.choice([*tables.proxies, *[None] * 8])
         for number, updates in updates_by_proxy(tables).items():
-            if number != lost:
-                proxies[number].obey(updates)
-        if lost is not None:  # its stream broke before the message came
-            tables.remove_proxy(lost)
+            if number != lost_proxy:
+                proxies[number].apply(updates)
+        if lost_proxy is not None:  # its stream ended before it received the message
+            tables.remove_proxy(lost_proxy)
         reconcile(tables)
         for number, updates in updates_by_proxy(tables).items():
-            proxies[number].obey(updates)
+            proxies[number].apply(updates)
         check_proxies(tables, proxies)
 
 
-def test_a_cycle_builds_messages_only_for_the_proxies_it_concerns(monkeypatch):
-    """At full size every round walked all proxies: a core was busy with those of whom nothing was ordered."""
-    tables, looked = ProxyTables(2, False), []
-    build = MessageBuilder.build_updates
+def test_a_cycle_builds_messages_only_for_affected_proxies(monkeypatch):
+    """Guard against a cycle that examines every proxy.
+
+    At full size such cycles kept a core busy with proxies that no command concerned.
+    """
+    tables, built_states = ProxyTables(2, False), []
+    original_method = MessageBuilder.build_updates
     monkeypatch.setattr(
-        MessageBuilder, "build_updates", lambda self, proxy: looked.append(proxy) or build(self, proxy)
+        MessageBuilder,
+        "build_updates",
+        lambda self, proxy: built_states.append(proxy) or original_method(self, proxy),
     )
     for table in range(10):
         tables.set_weight(table, table, 1.0)
     for proxy in range(1000):
         tables.add_proxy(proxy, proxy % 2 == 0)
         tables.bind_proxy(proxy, proxy % 10)
-    assert len(tables.build_messages()) == len(looked) == 1000
+    assert len(tables.build_messages()) == len(built_states) == 1000
     tables.proxies_to_reconcile()
-    for order in (
+    for give_command in (
         lambda: tables.set_weight(3, 77, 1.0),
         lambda: tables.set_ejected(3, True),
         lambda: tables.set_admission_level(3, 0, 2.0, 1),
     ):
-        looked.clear()
-        order()
+        built_states.clear()
+        give_command()
         assert [message.proxy for message in tables.build_messages()] == list(range(3, 1000, 10)) and len(
-            looked
+            built_states
         ) == 100
     tables.set_ejected(3, False)
     assert len(tables.build_messages()) == 100
-    assert [p for p, _ in tables.proxies_to_reconcile()] == [p for p in range(1, 1000, 2)]
+    assert [number for number, _ in tables.proxies_to_reconcile()] == [number for number in range(1, 1000, 2)]
     tables.remove_proxy(5)
     tables.add_proxy(5, True)
-    looked.clear()
-    tables.set_ejected(5, True)  # one that is not bound may hold anything
-    assert [message.proxy for message in tables.build_messages()][-1] == 5 and len(looked) == 100
+    built_states.clear()
+    tables.set_ejected(5, True)  # proxy 5 is not bound to a table, so it may use any
+    assert [message.proxy for message in tables.build_messages()][-1] == 5 and len(built_states) == 100
--- a/tests/state/test_slots.py
+++ b/tests/state/test_slots.py
@@ -1,9 +1,9 @@
-"""Numbers of slots."""
+"""Numbers of slots and their reuse."""
 
 from ravenshelf.state.slots import SlotTable
 
 
-def test_released_slots_are_used_again_and_full_tables_give_none():
+def test_released_numbers_are_reused_and_a_full_table_returns_none():
     slots = SlotTable(2)
     assert [slots.acquire("a"), slots.acquire("b"), slots.acquire("c")] == [0, 1, None]
     slots.release(0)
