--- a/ravenshelf/net/stream_codec.py
+++ b/ravenshelf/net/stream_codec.py
@@ -45,7 +45,7 @@
 class UnreadableConnectionError(MalformedMessageError):
     """A line that is not a message, or a message that is not valid on its connection.
 
-    The connection must be closed, because nothing else on it can be trusted.
+    The connection is of no further use and must be closed.
     """
 
 
--- a/ravenshelf/simulator/decode.py
+++ b/ravenshelf/simulator/decode.py
@@ -214,7 +214,7 @@
         return _decode_list(text, values, index_of, next_line)
     decoder = DECODERS.get(name)
     if decoder is None:
-        raise MalformedLineError(text[:SHOWN_LINE_LENGTH], "an event of the wire, or eob")
+        raise MalformedLineError(text[:SHOWN_LINE_LENGTH], "an event of the protocol, or eob")
     try:
         if len(values) < decoder.value_count + 2:
             raise ValueError("expected more values")
--- a/ravenshelf/simulator/host.py
+++ b/ravenshelf/simulator/host.py
@@ -97,7 +97,7 @@
     """All instances of one simulation."""
 
     def __init__(self) -> None:
-        self._instances: dict[int, Instance] = {}
+        self._instances: dict[int, Instance] = {}  # by number
 
     def answer_batch(self, head: str, next_line: Callable[[], str]) -> list[str]:
         """Run the instances that a batch concerns, and return the reply.
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -53,8 +53,8 @@
         ("topology 3 sideways 1 0", "expected topology i kind"),
         ("topology 3 update 1 1\nendpoint endpoint.aa 0 0 0 asleep 4 -", "expected 'endpoint' name"),
         ("boot 4 1 [1]", "expected boot i rng-seed env"),
-        ("hello 3", "expected an event of the wire"),
-        ("", "expected an event of the wire"),
+        ("hello 3", "expected an event of the protocol"),
+        ("", "expected an event of the protocol"),
     ],
 )
 def test_a_malformed_line_is_reported_without_a_partial_reply(capsys, line, expected_error):
