--- a/benchmarks/graphite.py
+++ b/benchmarks/graphite.py
@@ -31,7 +31,7 @@
 from ravenshelf.state.counters import Counters
 from standins import collectd as sender
 from standins.carbon import CarbonReceiver, StopReading
-from standins.loopback import LoopbackProxy, LoopbackRegistry, listed_endpoint, server_configuration
+from standins.loopback import LoopbackProxy, LoopbackRegistry, registry_entry, server_configuration
 
 PROXIES = 20
 ENDPOINTS = 40
@@ -56,13 +56,13 @@
         self.address = ""
         self.awaited: dict[tuple[int, str], float] = {}  # time of the change by (proxy, endpoint)
         self.proxies = [
-            LoopbackProxy(lambda: self.address, number, "north", line_received=self.on_line)
+            LoopbackProxy(lambda: self.address, number, "north", on_line=self.on_line)
             for number in range(PROXIES)
         ]
 
     async def start(self, stack: contextlib.AsyncExitStack, operator_file: str) -> None:
         """Start the server and wait until every proxy has a table."""
-        listed = [listed_endpoint(f"s-{number}", "north") for number in range(ENDPOINTS)]
+        listed = [registry_entry(f"s-{number}", "north") for number in range(ENDPOINTS)]
         self.discovery = await LoopbackRegistry(listed).start()
         limits = {"lines-per-s": 100_000, "most-waiting": 100_000}
         configuration = server_configuration("", ["north"], PROXIES, **limits)
@@ -70,7 +70,7 @@
             server_process(self.discovery.address, ["--operator", operator_file], configuration, True)
         )
         self.tasks = [asyncio.create_task(proxy.run()) for proxy in self.proxies]
-        while not all(proxy.lines() for proxy in self.proxies):
+        while not all(proxy.active_weights() for proxy in self.proxies):
             await asyncio.sleep(0.05)
 
     def on_line(self, proxy: LoopbackProxy, line: str) -> None:
@@ -94,8 +94,10 @@
     async def drain(self, endpoint: str) -> None:
         """Drain an endpoint; every proxy that holds it awaits a line. Its return is not timed."""
         now = time.monotonic()
-        self.awaited |= {(proxy.number, endpoint): now for proxy in self.proxies if endpoint in proxy.lines()}
-        await self.discovery.change(endpoint, "DRAINING")
+        self.awaited |= {
+            (proxy.number, endpoint): now for proxy in self.proxies if endpoint in proxy.active_weights()
+        }
+        await self.discovery.change_endpoint(endpoint, "DRAINING")
 
     def result(self) -> dict[str, float]:
         """Return the quantiles, and the lines that never came."""
@@ -128,7 +130,7 @@
         "late_ms": round(results["hanging"]["max"] - results["absent"]["max"], 2),
         "growth_mb": round(max(second_half) - second_half[0], 2) if second_half else 0.0,
         "seconds": seconds,
-        "carbon_connections": receiver.connections,
+        "carbon_connections": receiver.connection_count,
     }
 
 
@@ -147,7 +149,7 @@
             # not in step with the intervals of anything
             await asyncio.sleep(CHANGE_INTERVAL_S * random_source.uniform(0.5, 1.5))
         for side in order:
-            await side.discovery.change(endpoint, "SERVING")
+            await side.discovery.change_endpoint(endpoint, "SERVING")
         await asyncio.sleep(CHANGE_INTERVAL_S)
         changes += 1
         if changes % MEMORY_SAMPLE_CHANGES == 0:
--- a/benchmarks/scale/agreement.py
+++ b/benchmarks/scale/agreement.py
@@ -13,8 +13,8 @@
 from ravenshelf.policy.events import EndpointState, ListedEndpoint, ListKind, ProxyJoined
 from ravenshelf.settings import decode_settings
 from ravenshelf.state.endpoint_registry import EndpointRegistry
-from standins.installation import ports
-from standins.loopback import LoopbackProxy, LoopbackRegistry, listed_endpoint, server_configuration
+from standins.installation import find_free_ports
+from standins.loopback import LoopbackProxy, LoopbackRegistry, registry_entry, server_configuration
 from standins.server_process import running_server
 
 ZONE = "north"
@@ -49,7 +49,7 @@
     """A list of so many endpoints, of which one drains and then another goes."""
 
     def __init__(self, endpoints: int):
-        self.entries = [listed_endpoint(f"s-{n}", ZONE) for n in range(endpoints)]
+        self.entries = [registry_entry(f"s-{n}", ZONE) for n in range(endpoints)]
         self.changes = [("s-1", "DRAINING"), ("s-2", "DELETED")]
 
     def configuration(self, registry: str, listen: str) -> dict:
@@ -65,10 +65,10 @@
     messages: list[bytes] = []
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "pilot.json"
-        address = f"127.0.0.1:{ports(1)[0]}"
+        address = f"127.0.0.1:{find_free_ports(1)[0]}"
         file.write_text(json.dumps(script.configuration(registry.address, address)))
         async with running_server(file):
-            await _until(lambda: registry.watches > 0)
+            await _until(lambda: registry.watch_count > 0)
             await asyncio.sleep(QUIET)  # the list is known before the proxy joins, as in the simulated server
             proxy = LoopbackProxy(
                 lambda: address, 0, ZONE, USUAL, lambda _, line: messages.append(line.rstrip("\r\n").encode())
@@ -77,7 +77,7 @@
             await _quiet(messages, 1)
             for uid, state in script.changes:
                 before = len(messages)
-                await registry.change(uid, state)
+                await registry.change_endpoint(uid, state)
                 await _quiet(messages, before + 1)
             running.cancel()
     return messages
--- a/benchmarks/scale/sockets.py
+++ b/benchmarks/scale/sockets.py
@@ -24,7 +24,7 @@
 from ravenshelf.distribution.node import Node
 from ravenshelf.distribution.owner_service import OwnerService
 from ravenshelf.distribution.subscription_service import SubscriptionService
-from standins.installation import ports
+from standins.installation import find_free_ports
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
@@ -83,7 +83,7 @@
         owner_at = await self.owner.start("127.0.0.1:0")
         for service in self.services:
             self.owner.acquire(service, PublicationLease(1, clock() + 3600 * SECOND))
-        relay_at = f"127.0.0.1:{ports(1)[0]}"
+        relay_at = f"127.0.0.1:{find_free_ports(1)[0]}"
         file = self.folder / "relay.toml"
         file.write_text(
             f'[distribution]\nname = "relay-0"\ncluster = "bench"\nlisten = "{relay_at}"\nowners = true\n'
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -61,7 +61,7 @@
 
 async def lose(installation: Installation, name: str, loss: Loss) -> list[float]:
     """Seconds from the loss of a member to each of its proxies' next complete table, of a later term."""
-    number = installation.names.index(name)
+    number = installation.server_names.index(name)
     terms = {proxy.number: proxy.term for proxy in installation.proxies if proxy.owner == number}
     proxies = [installation.proxies[proxy] for proxy in terms]
     began = time.monotonic()
@@ -69,7 +69,7 @@
         await installation.kill(name)
     else:
         installation.signal(name, signal.SIGSTOP)
-    await installation.until(
+    await installation.wait_until(
         lambda: all(
             proxy.term > terms[proxy.number] and proxy.complete_table_at > began for proxy in proxies
         ),
@@ -77,7 +77,7 @@
     )
     times = [proxy.complete_table_at - began for proxy in proxies]
     if loss is Loss.KILL:
-        await installation.run(name)
+        await installation.start_process(name)
     else:
         await asyncio.sleep(PAUSE_AFTER_TAKEOVER_S)
         installation.signal(name, signal.SIGCONT)
@@ -92,20 +92,20 @@
         await installation.start()
         try:
             share = plan.proxies // plan.members // 2
-            first = await installation.until(lambda: installation.settled(share), SETTLED_LIMIT_S)
+            first = await installation.wait_until(lambda: installation.is_settled(share), SETTLED_LIMIT_S)
             times: dict[Loss, list[float]] = {}
             for index, loss in enumerate(plan.losses):
-                name = installation.names[index % plan.members]
+                name = installation.server_names[index % plan.members]
                 times.setdefault(loss, []).extend(await lose(installation, name, loss))
                 if index < len(plan.losses) - 1:
-                    await installation.until(lambda: installation.settled(share), SETTLED_LIMIT_S)
+                    await installation.wait_until(lambda: installation.is_settled(share), SETTLED_LIMIT_S)
             return {
                 "controllers": plan.members,
                 "proxies": plan.proxies,
                 "first_s": round(first, 2),
                 **{loss.value: quantiles(values) for loss, values in times.items()},
                 "losses": [loss.value for loss in plan.losses],
-                "refused_of_older_terms": sum(proxy.rejected for proxy in installation.proxies),
+                "refused_of_older_terms": sum(proxy.rejected_count for proxy in installation.proxies),
             }
         finally:
             await installation.stop()
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-from standins.loopback import LoadReporter, LoopbackProxy, LoopbackRegistry, listed_endpoint, start_endpoint
+from standins.loopback import LoadReporter, LoopbackProxy, LoopbackRegistry, registry_entry, start_endpoint
 from standins.server_process import start_server
 
 NAMES = [f"s-{n}" for n in range(4)]
@@ -65,8 +65,8 @@
         self.faults_every = faults_every
         self.loads: dict[str, EndpointLoad] = {}
         self.requests = 0
-        self.proxy = LoopbackProxy(lambda: self.server, 0, "north", line_received=_print_message)
-        self.collector = LoadReporter(lambda: self.server, "north", self.take_loads)
+        self.proxy = LoopbackProxy(lambda: self.server, 0, "north", on_line=_print_message)
+        self.collector = LoadReporter(lambda: self.server, "north", self.collect_loads)
 
     async def start(self, registry_port: int) -> None:
         """Start the endpoints and the registry."""
@@ -75,7 +75,7 @@
             port = self.first_port + number if self.first_port else 0
             endpoint = await start_endpoint(partial(_answer_time, uid), port)
             zone = "north" if number < 2 else "south"
-            entries.append(listed_endpoint(uid, zone, endpoint.sockets[0].getsockname()[1]))
+            entries.append(registry_entry(uid, zone, endpoint.sockets[0].getsockname()[1]))
         self.registry = await LoopbackRegistry(entries).start(registry_port)
 
     async def run(self) -> None:
@@ -90,7 +90,7 @@
             await asyncio.sleep(self.faults_every)
             uid = random.choice(NAMES)
             for state, boot_ms in (("DRAINING", 0), ("DELETED", 0), ("SERVING", time.time() * 1000)):
-                await self.registry.change(uid, state, boot_ms)
+                await self.registry.change_endpoint(uid, state, boot_ms)
                 print(f"-- {uid} is now {state}")
                 await asyncio.sleep(self.faults_every / 5)
 
@@ -114,7 +114,7 @@
         """Send requests as the proxy's table distributes them."""
         tasks = set()
         while True:
-            if lines := self.proxy.lines():
+            if lines := self.proxy.active_weights():
                 self.requests += 1
                 uid = random.choices(list(lines), list(lines.values()))[0]
                 task = asyncio.create_task(self.send_request(uid))
@@ -122,7 +122,7 @@
                 task.add_done_callback(tasks.discard)
             await asyncio.sleep(1 / REQUESTS_PER_SECOND)
 
-    def take_loads(self) -> dict[str, tuple[int, int, float]]:
+    def collect_loads(self) -> dict[str, tuple[int, int, float]]:
         """Return the load of each endpoint since the last call, and report the proxy's demand."""
         loads = self.loads
         requests = self.requests
@@ -193,7 +193,7 @@
             await asyncio.wait_for(stopped.wait(), seconds or None)
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
-    print("over: the proxy's table was", installation.proxy.lines())
+    print("over: the proxy's table was", installation.proxy.active_weights())
 
 
 if __name__ == "__main__":
--- a/ravenshelf/commands/store.py
+++ b/ravenshelf/commands/store.py
@@ -33,7 +33,7 @@
     try:
         if not any(folder.glob("*.segment")):
             raise DamagedSegmentError(folder, "expected a folder with segments")
-        return Journal(folder, {}, readonly=readonly)
+        return Journal(folder, {}, is_readonly=readonly)
     except (DamagedSegmentError, OSError) as error:
         raise error_exit(error) from None
 
@@ -45,8 +45,8 @@
     summary = {
         "identity": journal.identity,
         "entries": len(journal.entries),
-        "segments": len(journal.segments.sizes),
-        "octets": sum(journal.segments.sizes.values()),
+        "segments": len(journal.segments.segment_sizes),
+        "octets": sum(journal.segments.segment_sizes.values()),
         "torn_tail": journal.torn_tail_bytes,
     }
     if as_json:
@@ -70,10 +70,10 @@
 def compact(folder: FolderArgument) -> None:
     """Replace all segments by one segment that contains only the current entries."""
     journal = open_journal(folder, False)
-    size_before = sum(journal.segments.sizes.values())
+    size_before = sum(journal.segments.segment_sizes.values())
     journal.compact()
     print(
-        f"{size_before} bytes before, {sum(journal.segments.sizes.values())} bytes after, "
+        f"{size_before} bytes before, {sum(journal.segments.segment_sizes.values())} bytes after, "
         f"{len(journal.entries)} entries"
     )
     journal.close()
--- a/ravenshelf/graphite/spool.py
+++ b/ravenshelf/graphite/spool.py
@@ -128,9 +128,9 @@
 
     def _read_oldest(self) -> SpooledSegment | None:
         segments = self._open_segments()
-        skipped_ranges = segments.skipped
-        segments.skipped = []
-        oldest_segment = segments.oldest()
+        skipped_ranges = segments.skipped_ranges
+        segments.skipped_ranges = []
+        oldest_segment = segments.read_oldest()
         if oldest_segment is None:
             return SpooledSegment(0, [], skipped_ranges) if skipped_ranges else None
         number, bodies = oldest_segment
--- a/ravenshelf/store/committer.py
+++ b/ravenshelf/store/committer.py
@@ -17,7 +17,7 @@
     """Changes, and what to call once they are on disk."""
 
     changes: list[Entry]
-    done: CommitCallback
+    callback: CommitCallback
 
 
 class Committer:
@@ -32,12 +32,12 @@
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
 
-    def commit(self, changes: list[Entry], done: CommitCallback) -> None:
-        """Stores changes; `done` is called in the event loop, in the order of the commits.
+    def commit(self, changes: list[Entry], callback: CommitCallback) -> None:
+        """Stores changes; `callback` is called in the event loop, in the order of the commits.
 
         It gets None once they are on disk, or the error; after one failure all fail.
         """
-        self._queue.put(Commit(changes, done))
+        self._queue.put(Commit(changes, callback))
 
     def _run(self) -> None:
         while (first := self._queue.get()) is not None:
@@ -68,7 +68,7 @@
     def _report(self, batch: list[Commit], error: Exception | None) -> None:
         def call_all() -> None:
             for commit in batch:
-                commit.done(error)
+                commit.callback(error)
 
         self._call_in_loop(call_all)
 
--- a/ravenshelf/store/journal.py
+++ b/ravenshelf/store/journal.py
@@ -50,7 +50,7 @@
 JournalRecord: TypeAlias = tuple[int, int, Any, Any]  # kind, version, key, value: an array in this order
 
 
-def encode(kind: int, key: Any = None, value: Any = None, version: int = VERSION) -> bytes:
+def encode_record(kind: int, key: Any = None, value: Any = None, version: int = VERSION) -> bytes:
     """The body of a record."""
     return msgspec.msgpack.encode((kind, version, key, value))
 
@@ -59,7 +59,7 @@
     """The map is `entries`. `torn_tail_bytes` is what was cut off at the start.
 
     `identity` says whose journal it is; a folder of another's is an error. `migrations[v]` turns (key,
-    value) of version v into that of v + 1, or None to remove it. `readonly`: neither locks nor writes.
+    value) of version v into that of v + 1, or None to remove it. `is_readonly`: neither locks nor writes.
     Raises DamagedSegmentError or OSError.
     """
 
@@ -70,7 +70,7 @@
         file_system: FileSystem | None = None,
         version: int = VERSION,
         migrations: Mapping[int, Migration] | None = None,
-        readonly: bool = False,
+        is_readonly: bool = False,
     ) -> None:
         self.folder = folder
         self.identity = dict(identity)
@@ -82,16 +82,22 @@
         self._snapshot_bytes = 0
         self._change_bytes = 0
         self._lock_handle: int | None = None
-        if readonly and not folder.is_dir():
+        if is_readonly and not folder.is_dir():
             raise DamagedSegmentError(folder, "expected a folder")
-        if not readonly:
+        if not is_readonly:
             self._lock()
         try:
             self.segments = Segments(
-                folder, UNBOUNDED_BYTES, SEGMENT_BYTES, file_system, sync=True, strict=True, readonly=readonly
+                folder,
+                UNBOUNDED_BYTES,
+                SEGMENT_BYTES,
+                file_system,
+                sync_on_append=True,
+                is_strict=True,
+                is_readonly=is_readonly,
             )
             self._recover()
-            if not self.segments.sizes and not readonly:
+            if not self.segments.segment_sizes and not is_readonly:
                 self._write([self._encoded_identity()])
         except BaseException:
             self._unlock()
@@ -110,9 +116,9 @@
             raise DamagedSegmentError(self.folder, "in use by another process") from error
 
     def _recover(self) -> None:
-        skipped = self.segments.skipped
-        self.torn_tail_bytes = sum(damage.size_bytes for damage in skipped if damage.is_torn_tail)
-        for number, records in self.segments.all():
+        skipped_ranges = self.segments.skipped_ranges
+        self.torn_tail_bytes = sum(damage.size_bytes for damage in skipped_ranges if damage.is_torn_tail)
+        for number, records in self.segments.read_all():
             self._replay(self.segments.path(number).name, records)
 
     def _replay(self, file: str, records: Iterable[StoredRecord]) -> None:
@@ -175,7 +181,8 @@
         """
         changes = list(changes)
         bodies = [
-            encode(REMOVAL if value is None else CHANGE, key, value, self.version) for key, value in changes
+            encode_record(REMOVAL if value is None else CHANGE, key, value, self.version)
+            for key, value in changes
         ]
         self._write(bodies)
         for key, value in changes:
@@ -198,11 +205,14 @@
 
     def compact(self) -> None:
         """Writes a segment with all entries; only when it is on disk are the older ones removed."""
-        outdated = list(self.segments.sizes)
+        outdated = list(self.segments.segment_sizes)
         self.segments.close()
-        begin = [self._encoded_identity(), encode(RecordKind.SNAPSHOT_BEGIN.value, version=self.version)]
-        entries = [encode(CHANGE, key, value, self.version) for key, value in self.entries.items()]
-        end = encode(RecordKind.SNAPSHOT_END.value, None, len(entries), self.version)
+        begin = [
+            self._encoded_identity(),
+            encode_record(RecordKind.SNAPSHOT_BEGIN.value, version=self.version),
+        ]
+        entries = [encode_record(CHANGE, key, value, self.version) for key, value in self.entries.items()]
+        end = encode_record(RecordKind.SNAPSHOT_END.value, None, len(entries), self.version)
         self._write([*begin, *entries, end])
         for number in outdated:
             self.segments.drop(number)
@@ -210,7 +220,7 @@
         self._change_bytes = 0
 
     def _encoded_identity(self) -> bytes:
-        return encode(RecordKind.IDENTITY.value, None, self.identity, self.version)
+        return encode_record(RecordKind.IDENTITY.value, None, self.identity, self.version)
 
     def close(self) -> None:
         """Closes the files and releases the lock."""
--- a/ravenshelf/store/segment_format.py
+++ b/ravenshelf/store/segment_format.py
@@ -38,7 +38,7 @@
     """The valid records of a segment, and the ranges without any."""
 
     records: list[StoredRecord]
-    skipped: list[SkippedRange]
+    skipped_ranges: list[SkippedRange]
 
 
 def segment_header() -> bytes:
@@ -66,7 +66,7 @@
         return SegmentContent([], [SkippedRange(file, 0, len(data), True)] if data else [])
     _check_header(data, file)
     records: list[StoredRecord] = []
-    skipped = []
+    skipped_ranges = []
     offset = SEGMENT_HEADER.size
     while offset < len(data):
         body = _body_at(data, offset)
@@ -77,9 +77,9 @@
         following = _next_record(data, offset + 1)
         end = len(data) if following is None else following
         is_torn_tail = is_newest and following is None
-        skipped.append(SkippedRange(file, offset, end - offset, is_torn_tail))
+        skipped_ranges.append(SkippedRange(file, offset, end - offset, is_torn_tail))
         offset = end
-    return SegmentContent(records, skipped)
+    return SegmentContent(records, skipped_ranges)
 
 
 def _check_header(data: bytes, file: str) -> None:
--- a/ravenshelf/store/segments.py
+++ b/ravenshelf/store/segments.py
@@ -21,17 +21,17 @@
 SUFFIX = ".segment"
 
 
-def surplus(sizes: dict[int, int], limit_bytes: int, writing: int | None) -> list[int]:
+def segments_to_drop(segment_sizes: dict[int, int], limit_bytes: int, writing: int | None) -> list[int]:
     """Which segments to drop so that all fit into the limit: the oldest first, never the one that is written.
 
-    `sizes` are the bytes of each segment by its number. Pure.
+    `segment_sizes` are the bytes of each segment by its number. Pure.
     """
-    total = sum(sizes.values())
+    total = sum(segment_sizes.values())
     dropped = []
-    for number in sorted(sizes):
+    for number in sorted(segment_sizes):
         if total <= limit_bytes or number == writing:
             break
-        total -= sizes[number]
+        total -= segment_sizes[number]
         dropped.append(number)
     return dropped
 
@@ -41,8 +41,8 @@
 
     `append` returns once all is written (with `sync`: on disk); what it returned from is there after a
     kill. A write that fails leaves the segment as it was before. Beyond `size_limit_bytes` the oldest
-    segments are dropped; a segment ends at `segment_bytes`. `strict`: damage that is no torn tail raises
-    DamagedSegmentError. `readonly`: nothing is repaired or written.
+    segments are dropped; a segment ends at `segment_bytes`. `is_strict`: damage that is no torn tail raises
+    DamagedSegmentError. `is_readonly`: nothing is repaired or written.
     """
 
     def __init__(
@@ -51,21 +51,21 @@
         size_limit_bytes: int,
         segment_bytes: int,
         file_system: FileSystem | None = None,
-        sync: bool = False,
-        strict: bool = False,
-        readonly: bool = False,
+        sync_on_append: bool = False,
+        is_strict: bool = False,
+        is_readonly: bool = False,
     ) -> None:
         self.folder = folder
         self.size_limit_bytes = size_limit_bytes
         self.segment_bytes = segment_bytes
-        self.sync = sync
-        self.strict = strict
-        self.readonly = readonly
+        self.sync_on_append = sync_on_append
+        self.is_strict = is_strict
+        self.is_readonly = is_readonly
         self.file_system = file_system or FileSystem()
-        self.skipped: list[SkippedRange] = []
-        self.dropped_records = 0  # removed unread to stay within the limit
-        self.counts: dict[int, int] = {}  # records, by segment
-        self.sizes: dict[int, int] = {}  # bytes, by segment
+        self.skipped_ranges: list[SkippedRange] = []
+        self.dropped_record_count = 0  # removed unread to stay within the limit
+        self.record_counts: dict[int, int] = {}  # records, by segment
+        self.segment_sizes: dict[int, int] = {}  # bytes, by segment
         self._handle: int | None = None
         self._writing: int | None = None  # the segment that is written
         self._next_number = 1
@@ -89,20 +89,20 @@
         path = self.path(number)
         data = self.file_system.read(path)
         content = unpack(data, path.name, is_newest)
-        self.skipped += content.skipped
-        if self.strict:
-            self._refuse_damage(content.skipped)
+        self.skipped_ranges += content.skipped_ranges
+        if self.is_strict:
+            self._refuse_damage(content.skipped_ranges)
         size = len(data)
-        if content.skipped and content.skipped[-1].is_torn_tail and not self.readonly:
-            size = content.skipped[-1].offset
+        if content.skipped_ranges and content.skipped_ranges[-1].is_torn_tail and not self.is_readonly:
+            size = content.skipped_ranges[-1].offset
             self._cut_off(path, size)
-        self.sizes[number] = size
-        self.counts[number] = len(content.records)
-        if not content.records and not self.readonly:
+        self.segment_sizes[number] = size
+        self.record_counts[number] = len(content.records)
+        if not content.records and not self.is_readonly:
             self.drop(number)
 
-    def _refuse_damage(self, skipped: list[SkippedRange]) -> None:
-        for damage in skipped:
+    def _refuse_damage(self, skipped_ranges: list[SkippedRange]) -> None:
+        for damage in skipped_ranges:
             if not damage.is_torn_tail:
                 raise DamagedSegmentError(
                     damage.file,
@@ -119,7 +119,7 @@
             self.file_system.close(handle)
 
     def __len__(self) -> int:
-        return sum(self.counts.values())
+        return sum(self.record_counts.values())
 
     # --- write ---
 
@@ -127,25 +127,25 @@
         """Writes records, all or none. Raises OSError."""
         data = b"".join(map(pack, bodies))
         handle, number = self._segment_for(len(data))
-        size_before = self.sizes[number]
+        size_before = self.segment_sizes[number]
         try:
             self._write(handle, data)
-            if self.sync:
+            if self.sync_on_append:
                 self.file_system.sync(handle)
         except OSError:
             self._undo(handle, size_before)
             raise
-        self.sizes[number] = size_before + len(data)
-        self.counts[number] += len(bodies)
-        for dropped in surplus(self.sizes, self.size_limit_bytes, self._writing):
-            self.dropped_records += self.counts[dropped]
+        self.segment_sizes[number] = size_before + len(data)
+        self.record_counts[number] += len(bodies)
+        for dropped in segments_to_drop(self.segment_sizes, self.size_limit_bytes, self._writing):
+            self.dropped_record_count += self.record_counts[dropped]
             self.drop(dropped)
 
     def _segment_for(self, size: int) -> tuple[int, int]:
         """The handle and number of a segment with capacity for so many bytes."""
         handle = self._handle
         number = self._writing
-        if handle is None or number is None or self.sizes[number] + size > self.segment_bytes:
+        if handle is None or number is None or self.segment_sizes[number] + size > self.segment_bytes:
             return self._begin()
         return handle, number
 
@@ -169,13 +169,13 @@
             self.file_system.close(handle)
             self.file_system.remove(self.path(number))
             raise
-        if self.sync:
+        if self.sync_on_append:
             self.file_system.sync_folder(self.folder)
         self._handle = handle
         self._writing = number
         self._next_number = number + 1
-        self.sizes[number] = len(header)
-        self.counts[number] = 0
+        self.segment_sizes[number] = len(header)
+        self.record_counts[number] = 0
         return handle, number
 
     def _undo(self, handle: int, size: int) -> None:
@@ -189,22 +189,22 @@
 
     # --- read and drop ---
 
-    def oldest(self) -> tuple[int, list[bytes]] | None:
+    def read_oldest(self) -> tuple[int, list[bytes]] | None:
         """The number and bodies of the oldest segment with records, which is then written no more.
 
         `drop` it once they are processed.
         """
-        for number in sorted(self.counts):
-            if not self.counts[number]:
+        for number in sorted(self.record_counts):
+            if not self.record_counts[number]:
                 continue
             if number == self._writing:
                 self.close()
             return number, [body for _, body in self._read(number)]
         return None
 
-    def all(self) -> list[tuple[int, list[StoredRecord]]]:
+    def read_all(self) -> list[tuple[int, list[StoredRecord]]]:
         """Every segment's number and records, oldest first."""
-        return [(number, self._read(number)) for number in sorted(self.sizes)]
+        return [(number, self._read(number)) for number in sorted(self.segment_sizes)]
 
     def _read(self, number: int) -> list[StoredRecord]:
         path = self.path(number)
@@ -215,8 +215,8 @@
         if number == self._writing:
             self.close()
         self.file_system.remove(self.path(number))
-        self.sizes.pop(number, None)
-        self.counts.pop(number, None)
+        self.segment_sizes.pop(number, None)
+        self.record_counts.pop(number, None)
 
     def close(self) -> None:
         """Ends the segment that is written; the next record begins another."""
--- a/standins/carbon.py
+++ b/standins/carbon.py
@@ -99,9 +99,9 @@
 class CarbonReceiver:
     """A receiver on a loopback port; the last behaviour is for all further connections.
 
-    `points` has the values by (path, time). Counted are `duplicates`, connections that ended within a line or
-    frame (`truncated`), `connections` and `bytes_received`; `malformed` has the lines that carbon would
-    ignore.
+    `points` has the values by (path, time). Counted are `duplicate_count`, connections that ended within a
+    line or frame (`truncated_count`), `connection_count` and `bytes_received`; `malformed_lines` has the
+    lines that carbon would ignore.
     """
 
     def __init__(
@@ -114,15 +114,15 @@
         self.protocol = protocol
         self.buffer_bytes = buffer_bytes
         self.points: dict[tuple[str, int], float] = {}
-        self.duplicates = 0
-        self.truncated = 0
-        self.connections = 0
+        self.duplicate_count = 0
+        self.truncated_count = 0
+        self.connection_count = 0
         self.bytes_received = 0
-        self.malformed: list[bytes] = []
+        self.malformed_lines: list[bytes] = []
         self.server: asyncio.Server | None = None
         self.port = 0
-        self.open: set[asyncio.StreamWriter] = set()
-        self.changed = asyncio.Event()
+        self.open_writers: set[asyncio.StreamWriter] = set()
+        self.change_event = asyncio.Event()
 
     async def start(self) -> "CarbonReceiver":
         """Listen on a port that the system chooses, and on the same one again after `stop`."""
@@ -144,7 +144,7 @@
         """Refuse connections from now on; open ones are reset."""
         if self.server is not None:
             self.server.close()
-        for writer in list(self.open):
+        for writer in list(self.open_writers):
             writer.transport.abort()
         self.server = None
         await asyncio.sleep(0)
@@ -153,14 +153,14 @@
         """Wait until `condition()` holds, which is checked after each piece that is received."""
         async with asyncio.timeout(timeout_s):
             while not condition():
-                self.changed.clear()
-                await self.changed.wait()
+                self.change_event.clear()
+                await self.change_event.wait()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        behaviour = self.behaviours[min(self.connections, len(self.behaviours) - 1)]
-        self.connections += 1
-        self.open.add(writer)
-        self.changed.set()
+        behaviour = self.behaviours[min(self.connection_count, len(self.behaviours) - 1)]
+        self.connection_count += 1
+        self.open_writers.add(writer)
+        self.change_event.set()
         incomplete = b""
         received = 0
         try:
@@ -171,15 +171,15 @@
                 received += len(data)
                 self.bytes_received += len(data)
                 incomplete = self._decode(incomplete + data)
-                self.changed.set()
+                self.change_event.set()
             await behaviour.end(writer)
         except (ConnectionError, asyncio.CancelledError):
             pass
         finally:
-            self.truncated += bool(incomplete)
-            self.open.discard(writer)
+            self.truncated_count += bool(incomplete)
+            self.open_writers.discard(writer)
             writer.close()
-            self.changed.set()
+            self.change_event.set()
 
     def _decode(self, data: bytes) -> bytes:
         """Take the points of complete lines or frames and return the rest."""
@@ -191,7 +191,7 @@
                 path, value, time = line.decode("ascii").split(" ")
                 self._add(path, int(time), float(value))
             except ValueError:
-                self.malformed.append(line)
+                self.malformed_lines.append(line)
         return rest
 
     def _decode_frames(self, data: bytes) -> bytes:
@@ -206,5 +206,5 @@
         return data
 
     def _add(self, path: str, time: int, value: float) -> None:
-        self.duplicates += (path, time) in self.points
+        self.duplicate_count += (path, time) in self.points
         self.points[path, time] = value
--- a/standins/collectd.py
+++ b/standins/collectd.py
@@ -22,7 +22,7 @@
 SIGNATURE_BYTES = 32
 IV_BYTES = 16
 TICKS_PER_S = 100
-USUAL_DELAY_S = 0.05
+NOMINAL_DELAY_S = 0.05
 
 
 def encode_part(kind: int, body: bytes) -> bytes:
@@ -79,13 +79,16 @@
 
 @dataclass
 class SimulatedHost:
-    """A host whose processors count ticks by state; `busy` is the share of their time that is not idle."""
+    """A host whose processors count ticks by state.
+
+    `busy_share` is the share of their time that is not idle.
+    """
 
     name: str
     processors: int = 2
     interval_s: float = 10.0
     clock_offset_s: float = 0.0  # by which its clock is ahead
-    busy: float = 0.2
+    busy_share: float = 0.2
     ticks: dict[tuple[int, str], float] = field(default_factory=dict)
     last_packet_at: float | None = None
 
@@ -108,7 +111,7 @@
         return packet
 
     def _states(self, processor: int, elapsed: float) -> bytes:
-        shares = {"user": 0.8 * self.busy, "system": 0.2 * self.busy, "idle": 1 - self.busy}
+        shares = {"user": 0.8 * self.busy_share, "system": 0.2 * self.busy_share, "idle": 1 - self.busy_share}
         encoded = b""
         for state, share in shares.items():
             key = (processor, state)
@@ -121,11 +124,11 @@
 class NetworkFaults:
     """What the network does to packets, each with a probability of its own."""
 
-    lost: float = 0.0
-    duplicated: float = 0.0
-    late: float = 0.0
+    loss_probability: float = 0.0
+    duplication_probability: float = 0.0
+    delay_probability: float = 0.0
     max_delay_s: float = 25.0
-    truncated: float = 0.0
+    truncation_probability: float = 0.0
 
     def apply(
         self, packets: Iterable[tuple[float, bytes]], random_source: random.Random
@@ -133,14 +136,14 @@
         """Yield (time of arrival, packet) in this order; `packets` are (time of sending, packet)."""
         arrivals = []
         for sent_at, packet in packets:
-            if random_source.random() < self.lost:
+            if random_source.random() < self.loss_probability:
                 continue
             arriving = packet
-            if random_source.random() < self.truncated:
+            if random_source.random() < self.truncation_probability:
                 arriving = packet[: random_source.randrange(len(packet))]
-            is_late = random_source.random() < self.late
-            delay = random_source.random() * (self.max_delay_s if is_late else USUAL_DELAY_S)
+            is_late = random_source.random() < self.delay_probability
+            delay = random_source.random() * (self.max_delay_s if is_late else NOMINAL_DELAY_S)
             arrivals.append((sent_at + delay, arriving))
-            if random_source.random() < self.duplicated:
+            if random_source.random() < self.duplication_probability:
                 arrivals.append((sent_at + delay + random_source.random(), arriving))
         yield from sorted(arrivals, key=lambda arrival: arrival[0])
--- a/standins/controllers/cluster.py
+++ b/standins/controllers/cluster.py
@@ -19,7 +19,7 @@
     FaultMoment,
 )
 from standins.controllers.scheduler import Scheduler
-from standins.histories import FaultsEnded, HistoryEvent, Order, OrderObeyed, OrderSent
+from standins.histories import Command, CommandApplied, CommandSent, FaultsEnded, HistoryEvent
 
 START_LIMIT_US = 300 * MILLISECOND
 SHORTEST_DELIVERY_US = 200
@@ -52,7 +52,7 @@
         self.endpoint_list = EndpointListHistory(self.rng)
         self._requests = WaitingRequests(self.rng, shards)
         self._highest_term = dict.fromkeys(range(shards), 0)  # by proxy
-        self._delivered_at: dict[tuple[int, int], int] = {}  # (member, shard): of the last order
+        self._delivered_at: dict[tuple[int, int], int] = {}  # (member, shard): of the last command
         self.members = [SimulatedMember(self, number) for number in range(count)]
         self.network = Network(self.rng, self.scheduler, self.members.__getitem__, self._receive)
         for member in self.members:
@@ -93,13 +93,13 @@
     # --- proxies ---
 
     def deliver(
-        self, member: SimulatedMember, shard: int, term: int, permission: Permission, order: Order
+        self, member: SimulatedMember, shard: int, term: int, permission: Permission, command: Command
     ) -> None:
-        """An order leaves a member.
+        """A command leaves a member.
 
         What a process wrote just before it was paused may leave its buffer when it wakes.
         """
-        self.record(OrderSent(self.seconds(), member.number, shard, term, permission, order))
+        self.record(CommandSent(self.seconds(), member.number, shard, term, permission, command))
         now = self.scheduler.now
         place = (member.number, shard)
         delay = self.rng.randrange(SHORTEST_DELIVERY_US, DELIVERY_LIMIT_US)
@@ -107,14 +107,14 @@
         if member.reach_moment(FaultMoment.BUFFER):
             at = max(at, member.paused_until)
         self._delivered_at[place] = at
-        self.scheduler.call_later(at - now, lambda: self._obey(member.number, shard, term, order))
+        self.scheduler.call_later(at - now, lambda: self._apply_command(member.number, shard, term, command))
 
-    def _obey(self, member: int, proxy: int, term: int, order: Order) -> None:
+    def _apply_command(self, member: int, proxy: int, term: int, command: Command) -> None:
         highest = self._highest_term[proxy]
         if term < highest and not self.has_defect(Defect.NO_FENCE_AT_PROXIES):
             return
         self._highest_term[proxy] = max(term, highest)
-        self.record(OrderObeyed(self.seconds(), proxy, member, term, order))
+        self.record(CommandApplied(self.seconds(), proxy, member, term, command))
 
     # --- the end of faults ---
 
--- a/standins/controllers/faults.py
+++ b/standins/controllers/faults.py
@@ -43,7 +43,9 @@
             Fault.KILL_AT_WRITE: partial(self._await_moment, FaultMoment.WRITE, 0),
             Fault.KILL_AND_PARTITION: self._kill_and_partition,
             Fault.PAUSE: self._pause,
-            Fault.PAUSE_AT_ORDER: partial(self._await_moment, FaultMoment.ORDER, SHORTEST_PAUSE_AT_MOMENT_US),
+            Fault.PAUSE_AT_COMMAND: partial(
+                self._await_moment, FaultMoment.COMMAND, SHORTEST_PAUSE_AT_MOMENT_US
+            ),
             Fault.PAUSE_IN_BUFFER: partial(
                 self._await_moment, FaultMoment.BUFFER, SHORTEST_PAUSE_AT_MOMENT_US
             ),
--- a/standins/controllers/member.py
+++ b/standins/controllers/member.py
@@ -16,13 +16,13 @@
     Defect,
     FaultMoment,
 )
-from standins.controllers.shard_orders import ShardOrders
-from standins.histories import LeaseHeld, MemberStopped
+from standins.controllers.shard_commands import ShardCommands
+from standins.histories import LeaseAcquired, MemberStopped
 
 if TYPE_CHECKING:
     from standins.controllers.cluster import SimulatedCluster
 
-ORDERS_INTERVAL_US = 50 * MILLISECOND
+COMMAND_INTERVAL_US = 50 * MILLISECOND
 SHORTEST_TICK_US = MILLISECOND
 LONGEST_TICK_US = 50 * MILLISECOND
 SHORTEST_SYNC_US = MILLISECOND // 2
@@ -87,7 +87,7 @@
         self.pending_fault: PendingFault | None = None
         self.sync_limit_us = SYNC_LIMIT_US
         self.list_lag_us = cluster.rng.randrange(SHORTEST_LAG_US, LONGEST_LAG_US)
-        self.shards: dict[int, ShardOrders] = {}
+        self.shards: dict[int, ShardCommands] = {}
         self._step = StepChanges()
         self._unsynced: deque[StepChanges] = deque()
         self._is_syncing = False
@@ -129,7 +129,7 @@
         self._is_syncing = False
         self.shards = {}
         self._later(0, self._tick)
-        self._later(rng.randrange(ORDERS_INTERVAL_US), self._send_orders)
+        self._later(rng.randrange(COMMAND_INTERVAL_US), self._send_commands)
 
     def start_unless_alive(self) -> None:
         """Starts again after a fault."""
@@ -192,12 +192,12 @@
         self._step.messages.append((member, message))
 
     def lease_changed(self, shard: int, state: LeaseState, term: int, record: PackedRecord) -> None:
-        """Begins or ends the orders of a shard."""
+        """Begins or ends the commands of a shard."""
         if state is LeaseState.HELD:
-            self.cluster.record(LeaseHeld(self.cluster.seconds(), self.number, shard))
+            self.cluster.record(LeaseAcquired(self.cluster.seconds(), self.number, shard))
             held = self.shards.get(shard)
             if held is None or held.term != term:
-                self.shards[shard] = ShardOrders(self, shard, term, record)
+                self.shards[shard] = ShardCommands(self, shard, term, record)
         elif state is LeaseState.IDLE:
             self.shards.pop(shard, None)
 
@@ -250,9 +250,9 @@
         delay = int((next_tick_at - now) / self.clock_rate)
         self._later(max(SHORTEST_TICK_US, min(LONGEST_TICK_US, delay)), self._tick)
 
-    def _send_orders(self) -> None:
-        """The adapter's turn: the orders of every shard."""
+    def _send_commands(self) -> None:
+        """The adapter's turn: the commands of every shard."""
         for shard in list(self.shards.values()):
-            shard.send_orders()
+            shard.send_commands()
         self._end_step()
-        self._later(ORDERS_INTERVAL_US, self._send_orders)
+        self._later(COMMAND_INTERVAL_US, self._send_commands)
--- a/standins/controllers/network.py
+++ b/standins/controllers/network.py
@@ -9,10 +9,10 @@
 
 OWN_DELAY_US = 10
 SHORTEST_DELAY_US = 200
-USUAL_DELAY_LIMIT_US = 3 * MILLISECOND
+NOMINAL_DELAY_LIMIT_US = 3 * MILLISECOND
 LONG_DELAY_LIMIT_US = 900 * MILLISECOND
 DUPLICATION = 0.02
-USUAL_DELAY_SHARE = 0.98
+NOMINAL_DELAY_SHARE = 0.98
 
 Pair = tuple[int, int]  # sender and receiver
 
@@ -61,8 +61,8 @@
             self._scheduler.call_later(self._delay(), lambda: self._arrive(sender, receiver, message))
 
     def _delay(self) -> int:
-        if self._rng.random() < USUAL_DELAY_SHARE:
-            return self._rng.randrange(SHORTEST_DELAY_US, USUAL_DELAY_LIMIT_US)
+        if self._rng.random() < NOMINAL_DELAY_SHARE:
+            return self._rng.randrange(SHORTEST_DELAY_US, NOMINAL_DELAY_LIMIT_US)
         return self._rng.randrange(LONG_DELAY_LIMIT_US)
 
     def _arrive(self, sender: int, receiver: int, message: Message) -> None:
--- a/standins/controllers/parameters.py
+++ b/standins/controllers/parameters.py
@@ -39,7 +39,7 @@
     KILL_AT_WRITE = "kill at a write"
     KILL_AND_PARTITION = "kill and partition"
     PAUSE = "pause"
-    PAUSE_AT_ORDER = "pause at an order"
+    PAUSE_AT_COMMAND = "pause at a command"
     PAUSE_IN_BUFFER = "pause in a buffer"
     PARTITION = "partition"
     ONE_WAY_PARTITION = "one-way partition"
@@ -55,7 +55,7 @@
     """The moment for which a fault waits."""
 
     WRITE = "write"
-    ORDER = "order"
+    COMMAND = "command"
     BUFFER = "buffer"
 
 
--- a/standins/controllers/shard_orders.py
+++ b/standins/controllers/shard_commands.py
@@ -1,4 +1,4 @@
-"""What a lease holder does with one of its shards: decides, records and sends orders."""
+"""What a lease holder does with one of its shards: decides, records and sends commands."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from standins.controllers.parameters import MILLISECOND, SECOND, SHED_LEVEL, Defect, FaultMoment
 from standins.histories import (
     BindProxy,
+    Command,
     EjectEndpoint,
     GrantRetry,
-    Order,
     ReadmitEndpoint,
     SetAdmissionLevel,
 )
@@ -29,22 +29,22 @@
 LONG_AGO = -(10**18)
 
 
-class PermittedOrder(NamedTuple):
-    """An order and the permission that it needs."""
+class PermittedCommand(NamedTuple):
+    """A command and the permission that it needs."""
 
     permission: Permission
-    order: Order
+    command: Command
 
 
-class WaitingOrder(NamedTuple):
-    """An order that waits until a quorum has the record `seq`."""
+class WaitingCommand(NamedTuple):
+    """A command that waits until a quorum has the record `seq`."""
 
     seq: int
     permission: Permission
-    order: Order
+    command: Command
 
 
-class ShardOrders:
+class ShardCommands:
     """Of one shard in one term."""
 
     def __init__(self, holder: SimulatedMember, shard: int, term: int, packed: PackedRecord) -> None:
@@ -59,9 +59,9 @@
         self.taken_over_at = holder.clock()
         self.ejected: set[str] = set()
         self.level = UNLIMITED_LEVEL
-        self._is_level_ordered = False
+        self._is_level_commanded = False
         self.level_seq = 0  # of the record that has the level
-        self._waiting: list[WaitingOrder] = []
+        self._waiting: list[WaitingCommand] = []
         self._bound_at = LONG_AGO
         self._level_sent_at = LONG_AGO
         self._encoded_until = 0
@@ -69,7 +69,7 @@
     def _list_version(self) -> int:
         return self.cluster.endpoint_list.version(self.cluster.scheduler.now - self.holder.list_lag_us)
 
-    def send_orders(self) -> None:
+    def send_commands(self) -> None:
         """Called at intervals while the member is alive."""
         now = self.holder.clock()
         claim = self.holder.member.claims[self.shard]
@@ -87,55 +87,55 @@
             self._send(self.level_seq, Permission.FULL, SetAdmissionLevel(GROUP, self.level))
         waiting = self._waiting
         self._waiting = []
-        for order in waiting:
-            if claim.committed_seq >= order.seq:
-                self._send(*order)
+        for command in waiting:
+            if claim.committed_seq >= command.seq:
+                self._send(*command)
             else:
-                self._waiting.append(order)
+                self._waiting.append(command)
 
     # --- decisions ---
 
     def _decide(self, now: int) -> None:
         record = self.record.copy()
-        orders = [
+        commands = [
             *self._grant_retries(record),
             *self._eject_and_readmit(now, record),
             *self._set_level(now, record),
         ]
         if self.cluster.has_defect(Defect.RECORD_AFTER_SENDING):
-            for permission, order in orders:
-                self._send(0, permission, order)
-            orders = []
-        seq = self._write(now, record, has_orders=bool(orders))
+            for permission, command in commands:
+                self._send(0, permission, command)
+            commands = []
+        seq = self._write(now, record, has_commands=bool(commands))
         if seq is None:
-            self._is_level_ordered = False
+            self._is_level_commanded = False
             self.ejected = set()
             return
-        self._waiting += [WaitingOrder(seq, permission, order) for permission, order in orders]
-        if any(isinstance(order, SetAdmissionLevel) for _, order in orders):
+        self._waiting += [WaitingCommand(seq, permission, command) for permission, command in commands]
+        if any(isinstance(command, SetAdmissionLevel) for _, command in commands):
             self.level_seq = seq
 
-    def _write(self, now: int, record: Record, has_orders: bool) -> int | None:
-        """The number of the record that the orders wait for; None: the lease is no longer valid."""
+    def _write(self, now: int, record: Record, has_commands: bool) -> int | None:
+        """The number of the record that the commands wait for; None: the lease is no longer valid."""
         member = self.holder.member
         if record == self.record:
-            return member.claims[self.shard].seq if has_orders else 0
+            return member.claims[self.shard].seq if has_commands else 0
         seq = member.write_record(now, self.shard, record.pack(), self.holder)
         if seq is not None:
             self.record = record
         return seq
 
-    def _grant_retries(self, record: Record) -> list[PermittedOrder]:
-        orders = []
+    def _grant_retries(self, record: Record) -> list[PermittedCommand]:
+        commands = []
         for key in self.cluster.waiting_requests(self.shard):
             if key not in record.retries:
                 record.retries[key] = 1
-                orders.append(PermittedOrder(Permission.FULL, GrantRetry(key)))
-        return orders
+                commands.append(PermittedCommand(Permission.FULL, GrantRetry(key)))
+        return commands
 
-    def _eject_and_readmit(self, now: int, record: Record) -> list[PermittedOrder]:
+    def _eject_and_readmit(self, now: int, record: Record) -> list[PermittedCommand]:
         endpoint_list = self.cluster.endpoint_list
-        orders: list[Order] = []
+        commands: list[Command] = []
         version = self._list_version()
         drained = endpoint_list.drained(version)
         self.inherited.endpoints_listed(version, endpoint_list.endpoints - drained)
@@ -143,39 +143,39 @@
         for endpoint in drained - self.ejected:
             listed = version if endpoint in endpoint_list.drained(version) else 0
             record.drained_at[endpoint] = max(listed, record.drained_at.get(endpoint, -1))
-            orders.append(EjectEndpoint(endpoint, record.drained_at[endpoint]))
+            commands.append(EjectEndpoint(endpoint, record.drained_at[endpoint]))
         for endpoint in self.ejected - drained:
             record.drained_at.pop(endpoint, None)
-            orders.append(ReadmitEndpoint(endpoint, version))
+            commands.append(ReadmitEndpoint(endpoint, version))
         if (
             self._bound_at == now
         ):  # a table that was just bound readmits all that it has and that is not ejected
-            orders += [
+            commands += [
                 ReadmitEndpoint(endpoint, version) for endpoint in sorted(endpoint_list.endpoints - drained)
             ]
         self.ejected = drained
-        return [PermittedOrder(Permission.REPEAT_ONLY, order) for order in orders]
+        return [PermittedCommand(Permission.REPEAT_ONLY, command) for command in commands]
 
-    def _set_level(self, now: int, record: Record) -> list[PermittedOrder]:
+    def _set_level(self, now: int, record: Record) -> list[PermittedCommand]:
         wanted = SHED_LEVEL if now - self.taken_over_at > LEARNING_US else UNLIMITED_LEVEL
         level = self.inherited.limit_level(now, GROUP, wanted)
-        if self._is_level_ordered and level == self.level:
+        if self._is_level_commanded and level == self.level:
             return []
-        self._is_level_ordered = True
+        self._is_level_commanded = True
         self.level = level
         record.admission_levels[GROUP] = (level, RETRY_MODE)
-        return [PermittedOrder(Permission.FULL, SetAdmissionLevel(GROUP, level))]
+        return [PermittedCommand(Permission.FULL, SetAdmissionLevel(GROUP, level))]
 
     # --- sending ---
 
     def _permission(self, seq: int) -> Permission | None:
         return self.holder.member.permission(self.holder.clock(), self.shard, seq)
 
-    def _send(self, seq: int, needed: Permission, order: Order) -> None:
-        """Encodes an order, which takes a while, and then sends it if that is still permitted."""
+    def _send(self, seq: int, needed: Permission, command: Command) -> None:
+        """Encodes a command, which takes a while, and then sends it if that is still permitted."""
         is_checked_early = self.cluster.has_defect(Defect.LEASE_CHECKED_BEFORE_ENCODING)
         early = self._permission(seq)
-        self.holder.reach_moment(FaultMoment.ORDER)
+        self.holder.reach_moment(FaultMoment.COMMAND)
 
         def send_if_permitted() -> None:
             permission = early if is_checked_early else self._permission(seq)
@@ -185,7 +185,7 @@
             if not is_permitted:
                 return
             if is_checked_early or self.holder.member.claims[self.shard].term == self.term:
-                self.cluster.deliver(self.holder, self.shard, self.term, needed, order)
+                self.cluster.deliver(self.holder, self.shard, self.term, needed, command)
 
         now = self.cluster.scheduler.now
         encoded_at = now + self.cluster.rng.randrange(ENCODING_LIMIT_US)
--- a/standins/fenced_proxies.py
+++ b/standins/fenced_proxies.py
@@ -8,21 +8,21 @@
 import time
 from collections.abc import Callable
 
-from standins.loopback import parse_words, updated_table
+from standins.loopback import parse_words, update_table
 
 RECONNECT_DELAY = 0.1  # seconds
 
-CommandApplied = Callable[["FencedProxy", int, int, dict[str, str]], None]
+CommandCallback = Callable[["FencedProxy", int, int, dict[str, str]], None]
 
 
 class ProxyStream(asyncio.Protocol):
     """A proxy's stream to one controller."""
 
-    def __init__(self, proxy: "FencedProxy", controller: int, ended: asyncio.Future[None]):
-        """`ended`: resolved when the stream has ended."""
+    def __init__(self, proxy: "FencedProxy", controller: int, end_future: asyncio.Future[None]):
+        """`end_future`: resolved when the stream has ended."""
         self.proxy = proxy
         self.controller = controller
-        self.ended = ended
+        self.end_future = end_future
         self.incomplete_line = b""
         self.transport: asyncio.Transport | None = None
 
@@ -31,8 +31,8 @@
         self.transport = transport
         proxy = self.proxy
         transport.write(
-            f"SUBSCRIBE proxy={proxy.number} zone={proxy.zone} weight={proxy.usual_rate} "
-            f"fresh={int(not proxy.table)} term={int(proxy.fences)}\r\n".encode()
+            f"SUBSCRIBE proxy={proxy.number} zone={proxy.zone} weight={proxy.nominal_rate} "
+            f"fresh={int(not proxy.table)} term={int(proxy.has_fencing)}\r\n".encode()
         )
 
     def data_received(self, data: bytes) -> None:
@@ -43,8 +43,8 @@
 
     def connection_lost(self, _error: Exception | None) -> None:
         """Called by the event loop."""
-        if not self.ended.done():
-            self.ended.set_result(None)
+        if not self.end_future.done():
+            self.end_future.set_result(None)
 
     def write(self, line: str) -> None:
         """Write a line, if connected."""
@@ -57,27 +57,27 @@
 
 
 class FencedProxy:
-    """A proxy that rejects commands of earlier terms, and counts them in `rejected`."""
+    """A proxy that rejects commands of earlier terms, and counts them in `rejected_count`."""
 
     def __init__(
         self,
         number: int,
         zone: str,
         controllers: list[str],
-        usual_rate: float = 5.0,
-        fences: bool = True,
-        command_applied: CommandApplied = _ignore_command,
+        nominal_rate: float = 5.0,
+        has_fencing: bool = True,
+        on_command: CommandCallback = _ignore_command,
     ):
-        """`controllers`: host:port; `command_applied`: called with (proxy, controller, term, words) of each
+        """`controllers`: host:port; `on_command`: called with (proxy, controller, term, words) of each
         command."""
         self.number = number
         self.zone = zone
-        self.usual_rate = usual_rate
-        self.fences = fences
-        self.command_applied = command_applied
+        self.nominal_rate = nominal_rate
+        self.has_fencing = has_fencing
+        self.on_command = on_command
         self.controllers = controllers
         self.term = 0
-        self.rejected = 0
+        self.rejected_count = 0
         self.owner: int | None = None  # the controller whose command was applied last
         self.table: dict[str, float] = {}
         self.ejected: set[str] = set()
@@ -97,7 +97,7 @@
             with contextlib.suppress(OSError):
                 await loop.create_connection(lambda stream=stream: stream, host, int(port))
                 self.streams[controller] = stream
-                await stream.ended
+                await stream.end_future
             self.streams.pop(controller, None)
             await asyncio.sleep(RECONNECT_DELAY)
 
@@ -105,21 +105,21 @@
         """Apply a line of a stream, unless its term is an earlier one; acknowledge it if requested."""
         words = parse_words(line)
         term = int(words.get("term", 0))
-        if self.fences and term < self.term:
-            self.rejected += 1
+        if self.has_fencing and term < self.term:
+            self.rejected_count += 1
             return
         self.term = max(self.term, term)
         self.owner = stream.controller
         if "whole" in words:
             self.levels = {}
             self.complete_table_at = time.monotonic()
-        self.table = updated_table(words, self.table, self.ejected)
+        self.table = update_table(words, self.table, self.ejected)
         if "level" in words:
             for group in words.get("classes", "*").split("+"):
                 self.levels[group] = (float(words["level"]), int(words["retry"]))
         if "ticket" in words:
             stream.write(f"ACK proxy={self.number} mark={words['ticket']} took_ms=1\r\n")
-        self.command_applied(self, stream.controller, term, words)
+        self.on_command(self, stream.controller, term, words)
 
     def report_demand(self, group: str, requests: int, unanswered: int = 0) -> None:
         """Report the requests of a traffic group in the last second to all controllers."""
--- a/standins/fleet/proxies.py
+++ b/standins/fleet/proxies.py
@@ -7,7 +7,7 @@
 from itertools import accumulate
 
 from standins.fleet.clock import SECOND
-from standins.loopback import parse_words, updated_table
+from standins.loopback import parse_words, update_table
 
 UNLIMITED = float("inf")
 NOT_KNOWN: Mapping[str, int] = {}
@@ -32,7 +32,7 @@
         """Apply a message of its server."""
         for line in message.splitlines():
             words = parse_words(line)
-            self.table = updated_table(words, self.table, self.ejected)
+            self.table = update_table(words, self.table, self.ejected)
             self.apply_levels(words)
 
     def apply_levels(self, said: dict[str, str]) -> None:
--- a/standins/histories.py
+++ b/standins/histories.py
@@ -42,31 +42,31 @@
     level: float
 
 
-Order: TypeAlias = BindProxy | GrantRetry | EjectEndpoint | ReadmitEndpoint | SetAdmissionLevel
+Command: TypeAlias = BindProxy | GrantRetry | EjectEndpoint | ReadmitEndpoint | SetAdmissionLevel
 
 
-class OrderSent(NamedTuple):
-    """An order has left a member, under this permission."""
+class CommandSent(NamedTuple):
+    """A command has left a member, under this permission."""
 
     at: float
     member: int
     shard: int
     term: int
     permission: Permission
-    order: Order
+    command: Command
 
 
-class OrderObeyed(NamedTuple):
-    """A proxy has obeyed an order."""
+class CommandApplied(NamedTuple):
+    """A proxy has obeyed a command."""
 
     at: float
     proxy: int
     member: int
     term: int
-    order: Order
+    command: Command
 
 
-class LeaseHeld(NamedTuple):
+class LeaseAcquired(NamedTuple):
     """A member holds a shard's lease."""
 
     at: float
@@ -87,7 +87,7 @@
     at: float
 
 
-HistoryEvent: TypeAlias = OrderSent | OrderObeyed | LeaseHeld | MemberStopped | FaultsEnded
+HistoryEvent: TypeAlias = CommandSent | CommandApplied | LeaseAcquired | MemberStopped | FaultsEnded
 
 
 class Rule(Enum):
@@ -110,14 +110,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TermOfMember:
+class MemberTerm:
     """The highest term seen, and whose it was."""
 
     term: int
     member: int
 
     def is_contradicted_by(self, term: int, member: int) -> bool:
-        """Whether an order is of an earlier term, or of the same term by another member."""
+        """Whether a command is of an earlier term, or of the same term by another member."""
         return term < self.term or (term == self.term and member != self.member)
 
 
@@ -127,19 +127,19 @@
     def __init__(self, admission_step_limit: float) -> None:
         self.admission_step_limit = admission_step_limit
         self.violations: list[Violation] = []
-        self._granted: dict[int, TermOfMember] = {}  # by shard
-        self._obeyed: dict[int, TermOfMember] = {}  # by proxy
+        self._granted_terms: dict[int, MemberTerm] = {}  # by shard
+        self._applied_terms: dict[int, MemberTerm] = {}  # by proxy
         self._retries: dict[str, tuple[float, int]] = {}  # when and by which member
         self._drained_by: dict[tuple[int, str], int] = {}  # (proxy, endpoint): version of the list
         self._levels: dict[tuple[int, str], tuple[int, float]] = {}  # (proxy, group): term, level
         self._holders: dict[int, int | None] = {}  # by shard
-        self._unheld_since: dict[int, float] = {}  # by shard
+        self._vacant_since: dict[int, float] = {}  # by shard
         self._faults_ended_at: float | None = None
         self._last_at = 0.0
         self._handlers: dict[type, Callable[[Any], None]] = {
-            OrderSent: self._on_order_sent,
-            OrderObeyed: self._on_order_obeyed,
-            LeaseHeld: self._on_lease_held,
+            CommandSent: self._on_command_sent,
+            CommandApplied: self._on_command_applied,
+            LeaseAcquired: self._on_lease_acquired,
             MemberStopped: self._on_member_stopped,
             FaultsEnded: self._on_faults_ended,
         }
@@ -153,7 +153,7 @@
         """The history ends: shards without a holder must not be without one for longer than this."""
         if self._faults_ended_at is None:
             return
-        for shard, since in self._unheld_since.items():
+        for shard, since in self._vacant_since.items():
             if self._last_at - max(since, self._faults_ended_at) > takeover_limit_s:
                 details = f"shard {shard} without a lease holder since {since:.2f}"
                 self._add_violation(Rule.TAKEOVER_IN_TIME, self._last_at, details)
@@ -161,67 +161,67 @@
     def _add_violation(self, rule: Rule, at: float, details: str) -> None:
         self.violations.append(Violation(rule, at, details))
 
-    def _on_order_sent(self, event: OrderSent) -> None:
+    def _on_command_sent(self, event: CommandSent) -> None:
         if event.permission is Permission.FULL:
-            granted = self._granted.get(event.shard)
+            granted = self._granted_terms.get(event.shard)
             if granted is not None and granted.is_contradicted_by(event.term, event.member):
                 details = f"shard {event.shard}: {event.member} in term {event.term} after {granted}"
                 self._add_violation(Rule.SINGLE_LEASE_HOLDER, event.at, details)
             else:
-                self._granted[event.shard] = TermOfMember(event.term, event.member)
-        if isinstance(event.order, GrantRetry):
-            key = event.order.key
+                self._granted_terms[event.shard] = MemberTerm(event.term, event.member)
+        if isinstance(event.command, GrantRetry):
+            key = event.command.key
             if key in self._retries:
                 details = f"{key} by {event.member}, before by {self._retries[key]}"
                 self._add_violation(Rule.RETRY_ONCE, event.at, details)
             self._retries[key] = (event.at, event.member)
 
-    def _on_order_obeyed(self, event: OrderObeyed) -> None:
-        obeyed = self._obeyed.get(event.proxy, TermOfMember(0, event.member))
+    def _on_command_applied(self, event: CommandApplied) -> None:
+        obeyed = self._applied_terms.get(event.proxy, MemberTerm(0, event.member))
         if obeyed.is_contradicted_by(event.term, event.member):
             details = f"proxy {event.proxy}: {event.member} in term {event.term} after {obeyed}"
             self._add_violation(Rule.TERMS_ASCEND, event.at, details)
         if (event.term, event.member) > (obeyed.term, obeyed.member):
-            obeyed = TermOfMember(event.term, event.member)
-        self._obeyed[event.proxy] = obeyed
-        if isinstance(event.order, EjectEndpoint):
-            self._on_ejected(event.proxy, event.order)
-        elif isinstance(event.order, ReadmitEndpoint):
-            self._on_readmitted(event, event.order)
-        elif isinstance(event.order, SetAdmissionLevel):
-            self._on_level(event, event.order)
-
-    def _on_ejected(self, proxy: int, order: EjectEndpoint) -> None:
-        place = (proxy, order.endpoint)
-        self._drained_by[place] = max(order.list_version, self._drained_by.get(place, -1))
-
-    def _on_readmitted(self, event: OrderObeyed, order: ReadmitEndpoint) -> None:
-        drained_by = self._drained_by.pop((event.proxy, order.endpoint), None)
-        if drained_by is not None and order.list_version <= drained_by:
+            obeyed = MemberTerm(event.term, event.member)
+        self._applied_terms[event.proxy] = obeyed
+        if isinstance(event.command, EjectEndpoint):
+            self._on_ejected(event.proxy, event.command)
+        elif isinstance(event.command, ReadmitEndpoint):
+            self._on_readmitted(event, event.command)
+        elif isinstance(event.command, SetAdmissionLevel):
+            self._on_level(event, event.command)
+
+    def _on_ejected(self, proxy: int, command: EjectEndpoint) -> None:
+        place = (proxy, command.endpoint)
+        self._drained_by[place] = max(command.list_version, self._drained_by.get(place, -1))
+
+    def _on_readmitted(self, event: CommandApplied, command: ReadmitEndpoint) -> None:
+        drained_by = self._drained_by.pop((event.proxy, command.endpoint), None)
+        if drained_by is not None and command.list_version <= drained_by:
             details = (
-                f"proxy {event.proxy}: {order.endpoint} readmitted by list {order.list_version}, "
+                f"proxy {event.proxy}: {command.endpoint} readmitted by list {command.list_version}, "
                 f"drained by {drained_by}"
             )
             self._add_violation(Rule.DRAIN_KEPT, event.at, details)
 
-    def _on_level(self, event: OrderObeyed, order: SetAdmissionLevel) -> None:
-        before = self._levels.get((event.proxy, order.group))
+    def _on_level(self, event: CommandApplied, command: SetAdmissionLevel) -> None:
+        before = self._levels.get((event.proxy, command.group))
         if before is not None:
             term, level = before
-            if term != event.term and order.level > level * self.admission_step_limit:
-                details = f"proxy {event.proxy}: {order.group} from {level:g} to {order.level:g}"
+            if term != event.term and command.level > level * self.admission_step_limit:
+                details = f"proxy {event.proxy}: {command.group} from {level:g} to {command.level:g}"
                 self._add_violation(Rule.ADMISSION_STEPS, event.at, details)
-        self._levels[event.proxy, order.group] = (event.term, order.level)
+        self._levels[event.proxy, command.group] = (event.term, command.level)
 
-    def _on_lease_held(self, event: LeaseHeld) -> None:
+    def _on_lease_acquired(self, event: LeaseAcquired) -> None:
         self._holders[event.shard] = event.member
-        self._unheld_since.pop(event.shard, None)
+        self._vacant_since.pop(event.shard, None)
 
     def _on_member_stopped(self, event: MemberStopped) -> None:
         for shard, member in self._holders.items():
             if member == event.member:
                 self._holders[shard] = None
-                self._unheld_since.setdefault(shard, event.at)
+                self._vacant_since.setdefault(shard, event.at)
 
     def _on_faults_ended(self, event: FaultsEnded) -> None:
         self._faults_ended_at = event.at
@@ -248,7 +248,7 @@
     stopped_at: dict[int, float] = {}  # by shard
     times = []
     for event in events:
-        if isinstance(event, LeaseHeld):
+        if isinstance(event, LeaseAcquired):
             if event.shard in stopped_at:
                 times.append(event.at - stopped_at.pop(event.shard))
             holders[event.shard] = event.member
--- a/standins/installation.py
+++ b/standins/installation.py
@@ -11,14 +11,14 @@
 from typing import Any
 
 from standins.fenced_proxies import FencedProxy
-from standins.loopback import LoopbackRegistry, listed_endpoint, server_configuration
+from standins.loopback import LoopbackRegistry, registry_entry, server_configuration
 from standins.server_process import start_server
 
 POLL_INTERVAL = 0.005  # seconds
 STOP_TIMEOUT = 5  # seconds until a process is killed
 
 
-def ports(count: int) -> list[int]:
+def find_free_ports(count: int) -> list[int]:
     """Return free ports of the system; all are reserved at once, so that no two are the same."""
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
@@ -38,33 +38,33 @@
         endpoints: int = 12,
         lease_ms: int = 1500,
         shards: int = 64,
-        extra: str = "",
-        serve: tuple[str, ...] = (),
+        leadership_settings: str = "",
+        serve_arguments: tuple[str, ...] = (),
     ):
-        """`extra`: appended to each member's `[leadership]` table; `serve`: further arguments of the
-        processes."""
+        """`leadership_settings`: appended to each member's `[leadership]` table; `serve_arguments`: further
+        arguments of the processes."""
         self.folder = folder
-        self.serve = serve
-        self.names = [f"c{number}" for number in range(controllers)]
-        free_ports = ports(2 * controllers)
-        self.listen = [f"127.0.0.1:{port}" for port in free_ports[:controllers]]
+        self.serve_arguments = serve_arguments
+        self.server_names = [f"c{number}" for number in range(controllers)]
+        free_ports = find_free_ports(2 * controllers)
+        self.listen_addresses = [f"127.0.0.1:{port}" for port in free_ports[:controllers]]
         member_addresses = [f"127.0.0.1:{port}" for port in free_ports[controllers:]]
-        self.members = dict(zip(self.names, member_addresses, strict=True))
-        self.proxies = [FencedProxy(number, "north", self.listen) for number in range(proxies)]
-        self.entries = [listed_endpoint(f"s-{number}", "north") for number in range(endpoints)]
+        self.members = dict(zip(self.server_names, member_addresses, strict=True))
+        self.proxies = [FencedProxy(number, "north", self.listen_addresses) for number in range(proxies)]
+        self.registry_entries = [registry_entry(f"s-{number}", "north") for number in range(endpoints)]
         self.lease_ms = lease_ms
         self.shards = shards
-        self.extra = extra
+        self.leadership_settings = leadership_settings
         self.processes: dict[str, asyncio.subprocess.Process] = {}
-        self.running: list[asyncio.Task] = []
+        self.proxy_tasks: list[asyncio.Task] = []
 
     async def start(self) -> "Installation":
         """Start the registry, all servers and all proxies."""
-        self.registry = await LoopbackRegistry(self.entries).start()
-        for name, listen in zip(self.names, self.listen, strict=True):
+        self.registry = await LoopbackRegistry(self.registry_entries).start()
+        for name, listen in zip(self.server_names, self.listen_addresses, strict=True):
             self._write_files(name, listen)
-            await self.run(name)
-        self.running = [asyncio.create_task(proxy.run()) for proxy in self.proxies]
+            await self.start_process(name)
+        self.proxy_tasks = [asyncio.create_task(proxy.run()) for proxy in self.proxies]
         return self
 
     def _write_files(self, name: str, listen: str) -> None:
@@ -79,16 +79,16 @@
         (self.folder / f"{name}.toml").write_text(
             f'[store]\nfolder = "{self.folder / name}"\n[leadership]\nname = "{name}"\ncluster = "loopback"\n'
             f'shards = {self.shards}\nlease_ms = {self.lease_ms}\nadmin = "{self.folder / name}.sock"\n'
-            f"{self.extra}\n[leadership.members]\n{members}\n"
+            f"{self.leadership_settings}\n[leadership.members]\n{members}\n"
         )
 
-    async def run(self, name: str) -> None:
+    async def start_process(self, name: str) -> None:
         """Start a server's process; its log goes to a file beside its store."""
         operator_file = str(self.folder / f"{name}.toml")
         configuration = self.folder / f"{name}.json"
         with (self.folder / f"{name}.log").open("ab") as log:
             self.processes[name] = await start_server(
-                configuration, "--operator", operator_file, *self.serve, output=log, errors=log
+                configuration, "--operator", operator_file, *self.serve_arguments, output=log, errors=log
             )
 
     def signal(self, name: str, number: int) -> None:
@@ -100,12 +100,12 @@
         self.signal(name, signal.SIGKILL)
         await self.processes[name].wait()
 
-    def shards_of(self, name: str) -> set[int]:
+    def served_shards(self, name: str) -> set[int]:
         """Return the proxies that last obeyed this server."""
-        number = self.names.index(name)
+        number = self.server_names.index(name)
         return {proxy.number for proxy in self.proxies if proxy.owner == number}
 
-    async def until(self, condition: Callable[[], Any], seconds: float) -> float:
+    async def wait_until(self, condition: Callable[[], Any], seconds: float) -> float:
         """Wait for a condition; return the seconds that it took, or raise TimeoutError."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
@@ -114,13 +114,13 @@
                 await asyncio.sleep(POLL_INTERVAL)
         return loop.time() - started_at
 
-    def settled(self, least: int = 1) -> bool:
-        """Return whether every proxy has a table and every living server has `least` proxies."""
+    def is_settled(self, min_proxies: int = 1) -> bool:
+        """Return whether every proxy has a table and every living server has `min_proxies` proxies."""
         alive = [name for name, process in self.processes.items() if process.returncode is None]
         has_tables = all(proxy.table for proxy in self.proxies)
-        return has_tables and all(len(self.shards_of(name)) >= least for name in alive)
+        return has_tables and all(len(self.served_shards(name)) >= min_proxies for name in alive)
 
-    def admin(self, name: str, question: dict[str, Any]) -> dict[str, Any]:
+    def send_admin_request(self, name: str, question: dict[str, Any]) -> dict[str, Any]:
         """Ask a server on its admin socket."""
         from ravenshelf.leadership.admin import send_request
 
@@ -128,7 +128,7 @@
 
     async def stop(self) -> None:
         """End all proxies and processes, suspended ones too."""
-        for task in self.running:
+        for task in self.proxy_tasks:
             task.cancel()
         for process in self.processes.values():
             if process.returncode is None:
--- a/standins/loopback.py
+++ b/standins/loopback.py
@@ -17,15 +17,15 @@
 
 
 class LoopbackRegistry:
-    """The endpoint list and its watch; `change` notifies all watches at once."""
+    """The endpoint list and its watch; `change_endpoint` notifies all watches at once."""
 
     def __init__(self, entries: list[dict[str, Any]]):
         self.entries = {entry["uid"]: entry for entry in entries}
         self.revision = 1
         self.changes: list[tuple[int, dict[str, Any]]] = []  # revision and changed entry
-        self.changed = asyncio.Condition()
+        self.change_condition = asyncio.Condition()
         self.server: asyncio.Server | None = None
-        self.watches = 0  # opened in total
+        self.watch_count = 0  # opened in total
 
     async def start(self, port: int = 0) -> "LoopbackRegistry":
         """Listen; port 0 is chosen by the system."""
@@ -47,7 +47,7 @@
                     body = json.dumps(document).encode()
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
                     return
-                self.watches += 1
+                self.watch_count += 1
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 await self._serve_watch(writer, json.dumps(document), self.revision)
             finally:
@@ -68,18 +68,18 @@
             line = json.dumps({"rev": self.revision, "all": False, "targets": entries})
 
     async def _changed_since(self, revision: int) -> None:
-        async with self.changed:
-            await self.changed.wait_for(lambda: self.revision > revision)
+        async with self.change_condition:
+            await self.change_condition.wait_for(lambda: self.revision > revision)
 
-    async def change(self, uid: str, state: str, boot_ms: float = 0) -> float:
+    async def change_endpoint(self, uid: str, state: str, boot_ms: float = 0) -> float:
         """Change an endpoint's state; return the time of the notification, by the monotonic clock."""
-        async with self.changed:
+        async with self.change_condition:
             self.revision += 1
             entry = self.entries[uid] | {"state": state, "boot_ms": boot_ms}
             self.entries[uid].update(state=state, boot_ms=boot_ms)
             self.changes = [*self.changes[-MAX_CHANGES:], (self.revision, entry)]
             notified_at = time.monotonic()
-            self.changed.notify_all()
+            self.change_condition.notify_all()
         return notified_at
 
 
@@ -88,7 +88,7 @@
     return dict(word.partition("=")[::2] for word in line.split()[1:])
 
 
-def updated_table(words: dict[str, str], table: dict[str, float], ejected: set[str]) -> dict[str, float]:
+def update_table(words: dict[str, str], table: dict[str, float], ejected: set[str]) -> dict[str, float]:
     """Return the table after a message's words; `ejected` is changed in place."""
     updated = {} if "whole" in words else dict(table)
     for pair in words.get("lines", "").split(",") if words.get("lines") else ():
@@ -111,15 +111,15 @@
         server_address: Callable[[], str],
         number: int,
         zone: str,
-        usual_rate: float = 40.0,
-        line_received: Callable[["LoopbackProxy", str], None] = _ignore_line,
+        nominal_rate: float = 40.0,
+        on_line: Callable[["LoopbackProxy", str], None] = _ignore_line,
     ):
-        """`server_address`: returns host:port; `line_received`: called before a line is applied."""
+        """`server_address`: returns host:port; `on_line`: called before a line is applied."""
         self.server_address = server_address
         self.number = number
         self.zone = zone
-        self.usual_rate = usual_rate
-        self.line_received = line_received
+        self.nominal_rate = nominal_rate
+        self.on_line = on_line
         self.table: dict[str, float] = {}
         self.ejected: set[str] = set()
         self.writer: asyncio.StreamWriter | None = None
@@ -131,7 +131,7 @@
                 host, _, port = self.server_address().rpartition(":")
                 reader, self.writer = await asyncio.open_connection(host, int(port))
                 self.writer.write(
-                    f"SUBSCRIBE proxy={self.number} zone={self.zone} weight={self.usual_rate} "
+                    f"SUBSCRIBE proxy={self.number} zone={self.zone} weight={self.nominal_rate} "
                     f"fresh={int(not self.table)}\r\n".encode()
                 )
                 while line := await reader.readline():
@@ -140,14 +140,14 @@
 
     def apply_line(self, line: str) -> None:
         """Apply a line, and acknowledge it if requested."""
-        self.line_received(self, line)
+        self.on_line(self, line)
         words = parse_words(line)
-        self.table = updated_table(words, self.table, self.ejected)
+        self.table = update_table(words, self.table, self.ejected)
         if "ticket" in words:
             assert self.writer is not None, "lines come on an open stream"
             self.writer.write(f"ACK proxy={self.number} mark={words['ticket']} took_ms=1\r\n".encode())
 
-    def lines(self) -> dict[str, float]:
+    def active_weights(self) -> dict[str, float]:
         """Return the weights of the table without ejected endpoints."""
         return {uid: weight for uid, weight in self.table.items() if uid not in self.ejected}
 
@@ -167,15 +167,15 @@
         self,
         server_address: Callable[[], str],
         zone: str,
-        take_loads: Callable[[], dict[str, tuple[int, int, float]]],
+        collect_loads: Callable[[], dict[str, tuple[int, int, float]]],
         interval: float = 1.0,
         endpoint_load: str = "inflight:1",
     ):
-        """`take_loads`: returns (attempts, failed, mean ms) by endpoint since its last call; `interval`:
+        """`collect_loads`: returns (attempts, failed, mean ms) by endpoint since its last call; `interval`:
         seconds."""
         self.server_address = server_address
         self.zone = zone
-        self.take_loads = take_loads
+        self.collect_loads = collect_loads
         self.interval = interval
         self.endpoint_load = endpoint_load
 
@@ -194,7 +194,7 @@
                 await asyncio.sleep(RECONNECT_DELAY)
 
     def _report(self, writer: asyncio.StreamWriter) -> None:
-        for uid, (attempts, failed, mean) in self.take_loads().items():
+        for uid, (attempts, failed, mean) in self.collect_loads().items():
             writer.write(
                 f"LOAD zone={self.zone} server={uid} tries={attempts} failed={failed} "
                 f"span_ms={self.interval * 1000} mean_ms={mean:.1f} load={self.endpoint_load}\r\n".encode()
@@ -214,7 +214,7 @@
     return await asyncio.start_server(respond, "127.0.0.1", port)
 
 
-def listed_endpoint(uid: str, zone: str, port: int = 9, weight: float = 1.0) -> dict[str, Any]:
+def registry_entry(uid: str, zone: str, port: int = 9, weight: float = 1.0) -> dict[str, Any]:
     """Return the registry's entry of an endpoint on loopback."""
     return {
         "uid": uid,
--- a/tests/collectd/test_host_loads.py
+++ b/tests/collectd/test_host_loads.py
@@ -41,9 +41,9 @@
 
 
 def test_a_host_load_is_reported_for_each_endpoint_with_its_age(harness):
-    host = sender.SimulatedHost("c", busy=0.2)
+    host = sender.SimulatedHost("c", busy_share=0.2)
     assert harness.add(START, host.packet(START)) == {}  # A rate needs two readings.
-    host.busy = 0.9
+    host.busy_share = 0.9
     assert harness.add(START + 10.5, host.packet(START + 10)) == {
         2: (0.9, pytest.approx(5.5)),
         3: (0.9, pytest.approx(5.5)),
@@ -156,7 +156,7 @@
     random_source, host = random.Random(seed), sender.SimulatedHost("a")
     sent_packets = []
     for reading in range(60):
-        host.busy = 0.1 + 0.8 * (reading > 30)
+        host.busy_share = 0.1 + 0.8 * (reading > 30)
         sent_packets.append((START + 10.0 * reading, host.packet(START + 10.0 * reading)))
     loads = {}
     for arrival_s, packet in sender.NetworkFaults(0.1, 0.2, 0.2, 25.0, 0.1).apply(
--- a/tests/distribution/test_controller_processes.py
+++ b/tests/distribution/test_controller_processes.py
@@ -21,7 +21,7 @@
 from ravenshelf.distribution.services_file import ServicesFileError, read
 from ravenshelf.distribution.subscription_service import SubscriptionService
 from ravenshelf.leadership.decisions import Permission
-from standins.installation import ports
+from standins.installation import find_free_ports
 from standins.loopback import server_configuration
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -44,7 +44,7 @@
 
     def __init__(self, folder: Path):
         self.folder, self.loop = folder, asyncio.get_running_loop()
-        free_ports = ports(6)
+        free_ports = find_free_ports(6)
         self.members = {name: f"127.0.0.1:{port}" for name, port in zip(NAMES, free_ports[:3], strict=True)}
         self.listen = {name: f"127.0.0.1:{port}" for name, port in zip(NAMES, free_ports[3:], strict=True)}
         self.processes: dict[str, asyncio.subprocess.Process] = {}
--- a/tests/distribution/test_distributed_controller.py
+++ b/tests/distribution/test_distributed_controller.py
@@ -19,8 +19,8 @@
 from ravenshelf.policy.controller import Controller
 from ravenshelf.policy.events import ListKind, ProxyJoined
 from ravenshelf.settings import Idempotency, ServiceSettings, Settings, TrafficGroup, WarmUpSettings
-from standins.installation import ports
-from standins.loopback import LoopbackProxy, LoopbackRegistry, listed_endpoint, server_configuration
+from standins.installation import find_free_ports
+from standins.loopback import LoopbackProxy, LoopbackRegistry, registry_entry, server_configuration
 from standins.server_process import start_server
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -190,8 +190,8 @@
             upstreams_are_owners=True,
         )
         relay_address = await relay.start("127.0.0.1:0")
-        registry = await LoopbackRegistry([listed_endpoint(f"s-{n}", "north") for n in range(3)]).start()
-        listen = f"127.0.0.1:{ports(1)[0]}"
+        registry = await LoopbackRegistry([registry_entry(f"s-{n}", "north") for n in range(3)]).start()
+        listen = f"127.0.0.1:{find_free_ports(1)[0]}"
         configuration = server_configuration(registry.address, ["north"], 1, listen)
         configuration["settings"]["limits"]["probing"] = False
         (tmp_path / "server.json").write_text(json.dumps(configuration))
@@ -204,7 +204,10 @@
         proxy_task = asyncio.create_task(proxy.run())
         try:
             await wait_until(
-                lambda: proxy.lines() and proxy.lines().get("s-0", 0) > 7 * proxy.lines().get("s-1", 1000)
+                lambda: (
+                    proxy.active_weights()
+                    and proxy.active_weights().get("s-0", 0) > 7 * proxy.active_weights().get("s-1", 1000)
+                )
             )
             for _ in range(30):
                 proxy.report_demand("read", 40)
@@ -220,8 +223,8 @@
             owner.stop()
             await asyncio.sleep(1)
             # The server uses the last table at first, and its own decisions later.
-            assert proxy.lines()["s-0"] > 7 * proxy.lines()["s-1"]
-            await wait_until(lambda: proxy.lines()["s-0"] < 2 * proxy.lines()["s-1"], 25)
+            assert proxy.active_weights()["s-0"] > 7 * proxy.active_weights()["s-1"]
+            await wait_until(lambda: proxy.active_weights()["s-0"] < 2 * proxy.active_weights()["s-1"], 25)
         finally:
             proxy_task.cancel()
             relay.stop()
--- a/tests/graphite/test_exporting.py
+++ b/tests/graphite/test_exporting.py
@@ -34,7 +34,7 @@
             await harness.advance(10)
         assert times == [START_S // 10 * 10 + 10 * n for n in range(3)]
         assert all(
-            len(receiver.points) == 150 and not receiver.duplicates and not receiver.malformed
+            len(receiver.points) == 150 and not receiver.duplicate_count and not receiver.malformed_lines
             for receiver in receivers
         )
         await harness.stop(*receivers)
@@ -58,9 +58,9 @@
         await harness.advance(60, 10, measure_and_observe)
         assert ReceiverState.STALLED in observed_states
         await harness.advance(40)
-        await harness.wait_until(lambda: receiver.connections > 1)
+        await harness.wait_until(lambda: receiver.connection_count > 1)
         await harness.wait_until(lambda: all(has_all_points(receiver, time, 4000) for time in times))
-        assert not receiver.malformed
+        assert not receiver.malformed_lines
         await harness.stop(receiver)
 
     run(test())
@@ -106,7 +106,7 @@
             times.append(harness.measure(200))
             await harness.advance(30)
         await harness.wait_until(lambda: all(has_all_points(receiver, time, 200) for time in times))
-        assert receiver.connections >= 4 and receiver.truncated and not receiver.malformed
+        assert receiver.connection_count >= 4 and receiver.truncated_count and not receiver.malformed_lines
         # Points that are received twice have the same path and time, so they count once.
         assert len(receiver.points) == 6 * 200
         await harness.stop(receiver)
--- a/tests/leadership/test_cluster_processes.py
+++ b/tests/leadership/test_cluster_processes.py
@@ -39,13 +39,13 @@
 
 async def take_over_a_killed_member(installation):
     """Kill a member while a third of the endpoints drain, and start it again."""
-    shards = installation.shards_of("c0")
+    shards = installation.served_shards("c0")
     drained_endpoints = {"s-0", "s-4", "s-8", "s-11"}
     for endpoint in sorted(drained_endpoints):
-        await installation.registry.change(endpoint, "DRAINING")
+        await installation.registry.change_endpoint(endpoint, "DRAINING")
     await installation.kill("c0")
-    assert await installation.until(lambda: not installation.shards_of("c0") & shards, 15) < 5
-    await installation.until(
+    assert await installation.wait_until(lambda: not installation.served_shards("c0") & shards, 15) < 5
+    await installation.wait_until(
         lambda: (
             not any(
                 drained_endpoints & (proxy.table.keys() - proxy.ejected) for proxy in installation.proxies
@@ -54,19 +54,19 @@
         5,
     )
     for endpoint in sorted(drained_endpoints):
-        await installation.registry.change(endpoint, "SERVING", time.time() * 1000)
-    await installation.run("c0")
-    await installation.until(lambda: installation.settled(12), SETTLING_LIMIT_S)
+        await installation.registry.change_endpoint(endpoint, "SERVING", time.time() * 1000)
+    await installation.start_process("c0")
+    await installation.wait_until(lambda: installation.is_settled(12), SETTLING_LIMIT_S)
 
 
 async def take_over_a_paused_member(installation):
     """Pause a member, whose connections to proxies are still open when it continues."""
     installation.signal("c1", signal.SIGSTOP)
-    await installation.until(lambda: not installation.shards_of("c1"), 15)
-    await installation.registry.change("s-3", "DRAINING")
-    await installation.until(lambda: is_ejected_everywhere(installation, "s-3"), 10)
+    await installation.wait_until(lambda: not installation.served_shards("c1"), 15)
+    await installation.registry.change_endpoint("s-3", "DRAINING")
+    await installation.wait_until(lambda: is_ejected_everywhere(installation, "s-3"), 10)
     installation.signal("c1", signal.SIGCONT)
-    await installation.until(lambda: installation.settled(12), SETTLING_LIMIT_S)
+    await installation.wait_until(lambda: installation.is_settled(12), SETTLING_LIMIT_S)
     assert is_ejected_everywhere(installation, "s-3")
 
 
@@ -75,11 +75,11 @@
         applied_commands = []
         installation = await Installation(tmp_path, 3, 120, lease_ms=600, shards=24).start()
         for proxy in installation.proxies:
-            proxy.command_applied = lambda proxy, member, term, _fields: applied_commands.append(
+            proxy.on_command = lambda proxy, member, term, _fields: applied_commands.append(
                 (proxy.number, member, term)
             )
         try:
-            await installation.until(lambda: installation.settled(12), SETTLING_LIMIT_S)
+            await installation.wait_until(lambda: installation.is_settled(12), SETTLING_LIMIT_S)
             await take_over_a_killed_member(installation)
             await take_over_a_paused_member(installation)
             check_terms(applied_commands)
@@ -108,22 +108,22 @@
     async def test():
         installation = await Installation(tmp_path, 3, 60, lease_ms=400, shards=8).start()
         try:
-            await installation.until(lambda: installation.settled(4), SETTLING_LIMIT_S)
-            shards = installation.shards_of("c0")
+            await installation.wait_until(lambda: installation.is_settled(4), SETTLING_LIMIT_S)
+            shards = installation.served_shards("c0")
             await installation.kill("c1")
             await installation.kill("c2")
-            await installation.until(
-                lambda: installation.admin("c0", {"ask": "status"})["status"]["alone"], 10
+            await installation.wait_until(
+                lambda: installation.send_admin_request("c0", {"ask": "status"})["status"]["alone"], 10
             )
             proxy = installation.proxies[min(shards)]
             proxy.table = {}
             term = proxy.term
             proxy.streams[0].transport.abort()  # the proxy connects again, and gets the previous table
-            await installation.until(lambda: proxy.table, 10)
+            await installation.wait_until(lambda: proxy.table, 10)
             assert proxy.term == term
             assert '"leadership.quorum_lost"' in (tmp_path / "c0.log").read_text()
-            await installation.run("c1")
-            await installation.until(
+            await installation.start_process("c1")
+            await installation.wait_until(
                 lambda: all(proxy.table and proxy.owner != 2 for proxy in installation.proxies), 20
             )
         finally:
@@ -139,7 +139,7 @@
     write_files = Installation._write_files
 
     def write_files_with_certificates(self, name, listen):
-        self.extra = (
+        self.leadership_settings = (
             f'certificate = "{tmp_path}/{name}.pem"\nkey = "{tmp_path}/{name}.key"\n'
             f'authority = "{tmp_path}/ca.pem"'
         )
@@ -185,7 +185,7 @@
         installation = await Installation(tmp_path, 3, 90, lease_ms=600, shards=16).start()
         socket = str(tmp_path / "c0.sock")
         try:
-            await installation.until(lambda: installation.settled(8), SETTLING_LIMIT_S)
+            await installation.wait_until(lambda: installation.is_settled(8), SETTLING_LIMIT_S)
             status = json.loads((await run_controllers_command(socket, "status", "--json"))[1])
             assert [member["met"] for member in status["members"]] == [True] * 3
             assert len(status["shards"]) >= 3
@@ -193,15 +193,15 @@
             code, output = await run_controllers_command(socket, "handover", "--to", "nobody")
             assert code == 2 and "expected one of c1, c2" in output
             assert (await run_controllers_command(socket, "drain"))[0] == 0
-            await installation.until(lambda: not installation.shards_of("c0"), 15)
+            await installation.wait_until(lambda: not installation.served_shards("c0"), 15)
             issue_certificates(tmp_path, "c0", "c1", "c2")
-            for name in installation.names:
+            for name in installation.server_names:
                 installation.signal(name, signal.SIGHUP)
             assert (await run_controllers_command(socket, "drain", "--undo"))[0] == 0
-            await installation.until(lambda: installation.settled(8), 20)
+            await installation.wait_until(lambda: installation.is_settled(8), 20)
             await installation.kill("c2")  # so that a new connection uses the new certificate
-            await installation.run("c2")
-            await installation.until(lambda: installation.settled(8), SETTLING_LIMIT_S)
+            await installation.start_process("c2")
+            await installation.wait_until(lambda: installation.is_settled(8), SETTLING_LIMIT_S)
             await check_that_a_certificate_is_required(installation.members["c1"])
         finally:
             await installation.stop()
--- a/tests/leadership/test_lease_schedules.py
+++ b/tests/leadership/test_lease_schedules.py
@@ -9,13 +9,13 @@
 from standins.controllers import END_US, Defect, SimulatedCluster
 from standins.histories import (
     BindProxy,
+    CommandApplied,
+    CommandSent,
     EjectEndpoint,
     FaultsEnded,
     GrantRetry,
-    LeaseHeld,
+    LeaseAcquired,
     MemberStopped,
-    OrderObeyed,
-    OrderSent,
     ReadmitEndpoint,
     Rule,
     check,
@@ -56,9 +56,9 @@
     stop_count = 0
     for seed in range(10):
         events = SimulatedCluster(seed, 3).run()
-        acquired_count += sum(isinstance(event, LeaseHeld) for event in events)
+        acquired_count += sum(isinstance(event, LeaseAcquired) for event in events)
         stop_count += sum(isinstance(event, MemberStopped) for event in events)
-        sent_commands = [event.order for event in events if isinstance(event, OrderSent)]
+        sent_commands = [event.command for event in events if isinstance(event, CommandSent)]
         retry_count += sum(isinstance(order, GrantRetry) for order in sent_commands)
     assert acquired_count > 90 and stop_count > 10 and retry_count > 400
 
@@ -92,20 +92,20 @@
 
 def test_the_checker_detects_minimal_violations():
     two_holders = [
-        OrderSent(1.0, 0, 0, 70, Permission.FULL, BindProxy()),
-        OrderSent(2.0, 1, 0, 65, Permission.FULL, BindProxy()),
+        CommandSent(1.0, 0, 0, 70, Permission.FULL, BindProxy()),
+        CommandSent(2.0, 1, 0, 65, Permission.FULL, BindProxy()),
     ]
     assert violated_rules(two_holders, 1) == [Rule.SINGLE_LEASE_HOLDER]
     readmission_by_the_same_list = [
-        OrderObeyed(1.0, 0, 0, 70, EjectEndpoint("s", 3)),
-        OrderObeyed(2.0, 0, 1, 135, ReadmitEndpoint("s", 3)),
+        CommandApplied(1.0, 0, 0, 70, EjectEndpoint("s", 3)),
+        CommandApplied(2.0, 0, 1, 135, ReadmitEndpoint("s", 3)),
     ]
     assert violated_rules(readmission_by_the_same_list, 1) == [Rule.DRAIN_KEPT]
     late_takeover = [
-        LeaseHeld(1.0, 0, 0),
+        LeaseAcquired(1.0, 0, 0),
         MemberStopped(2.0, 0),
         FaultsEnded(2.5),
-        OrderObeyed(9.0, 0, 1, 1, BindProxy()),
+        CommandApplied(9.0, 0, 1, 1, BindProxy()),
     ]
     assert violated_rules(late_takeover, 3) == [Rule.TAKEOVER_IN_TIME]
     assert END_US > 0
--- a/tests/operations/test_server_operations.py
+++ b/tests/operations/test_server_operations.py
@@ -16,7 +16,7 @@
 from ravenshelf.process.operations.composer import Operations
 from standins import collectd as collectd_sender
 from standins.carbon import CarbonReceiver, StopReading
-from standins.loopback import LoopbackProxy, LoopbackRegistry, listed_endpoint, server_configuration
+from standins.loopback import LoopbackProxy, LoopbackRegistry, registry_entry, server_configuration
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 
@@ -25,7 +25,7 @@
     async def test():
         loop = asyncio.get_running_loop()
         discovery = await LoopbackRegistry(
-            [listed_endpoint(f"s-{number}", "north") for number in range(4)]
+            [registry_entry(f"s-{number}", "north") for number in range(4)]
         ).start()
         receiver, hanging_receiver = (
             await CarbonReceiver().start(),
@@ -57,7 +57,7 @@
             )
         )
         host, collectd_address = (
-            collectd_sender.SimulatedHost("machine", busy=0.9),
+            collectd_sender.SimulatedHost("machine", busy_share=0.9),
             server.optional_features.collectd.listener.transport.get_extra_info("sockname"),
         )
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
@@ -89,7 +89,8 @@
             f"graphite.{hanging_receiver.address.replace('.', '_').replace(':', '_')}.queued_points",
         } <= names
         assert (
-            all(path.startswith("ravenshelf.toy.") for path, _ in receiver.points) and not receiver.malformed
+            all(path.startswith("ravenshelf.toy.") for path, _ in receiver.points)
+            and not receiver.malformed_lines
         )
         # the new operator file has another receiver, and no collectd listener
         new_receiver = await CarbonReceiver().start()
@@ -120,7 +121,7 @@
 def test_sighup_reloads_a_valid_operator_file_and_rejects_an_invalid_one(tmp_path):
     async def test():
         discovery, receiver = (
-            await LoopbackRegistry([listed_endpoint("s-0", "north")]).start(),
+            await LoopbackRegistry([registry_entry("s-0", "north")]).start(),
             await CarbonReceiver().start(),
         )
         (tmp_path / "c.json").write_text(json.dumps(server_configuration(discovery.address, ["north"], 1)))
--- a/tests/process/test_schedules.py
+++ b/tests/process/test_schedules.py
@@ -24,7 +24,7 @@
 from ravenshelf.process.deadline_keys import CallTimeout, ConnectionTimeout, ServerDeadline
 from ravenshelf.process.registry_client import IDLE_TIMEOUT_US, RegistryClient
 from ravenshelf.settings import SECOND
-from standins.loopback import updated_table
+from standins.loopback import update_table
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -240,7 +240,7 @@
             for line in lines:
                 fields = dict(field.partition("=")[::2] for field in line.decode().split()[1:])
                 table, ejected = self.tables[number]
-                self.tables[number] = updated_table(fields, table, ejected), ejected
+                self.tables[number] = update_table(fields, table, ejected), ejected
                 if "ticket" in fields:
                     feed(stream, f"ACK proxy={number} mark={fields['ticket']} took_ms=0\r\n".encode())
 
--- a/tests/store/test_segments.py
+++ b/tests/store/test_segments.py
@@ -30,7 +30,7 @@
 def take_all(segments):
     """Reads and drops all records."""
     bodies = []
-    while (oldest := segments.oldest()) is not None:
+    while (oldest := segments.read_oldest()) is not None:
         number, found = oldest
         bodies += found
         segments.drop(number)
@@ -65,7 +65,9 @@
     data[offset + 20] ^= 1
     path.write_bytes(data)
     segments = opened(tmp_path)
-    assert [(skipped.offset, skipped.is_torn_tail) for skipped in segments.skipped] == [(offset, False)]
+    assert [
+        (skipped_range.offset, skipped_range.is_torn_tail) for skipped_range in segments.skipped_ranges
+    ] == [(offset, False)]
     assert len(take_all(segments)) == 5
 
 
@@ -99,7 +101,7 @@
     segments.append([b"capacity again"])
     segments.close()
     reopened = opened(tmp_path)
-    assert not reopened.skipped and len(reopened) == 7
+    assert not reopened.skipped_ranges and len(reopened) == 7
     assert take_all(reopened)[-1] == b"capacity again"
 
 
@@ -108,7 +110,7 @@
     for number in range(100):
         segments.append([b"%03d" % number * 30])
         assert sum(path.stat().st_size for path in tmp_path.iterdir()) <= 5000
-    assert 0 < segments.dropped_records < 100
+    assert 0 < segments.dropped_record_count < 100
     assert take_all(segments)[-1] == b"099" * 30
 
 
--- a/tests/store/test_stored_data_of_earlier_versions.py
+++ b/tests/store/test_stored_data_of_earlier_versions.py
@@ -80,8 +80,8 @@
 @pytest.mark.parametrize("path", sorted((STORED / "journal").iterdir()), ids=lambda path: path.name)
 def test_the_records_of_a_segment_pack_to_the_same_bytes(path):
     data = path.read_bytes()
-    records, skipped = unpack(data, path.name, True)
-    sound = data[: skipped[0].offset] if skipped else data
+    records, skipped_ranges = unpack(data, path.name, True)
+    sound = data[: skipped_ranges[0].offset] if skipped_ranges else data
     assert segment_header() + b"".join(pack(body) for _, body in records) == sound
 
 
