--- a/ravenshelf/process/operations/leases.py
+++ b/ravenshelf/process/operations/leases.py
@@ -127,7 +127,7 @@
             metrics.COMMANDS_WAITING: waiting_commands,
         }
         totals: dict[metrics.Metric, float] = {
-            metrics.STORE_COMMITS: self.leadership.store.committer.batches,
+            metrics.STORE_COMMITS: self.leadership.store.committer.batch_count,
             metrics.RECORDS_WRITTEN: self.server.counters["records_written"],
         }
         return Measurements(levels, totals)
--- a/ravenshelf/store/errors.py
+++ b/ravenshelf/store/errors.py
@@ -6,10 +6,15 @@
 
 
 class DamagedSegmentError(RavenshelfError):
-    """A folder of segments that can't be used; the text names the file and what was expected.
+    """Error of a folder of segments that cannot be used.
 
-    `file` is the file or folder, `offset` where in it in bytes, `size_bytes` how much is damaged, where
-    that is known.
+    The text names the file or folder and says what was expected.
+
+    Attributes:
+        file: The file or folder.
+        reason: What is wrong with it.
+        offset: Position of the damage in the file in bytes; None if it is unknown.
+        size_bytes: Size of the damage; None if it is unknown.
     """
 
     def __init__(
@@ -23,9 +28,9 @@
 
 
 class JournalFailedError(RavenshelfError):
-    """The disk has failed; the journal in `folder` takes no more."""
+    """Error of a write to the journal in `folder`; after the first one the journal rejects all writes."""
 
     def __init__(self, folder: Path, reason: str) -> None:
-        super().__init__(f"{folder}: {reason}")
+        super().__init__(f"{folder}: the journal cannot be written: {reason}")
         self.folder = folder
         self.reason = reason
--- a/ravenshelf/store/journal.py
+++ b/ravenshelf/store/journal.py
@@ -1,10 +1,10 @@
-"""A map that survives a crash: a snapshot and the changes after it, in segments with checksums.
+"""A map that survives a crash, stored as a snapshot and the changes after it, in segments with checksums.
 
-`append` returns when its changes are on disk (written and synced); from then on they are there after a kill
-or a loss of power. A torn tail of the newest segment is a write that was never acknowledged, and is cut
-off. Damage anywhere else is an error with file and offset: to continue without what was acknowledged is
-worse than not to start. After a failed sync nothing since the last good one is certain, so the journal
-takes no more; whoever uses it has to end.
+`append` returns once its changes are on disk (written and synced), so that they survive a kill or a loss of
+power. A torn tail of the newest segment is a write that was never acknowledged, and is truncated. Damage
+anywhere else is an error with file and offset, because to continue without acknowledged changes is worse
+than not to start. After a failed sync it is uncertain which data since the last successful sync is on disk,
+so the journal rejects all further writes, and the process that uses it has to exit.
 """
 
 import fcntl
@@ -23,16 +23,19 @@
 
 VERSION = 1
 SEGMENT_BYTES = 4 * 1024 * 1024
-UNBOUNDED_BYTES = 10**15  # a journal is bounded by compaction, not by dropping segments
-COMPACTION_BYTES = 1024 * 1024  # of changes, before they are compacted
-COMPACTION_RATIO = 4  # and as many times the size of the last snapshot
-
-Entry: TypeAlias = tuple[Any, Any]
+# The limit beyond which `Segments` drops old segments. Compaction bounds a journal, so none may be dropped.
+UNBOUNDED_BYTES = 10**15
+# The journal is compacted when the changes since the last snapshot exceed both this size and this multiple
+# of the snapshot's size.
+MIN_COMPACTION_BYTES = 1024 * 1024
+COMPACTION_RATIO = 4
+
+Entry: TypeAlias = tuple[Any, Any]  # key and value
 Migration: TypeAlias = Callable[[Any, Any], Entry | None]
 
 
 class RecordKind(IntEnum):
-    """The kinds of records; their values are stored."""
+    """The kind of a record. The values are stored."""
 
     CHANGE = 0
     REMOVAL = 1
@@ -41,26 +44,28 @@
     SNAPSHOT_END = 4
 
 
-# plain numbers, which are encoded and compared faster: there is one for each record
+# Plain integers are encoded and compared faster than enumeration members, and each record needs one.
 CHANGE = RecordKind.CHANGE.value
 REMOVAL = RecordKind.REMOVAL.value
 KINDS_WITHOUT_ENTRY = frozenset(
     (RecordKind.IDENTITY.value, RecordKind.SNAPSHOT_BEGIN.value, RecordKind.SNAPSHOT_END.value)
 )
-JournalRecord: TypeAlias = tuple[int, int, Any, Any]  # kind, version, key, value: an array in this order
+JournalRecord: TypeAlias = tuple[int, int, Any, Any]  # kind, version, key, value; stored as an array
 
 
 def encode_record(kind: int, key: Any = None, value: Any = None, version: int = VERSION) -> bytes:
-    """The body of a record."""
+    """Return the body of a journal record, encoded as MessagePack."""
     return msgspec.msgpack.encode((kind, version, key, value))
 
 
 class Journal:
-    """The map is `entries`. `torn_tail_bytes` is what was cut off at the start.
+    """A map of keys to values that is stored in a folder of segments.
 
-    `identity` says whose journal it is; a folder of another's is an error. `migrations[v]` turns (key,
-    value) of version v into that of v + 1, or None to remove it. `is_readonly`: neither locks nor writes.
-    Raises DamagedSegmentError or OSError.
+    Attributes:
+        entries: The map; it is changed by `append` alone.
+        identity: The owner of the journal.
+        failure: The first error of a write, or None. No write succeeds after it.
+        torn_tail_bytes: Size of the torn tail that was found when the journal was opened.
     """
 
     def __init__(
@@ -72,6 +77,23 @@
         migrations: Mapping[int, Migration] | None = None,
         is_readonly: bool = False,
     ) -> None:
+        """Open the journal of a folder, and lock it until `close`.
+
+        Args:
+            folder: The folder of the segments, which is created if it does not exist.
+            identity: The owner of the journal, which is stored with it. With an empty mapping the journal of
+                any owner is opened.
+            file_system: The system calls; those of the operating system by default.
+            version: The version of the records that are written. Records of later versions are errors.
+            migrations: By version v, a function that returns the entry (key, value) of version v as one of
+                version v + 1, or None to remove it. Without one the entry is kept as it is.
+            is_readonly: Whether the folder is neither locked nor changed.
+
+        Raises:
+            DamagedSegmentError: The folder is missing (if `is_readonly`), in use by another process, of
+                another owner, of a later version, or damaged elsewhere than at the end.
+            OSError: The folder cannot be read or written.
+        """
         self.folder = folder
         self.identity = dict(identity)
         self.version = version
@@ -83,7 +105,7 @@
         self._change_bytes = 0
         self._lock_handle: int | None = None
         if is_readonly and not folder.is_dir():
-            raise DamagedSegmentError(folder, "expected a folder")
+            raise DamagedSegmentError(folder, "expected a folder with a journal, found none")
         if not is_readonly:
             self._lock()
         try:
@@ -103,17 +125,18 @@
             self._unlock()
             raise
 
-    # --- start ---
-
     def _lock(self) -> None:
-        """One process a folder; the system releases the lock however the process ends."""
+        """Lock the folder for this process.
+
+        The operating system releases the lock when the process ends, even after a crash.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
         self._lock_handle = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(self._lock_handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             self._unlock()
-            raise DamagedSegmentError(self.folder, "in use by another process") from error
+            raise DamagedSegmentError(self.folder, "the journal is in use by another process") from error
 
     def _recover(self) -> None:
         skipped_ranges = self.segments.skipped_ranges
@@ -122,7 +145,10 @@
             self._replay(self.segments.path(number).name, records)
 
     def _replay(self, file: str, records: Iterable[StoredRecord]) -> None:
-        """Applies a segment. An unfinished snapshot is ignored: what it was made from is still there."""
+        """Apply the records of a segment to the entries.
+
+        A snapshot without an end is ignored, because the segments that it was made from still exist.
+        """
         snapshot: dict[Any, Any] | None = None
         for offset, body in records:
             kind, version, key, value = self._decode(body, file, offset)
@@ -140,44 +166,45 @@
                 self._snapshot_bytes = 0
                 self._change_bytes = 0
             else:
-                self.entries = _complete_snapshot(snapshot, value, file, offset)
+                self.entries = _check_snapshot(snapshot, value, file, offset)
                 snapshot = None
 
     def _decode(self, body: bytes, file: str, offset: int) -> JournalRecord:
         try:
             kind, version, key, value = msgspec.msgpack.decode(body)
         except (msgspec.DecodeError, TypeError, ValueError) as error:
-            raise DamagedSegmentError(file, f"expected a record at {offset}", offset) from error
+            raise DamagedSegmentError(file, f"the record at {offset} cannot be decoded", offset) from error
         if version > self.version:
-            reason = f"a record of version {version} at {offset}, this program knows {self.version}"
+            reason = f"a record of version {version} at {offset}, expected at most version {self.version}"
             raise DamagedSegmentError(file, reason, offset)
         return kind, version, tuple(key) if isinstance(key, list) else key, value
 
     def _check_identity(self, identity: Mapping[str, str], file: str) -> None:
         if identity != self.identity and self.identity:
-            raise DamagedSegmentError(file, f"it is {identity}'s, expected {self.identity}'s")
+            raise DamagedSegmentError(file, f"the journal belongs to {identity}, expected {self.identity}")
         self.identity = dict(identity)
 
     def _apply(self, entries: dict[Any, Any], kind: int, version: int, key: Any, value: Any) -> None:
         while version < self.version:
             migration = self.migrations.get(version)
-            migrated = (key, value) if migration is None else migration(key, value)
-            if migrated is None:
+            migrated_entry = (key, value) if migration is None else migration(key, value)
+            if migrated_entry is None:
                 return
-            key, value = migrated
+            key, value = migrated_entry
             version += 1
         if kind == REMOVAL:
             entries.pop(key, None)
         else:
             entries[key] = value
 
-    # --- changes ---
-
     def append(self, changes: Iterable[Entry]) -> None:
-        """Stores (key, value) pairs, all or none; a value of None removes the key. Returns when they are on
-        disk.
+        """Store changes, all or none of them, and return once they are on disk.
+
+        Args:
+            changes: (key, value) pairs; a value of None removes the key.
 
-        Raises JournalFailedError.
+        Raises:
+            JournalFailedError: This write or an earlier one has failed. The entries are unchanged.
         """
         changes = list(changes)
         bodies = [
@@ -191,7 +218,7 @@
             else:
                 self.entries[key] = value
         self._change_bytes += sum(map(len, bodies))
-        if self._change_bytes > max(COMPACTION_BYTES, COMPACTION_RATIO * self._snapshot_bytes):
+        if self._change_bytes > max(MIN_COMPACTION_BYTES, COMPACTION_RATIO * self._snapshot_bytes):
             self.compact()
 
     def _write(self, bodies: list[bytes]) -> None:
@@ -204,17 +231,23 @@
             raise self.failure from error
 
     def compact(self) -> None:
-        """Writes a segment with all entries; only when it is on disk are the older ones removed."""
-        outdated = list(self.segments.segment_sizes)
+        """Replace all segments by one that contains only the current entries.
+
+        The old segments are removed only after the new one is on disk.
+
+        Raises:
+            JournalFailedError: The new segment could not be written.
+        """
+        old_segments = list(self.segments.segment_sizes)
         self.segments.close()
-        begin = [
+        first_records = [
             self._encoded_identity(),
             encode_record(RecordKind.SNAPSHOT_BEGIN.value, version=self.version),
         ]
         entries = [encode_record(CHANGE, key, value, self.version) for key, value in self.entries.items()]
-        end = encode_record(RecordKind.SNAPSHOT_END.value, None, len(entries), self.version)
-        self._write([*begin, *entries, end])
-        for number in outdated:
+        last_record = encode_record(RecordKind.SNAPSHOT_END.value, None, len(entries), self.version)
+        self._write([*first_records, *entries, last_record])
+        for number in old_segments:
             self.segments.drop(number)
         self._snapshot_bytes = sum(map(len, entries))
         self._change_bytes = 0
@@ -223,7 +256,7 @@
         return encode_record(RecordKind.IDENTITY.value, None, self.identity, self.version)
 
     def close(self) -> None:
-        """Closes the files and releases the lock."""
+        """Close the files and release the lock."""
         self.segments.close()
         self._unlock()
 
@@ -233,13 +266,17 @@
             self._lock_handle = None
 
 
-def _complete_snapshot(
-    snapshot: dict[Any, Any] | None, expected: int, file: str, offset: int
+def _check_snapshot(
+    snapshot: dict[Any, Any] | None, expected_count: int, file: str, offset: int
 ) -> dict[Any, Any]:
-    """The entries of a snapshot. Raises DamagedSegmentError where they are not as many as its end says."""
-    if snapshot is None or len(snapshot) != expected:
-        found = len(snapshot or ())
+    """Return the entries of a snapshot whose last record is at `offset`.
+
+    Raises:
+        DamagedSegmentError: The number of entries differs from the one in the last record.
+    """
+    if snapshot is None or len(snapshot) != expected_count:
+        entry_count = len(snapshot or ())
         raise DamagedSegmentError(
-            file, f"a snapshot of {expected} entries, {found} found, at {offset}", offset
+            file, f"expected a snapshot of {expected_count} entries, found {entry_count}, at {offset}", offset
         )
     return snapshot
--- a/ravenshelf/store/segment_format.py
+++ b/ravenshelf/store/segment_format.py
@@ -1,7 +1,8 @@
-"""The bytes of a segment. Pure.
+"""Encoding and decoding of a segment's bytes, without input or output.
 
-A segment is a header (magic, version), then records, each a header (marker, size of the body, checksum) and
-a body. The checksum is xxh64 of the body, seeded with its size. Numbers are little-endian.
+A segment consists of a header (magic, version) and records. A record consists of a header (marker, size of
+the body, checksum) and a body. The checksum is xxh64 of the body, seeded with the size of the body. Numbers
+are little-endian.
 """
 
 import struct
@@ -17,39 +18,46 @@
 MAGIC = b"rvnsegs\0"
 RECORD_MARKER = b"\xf5rec"
 VERSION = 1
-RECORD_LIMIT_BYTES = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 
 
-# a record that was read: where its header begins in the file, and its body
+# A record of a segment: the offset of its header in the file in bytes, and its body.
 StoredRecord: TypeAlias = tuple[int, bytes]
 
 
 @dataclass(frozen=True, slots=True)
 class SkippedRange:
-    """A range of a file that holds no valid record."""
+    """A range of a file without a valid record.
+
+    It is a torn tail if it is at the end of the newest segment: an interrupted write leaves such a range.
+    """
 
     file: str
     offset: int
     size_bytes: int
-    is_torn_tail: bool  # at the very end of the newest segment: a write that was interrupted
+    is_torn_tail: bool
 
 
 class SegmentContent(NamedTuple):
-    """The valid records of a segment, and the ranges without any."""
+    """The valid records of a segment, and the byte ranges that contain none."""
 
     records: list[StoredRecord]
     skipped_ranges: list[SkippedRange]
 
 
 def segment_header() -> bytes:
-    """The first bytes of a new segment."""
+    """Return the bytes with which every segment begins."""
     return SEGMENT_HEADER.pack(MAGIC, VERSION)
 
 
 def pack(body: bytes) -> bytes:
-    """The bytes of a record. Raises ValueError where the body is too long."""
-    if len(body) > RECORD_LIMIT_BYTES:
-        raise ValueError(f"a record of {len(body)} bytes, at most {RECORD_LIMIT_BYTES} expected")
+    """Return the bytes of a record.
+
+    Raises:
+        ValueError: The body is longer than MAX_BODY_BYTES.
+    """
+    if len(body) > MAX_BODY_BYTES:
+        raise ValueError(f"the body of a record has {len(body)} bytes, at most {MAX_BODY_BYTES} expected")
     return RECORD_HEADER.pack(RECORD_MARKER, len(body), _checksum(body)) + body
 
 
@@ -58,9 +66,15 @@
 
 
 def unpack(data: bytes, file: str, is_newest: bool) -> SegmentContent:
-    """The content of a segment file; `file` is its name.
+    """Return the records and the skipped ranges of a segment.
+
+    Args:
+        data: The content of the segment's file.
+        file: The name of the file, for errors and skipped ranges.
+        is_newest: Whether it is the newest segment of its folder, whose end may be a torn tail.
 
-    Raises DamagedSegmentError for what is no segment.
+    Raises:
+        DamagedSegmentError: The header is not that of a segment of this version.
     """
     if len(data) < SEGMENT_HEADER.size and is_newest:
         return SegmentContent([], [SkippedRange(file, 0, len(data), True)] if data else [])
@@ -74,24 +88,26 @@
             records.append((offset, body))
             offset += RECORD_HEADER.size + len(body)
             continue
-        following = _next_record(data, offset + 1)
-        end = len(data) if following is None else following
-        is_torn_tail = is_newest and following is None
-        skipped_ranges.append(SkippedRange(file, offset, end - offset, is_torn_tail))
-        offset = end
+        next_offset = _find_record(data, offset + 1)
+        range_end = len(data) if next_offset is None else next_offset
+        is_torn_tail = is_newest and next_offset is None
+        skipped_ranges.append(SkippedRange(file, offset, range_end - offset, is_torn_tail))
+        offset = range_end
     return SegmentContent(records, skipped_ranges)
 
 
 def _check_header(data: bytes, file: str) -> None:
     if len(data) < SEGMENT_HEADER.size or data[: len(MAGIC)] != MAGIC:
-        raise DamagedSegmentError(file, f"expected a segment, not {data[: len(MAGIC)]!r}", 0)
+        raise DamagedSegmentError(
+            file, f"expected a segment, found a file that starts with {data[: len(MAGIC)]!r}", 0
+        )
     _, version = SEGMENT_HEADER.unpack_from(data)
     if version != VERSION:
         raise DamagedSegmentError(file, f"expected version {VERSION}, not {version}", 0)
 
 
-def _next_record(data: bytes, start: int) -> int | None:
-    """Where the next valid record begins, or None."""
+def _find_record(data: bytes, start: int) -> int | None:
+    """Return the offset of the first valid record at or after `start`, or None if there is none."""
     offset = data.find(RECORD_MARKER, start)
     while offset >= 0:
         if _body_at(data, offset) is not None:
@@ -101,11 +117,12 @@
 
 
 def _body_at(data: bytes, offset: int) -> bytes | None:
-    begin = offset + RECORD_HEADER.size
-    if begin > len(data):
+    """Return the body of the record at an offset, or None if there is no valid record."""
+    body_start = offset + RECORD_HEADER.size
+    if body_start > len(data):
         return None
     marker, size, checksum = RECORD_HEADER.unpack_from(data, offset)
-    if marker != RECORD_MARKER or size > RECORD_LIMIT_BYTES or begin + size > len(data):
+    if marker != RECORD_MARKER or size > MAX_BODY_BYTES or body_start + size > len(data):
         return None
-    body = data[begin : begin + size]
+    body = data[body_start : body_start + size]
     return body if _checksum(body) == checksum else None
--- a/tests/store/failing_disk.py
+++ b/tests/store/failing_disk.py
@@ -1,4 +1,4 @@
-"""Helper for tests of the store: a file system that fails, or loses its power, at a chosen call."""
+"""File systems for tests of the store: one fails or loses power at a chosen call, one becomes full."""
 
 import errno
 import os
@@ -6,18 +6,18 @@
 
 from ravenshelf.store.file_system import FileSystem
 
-SHORT_WRITE = 0.3  # probability
+SHORT_WRITE_PROBABILITY = 0.3
 
 
 class FailingDisk(FileSystem):
-    """Loses what was not synced when its power goes.
+    """A disk that fails or loses power, and with the power all or a part of the unsynced data.
 
-    `calls` counts; at `fail_at` a call fails, at `lose_power_at` the power goes in it. With `ignores_sync`
-    it only says that it has synced.
+    The calls are counted in `call_count`, from 1 on. Call `fail_at` fails; during call `lose_power_at` the
+    power is lost. With `ignores_sync`, `sync` returns without having synced anything.
     """
 
     def __init__(self, fail_at=0, lose_power_at=0, seed=0, ignores_sync=False):
-        self.calls = 0
+        self.call_count = 0
         self.fail_at = fail_at
         self.lose_power_at = lose_power_at
         self.ignores_sync = ignores_sync
@@ -26,13 +26,13 @@
         self.paths = {}
         self.is_off = False
 
-    def _call(self, name):
+    def _count_call(self, name):
         if self.is_off:
             raise OSError(errno.EIO, "no power")
-        self.calls += 1
-        if self.calls == self.fail_at:
+        self.call_count += 1
+        if self.call_count == self.fail_at:
             raise OSError(errno.ENOSPC if name == "write" else errno.EIO, name)
-        if self.calls == self.lose_power_at:
+        if self.call_count == self.lose_power_at:
             self.is_off = True
             raise OSError(errno.EIO, "no power")
 
@@ -43,27 +43,28 @@
         return handle
 
     def write(self, handle, data):
-        if self.is_off or self.calls + 1 == self.lose_power_at:  # a part of it reaches the disk
+        if self.is_off or self.call_count + 1 == self.lose_power_at:
+            # A random part of the data reaches the disk.
             super().write(handle, data[: self.rng.randrange(len(data) + 1)])
-        self._call("write")
-        is_short = self.rng.random() < SHORT_WRITE
+        self._count_call("write")
+        is_short = self.rng.random() < SHORT_WRITE_PROBABILITY
         return super().write(handle, data[: max(1, len(data) // 2)] if is_short else data)
 
     def sync(self, handle):
-        self._call("sync")
+        self._count_call("sync")
         if not self.ignores_sync:
             super().sync(handle)
             self.synced_sizes[self.paths[handle]] = os.fstat(handle).st_size
 
     def sync_folder(self, folder):
-        self._call("sync")
+        self._count_call("sync")
 
     def remove(self, path):
-        self._call("remove")
+        self._count_call("remove")
         super().remove(path)
 
     def lose_power(self):
-        """Of what was not synced a part is there."""
+        """Truncate each file to its synced size and a random part of the unsynced data."""
         for path, size in self.synced_sizes.items():
             if os.path.exists(path):
                 unsynced = max(0, os.path.getsize(path) - size)
@@ -71,15 +72,15 @@
 
 
 class FullDisk(FileSystem):
-    """Writes at most `most_at_once` bytes at a time and none beyond `capacity`."""
+    """A disk that writes at most `max_write_bytes` in a call and `capacity` bytes in total."""
 
-    def __init__(self, capacity=10**9, most_at_once=10**9):
+    def __init__(self, capacity=10**9, max_write_bytes=10**9):
         self.capacity = capacity
-        self.most_at_once = most_at_once
+        self.max_write_bytes = max_write_bytes
 
     def write(self, handle, data):
         if self.capacity <= 0:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        written = super().write(handle, data[: min(self.most_at_once, self.capacity)])
-        self.capacity -= written
-        return written
+        written_bytes = super().write(handle, data[: min(self.max_write_bytes, self.capacity)])
+        self.capacity -= written_bytes
+        return written_bytes
--- a/tests/store/test_committer.py
+++ b/tests/store/test_committer.py
@@ -1,4 +1,4 @@
-"""Group commit."""
+"""Tests of group commit."""
 
 from ravenshelf.store.committer import Committer
 from ravenshelf.store.journal import Journal
@@ -6,12 +6,12 @@
 IDENTITY = {"cluster": "a", "member": "c0"}
 
 
-def test_commits_end_in_order_and_go_to_disk_in_groups(tmp_path):
-    ended = []
-    committer = Committer(Journal(tmp_path, IDENTITY), lambda call: call())
+def test_commits_are_reported_in_order_and_written_in_batches(tmp_path):
+    results = []
+    committer = Committer(Journal(tmp_path, IDENTITY), lambda callback: callback())
     for number in range(500):
-        committer.commit([(number % 3, number)], lambda error, number=number: ended.append((number, error)))
+        committer.commit([(number % 3, number)], lambda error, number=number: results.append((number, error)))
     committer.close()
-    assert ended == [(number, None) for number in range(500)] and committer.batches < 400
+    assert results == [(number, None) for number in range(500)] and committer.batch_count < 400
     committer.journal.close()
     assert Journal(tmp_path, IDENTITY).entries == {0: 498, 1: 499, 2: 497}
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -1,5 +1,6 @@
-"""The journal: what was acknowledged survives a kill, a loss of power, a full disk; damage is an error with
-a place.
+"""Tests of the journal.
+
+Acknowledged changes survive a kill, a loss of power and a full disk. Damage is an error with file and offset.
 """
 
 import subprocess
@@ -18,7 +19,7 @@
 
 
 def fill(folder, disk, acknowledged, count=60):
-    """Appends and compacts; `acknowledged` has what was acknowledged until an error."""
+    """Append changes and compact halfway; `acknowledged` is updated with each acknowledged change."""
     journal = Journal(folder, IDENTITY, disk)
     try:
         for number in range(count):
@@ -33,28 +34,30 @@
 
 @pytest.mark.parametrize("fault", ["fail_at", "lose_power_at"])
 def test_acknowledged_changes_survive_a_fault_at_any_call(tmp_path, fault):
-    sound = FailingDisk()
-    fill(tmp_path / "sound", sound, {})
-    assert sound.calls > 120
-    for call in range(1, sound.calls + 1, 2):
-        folder = tmp_path / f"{fault}{call}"
+    faultless_disk = FailingDisk()
+    fill(tmp_path / "faultless", faultless_disk, {})
+    assert faultless_disk.call_count > 120
+    for fault_call in range(1, faultless_disk.call_count + 1, 2):
+        folder = tmp_path / f"{fault}{fault_call}"
         acknowledged = {}
-        disk = FailingDisk(**{fault: call}, seed=call)
+        disk = FailingDisk(**{fault: fault_call}, seed=fault_call)
         with pytest.raises((JournalFailedError, OSError)):
             fill(folder, disk, acknowledged)
         if fault == "lose_power_at":
             disk.lose_power()
         journal = Journal(folder, IDENTITY)
-        unacknowledged = {k: v for k, v in journal.entries.items() if acknowledged.get(k) != v}
-        assert all(journal.entries.get(k, -1) >= v for k, v in acknowledged.items()), call
-        assert len(unacknowledged) <= 2  # the one write that was in progress may be there
+        unacknowledged = {
+            key: value for key, value in journal.entries.items() if acknowledged.get(key) != value
+        }
+        assert all(journal.entries.get(key, -1) >= value for key, value in acknowledged.items()), fault_call
+        assert len(unacknowledged) <= 2  # The write that was in progress, of two keys, may have succeeded.
         journal.append([("after", 1)])
         journal.close()
 
 
-def test_a_disk_that_only_says_that_it_has_synced_loses_acknowledged_changes(tmp_path):
-    """The test above can fail."""
-    lost = 0
+def test_a_disk_that_ignores_syncs_loses_acknowledged_changes(tmp_path):
+    """The test above would report a journal whose changes are not on disk when they are acknowledged."""
+    loss_count = 0
     for seed in range(10):
         disk = FailingDisk(seed=seed, ignores_sync=True)
         acknowledged = {}
@@ -65,18 +68,18 @@
         disk.lose_power()
         journal.close()
         try:
-            reopened = Journal(tmp_path / str(seed), IDENTITY)
-            lost += reopened.entries != acknowledged
-            reopened.close()
+            reopened_journal = Journal(tmp_path / str(seed), IDENTITY)
+            loss_count += reopened_journal.entries != acknowledged
+            reopened_journal.close()
         except DamagedSegmentError:
-            lost += 1
-    assert lost
+            loss_count += 1
+    assert loss_count
 
 
-def test_after_a_failed_sync_the_journal_takes_no_more(tmp_path):
+def test_after_a_failed_sync_the_journal_rejects_further_writes(tmp_path):
     disk = FailingDisk()
     journal = Journal(tmp_path, IDENTITY, disk)
-    disk.fail_at = disk.calls + 2
+    disk.fail_at = disk.call_count + 2
     with pytest.raises(JournalFailedError):
         journal.append([(1, 1)])
     with pytest.raises(JournalFailedError, match=str(tmp_path)):
@@ -86,7 +89,7 @@
 
 @pytest.fixture
 def filled_folder(tmp_path):
-    """A closed journal of ten entries in one segment."""
+    """Return the folder of a closed journal with ten entries in one segment."""
     journal = Journal(tmp_path, IDENTITY)
     for number in range(10):
         journal.append([(number, "v" * 40)])
@@ -106,7 +109,7 @@
     assert raised.value.offset <= offset < raised.value.offset + raised.value.size_bytes
 
 
-def test_a_torn_tail_is_cut_off(filled_folder):
+def test_a_torn_tail_is_truncated(filled_folder):
     (path,) = filled_folder.glob("*.segment")
     path.write_bytes(path.read_bytes()[:-5])
     journal = Journal(filled_folder, IDENTITY)
@@ -114,16 +117,16 @@
     journal.close()
 
 
-def test_a_folder_in_use_of_another_or_of_a_later_version_is_an_error(tmp_path):
+def test_a_folder_that_is_in_use_or_of_another_member_or_of_a_later_version_is_an_error(tmp_path):
     journal = Journal(tmp_path, IDENTITY)
     with pytest.raises(DamagedSegmentError, match="in use"):
         Journal(tmp_path, IDENTITY)
     journal.close()
     with pytest.raises(DamagedSegmentError, match=r"c0.*expected.*c1"):
         Journal(tmp_path, {"cluster": "a", "member": "c1"})
-    later = Journal(tmp_path, IDENTITY, version=2)
-    later.append([("x", 1)])
-    later.close()
+    later_journal = Journal(tmp_path, IDENTITY, version=2)
+    later_journal.append([("x", 1)])
+    later_journal.close()
     with pytest.raises(DamagedSegmentError, match="version 2 at"):
         Journal(tmp_path, IDENTITY)
 
@@ -136,17 +139,17 @@
         1: lambda key, value: (key, [value]) if key != "gone" else None,
         2: lambda key, value: (key, [*value, "then"]),
     }
-    migrated = Journal(tmp_path, IDENTITY, version=3, migrations=migrations)
-    assert migrated.entries == {"a": [1, "then"]}
-    migrated.append([("b", [5, "then"])])
-    migrated.compact()
-    migrated.close()
-    compacted = Journal(tmp_path, IDENTITY, version=3, migrations={})
-    assert compacted.entries == {"a": [1, "then"], "b": [5, "then"]}
+    migrated_journal = Journal(tmp_path, IDENTITY, version=3, migrations=migrations)
+    assert migrated_journal.entries == {"a": [1, "then"]}
+    migrated_journal.append([("b", [5, "then"])])
+    migrated_journal.compact()
+    migrated_journal.close()
+    compacted_journal = Journal(tmp_path, IDENTITY, version=3, migrations={})
+    assert compacted_journal.entries == {"a": [1, "then"], "b": [5, "then"]}
 
 
 def test_compaction_bounds_the_size_by_the_entries(tmp_path, monkeypatch):
-    monkeypatch.setattr(journals, "COMPACTION_BYTES", 4096)
+    monkeypatch.setattr(journals, "MIN_COMPACTION_BYTES", 4096)
     journal = Journal(tmp_path, IDENTITY)
     for number in range(2000):
         journal.append([(number % 5, "v" * 50)])
@@ -155,27 +158,32 @@
     assert len(Journal(tmp_path, IDENTITY).entries) == 5
 
 
-PROGRAM = (
+APPENDING_PROGRAM = (
     "import sys\nfrom pathlib import Path\nfrom ravenshelf.store import journal\n"
-    "journal.COMPACTION_BYTES = 3000\n"
-    "j = journal.Journal(Path(sys.argv[1]), {'cluster': 'a', 'member': 'c0'})\n"
-    "for n in range(10**6):\n    j.append([(n % 9, n)])\n    print(n, flush=True)\n"
+    "journal.MIN_COMPACTION_BYTES = 3000\n"
+    "open_journal = journal.Journal(Path(sys.argv[1]), {'cluster': 'a', 'member': 'c0'})\n"
+    "for number in range(10**6):\n"
+    "    open_journal.append([(number % 9, number)])\n"
+    "    print(number, flush=True)\n"
 )
 
 
-@pytest.mark.parametrize("lines", [3, 90, 400])
-def test_acknowledged_changes_survive_a_kill_at_any_moment(tmp_path, lines):
+@pytest.mark.parametrize("line_count", [3, 90, 400])
+def test_acknowledged_changes_survive_a_kill_at_any_moment(tmp_path, line_count):
     process = subprocess.Popen(
-        [sys.executable, "-c", PROGRAM, str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE
+        [sys.executable, "-c", APPENDING_PROGRAM, str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE
     )
-    for _ in range(lines):
-        last = int(process.stdout.readline())
+    for _ in range(line_count):
+        last_acknowledged = int(process.stdout.readline())
     process.kill()
-    rest = [int(line) for line in process.stdout.read().split(b"\n")[:-1] if line]
+    remaining_numbers = [int(line) for line in process.stdout.read().split(b"\n")[:-1] if line]
     process.wait()
-    last = rest[-1] if rest else last
+    last_acknowledged = remaining_numbers[-1] if remaining_numbers else last_acknowledged
     entries = Journal(tmp_path, IDENTITY).entries
-    assert last <= max(entries.values()) <= last + 1
-    kept = min(8, last)
-    acknowledged = sorted(value for value in entries.values() if value <= last)
-    assert acknowledged[-kept:] == list(range(last - kept + 1, last + 1))
+    assert last_acknowledged <= max(entries.values()) <= last_acknowledged + 1
+    # A write in progress may have overwritten the oldest of the nine keys.
+    certain_count = min(8, last_acknowledged)
+    acknowledged = sorted(value for value in entries.values() if value <= last_acknowledged)
+    assert acknowledged[-certain_count:] == list(
+        range(last_acknowledged - certain_count + 1, last_acknowledged + 1)
+    )
--- a/tests/store/test_store_commands.py
+++ b/tests/store/test_store_commands.py
@@ -1,4 +1,4 @@
-"""The commands `ravenshelf store`."""
+"""Tests of the `ravenshelf store` commands."""
 
 import subprocess
 import sys
@@ -12,15 +12,15 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-def store_command(*words):
+def run_store_command(*arguments):
     return subprocess.run(
-        [sys.executable, "-m", "ravenshelf", "store", *words], cwd=ROOT, capture_output=True, text=True
+        [sys.executable, "-m", "ravenshelf", "store", *arguments], cwd=ROOT, capture_output=True, text=True
     )
 
 
 @pytest.fixture
-def folder(tmp_path):
-    """A closed journal of two entries."""
+def journal_folder(tmp_path):
+    """Return the folder of a closed journal with two entries."""
     journal = Journal(tmp_path, {"cluster": "a", "member": "c0"})
     for number in range(50):
         journal.append([(number % 2, number)])
@@ -28,18 +28,20 @@
     return tmp_path
 
 
-def test_verify_dump_and_compact(folder):
-    assert msgspec.json.decode(store_command("verify", str(folder), "--json").stdout)["entries"] == 2
-    assert store_command("dump", str(folder)).stdout.splitlines() == [
+def test_verify_dump_and_compact_report_the_entries_and_verify_reports_damage(journal_folder):
+    assert (
+        msgspec.json.decode(run_store_command("verify", str(journal_folder), "--json").stdout)["entries"] == 2
+    )
+    assert run_store_command("dump", str(journal_folder)).stdout.splitlines() == [
         '{"key": 0, "value": 48}',
         '{"key": 1, "value": 49}',
     ]
-    assert "2 entries" in store_command("compact", str(folder)).stdout
-    (path,) = folder.glob("*.segment")
+    assert "2 entries" in run_store_command("compact", str(journal_folder)).stdout
+    (path,) = journal_folder.glob("*.segment")
     path.write_bytes(path.read_bytes()[:40] + b"xxxx" + path.read_bytes()[44:])
-    verified = store_command("verify", str(folder))
-    assert verified.returncode == 2 and "damaged" in verified.stderr
+    verification = run_store_command("verify", str(journal_folder))
+    assert verification.returncode == 2 and "damaged" in verification.stderr
 
 
 def test_verify_of_a_missing_folder_fails(tmp_path):
-    assert store_command("verify", str(tmp_path / "none")).returncode == 2
+    assert run_store_command("verify", str(tmp_path / "none")).returncode == 2
--- a/tests/store/test_stored_data_of_earlier_versions.py
+++ b/tests/store/test_stored_data_of_earlier_versions.py
@@ -1,4 +1,7 @@
-"""Data on disk and on the wire of an earlier version is read, and the same content gives the same bytes."""
+"""Tests of compatibility with data of an earlier version, on disk and on the wire.
+
+The data is read, and the same content is encoded to the same bytes.
+"""
 
 import json
 import shutil
@@ -12,7 +15,7 @@
 from ravenshelf.leadership.record import Record
 from ravenshelf.store.journal import Journal
 from ravenshelf.store.segment_format import pack, segment_header, unpack
-from tools.make_stored_fixtures import IDENTITY, MESSAGES, RECORD, play_exchange, write_journal
+from tools.make_stored_fixtures import IDENTITY, MESSAGES, RECORD, run_exchange, write_journal
 
 ROOT = Path(__file__).resolve().parents[2]
 STORED = ROOT / "tests" / "fixtures" / "stored"
@@ -32,16 +35,16 @@
     return shutil.copytree(STORED / "journal", tmp_path / "journal")
 
 
-def store_command(*words):
+def run_store_command(*arguments):
     return subprocess.run(
-        [sys.executable, "-m", "ravenshelf", "store", *words], cwd=ROOT, capture_output=True, text=True
+        [sys.executable, "-m", "ravenshelf", "store", *arguments], cwd=ROOT, capture_output=True, text=True
     )
 
 
 def test_store_verify_reads_a_journal_of_an_earlier_version(journal_folder):
-    done = store_command("verify", str(journal_folder), "--json")
-    assert done.returncode == 0
-    assert json.loads(done.stdout) == {
+    completed_process = run_store_command("verify", str(journal_folder), "--json")
+    assert completed_process.returncode == 0
+    assert json.loads(completed_process.stdout) == {
         "identity": IDENTITY,
         "entries": 6,
         "segments": 2,
@@ -51,15 +54,17 @@
 
 
 def test_store_dump_prints_the_entries_of_an_earlier_version(journal_folder):
-    lines = [json.loads(line) for line in store_command("dump", str(journal_folder)).stdout.splitlines()]
-    shown = {
-        key: [v.hex() if isinstance(v, bytes) else v for v in value] if isinstance(value, list) else value
+    lines = [json.loads(line) for line in run_store_command("dump", str(journal_folder)).stdout.splitlines()]
+    printed_entries = {
+        key: [field.hex() if isinstance(field, bytes) else field for field in value]
+        if isinstance(value, list)
+        else value
         for key, value in ENTRIES.items()
     }
-    assert {line["key"]: line["value"] for line in lines} == shown
+    assert {line["key"]: line["value"] for line in lines} == printed_entries
 
 
-def test_a_journal_of_an_earlier_version_is_continued(journal_folder):
+def test_a_journal_of_an_earlier_version_can_be_written_and_compacted(journal_folder):
     journal = Journal(journal_folder, IDENTITY)
     assert journal.entries == ENTRIES
     journal.append([("after", 1)])
@@ -68,21 +73,20 @@
     assert Journal(journal_folder, IDENTITY).entries == ENTRIES | {"after": 1}
 
 
-def test_the_same_changes_give_the_same_segment_files(tmp_path, monkeypatch):
-    monkeypatch.setattr(
-        "ravenshelf.store.journal.SEGMENT_BYTES", None
-    )  # `write_journal` sets it: restored afterwards
+def test_the_same_changes_are_written_to_identical_segment_files(tmp_path, monkeypatch):
+    # `write_journal` sets this constant; monkeypatch restores it after the test.
+    monkeypatch.setattr("ravenshelf.store.journal.SEGMENT_BYTES", None)
     write_journal(tmp_path / "journal")
-    written = {path.name: path.read_bytes() for path in (tmp_path / "journal").iterdir()}
-    assert written == {path.name: path.read_bytes() for path in (STORED / "journal").iterdir()}
+    written_files = {path.name: path.read_bytes() for path in (tmp_path / "journal").iterdir()}
+    assert written_files == {path.name: path.read_bytes() for path in (STORED / "journal").iterdir()}
 
 
 @pytest.mark.parametrize("path", sorted((STORED / "journal").iterdir()), ids=lambda path: path.name)
 def test_the_records_of_a_segment_pack_to_the_same_bytes(path):
     data = path.read_bytes()
     records, skipped_ranges = unpack(data, path.name, True)
-    sound = data[: skipped_ranges[0].offset] if skipped_ranges else data
-    assert segment_header() + b"".join(pack(body) for _, body in records) == sound
+    valid_data = data[: skipped_ranges[0].offset] if skipped_ranges else data
+    assert segment_header() + b"".join(pack(body) for _, body in records) == valid_data
 
 
 def test_a_leadership_record_is_read_and_packs_to_the_same_bytes():
@@ -111,4 +115,4 @@
 
 
 def test_a_seeded_exchange_of_three_members_makes_the_same_decisions_and_frames():
-    assert play_exchange() == (STORED / "exchange.bin").read_bytes()
+    assert run_exchange() == (STORED / "exchange.bin").read_bytes()
--- a/tools/make_stored_fixtures.py
+++ b/tools/make_stored_fixtures.py
@@ -1,8 +1,8 @@
-"""Writes `tests/fixtures/stored/`: data on disk and on the wire as one version of the program writes it.
+"""Write the files of `tests/fixtures/stored/`: data on disk and on the wire in the format of one version.
 
-The files in the repository were written once and stay: later versions must read them and must write the same
-bytes (`tests/store/test_stored_data_of_earlier_versions.py`). Run this only to add data of a new format, into
-a new folder:
+The files in the repository were written once and never change. Later versions must read them and must write
+the same bytes (`tests/store/test_stored_data_of_earlier_versions.py`). This tool is only run to write data of
+a new format into a new folder:
 
     python -m tools.make_stored_fixtures FOLDER
 """
@@ -22,13 +22,13 @@
 
 IDENTITY = {"cluster": "fixtures", "member": "c0"}
 SMALL_SEGMENT_BYTES = 600
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 TICK_US = 20_000
-EXCHANGE_ENDS_US = 5 * SECOND
-RECORDS_EVERY_US = 500_000
+EXCHANGE_END_US = 5 * SECOND_US
+RECORD_INTERVAL_US = 500_000
 HANDOVER_AT_US = 2_600_000
-ISOLATED_AT_US = 3_200_000
-RESTARTED_AT_US = 4_000_000
+ISOLATION_AT_US = 3_200_000
+RESTART_AT_US = 4_000_000
 
 RECORD = Record(
     retries={"build-order-0-1": 1, "build-order-0-7": 2},
@@ -38,7 +38,7 @@
     unknown_fields={"quotas": {"tenant": 7}},
 )
 
-# one message of every kind, as they are on the wire
+# The name of a file, and the message that its frame contains; there is one for each kind of message.
 MESSAGES: dict[str, list] = {
     "hello": ["hello", 1, "fixtures", "c0", 3, [64, 1_500_000, 3]],
     "read": ["read"],
@@ -57,53 +57,55 @@
 
 
 class Exchange:
-    """Three members play a seeded exchange: every decision in order, with messages as frames.
+    """A seeded simulation of three members that logs every decision in order, with messages as frames.
 
-    A member is cut off, one starts again with an empty disk, records are written, shards are handed over. It
-    stands for the disk and the network of all three (`LeaseOutput`), which are ideal.
+    One member is isolated, one restarts with an empty disk, records are written, and shards are handed over.
+    The simulation is the `LeaseOutput` of all three members. Its disk and its network have no delay.
     """
 
     def __init__(self) -> None:
-        self.configuration = LeaseConfiguration(shards=4, stability_period_us=SECOND)
-        self.members = [Member(n, 3, self.configuration, {}, 0, random.Random(n)) for n in range(3)]
-        self.isolated: int | None = None
+        self.configuration = LeaseConfiguration(shards=4, stability_period_us=SECOND_US)
+        self.members = [
+            Member(number, 3, self.configuration, {}, 0, random.Random(number)) for number in range(3)
+        ]
+        self.isolated_member: int | None = None
         self.now = 0
         self.messages: list[tuple[int, Any]] = []
-        self.lines: list[bytes] = []
+        self.log_lines: list[bytes] = []
 
     def store_vote(self, *values: Any) -> None:
-        """A vote goes to disk."""
-        self.lines.append(b"keep %r\n" % (values,))
+        """Log the fields of a vote that goes to disk."""
+        self.log_lines.append(b"keep %r\n" % (values,))
 
     def store_voting(self) -> None:
-        """The member votes from now on."""
-        self.lines.append(b"votes\n")
+        """Log that a member votes from now on."""
+        self.log_lines.append(b"votes\n")
 
     def send(self, member: int, message: Message) -> None:
-        """A message leaves."""
+        """Log a message, and deliver it after the step."""
         self.messages.append((member, message))
-        self.lines.append(b"send %d " % member + message_codec.encode(message) + b"\n")
+        self.log_lines.append(b"send %d " % member + message_codec.encode(message) + b"\n")
 
     def lease_changed(self, shard: int, state: LeaseState, term: int, record: Any) -> None:
-        """A shard's state has changed."""
-        self.lines.append(b"changed %r\n" % ((shard, state.value, term, record),))
+        """Log a new state of a shard's lease."""
+        self.log_lines.append(b"changed %r\n" % ((shard, state.value, term, record),))
 
-    def play(self) -> bytes:
-        """The whole exchange, a line for each decision."""
-        for self.now in range(TICK_US, EXCHANGE_ENDS_US, TICK_US):
+    def run(self) -> bytes:
+        """Run the whole exchange and return its log, which has a line for each decision."""
+        for self.now in range(TICK_US, EXCHANGE_END_US, TICK_US):
             for number in range(3):
                 self._step(number, lambda member: member.tick(self.now, self))
-            if self.now % RECORDS_EVERY_US == 0:
+            if self.now % RECORD_INTERVAL_US == 0:
                 self._write_records()
             if self.now == HANDOVER_AT_US:
                 for number in range(3):
                     self._step(number, self._hand_over_first)
-            if self.now == ISOLATED_AT_US:
-                self.isolated = 0
-            if self.now == RESTARTED_AT_US:
-                self.isolated = None
+            if self.now == ISOLATION_AT_US:
+                self.isolated_member = 0
+            if self.now == RESTART_AT_US:
+                self.isolated_member = None
                 self.members[1] = Member(1, 3, self.configuration, {}, self.now, random.Random(9), True)
-        return b"".join(self.lines)
+        return b"".join(self.log_lines)
 
     def _hand_over_first(self, member: Member) -> None:
         member.release(self.now, member.held_shards()[:1], (member.local_member + 1) % 3, self)
@@ -112,37 +114,42 @@
         for number in range(3):
             for shard in self.members[number].held_shards():
                 body = RECORD.pack() if shard == 0 else b"%d" % self.now
-                self._step(number, lambda m, s=shard, b=body: m.write_record(self.now, s, b, self))
-
-    def _step(self, number: int, act: Callable[[Member], Any]) -> None:
-        self.lines.append(b"%d %d " % (self.now, number))
-        act(self.members[number])
+                self._step(
+                    number,
+                    lambda member, shard=shard, body=body: member.write_record(self.now, shard, body, self),
+                )
+
+    def _step(self, number: int, action: Callable[[Member], Any]) -> None:
+        """Run an action of a member, and deliver the messages that it sends."""
+        self.log_lines.append(b"%d %d " % (self.now, number))
+        action(self.members[number])
         while self.messages:
-            sent, self.messages = self.messages, []
-            for to, message in sent:
-                if self._reaches(number, to):
-                    self.lines.append(b"hear %d\n" % to)
-                    self._hear(number, to, message)
+            sent_messages, self.messages = self.messages, []
+            for receiver, message in sent_messages:
+                if self._is_connected(number, receiver):
+                    self.log_lines.append(b"hear %d\n" % receiver)
+                    self._deliver(number, receiver, message)
 
-    def _hear(self, sender: int, to: int, message: Message) -> None:
-        before, self.messages = self.messages, []
-        self.members[to].receive(self.now, sender, message, self)
-        replies, self.messages = self.messages, before
-        for back, reply in replies:
-            if self._reaches(to, back):
-                self._hear(to, back, reply)
+    def _deliver(self, sender: int, receiver: int, message: Message) -> None:
+        """Deliver a message, and then the replies that the receiver sends."""
+        earlier_messages, self.messages = self.messages, []
+        self.members[receiver].receive(self.now, sender, message, self)
+        replies, self.messages = self.messages, earlier_messages
+        for reply_receiver, reply in replies:
+            if self._is_connected(receiver, reply_receiver):
+                self._deliver(receiver, reply_receiver, reply)
 
-    def _reaches(self, sender: int, to: int) -> bool:
-        return sender == to or self.isolated not in (sender, to)
+    def _is_connected(self, sender: int, receiver: int) -> bool:
+        return sender == receiver or self.isolated_member not in (sender, receiver)
 
 
-def play_exchange() -> bytes:
-    """The seeded exchange of `Exchange`."""
-    return Exchange().play()
+def run_exchange() -> bytes:
+    """Return the log of a new `Exchange`."""
+    return Exchange().run()
 
 
 def write_journal(folder: Path) -> None:
-    """Several segments, a compaction in between, and a torn tail."""
+    """Write a journal of several segments, with a compaction in between and a torn tail."""
     journals.SEGMENT_BYTES = SMALL_SEGMENT_BYTES
     journal = Journal(folder, IDENTITY)
     journal.append([("incarnation", 3), ("votes", True)])
@@ -156,19 +163,19 @@
         journal.append([(number % 4, (8192 + number, 8192, number, b"second %d" % number))])
     journal.append([(("pair", 1), {"nested": [1, 2.5, None]})])
     journal.close()
-    newest = sorted(folder.glob("*.segment"))[-1]
-    newest.write_bytes(newest.read_bytes()[:-9])
+    newest_segment = sorted(folder.glob("*.segment"))[-1]
+    newest_segment.write_bytes(newest_segment.read_bytes()[:-9])
     (folder / "lock").unlink()
 
 
 def main(folder: Path) -> None:
-    """Writes all fixtures into a folder that must not exist yet."""
+    """Write all files into a folder that must not exist yet."""
     folder.mkdir(parents=True)
     write_journal(folder / "journal")
     (folder / "record.msgpack").write_bytes(RECORD.pack())
     for name, message in MESSAGES.items():
         (folder / f"{name}.frame").write_bytes(encode_frame(message))
-    (folder / "exchange.bin").write_bytes(play_exchange())
+    (folder / "exchange.bin").write_bytes(run_exchange())
 
 
 if __name__ == "__main__":
