--- a/tests/leadership/test_lease_schedules.py
+++ b/tests/leadership/test_lease_schedules.py
@@ -59,7 +59,7 @@
         acquired_count += sum(isinstance(event, LeaseAcquired) for event in events)
         stop_count += sum(isinstance(event, MemberStopped) for event in events)
         sent_commands = [event.command for event in events if isinstance(event, CommandSent)]
-        retry_count += sum(isinstance(order, GrantRetry) for order in sent_commands)
+        retry_count += sum(isinstance(command, GrantRetry) for command in sent_commands)
     assert acquired_count > 90 and stop_count > 10 and retry_count > 400
 
 
--- a/tools/make_stored_fixtures.py
+++ b/tools/make_stored_fixtures.py
@@ -116,7 +116,9 @@
                 body = RECORD.pack() if shard == 0 else b"%d" % self.now
                 self._step(
                     number,
-                    lambda member, shard=shard, body=body: member.write_record(self.now, shard, body, self),
+                    lambda member, record_shard=shard, record=body: member.write_record(
+                        self.now, record_shard, record, self
+                    ),
                 )
 
     def _step(self, number: int, action: Callable[[Member], Any]) -> None:
