--- a/ravenshelf/net/accepted.py
+++ b/ravenshelf/net/accepted.py
@@ -12,8 +12,8 @@
 # A connection with more than this unsent, beyond the socket's own buffer, is closed when the next message is
 # written to it: its peer does not read.
 UNSENT_LIMIT_BYTES = 256 * 1024
-# An unidentified connection first sends a short line that identifies it. Many such connections that send lines
-# without an end must not fill the memory.
+# An unidentified connection first sends a short line that identifies it. Many such connections that send
+# lines without an end must not fill the memory.
 UNIDENTIFIED_LINE_LIMIT_BYTES = 4 * 1024
 
 
