--- a/ravenshelf/background/decisions.py
+++ b/ravenshelf/background/decisions.py
@@ -10,13 +10,21 @@
 
 SECOND = 1_000_000  # microseconds
 ESTIMATE_GAIN = 0.2  # weight of the latest slice in the estimated slice duration of a job
-# A turn starts only when this share of the turn duration is available: many short turns would cost more.
+# A turn starts only when the budget has this share of the turn duration. Otherwise the same work would run in
+# many short turns, which cost more time than a few long ones.
 MIN_TURN_SHARE = 0.5
 MAX_SAVED_SECONDS = 0.25  # unused budget that can be saved, as a share of the budget of one second
 
 
 class Priority(enum.IntEnum):
-    """Priority of a job; the lowest value is the most urgent."""
+    """Priority of a job; the lowest value is the most urgent.
+
+    Attributes:
+        SIGNAL: Values that the controller uses, such as host loads.
+        PRESENT: Current metrics.
+        BACKFILL: Metrics of earlier intervals.
+        UPKEEP: Maintenance, such as reading a changed file.
+    """
 
     SIGNAL = 0
     PRESENT = 1
--- a/ravenshelf/collectd/decisions/replays.py
+++ b/ravenshelf/collectd/decisions/replays.py
@@ -2,7 +2,7 @@
 
 from collections import OrderedDict
 
-REPLAY_WINDOW = 600_000_000  # microseconds
+REPLAY_WINDOW = 600_000_000  # microseconds for which a digest is kept
 MAX_DIGESTS = 65536
 
 
--- a/ravenshelf/collectd/listener.py
+++ b/ravenshelf/collectd/listener.py
@@ -21,10 +21,11 @@
 from ravenshelf.policy.events import HostLoadSampled
 from ravenshelf.state.counters import Counters
 
-# When the queue is full, further packets are dropped: the queued ones are the older half of the same burst.
+# When the queue is full, new packets are dropped and the queued ones are kept: they belong to the same burst
+# and arrived only slightly earlier.
 MAX_QUEUED_PACKETS = 1024
 PACKETS_PER_SLICE = 8
-DECODE_TIME_LIMIT = 500_000  # microseconds
+DECODE_TIME_LIMIT = 500_000  # deadline of the decode job, in microseconds after it is queued
 REJECTION_LOG_INTERVAL = 10_000_000  # microseconds between two log events with the same reason
 DECODE_JOB = "collectd.decode"
 
--- a/ravenshelf/collectd/protocol.py
+++ b/ravenshelf/collectd/protocol.py
@@ -136,7 +136,8 @@
     count = int.from_bytes(body[:COUNT_BYTES], "big")
     if len(body) != COUNT_BYTES + VALUE_BYTES * count or not 0 < count <= MAX_VALUES:
         raise malformed_packet_error(
-            f"values part: the length of {len(body)} bytes does not match a count of {count} values"
+            "values part: expected a valid count and the length that it requires, "
+            f"found {len(body)} bytes with a count of {count} values"
         )
     numbers_start = COUNT_BYTES + count
     kinds = body[COUNT_BYTES:numbers_start]
--- a/ravenshelf/graphite/connection.py
+++ b/ravenshelf/graphite/connection.py
@@ -43,7 +43,8 @@
         if self.end is not None:
             stream.abort()
             return
-        # With both limits at 0, pause_writing is called as soon as the kernel leaves a byte unaccepted.
+        # With both limits at 0, pause_writing is called as soon as the kernel's send buffer does not accept
+        # every byte.
         stream.set_write_buffer_limits(high=0, low=0)
         stream.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         self.on_open(self)
--- a/ravenshelf/graphite/decisions/connection.py
+++ b/ravenshelf/graphite/decisions/connection.py
@@ -116,7 +116,8 @@
     def mark_failed(self, now: int) -> None:
         """Record that the connection ended or could not be opened, and start the backoff.
 
-        The backoff has full jitter below a bound that doubles with each failure, up to BACKOFF_MAX.
+        The backoff is half of BACKOFF_MIN plus a random share (full jitter) of a bound that doubles with each
+        failure, up to BACKOFF_MAX. It is extended if MAX_CONNECTS attempts fell within CONNECTS_WINDOW.
         """
         # The counter is not reset on connect: a receiver that accepts and then resets connections would be
         # retried without backoff.
--- a/ravenshelf/graphite/decisions/queue.py
+++ b/ravenshelf/graphite/decisions/queue.py
@@ -27,8 +27,8 @@
     points: list[tuple[str, float]]
     # Encoded chunks, empty until the batch is first encoded. Receivers of the same batch share the list.
     encoded_chunks: list[bytes] = field(default_factory=list)
-    # Whether sending was started. The receiver may have part of the batch, so only this receiver may be sent
-    # the batch again.
+    # Whether sending was started. The receiver may have part of the batch. With route "hash", the batch may
+    # therefore be sent again only to this receiver.
     is_attempted: bool = False
     flushed_at: int | None = None  # when the kernel had accepted all of its bytes
 
@@ -41,6 +41,7 @@
     """Bounded queue of the points that one receiver has not confirmed.
 
     When the queue is full, the least important points are dropped first, and the oldest of these first.
+    Unconfirmed batches are dropped only if no batch is queued.
 
     Current points are sent before old ones. Old points are sent at no more than `backfill_rate` points per
     second, so that a recovery after hours does not delay current measurements.
--- a/ravenshelf/graphite/dialing.py
+++ b/ravenshelf/graphite/dialing.py
@@ -69,7 +69,7 @@
     timeout_s: float,
     loop: asyncio.AbstractEventLoop,
 ) -> bool:
-    """Return whether no further address must be tried: the connection is open or was closed meanwhile."""
+    """Return whether no further address is to be tried: the connection is open or was closed meanwhile."""
     try:
         connect_call = loop.create_connection(lambda: connection, socket_address[0], socket_address[1])
         await asyncio.wait_for(connect_call, timeout_s)
--- a/ravenshelf/graphite/drains.py
+++ b/ravenshelf/graphite/drains.py
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class Drain:
-    """Drain of one endpoint."""
+    """Drain of one endpoint that not all proxies have acknowledged; `started_at` is in microseconds."""
 
     started_at: int
     # (proxy, marker) of each message with the endpoint's removal that is not acknowledged yet
@@ -17,7 +17,7 @@
 
 
 class DrainTracker:
-    """Pending drains by endpoint."""
+    """Record of the pending drains, by endpoint: those that not all proxies have acknowledged yet."""
 
     def __init__(self) -> None:
         self.pending_drains: dict[int, Drain] = {}
--- a/ravenshelf/graphite/exporter.py
+++ b/ravenshelf/graphite/exporter.py
@@ -30,9 +30,10 @@
 
 
 class Exporter:
-    """Exporter of one receiver ("host:port").
+    """Exporter that sends queued batches of points to one receiver ("host:port").
 
-    The exporter calls `wake_at(time)` to have its `run_due` called at that time. Times are microseconds.
+    It calls `wake_at(time)` to have its `run_due` called at that time. Without a spool, old points are queued
+    only in memory. Times are microseconds.
     """
 
     def __init__(
--- a/ravenshelf/graphite/interval.py
+++ b/ravenshelf/graphite/interval.py
@@ -15,7 +15,7 @@
 
 SECOND = 1_000_000  # microseconds
 HISTOGRAM_MAX = 600 * SECOND
-HISTOGRAM_DIGITS = 2  # significant digits; the error is 1%, at some KB per histogram
+HISTOGRAM_DIGITS = 2  # significant digits: an error of 1%, with a few KB of memory per histogram
 DISTRIBUTIONS = (
     metrics.DRAIN_DURATION,
     metrics.REPORT_AGE,
@@ -49,7 +49,7 @@
 
     attempts: float = 0.0
     failed_attempts: float = 0.0
-    latency_sum: float = 0.0  # over the attempts that succeeded
+    latency_sum: float = 0.0  # sum of the latencies of the attempts that succeeded, in microseconds
 
 
 @dataclass(slots=True)
@@ -80,7 +80,7 @@
         self.demand: dict[tuple[int, int], DemandTotals] = {}  # by (zone of the proxies, traffic group)
         self.attempts: dict[int, AttemptTotals] = {}  # by zone of the endpoints
         self.objectives: dict[int, ObjectiveTotals] = {}  # by zone of the proxies
-        self.endpoint_attempts: dict[int, float] = {}
+        self.endpoint_attempts: dict[int, float] = {}  # by endpoint
         self.reports = 0
         self.started_drains = 0
 
--- a/ravenshelf/graphite/metrics.py
+++ b/ravenshelf/graphite/metrics.py
@@ -52,7 +52,9 @@
     return new_metric
 
 
-COUNTING_DELAY = "counted when received, which is up to one window and its delay after the request ended"
+COUNTING_DELAY = (
+    "counted when the report arrives: up to one window, plus the report's delay, after the request ended"
+)
 OBJECTIVE_ESTIMATE = (
     "requests that succeeded times the share of the zone's successful attempts that met the latency "
     "objective, where a report of mean m counts 1 - exp(-objective / m) of its attempts: "
@@ -171,7 +173,7 @@
     "count",
     ESSENTIAL,
     "server",
-    "control cycles in which the decisions raised an error",
+    "control cycles in which the controller raised an error",
 )
 
 # Zones
--- a/ravenshelf/graphite/points.py
+++ b/ravenshelf/graphite/points.py
@@ -110,7 +110,7 @@
         self.add(metrics.REPORTS_RECEIVED, self.interval.reports / self.seconds)
 
     def add_endpoint_states(self, states: list[EndpointState]) -> None:
-        """Add the number of endpoints in each state of the endpoint list."""
+        """Add the number of ready endpoints and the number of draining endpoints."""
         for state in (EndpointState.READY, EndpointState.DRAINING):
             self.add(metrics.ENDPOINT_STATES, states.count(state), state=state.value)
 
--- a/ravenshelf/graphite/service.py
+++ b/ravenshelf/graphite/service.py
@@ -86,6 +86,7 @@
         self.resolve = resolve
         self.spool_thread: ThreadPoolExecutor | None = None
         self.exporters: dict[str, Exporter] = {}
+        # Whether each receiver gets its own share of the points; used only with ROUTE_HASH.
         self.has_share: dict[str, bool] = {}
         self.table = table
         self.router = RendezvousRouter(table.receivers)
@@ -150,7 +151,7 @@
             exporter.add([Batch(batch.time, batch.importance, share)])
 
     def _update_shares(self) -> None:
-        """Update which receivers have their share.
+        """Update which receivers get their own share of the points.
 
         When a share fails over, the batches that were never sent to its receiver go to the others. Batches
         that the receiver may have in part stay in its own queue, so that no point is stored by two receivers.
--- a/ravenshelf/graphite/spool_transfer.py
+++ b/ravenshelf/graphite/spool_transfer.py
@@ -6,8 +6,10 @@
 from ravenshelf.graphite.decisions.queue import SECOND, Batch, PointQueue
 from ravenshelf.graphite.spool import Spool, SpooledSegment
 
-PAUSE_AFTER_ERROR = 60 * SECOND  # after a failed operation on the spool
-PAUSE_AFTER_EMPTY = SECOND  # after a read of an empty spool
+# The spool is not used for this long after one of its operations has failed.
+PAUSE_AFTER_ERROR = 60 * SECOND
+# The spool is not used for this long after a read that found it empty.
+PAUSE_AFTER_EMPTY = SECOND
 MAX_BATCHES_PER_WRITE = 64
 
 
@@ -38,7 +40,7 @@
         self.on_queued = on_queued
         self.is_busy = False
         self.paused_until = 0
-        # Number of batches, by segment, that were read back and are neither received nor dropped
+        # Number of batches, by segment, that were read back and were not received, dropped or moved since.
         self.unfinished_batches: dict[int, int] = {}
         self.segment_numbers: dict[Batch, int] = {}  # segment of each batch that was read back
 
--- a/ravenshelf/log_events.py
+++ b/ravenshelf/log_events.py
@@ -85,28 +85,28 @@
     "decisions.message",
     "INFO",
     "decisions: {text}",
-    "A message that the decision module logs.",
+    "A message that the controller logs about its decisions.",
     text="the message",
 )
 CONTROL_CYCLE_FAILED = add_event(
     "control_cycle.failed",
     "ERROR",
     "control cycle failed while handling events {events}",
-    "The decisions raised an error. A new controller is created, and all proxies are bound again.",
+    "The controller raised an error. A new controller replaces it, and all proxies are bound again.",
     events="types of the cycle's events, at most 20 of them",
 )
 TIMER_FAILED = add_event(
     "server.timer_failed",
     "ERROR",
     "handler of timer {key} failed",
-    "A defect in the handler. Other timers still run.",
+    "The handler of a timer raised an error. Other timers still run.",
     key="the timer's key",
 )
 CALLBACK_FAILED = add_event(
     "server.callback_failed",
     "ERROR",
     "event loop callback failed: {text}",
-    "A defect in a callback. The event loop continues.",
+    "A callback of the event loop raised an error. The event loop continues.",
     text="the event loop's error message",
 )
 
@@ -123,7 +123,7 @@
     "configuration.reloaded",
     "INFO",
     "configuration reloaded: discovery at {discovery}{waiting}",
-    "The configuration was read at SIGHUP and is in force.",
+    "The configuration was read at SIGHUP. Only a new address of discovery takes effect without a restart.",
     discovery="host:port",
     waiting="a list of the changed fields that take effect after a restart, or empty",
 )
@@ -213,7 +213,7 @@
     "background.job_failed",
     "ERROR",
     "background job {job} failed",
-    "A defect in the job. Other jobs still run.",
+    "The job raised an error and is removed. Other jobs still run.",
     job="the job's name",
 )
 
@@ -300,7 +300,7 @@
     "collectd.packet_rejected",
     "WARNING",
     "collectd packet from {peer} rejected: {why}",
-    "Logged at most once in 10 s for each reason. The counters include every rejected packet.",
+    "The packet is ignored. Logged at most once in 10 s per reason; the counters include every rejected one.",
     peer="the sender's address",
     why="the reason",
 )
--- a/ravenshelf/operator_config/consistency.py
+++ b/ravenshelf/operator_config/consistency.py
@@ -104,7 +104,10 @@
     if bool(table.service) == bool(table.listen):
         configured_keys = "both service and listen" if table.service else "neither service nor listen"
         yield Problem(
-            file, "[distribution]", configured_keys, "either service, for a server, or listen, for a relay"
+            file,
+            "[distribution]",
+            configured_keys,
+            "either service, for a server, or listen, for a relay or service owner",
         )
     if "@" in table.service or "/" in table.service:
         yield Problem(file, "[distribution] service", shortened_repr(table.service), "a name without @ and /")
--- a/ravenshelf/operator_config/named_files.py
+++ b/ravenshelf/operator_config/named_files.py
@@ -1,6 +1,6 @@
 """Checks of the files and extras that an operator file requires.
 
-A start of the process would read the same files and import the same modules.
+A start of the process would fail on the same problems, since it reads these files and imports these modules.
 """
 
 import importlib.util
--- a/ravenshelf/operator_config/tables.py
+++ b/ravenshelf/operator_config/tables.py
@@ -19,9 +19,9 @@
     """Limits of the background jobs on the event loop.
 
     Attributes:
-        jobs: The most queued jobs.
-        turn_ms: The most time of one turn, in milliseconds.
-        a_second_ms: The most time of all jobs per second, in milliseconds.
+        jobs: Maximum number of queued jobs.
+        turn_ms: Maximum duration of one turn, in milliseconds.
+        a_second_ms: Maximum time that all jobs together use per second, in milliseconds.
         ageing_s: Waiting time, in seconds, after which a job's priority rises by one level.
     """
 
@@ -40,10 +40,11 @@
         prefix: The first component or components of all metric paths.
         every_s: Interval between measurements, in seconds.
         route: "all" sends every point to every receiver; "hash" sends each metric to one receiver.
-        buffer_points: The most points that are queued for one receiver in memory.
-        backfill_points_s: The most old points that are sent to one receiver per second.
-        spool_mb: The most megabytes of points that are queued on disk for one receiver; 0 for none.
-        spool_dir: The folder of the points on disk.
+        buffer_points: Maximum number of points that are queued in memory for one receiver.
+        backfill_points_s: Maximum number of old points that are sent to one receiver per second.
+        spool_mb: Maximum size of the points that are queued on disk for one receiver, in megabytes; 0 turns
+            the queue on disk off.
+        spool_dir: The folder that contains the points on disk.
     """
 
     receivers: Annotated[list[str], Meta(description='a list of "host:port"')] = field(default_factory=list)
@@ -156,8 +157,8 @@
         parents: The address of each parent by its name. The parents of a service owner are the other
             members.
         owners: Whether the parents are service owners and not relays.
-        subscribers: The most subscribers.
-        snapshot_mb_s: The most megabytes of snapshots that are sent per second.
+        subscribers: Maximum number of subscribers.
+        snapshot_mb_s: Maximum rate at which snapshots are sent, in megabytes per second.
         admin: The Unix socket for administration; "" for none.
     """
 
--- a/ravenshelf/process/__init__.py
+++ b/ravenshelf/process/__init__.py
@@ -1,1 +1,1 @@
-"""The server process: start, control cycles and stop, connecting network, state and controller."""
+"""The server process: its start, control cycles and stop, which connect the network, state and controller."""
--- a/ravenshelf/process/acceptor.py
+++ b/ravenshelf/process/acceptor.py
@@ -44,7 +44,7 @@
 
 
 class ConnectionAcceptor:
-    """Owner of all accepted connections; turns their messages into events.
+    """Owner of all accepted connections, which publishes their messages as events.
 
     Args:
         decoder: Decoder of the messages of proxies and collectors.
@@ -333,7 +333,9 @@
             self.counters["acks_unexpected"] += 1
             return
         if acknowledged.elapsed > self.clock() - written_at + CLOCK_TOLERANCE_US:
-            raise MalformedMessageError("took_ms: expected the time since the marker at most, found more")
+            raise MalformedMessageError(
+                "took_ms: expected at most the time since the marker was written, found more"
+            )
         del connection.pending_markers[acknowledged.marker]
         self.publish(acknowledged)
 
--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -25,7 +25,7 @@
         settings: Settings of the deployment.
         controller_seed: Seed of the controller's random choices; each controller that replaces a failed one
             gets the next higher number.
-        registry: Endpoints as last listed.
+        registry: The server's endpoint list.
         proxy_tables: Tables of the proxies, and the changes that a cycle makes to them.
         counters: Counters of cycles, messages and lines.
     """
@@ -45,7 +45,7 @@
         self.counters = counters
         self.group_names = [group.name for group in settings.traffic_groups]
         self.message_overhead_lines = settings.service.message_overhead_lines or 0
-        self.join_events: dict[int, events.ProxyJoined] = {}  # of the connected proxies, by proxy
+        self.join_events: dict[int, events.ProxyJoined] = {}  # latest join of each connected proxy
         self.events: list[events.Event] = []  # events for the next cycle
         self.failures = 0
         self.cycle_observer: CycleObserver | None = None
--- a/ravenshelf/process/controller.py
+++ b/ravenshelf/process/controller.py
@@ -24,7 +24,8 @@
 from ravenshelf.state.counters import Counters
 
 SECOND = 1_000_000  # microseconds
-FOLLOW_INTERVAL = SECOND  # between checks of the leases and of the shards to follow
+# Time, in microseconds, between two checks of the leases and of the shards to follow.
+FOLLOW_INTERVAL = SECOND
 SEED_BITS = 32
 LEASE_RELEASE_TIME = 0.1  # seconds in which the messages that release the leases can be sent before the exit
 EXIT_FAILED = 1
@@ -50,6 +51,7 @@
         self.services = services_file.read(self.file, self.zones)
         self.loop = loop
         self.listen = table.listen
+        # Set when the process must end: the reason of a failure, or an empty text after a signal.
         self.ended: asyncio.Future[str] = loop.create_future()
         random_source = random.Random()
         self.leadership = Leadership(
--- a/ravenshelf/process/cycle_scheduling.py
+++ b/ravenshelf/process/cycle_scheduling.py
@@ -21,7 +21,8 @@
         control_cycle: The control cycle to run.
         timers: Deadlines of the server, for the next cycle.
         clock: Function that returns the time in microseconds.
-        counters: Counters of delays and durations; those of accepted connections are read.
+        counters: Counters of the server. The delays and durations of cycles are recorded in them, and the
+            number of accepted connections is read from them.
         tick_us: Minimum time from the start of one cycle to the start of the next.
         write: Function that writes a message with a marker, or None, to a proxy's stream.
         execute: Function that carries out a command that is not a message to a proxy.
@@ -95,8 +96,8 @@
         """Postpone the next cycle by the duration of this one if connections were accepted since the last.
 
         The event loop accepts one connection per iteration, and hundreds may arrive at once. With a cycle
-        between every two of them, proxies waited 6 s to join. In return, events wait longer by the duration
-        of a cycle.
+        between every two of them, proxies waited 6 s to join. The drawback is that events wait longer, by the
+        duration of a cycle.
         """
         previously_accepted = self.connections_accepted
         self.connections_accepted = self.counters["accepted"]
--- a/ravenshelf/process/deadline_keys.py
+++ b/ravenshelf/process/deadline_keys.py
@@ -8,16 +8,24 @@
 
 
 class ServerDeadline(Enum):
-    """Keys of the deadlines of which the server has at most one each."""
+    """Keys of the deadlines of which the server has at most one each.
 
-    CONTROL_CYCLE = "control cycle"
-    WATCH = "watch"  # a new watch of the endpoint registry is opened
-    RELOAD = "reload"  # a configuration file that could not be used is read again
-    COUNTERS = "counters"  # the counters are logged
+    The comments say what the server does when the deadline expires.
+    """
+
+    CONTROL_CYCLE = "control cycle"  # run the next control cycle
+    WATCH = "watch"  # open a watch of the endpoint registry if one is required
+    RELOAD = "reload"  # read a configuration file again that could not be used
+    COUNTERS = "counters"  # log the counters
 
 
 class ControllerTimer(NamedTuple):
-    """Key of a timer that the controller started: when it expires, and the controller's own key."""
+    """Key of a timer that the controller started.
+
+    Attributes:
+        at: The time in microseconds at which it expires.
+        key: The controller's own key of the timer.
+    """
 
     at: int
     key: str
--- a/ravenshelf/process/health_checks.py
+++ b/ravenshelf/process/health_checks.py
@@ -20,7 +20,7 @@
 
     Args:
         settings: Settings of the deployment: whether health checks are allowed, timeouts, load columns.
-        registry: Endpoints as last listed, for their addresses.
+        registry: The server's endpoint list, which has the endpoints' addresses.
         counters: Counters of health checks.
         calls: Opener of the HTTP calls.
         publish: Function that is called with each result.
--- a/ravenshelf/process/logs.py
+++ b/ravenshelf/process/logs.py
@@ -32,7 +32,7 @@
 
     Args:
         out: Function that writes a line; called in the thread.
-        line_format: "text" or "json".
+        line_format: "text" or "json"; the attribute may be changed while the log is in use.
     """
 
     def __init__(self, out: Callable[[str], None], line_format: str = "text"):
--- a/ravenshelf/process/operations/collectd_signals.py
+++ b/ravenshelf/process/operations/collectd_signals.py
@@ -51,6 +51,7 @@
         Raises:
             OSError: The address can't be listened at, or the types file can't be read.
             UsersFileError: The password file can't be read or is not valid.
+            TypesFileError: The types file is not valid.
         """
         if self.table.listen:
             await self._listen()
@@ -119,7 +120,7 @@
     def check_users(self, now: int) -> None:
         """Have the password file read in the background if it has changed, and schedule the next check.
 
-        The file is polled because collectd does not require a signal after a change of it either.
+        The file is polled, because collectd needs no signal after a change of its password file either.
         """
         self._schedule_users_check(now)
         self.background.offer(
--- a/ravenshelf/process/operations/composer.py
+++ b/ravenshelf/process/operations/composer.py
@@ -119,7 +119,8 @@
 
         Args:
             operator: The new operator file's tables.
-            done: Function that is called with a text that lists the changed tables.
+            done: Function that is called with a text that lists the changed tables, or says that nothing
+                changed.
         """
         from ravenshelf.operator_config.keys import changed_tables
 
--- a/ravenshelf/process/optional_features.py
+++ b/ravenshelf/process/optional_features.py
@@ -28,13 +28,16 @@
 
 
 class AdmissionGate(Protocol):
-    """Filter of incoming events and outgoing messages, for servers that share the proxies."""
+    """Filter of incoming events and outgoing messages, for servers that share the proxies by leases."""
 
     def passes(self, event: Event) -> bool:
         """Return whether the event is for this server's controller."""
 
     def apply_inherited_state(self, proxy: int, updates: list[TableUpdate]) -> None:
-        """Change the table updates of a message in place before it is encoded."""
+        """Change a message's updates in place, as the previous lease holder's state requires.
+
+        It is called before the message is encoded.
+        """
 
     def submit(self, proxy: int, updates: list[TableUpdate], message: bytes, marker: int | None) -> None:
         """Accept an encoded message; the gate writes it once that is permitted, or discards it."""
--- a/ravenshelf/process/registry_client.py
+++ b/ravenshelf/process/registry_client.py
@@ -79,7 +79,9 @@
         # Watch at the registry's previous address, read until the watch at the new address answers.
         self.former_watch: HttpCall | None = None
         self.address_changes = 0
-        # Whether the address is new and no list has come from it yet; its versions may be numbered otherwise.
+        # Whether the registry's versions may be numbered anew, so that a watch has to request the complete
+        # list. Set when the address changes, or when an update of a restored registry can't be applied; reset
+        # by the first list that can be applied.
         self.is_new_address = False
         self.has_watch_answered = False
         self.watch_version = 0  # version of the list to which the watch's next changes apply
@@ -118,7 +120,7 @@
         self.is_new_address = True
         self.address_changes += 1
         if self.watch is not None and self.former_watch is not None and not self.has_watch_answered:
-            self._close_watch()  # the address had changed before, and this watch at it never answered
+            self._close_watch()  # it never answered before the address changed again; the former watch stays
         elif self.watch is not None:
             self._close_former_watch()
             self.former_watch = self.watch
@@ -128,7 +130,7 @@
     def open_watch(self) -> None:
         """Open a watch of the changes after the list's version.
 
-        At a new address, whose versions may be numbered otherwise, it is a watch of the complete list.
+        If the registry's versions may be numbered anew, as at a new address, the complete list is requested.
         """
         self.counters["discovery_watches"] += 1
         self.has_watch_answered = False
@@ -196,9 +198,9 @@
         """Reset the list's version if the registry's versions are numbered anew.
 
         This is so at a new address, and after the registry was restored from a backup and continues from a
-        lower version. Without the reset, its lists would never be accepted again. In return, a list that
-        arrives more than half a minute late is mistaken for one of a restored registry, until the next
-        changes.
+        lower version. Without the reset, its lists would never be accepted again. The drawback is that a list
+        which arrives more than half a minute late is mistaken for one of a restored registry, until the next
+        changes arrive.
 
         Returns:
             Whether the line can't be applied because it is an update to a list that the server does not have.
@@ -210,7 +212,7 @@
         if call is not self.watch or not (self.is_new_address or is_restored):
             return False
         self.is_new_address = is_update and is_lower_version
-        self.registry.version = 0  # the old and the new versions can't be compared; if equal, it is by chance
+        self.registry.version = 0  # old and new versions can't be compared, even if they happen to be equal
         self.watch_version = 0
         return self.is_new_address
 
@@ -275,21 +277,22 @@
     def _update(
         self, endpoint_list: dict, kind: ListKind, after_version: int | None
     ) -> EndpointsListed | None:
-        """Apply a list to the registry.
+        """Apply a list from the endpoint registry to the server's endpoint list.
 
         A malformed entry does not remove its endpoint, which keeps its previous entry. If the endpoint of a
-        malformed entry in a complete list is unknown, all endpoints missing from the list keep theirs.
+        malformed entry in a complete list can't be identified, all endpoints missing from the list keep
+        their entries.
 
         Args:
-            endpoint_list: The decoded list.
+            endpoint_list: The decoded list from the registry.
             kind: Whether the list is complete or an update.
             after_version: Version of the list to which an update applies, or None if it is not checked.
 
         Returns:
-            The changes, or None if the list is older than the registry's.
+            The changes, or None if the list is older than the server's.
 
         Raises:
-            VersionGapError: The update applies to a later version than the registry's.
+            VersionGapError: The update applies to a later version than the server's, so changes are missing.
         """
         entries, addresses, malformed_entries = self.decoder.decode_entries(endpoint_list["targets"])
         for index, reason in malformed_entries:
--- a/ravenshelf/process/relay_metrics_export.py
+++ b/ravenshelf/process/relay_metrics_export.py
@@ -26,7 +26,7 @@
 
 
 class RelayMetricsExport:
-    """Exporter that sends the relay's metrics to all receivers, at each boundary of an interval.
+    """Exporter that sends the relay's metrics to all receivers, at the end of each interval.
 
     Args:
         operator: The operator file's tables.
--- a/ravenshelf/process/reloading.py
+++ b/ravenshelf/process/reloading.py
@@ -12,12 +12,13 @@
 if TYPE_CHECKING:  # not loaded by `ravenshelf serve` without an operator file
     from ravenshelf.operator_config.tables import OperatorConfiguration
 
-READ_ATTEMPTS = 10  # a file that is not valid may be only half written yet, so it is read again
+# A file that is not valid may be only half written yet, so it is read again, up to this many times in all.
+READ_ATTEMPTS = 10
 READ_RETRY_DELAY_US = 500_000
 
 
 class Reloader:
-    """Reader that applies a new configuration as a whole; a file that is not valid changes nothing.
+    """Reader of the two files at a reload; each is applied as a whole, or not at all if it is not valid.
 
     Args:
         current_configuration: Function that returns the configuration in force.
--- a/ravenshelf/process/timers.py
+++ b/ravenshelf/process/timers.py
@@ -40,7 +40,7 @@
         self.deadlines = DeadlineQueue()
         self.is_stopped = False
         self.loop_timer: asyncio.Handle | None = None
-        self.fires_at: int | None = None  # None if no loop timer is set, or while it waits after a stall
+        self.fires_at: int | None = None  # None if the loop's timer is not set or was set after a stall
 
     def set(self, key: Hashable, at: int) -> None:
         """Set the key's deadline to `at`, in microseconds, in place of an earlier setting."""
