--- a/ravenshelf/distribution/connection.py
+++ b/ravenshelf/distribution/connection.py
@@ -8,7 +8,7 @@
 from ravenshelf.net.frames import FrameDecoder, pack_frame
 from ravenshelf.state.buffers import BufferPool
 
-WRITE_BUFFER_BYTES = 65_536  # With more unsent bytes no further messages are pulled for a subscriber.
+WRITE_BUFFER_BYTES = 65_536  # No messages are pulled for a subscriber that has more unsent bytes than this.
 
 
 class ConnectionListener(Protocol):
--- a/ravenshelf/distribution/decisions/aggregation.py
+++ b/ravenshelf/distribution/decisions/aggregation.py
@@ -11,7 +11,8 @@
 from ravenshelf.distribution.messages import EndpointLoad, GroupDemand, ZoneLoadReport
 
 REPORT_WINDOW_US = 1_000_000
-REPORTER_EXPIRY_WINDOWS = 600  # A reporter that has sent no report for this many windows is removed.
+# Reporters that have sent no report for this number of windows are removed, at each multiple of the number.
+REPORTER_EXPIRY_WINDOWS = 600
 
 
 @dataclass
@@ -90,10 +91,10 @@
         return True
 
     def flush(self, window: int, may_send: Callable[[str], bool] = _may_always_send) -> list[ZoneLoadReport]:
-        """Remove the pending loads and return them as reports of this hop, at the end of each window.
+        """Remove the pending loads and return them as reports of this hop; called at the end of each window.
 
         Args:
-            window: Number of the present window.
+            window: Number of the present window, counted from the epoch of the clock.
             may_send: Returns whether the owner of a service can be reached. Loads of other services stay
                 pending.
         """
--- a/ravenshelf/distribution/decisions/allowance.py
+++ b/ravenshelf/distribution/decisions/allowance.py
@@ -1,9 +1,9 @@
 """Upper bound of an endpoint's share of a table while the endpoint is in slow start.
 
 The service owner plans a share that the endpoint can carry, and permits a little more. A server that ejects
-other lines, perhaps with an old table, would move their share to the remaining lines; the bound prevents that
-the endpoint is overloaded. As it bounds a share of the requests and not a number of them, it holds for the
-sum over any number of servers.
+other lines, perhaps from an old table, moves their share to the remaining lines; the bound keeps the endpoint
+from being overloaded by that. As it bounds a share of the requests and not a number of them, it also holds
+for the sum over any number of servers.
 """
 
 from collections.abc import Collection, Mapping
@@ -14,8 +14,8 @@
 def largest_share(planned_share: float, capacity_share: float, overload_multiple: float) -> float:
     """Return the upper bound of a line's share of the requests, 0 to 1.
 
-    The bound is the planned share times half of the overload that the endpoint survives; a warm endpoint has
-    no bound.
+    The bound is the planned share times half of `overload_multiple`, and never below the planned share. A
+    warm endpoint has no bound, so its result is 1.
 
     Args:
         planned_share: The line's planned share of the table, 0 to 1.
--- a/ravenshelf/distribution/decisions/backoff.py
+++ b/ravenshelf/distribution/decisions/backoff.py
@@ -4,9 +4,10 @@
 
 SECOND = 1_000_000  # microseconds
 INITIAL_CEILING_US = SECOND // 2  # The ceiling doubles with each failure.
-# A relay has a bounded number of children, so it can handle a dial a second from each of them.
+# With this ceiling a node whose dials keep failing dials about once a second. A relay has a bounded number of
+# children, so it can handle a dial a second from each of them.
 MAX_CEILING_US = 2 * SECOND
-MAX_DOUBLINGS = 20  # Keeps the power of two small.
+MAX_DOUBLINGS = 20  # This limit keeps the power of two small, however many failures there are.
 
 
 class Backoff:
@@ -61,8 +62,8 @@
     def try_consume(self, now: int, amount: float) -> bool:
         """Consume `amount` tokens, or none if too few are available.
 
-        More than a whole burst is granted once the bucket is full; the number of tokens is then negative
-        until the bucket has been refilled.
+        An amount above `burst` is granted once the bucket is full. The number of tokens is then negative, and
+        nothing is granted until enough tokens have been refilled.
 
         Returns:
             Whether the tokens were consumed.
--- a/ravenshelf/distribution/decisions/claims.py
+++ b/ravenshelf/distribution/decisions/claims.py
@@ -1,7 +1,7 @@
 """Topics in which a controller describes itself.
 
-One lists the services that the controller owns; there is one more for each shard that it owns, which lists
-the topics that it publishes for the shard.
+One topic lists the services that the controller owns. There is one more topic for each shard that it owns,
+which lists the topics that the controller publishes for the shard.
 """
 
 from collections.abc import Iterator, Mapping
--- a/ravenshelf/distribution/decisions/client.py
+++ b/ravenshelf/distribution/decisions/client.py
@@ -24,8 +24,10 @@
 
 SILENCE_TIMEOUT_US = 3 * SECOND  # A parent that sends nothing for this time is regarded as lost.
 DIAL_TIMEOUT_US = 3 * SECOND
-# A single mismatch is no error: a heartbeat may have crossed a subscription in transit.
+# The client requests a resync after this number of heartbeats in a row with another digest. A single mismatch
+# is no error: the heartbeat may have crossed a subscription in transit.
 MAX_DIGEST_MISMATCHES = 2
+# The time after which the preferred parent is tried again is drawn from this range.
 PREFERRED_PARENT_RETRY_RANGE_US = (60 * SECOND, 180 * SECOND)
 
 
@@ -105,7 +107,7 @@
         self.random_source = random_source
         self.state = ConnectionState.WAITING
         self.parent_index = 0
-        self.held_versions = Digest()  # Contains only topics that are subscribed to.
+        self.held_versions = Digest()  # It contains only subscribed topics.
         self.backoff = Backoff(random_source)
         self.outcome_counts: dict[UpdateOutcome, int] = dict.fromkeys(UpdateOutcome, 0)
         self.resyncs = 0
@@ -123,7 +125,7 @@
         return self.parents[self.parent_index]
 
     def subscribe(self, topic: str) -> list[Action]:
-        """Subscribe to a topic, from its present version on; ignored if it is subscribed to."""
+        """Subscribe to a topic, from its present version on; ignored if already subscribed."""
         if topic in self.held_versions:
             return []
         state = self.topics.setdefault(topic, Topic(topic))
--- a/ravenshelf/distribution/decisions/distributed_controller.py
+++ b/ravenshelf/distribution/decisions/distributed_controller.py
@@ -16,10 +16,12 @@
 
 TABLE_WEIGHT_SUM = 1000.0  # The tables that a server decides itself have the same sum.
 SMALLEST_WEIGHT = 0.01
-# The shares that endpoints receive add up to less than this only where all remaining lines are bounded.
+# Endpoints whose shares add up to less than this can't receive all requests. That happens only if all of them
+# have reached the upper bounds of their shares, or if there are no endpoints.
 MIN_COMPLETE_SHARE = 0.999
 
-# Returns the table to use, given the time in microseconds and the proxy zone.
+# Returns the origin of the table to use, and the owner's table. The arguments are the time (microseconds) and
+# the proxy zone.
 OwnerTableLookup = Callable[[int, int], tuple[TableSource, dict[str, TableLine]]]
 
 
@@ -41,7 +43,7 @@
             settings: As `Controller` uses it.
             seed: As `Controller` uses it.
             channel: As `Controller` uses it.
-            owner_table: Returns the table to use, and its origin.
+            owner_table: Returns the origin of the table to use, and the owner's table.
             index_of: Returns the index of a listed endpoint by its name, or None.
         """
         super().__init__(settings, seed, channel)
--- a/ravenshelf/distribution/decisions/distributor.py
+++ b/ravenshelf/distribution/decisions/distributor.py
@@ -1,9 +1,10 @@
 """Serving side of a controller or relay: subscriptions, and the next messages of each subscriber.
 
-Nothing is queued for a subscriber except the parts of one snapshot. For each topic the distributor keeps the
-version that the subscriber was sent last; when the subscriber's connection has capacity, the subscriber is
-sent the update from that version to the present one. A slow subscriber therefore takes the memory of one
-version for each topic, receives fewer but larger deltas, and does not delay other subscribers.
+Nothing is queued for a subscriber except the messages of one topic, such as the parts of a snapshot. For each
+topic the distributor keeps the version that the subscriber was sent last; when the subscriber's connection
+has capacity, the subscriber is sent the update from that version to the present one. A slow subscriber
+therefore takes the memory of one version for each topic, receives fewer but larger deltas, and does not delay
+other subscribers.
 """
 
 from collections import deque
@@ -26,9 +27,8 @@
 )
 
 HEARTBEAT_INTERVAL_US = SECOND
-MIN_BUDGET_WAIT_US = (
-    10_000  # A snapshot that exceeds the budget is tried again after this time at the earliest.
-)
+# A snapshot that exceeds the budget is tried again after this time at the earliest.
+MIN_BUDGET_WAIT_US = 10_000
 
 
 @dataclass(frozen=True)
@@ -62,8 +62,10 @@
 class _Subscriber:
     """State of one subscriber.
 
-    `dirty_topics` may have updates for the subscriber, the oldest first. `queued_messages` are sent before
-    all others. `unreachable_topics` are those that were reported to the subscriber as not live.
+    `sent_versions` has the version of each topic that the subscriber was sent last, or said that it holds.
+    `dirty_topics` are the topics that may have updates for the subscriber, the earliest change first.
+    `queued_messages` are sent before all others. `unreachable_topics` are the topics that were reported to
+    the subscriber as not live.
     """
 
     heartbeat_at: int
@@ -198,7 +200,7 @@
         if now >= subscriber.heartbeat_at and not subscriber.queued_messages:
             subscriber.heartbeat_at = now + HEARTBEAT_INTERVAL_US
             messages.append(EncodedMessage(Heartbeat(subscriber.sent_versions.value)))
-        deferred_topics: list[str] = []  # Their snapshots exceed the present budget.
+        deferred_topics: list[str] = []  # The snapshots of these topics exceed the present budget.
         pulled_bytes = 0
         while pulled_bytes < byte_limit:
             if subscriber.queued_messages:
--- a/ravenshelf/distribution/decisions/fallback.py
+++ b/ravenshelf/distribution/decisions/fallback.py
@@ -7,7 +7,7 @@
 
 from ravenshelf.distribution.decisions.backoff import SECOND
 
-# This is four solve intervals; after it the load reports from which the last table was computed are outdated.
+# After four solve intervals the load reports from which the last table was computed are outdated.
 LAST_TABLE_VALIDITY_US = 10 * SECOND
 
 
--- a/ravenshelf/distribution/decisions/ownership.py
+++ b/ravenshelf/distribution/decisions/ownership.py
@@ -11,7 +11,7 @@
 
 from ravenshelf.leadership.shard_placement import ranked_members
 
-REPLICA_COUNT = 2  # The owner of a service is not counted.
+REPLICA_COUNT = 2  # Controllers that replicate a shard; its owner is not counted.
 
 
 def shard_of_service(service: str, shards: int) -> int:
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -29,6 +29,7 @@
 
 DEFAULT_NOMINAL_RATE = 1.0  # A zone without load reports is assumed to receive this many requests a second.
 SHARE_DIGITS = 4  # Published shares are rounded to this number of decimal places.
+# These two stand in for a missing number of a table, and for a missing index of an endpoint.
 NO_TABLE = -1
 NO_ENDPOINT = -1
 
@@ -61,7 +62,7 @@
         self.levels: dict[int, dict[int, tuple[float, int]]] = {}  # Level and retry mode by table and group.
         self.table_of_zone: dict[int, int] = {}
         self.ejected_endpoints: set[int] = set()
-        self.markers: list[int] = []  # Markers of requested acknowledgements.
+        self.markers: list[int] = []  # Markers whose acknowledgement was requested in this cycle.
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
         """Set an endpoint's weight in a table; weight 0 removes the line."""
@@ -95,9 +96,10 @@
                 levels[group] = (level, retry_mode)
 
     def request_acknowledgement(self, marker: int, all_proxies: bool = False) -> None:  # noqa: ARG002 (always all zones)
-        """Record a marker, which is acknowledged at the end of the cycle.
+        """Record a marker, which counts as acknowledged at the end of the cycle.
 
-        The distribution has versions of its own to find lost messages.
+        Subscribers don't acknowledge markers: the distribution detects lost messages by the versions of its
+        topics.
         """
         self.markers.append(marker)
 
@@ -139,7 +141,7 @@
     """
 
     def __init__(self, service: str, deployment: Settings, seed: int):
-        """Create a planner without endpoints and zones.
+        """Create a planner without endpoints or zones.
 
         Args:
             service: Name of the service.
@@ -250,7 +252,10 @@
         return entries
 
     def is_warm(self, name: str) -> bool:
-        """Return whether a listed endpoint has reached its full capacity, according to its start time."""
+        """Return whether a listed endpoint has reached its full capacity, according to its start time.
+
+        The result is False for an endpoint that is not listed.
+        """
         endpoint = self.controller.endpoints.get(self._indices.get(name, NO_ENDPOINT))
         if endpoint is None:
             return False
--- a/ravenshelf/distribution/decisions/publication.py
+++ b/ravenshelf/distribution/decisions/publication.py
@@ -32,11 +32,11 @@
 
     @property
     def due_at(self) -> int | None:
-        """Time of the next flush; None while nothing has changed."""
+        """Time of the next flush, or None while there are no changes to publish."""
         return self._flush_at
 
     def put(self, now: int, key: str, entry: Entry | None) -> None:
-        """Set a key, or remove it (None), with the next flush; an equal entry is no change."""
+        """Set a key with the next flush, or remove it if `entry` is None; an equal entry is no change."""
         current_entry = (
             self._pending_changes[key] if key in self._pending_changes else self.topic.entries.get(key)
         )
--- a/ravenshelf/distribution/decisions/relay.py
+++ b/ravenshelf/distribution/decisions/relay.py
@@ -109,7 +109,7 @@
         return actions
 
     def _route(self, topic: str, actions: NodeActions) -> None:
-        """Subscribe to a topic at its present owner's upstream, and unsubscribe at the previous one."""
+        """Subscribe to a topic from its present owner's upstream, and unsubscribe from the previous one."""
         previous_upstream = self._routes.get(topic)
         upstream = self._upstream_of(service_of_topic(topic))
         self._routes[topic] = upstream
@@ -213,7 +213,7 @@
         return min(deadlines)
 
     def tick(self, now: int) -> NodeActions:
-        """Dial, detect lost upstreams, drop topics without subscribers and forward reports, as far as due."""
+        """Dial, detect lost upstreams, drop topics without subscribers and forward reports, each when due."""
         actions = NodeActions()
         for name, client in self.clients.items():
             actions.upstream_actions += [(name, action) for action in client.tick(now)]
--- a/ravenshelf/distribution/decisions/service_decisions.py
+++ b/ravenshelf/distribution/decisions/service_decisions.py
@@ -1,9 +1,9 @@
 """Decisions about the services that a controller owns.
 
-Each service is decided by a planner of its own, from the load reports that come up the tree. A planner exists
-while the service has subscribers. After a takeover the previous owner's tables, as replicated, stay in use
-until the planner has received load reports for two solve intervals, because a planner without reports would
-split requests evenly.
+Each service has a planner of its own, which decides its tables from the load reports that come up the tree. A
+planner exists while the service has subscribers. After a takeover the previous owner's tables, as replicated,
+stay in use until the planner has received load reports for two solve intervals, because a planner without
+reports would split requests evenly.
 """
 
 from collections.abc import Callable, Mapping
@@ -26,7 +26,7 @@
 
 CYCLE_INTERVAL_US = SECOND // 4
 WARM_UP_WITH_REPORTS_US = 5 * SECOND  # This is two solve intervals.
-WARM_UP_WITHOUT_REPORTS_US = 10 * SECOND  # This applies where no load reports arrive at all.
+WARM_UP_WITHOUT_REPORTS_US = 10 * SECOND  # This applies to a service without any load report.
 
 
 @dataclass(frozen=True)
@@ -100,7 +100,7 @@
                 planned_service.planner.add_report(report, REPORT_WINDOW_US)
 
     def run_cycle(self, now: int) -> None:
-        """Decide all services that have subscribers, and refresh their topics, each CYCLE_INTERVAL_US."""
+        """Decide all services with subscribers, and refresh their topics; called each CYCLE_INTERVAL_US."""
         if now // REPORT_WINDOW_US != self._window:
             self._apply_load_reports(now)
         subscribed_zones = self._subscribed_zones()
--- a/ravenshelf/distribution/decisions/service_owner.py
+++ b/ravenshelf/distribution/decisions/service_owner.py
@@ -57,7 +57,7 @@
         self.distributor = Distributor(self.topics, limits)
         self.publications: dict[str, Publication] = {}
         self.owned_services: dict[str, PublicationLease] = {}
-        self.followed_shards: dict[int, str] = {}  # Owner from which each shard is replicated.
+        self.followed_shards: dict[int, str] = {}  # The owner that each shard is replicated from.
         self.clients = {
             controller: SubscriptionClient([controller], self.topics, random_source, now)
             for controller in other_controllers
@@ -176,7 +176,8 @@
 
     def _may_publish(self, now: int, topic: str) -> bool:
         service = service_of_topic(topic)
-        # Readers of topics about this controller compare epochs, so an outdated topic does no harm.
+        # A topic about this controller needs no lease: its readers compare epochs, so they ignore an outdated
+        # one.
         if not service:
             return True
         lease = self.owned_services.get(service)
--- a/ravenshelf/distribution/decisions/topics.py
+++ b/ravenshelf/distribution/decisions/topics.py
@@ -6,9 +6,9 @@
 
 from ravenshelf.distribution.messages import NEVER, Changes, Delta, Entry, Snapshot, Version
 
-# A part of some 5 KB lets a subscriber that reads 7 KB/s receive a message each second.
+# These are some 5 KB, so that a subscriber that reads 7 KB/s still receives a message each second.
 SNAPSHOT_PART_ENTRIES = 128
-MIN_HISTORY_CHANGES = 16
+MIN_HISTORY_CHANGES = 16  # The history of a topic with few entries may be larger than its snapshot.
 
 
 class UpdateOutcome(Enum):
@@ -118,7 +118,7 @@
     def _append_history(self, delta: Delta) -> None:
         self._history.append(delta)
         self._history_changes += len(delta.changes) + 1
-        # Beyond this limit a snapshot is as small as the delta.
+        # With more changes than entries a snapshot is as small as the delta.
         while self._history_changes > max(len(self.entries), MIN_HISTORY_CHANGES):
             self._history_changes -= len(self._history.popleft().changes) + 1
 
--- a/ravenshelf/distribution/decisions/tree.py
+++ b/ravenshelf/distribution/decisions/tree.py
@@ -5,7 +5,7 @@
 
 import xxhash
 
-MAX_PARENTS = 4  # The preferred parent of a node is one of them.
+MAX_PARENTS = 4  # The candidate parents of a node, its preferred parent included.
 
 
 @dataclass(frozen=True)
@@ -54,8 +54,8 @@
     order of its own, so that the children of a lost relay spread over the level.
 
     Args:
-        index: Number of the node among the nodes below the level, from 0.
-        node_count: Number of nodes below the level.
+        index: Number of the node among the nodes directly below the level, from 0.
+        node_count: Number of nodes directly below the level.
         level: The level of the parents.
     """
     relay_count = len(level.names)
--- a/ravenshelf/distribution/leased_services.py
+++ b/ravenshelf/distribution/leased_services.py
@@ -28,7 +28,7 @@
         self._shard = shard
 
     def may_publish(self, now: int) -> bool:
-        """Return whether the lease is valid in its term at the time `now`, in microseconds."""
+        """Return whether the lease is valid, and still in this term, at the time `now` in microseconds."""
         is_same_term = self._member.claims[self._shard].term == self.epoch
         return is_same_term and self._member.permission(now, self._shard) is Permission.FULL
 
@@ -61,9 +61,8 @@
         self.clock = clock
         self.shards = shards
         self.owned_shards: dict[int, OwnedShard] = {}
-        self.connected_proxies: dict[
-            int, int
-        ] = {}  # No proxy has a stream to a service owner, so this is always empty.
+        # No proxy has a stream to a service owner, so this is always empty.
+        self.connected_proxies: dict[int, int] = {}
         self.services: set[str] = set()
         self._attached_publisher: OwnerService | None = None
         self._invalid_since: dict[int, int] = {}  # Contains only owned shards whose lease is not valid.
--- a/ravenshelf/distribution/messages.py
+++ b/ravenshelf/distribution/messages.py
@@ -1,9 +1,10 @@
 """Messages between controllers, relays and control-plane servers, and their encoding.
 
 Messages are MessagePack arrays tagged by type, so the order of fields and the tags are the wire format; field
-names are not. A topic contains the part of a service's state that one proxy zone uses. Its state is a map of
-keys to entries; a version identifies a state that the service owner published. Times are in microseconds;
-weights are unitless shares of a table.
+names are not. A topic contains the part of a service's state that one proxy zone uses, or the part that is
+the same for all zones; other topics describe a controller. The state of a topic is a map of keys to entries,
+and a version identifies a state that the owner published. Times are in microseconds; weights are unitless
+shares of a table.
 """
 
 import msgspec
--- a/ravenshelf/distribution/relay_service.py
+++ b/ravenshelf/distribution/relay_service.py
@@ -34,7 +34,7 @@
         super().__init__(node, self.relay.clients, self.relay.distributor)
 
     def tick(self) -> None:
-        """Dial, forward reports, and drop topics without subscribers, as far as each is due."""
+        """Dial, forward reports, and drop topics without subscribers, each when it is due."""
         self.execute(self.relay.tick(self.clock()))
         self.schedule_tick(self.relay.due_at())
 
--- a/ravenshelf/distribution/server_distribution.py
+++ b/ravenshelf/distribution/server_distribution.py
@@ -21,7 +21,7 @@
 from ravenshelf.policy.events import DemandReport, Event, LoadReport, ProxyJoined, ProxyLeft
 
 REPORT_TIMER = "report"
-LOCAL_REPORTER = "own"
+LOCAL_REPORTER = "own"  # The reporter of the loads that this server adds to its own aggregator.
 
 
 class ServerDistribution:
--- a/ravenshelf/distribution/services_file.py
+++ b/ravenshelf/distribution/services_file.py
@@ -20,7 +20,7 @@
 
 
 class ServicesFileError(RavenshelfError):
-    """Error in the file `path`, which is not used; `detail` says where the error is and what was expected."""
+    """Error in the services file `path`, which is not used; `detail` says what is wrong and where."""
 
     def __init__(self, path: Path, detail: str):
         super().__init__(f"{path}: {detail}")
--- a/ravenshelf/distribution/subscribers.py
+++ b/ravenshelf/distribution/subscribers.py
@@ -59,7 +59,7 @@
         self.distributor = distributor
         self.listener = listener
         self.connections: dict[str, MessageConnection] = {}
-        self.rejected_count = 0  # Rejected connections are counted since the start.
+        self.rejected_count = 0  # Connections rejected since the start.
         self.bytes_out = 0  # Bytes of all messages since the start, without frames.
         self._unidentified_connections: dict[int, MessageConnection] = {}
         self._timers: Timers[_TimerKey] = Timers(node.loop, node.clock, self._timer_due)
@@ -147,7 +147,7 @@
             self.listener.subscriber_lost(connection.name)
 
     def write_resumed(self, connection: MessageConnection) -> None:
-        """Send a subscriber its pending messages, as it has read the earlier ones."""
+        """Send a subscriber its pending messages, now that it has read earlier ones."""
         if connection.name in self.connections:
             self._timers.remove((UNREAD_TIMER, connection.name))
             self.send_pending([connection.name])
--- a/ravenshelf/distribution/subscription_service.py
+++ b/ravenshelf/distribution/subscription_service.py
@@ -62,7 +62,7 @@
         self._tick()
 
     def subscribe(self, topic: str) -> None:
-        """Subscribe to one more topic; ignored if it is subscribed to."""
+        """Subscribe to one more topic; ignored if already subscribed."""
         self._perform(self.client.subscribe(topic))
 
     def unsubscribe(self, topic: str) -> None:
--- a/ravenshelf/distribution/timers.py
+++ b/ravenshelf/distribution/timers.py
@@ -13,7 +13,7 @@
 
 
 class Timers(Generic[Key]):
-    """Timers by key, of which each calls `on_due` with its key once its deadline has passed.
+    """Timers, identified by keys, that call `on_due` with their key once their deadline has passed.
 
     Deadlines are in microseconds of `clock`.
     """
--- a/ravenshelf/distribution/upstreams.py
+++ b/ravenshelf/distribution/upstreams.py
@@ -27,7 +27,7 @@
 
 
 class _Upstream:
-    """Connection of one client, of which there is at most one at a time."""
+    """The connection of one client to its parent; there is at most one at a time."""
 
     def __init__(self, name: str, node: Node, listener: UpstreamListener):
         self.name = name
@@ -80,7 +80,7 @@
         self._upstreams = {name: _Upstream(name, node, listener) for name in clients}
 
     def perform(self, actions: Iterable[tuple[str, Action]]) -> None:
-        """Perform the actions of clients, of which each is for the named upstream."""
+        """Perform actions of clients, each given with the name of its upstream."""
         for name, action in actions:
             upstream = self._upstreams[name]
             if isinstance(action, Send) and upstream.connection is not None:
--- a/ravenshelf/leadership/admin.py
+++ b/ravenshelf/leadership/admin.py
@@ -1,4 +1,4 @@
-"""Administration of a running process over its Unix socket: one JSON object per line and direction."""
+"""Administration of a running process over its Unix socket: one line with a JSON object in each direction."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 COMMANDS = ("status", "drain", "undrain", "handover")
 REQUEST_TIMEOUT_S = 5.0
 REQUEST_LIMIT_BYTES = 65536
-SHOWN_CHARACTERS = 60  # an error message shows at most this much of an unusable value
+SHOWN_CHARACTERS = 60  # an error message shows at most this many characters of an unusable value
 
 Json = dict[str, Any]
 
@@ -30,10 +30,10 @@
         """Return the state of the member."""
 
     def drain(self, is_enabled: bool = True) -> int:
-        """Begin or end to hand the shards over to the others, and return how many are held."""
+        """Begin or stop to hand all shards over to the others, and return how many are held now."""
 
     def hand_over(self, shards: list[int], successor: str | None) -> list[int]:
-        """Release shards, and return those that the member held."""
+        """Release shards to the member named `successor` (None: any), and return those that had a claim."""
 
 
 def handle_request(leadership: AdministeredMember, request: Json) -> Json:
--- a/ravenshelf/leadership/cluster.py
+++ b/ravenshelf/leadership/cluster.py
@@ -11,8 +11,7 @@
 def clock() -> int:
     """Return microseconds of a clock that also counts while the machine is suspended.
 
-    With a clock that stops meanwhile, a member would take a lease that expired during the suspension as
-    valid.
+    With a clock that stops during a suspension, a member would still use a lease that expired meanwhile.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
@@ -66,7 +65,7 @@
 
     @property
     def owned_shards(self) -> Mapping[int, Any]:
-        """The shards whose lease is held, each with a `gate` that has the waiting commands."""
+        """The shards whose lease is held, each with its queue of waiting commands as `gate`."""
 
     @property
     def connected_proxies(self) -> Mapping[int, Any]:
--- a/ravenshelf/leadership/decisions/balancer.py
+++ b/ravenshelf/leadership/decisions/balancer.py
@@ -34,7 +34,7 @@
         self.local_member = local_member
         self.configuration = configuration
         self.successors: dict[int, Successor] = {}
-        # by shard: since when this member has seen no holder
+        # by shard: the time, in microseconds, since which this member has seen no holder
         self.unheld_since: dict[int, int] = {}
         self._voter = voter
         self._leases = leases
@@ -71,13 +71,13 @@
     def _take_over(
         self, now: int, target_holders: list[int | None], is_draining: bool, output: LeaseOutput
     ) -> None:
-        # Members may see different holders, so that each expects another one to request a shard. After two
-        # lease lengths without a holder any member requests it.
+        # Members may see different holders, so each may expect that another member requests a shard. A shard
+        # without a holder for two lease lengths is therefore requested by any member.
         placement_timeout_us = 2 * self.configuration.lease_us
         candidates = [
             shard
-            for shard, since in self.unheld_since.items()
-            if (target_holders[shard] == self.local_member or now - since > placement_timeout_us)
+            for shard, unheld_at in self.unheld_since.items()
+            if (target_holders[shard] == self.local_member or now - unheld_at > placement_timeout_us)
             and self._leases.claims[shard].state is LeaseState.IDLE
             and now >= self._leases.claims[shard].retry_at
             and self._may_take_over(now, shard)
@@ -103,7 +103,10 @@
         return successor is None or successor.member == self.local_member or now >= successor.reserved_until
 
     def on_release(self, now: int, member: int, message: LeaseRelease, output: LeaseOutput) -> None:
-        """Handle the release of leases by their holder: a named successor requests them at once."""
+        """Handle the release of leases by their holder.
+
+        A successor that the holder has named requests them at once, within its rate of takeovers.
+        """
         for shard, term, successor in message.released_leases:
             if not self._voter.end_grant(member, shard, term) or successor is None:
                 continue
--- a/ravenshelf/leadership/decisions/claims.py
+++ b/ravenshelf/leadership/decisions/claims.py
@@ -32,6 +32,7 @@
 
 PENDING_STATES = (LeaseState.PROBING, LeaseState.REQUESTING, LeaseState.ESTABLISHING)
 GRANTED_STATES = (LeaseState.HELD, LeaseState.ESTABLISHING)
+# in these states the lease was granted in the claim's term, and the local voter has promised no later one
 TERM_STATES = (LeaseState.HELD, LeaseState.ESTABLISHING, LeaseState.EXPIRED)
 
 
@@ -42,13 +43,15 @@
     Attributes:
         state: The state of the lease.
         term: The term of the latest request.
-        requested_at: When the lease was requested in this term. Its length counts from here.
+        requested_at: When the lease was requested in this term. The length of the lease counts from
+            this time.
         valid_until: When the lease expires.
-        retry_at: When a pending request is abandoned, or when the next one may follow.
+        retry_at: In a pending state, the time at which the request is abandoned; otherwise the earliest time
+            of the next request.
         available_voters: Voters that replied to the probe that they would grant the lease.
         grants: The grants in this term, by voter.
         renewed_by: The voters that accepted a renewal, by the renewal's number.
-        seq: The number of the newest record in this term.
+        seq: The number of the newest record in this term; 0 if there is none.
         committed_seq: The number of the newest record that a quorum has accepted.
         record: The newest record.
         accepted_seqs: The number of the newest record that each voter has accepted.
--- a/ravenshelf/leadership/decisions/configuration.py
+++ b/ravenshelf/leadership/decisions/configuration.py
@@ -20,10 +20,10 @@
         renewal_interval_us: The interval between renewals.
         retry_delay_us: The delay after a rejected or unanswered request; a random addition of up to the
             same length is drawn.
-        handovers_per_second: How many shards a member hands over to rebalance.
-        takeovers_per_second: How many shards without a holder one member requests.
+        handovers_per_second: How many shards a second a member hands over to rebalance.
+        takeovers_per_second: How many shards without a holder one member requests in a second.
         stability_period_us: How long a member has to be reachable before others hand shards over to it.
-        loop_delay_limit_us: A member whose event loop is later than this counts as overloaded.
+        loop_delay_limit_us: A member whose event loop is delayed by more than this counts as overloaded.
     """
 
     shards: int = 64
@@ -37,14 +37,15 @@
     loop_delay_limit_us: int = 150_000
 
     def usable_lease_us(self) -> int:
-        """Return how long a holder may use its lease by its own clock, from the request on.
+        """Return how long a holder may use its lease, in microseconds of its own clock after the request.
 
-        Shortened so that the lease ends before the grant of any voter even if both clocks drift.
+        This is shorter than `lease_us`, so that the lease ends before the grant of any voter even if the
+        clocks of the holder and the voter drift.
         """
         return int(self.lease_us * (1 - self.clock_drift) / (1 + self.clock_drift))
 
     def quiet_period_us(self) -> int:
-        """Return how long a voter grants nothing after its start.
+        """Return how long a voter grants nothing after its start, in microseconds of its own clock.
 
         Grants are not stored, so any that the voter made before its start have to expire first.
         """
--- a/ravenshelf/leadership/decisions/lease_holder.py
+++ b/ravenshelf/leadership/decisions/lease_holder.py
@@ -73,7 +73,7 @@
         return claim.state is LeaseState.HELD and now < claim.valid_until and claim.committed_seq >= seq
 
     def has_latest_term(self, shard: int) -> bool:
-        """Return whether this member holds the lease, or held it last as far as it can tell.
+        """Return whether, as far as this member can tell, it holds the lease or was the last to hold it.
 
         False as soon as this member's own voter, or a reply of another one, shows a promise of a later term.
         """
@@ -126,8 +126,8 @@
     def probe(self, now: int, shards: Sequence[int], output: LeaseOutput) -> None:
         """Ask all voters whether they would grant leases, before any voter promises a term.
 
-        A member that doesn't know the present holders, for example after a network partition, would
-        otherwise make its own voter promise terms that lock the present holder out.
+        Without this question a member that doesn't know the present holders, for example after a network
+        partition, would make its own voter promise terms that lock the present holder out.
         """
         for shard in shards:
             claim = self.claims[shard]
@@ -216,8 +216,13 @@
     def expire(self, now: int, quorum_last_contact: int, output: LeaseOutput) -> None:
         """Mark leases that were not renewed in time as expired.
 
-        An expired lease becomes idle once a quorum has been reachable after its expiry; it can then be
-        requested again, in a later term.
+        The claim of an expired lease becomes idle once a quorum has been reachable after the expiry; the
+        lease can then be requested again, in a later term.
+
+        Args:
+            now: Microseconds of this member's clock.
+            quorum_last_contact: The latest time by which a whole quorum had been in contact.
+            output: Receives the changes of state.
         """
         # the states are looked up once, because this loop runs over every shard at every tick
         held_state = LeaseState.HELD
@@ -260,7 +265,7 @@
         """Abandon requests that were not granted in time, and resend records that are not committed.
 
         Returns:
-            When each claim needs the next tick, microseconds; nothing for claims that are idle or expired.
+            The times at which claims need the next tick, microseconds; none for idle and expired claims.
         """
         # the states are looked up once, because this loop runs over every shard at every tick
         idle_state = LeaseState.IDLE
@@ -272,7 +277,7 @@
                 continue
             is_committed = claim.committed_seq >= claim.seq
             if state is held_state and is_committed and not claim.advance_term_at:
-                due_times.append(claim.valid_until)  # nothing to do, which is the most frequent case
+                due_times.append(claim.valid_until)  # the most frequent case: this claim needs no action
                 continue
             next_due_at = self._tick_claim(now, shard, claim, output)
             if next_due_at is not None:
@@ -299,8 +304,8 @@
         """Schedule a request in a later term for leases that a voter rejected.
 
         The voter has promised a later term than that of the lease. One voter alone doesn't end the lease,
-        since a quorum decides; but it doesn't renew it any more either. A request in a still later term,
-        sent after one to two lease lengths, makes it count again.
+        since a quorum decides, but this voter no longer renews it. The request in a still later term, sent
+        after one to two lease lengths, lets the voter grant and renew the lease again.
         """
         for shard, term, promised_term in rejected_terms:
             claim = self.claims[shard]
--- a/ravenshelf/leadership/decisions/member.py
+++ b/ravenshelf/leadership/decisions/member.py
@@ -40,7 +40,7 @@
         local_member: This member's number.
         member_count: The size of the cluster.
         configuration: The durations and rates, equal at all members.
-        stored: The votes that were read from disk.
+        stored: The votes that were read from disk, by shard.
         now: The present time.
         rng: Draws the retry delays.
         is_recovering: True if the disk does not say that this member votes. It then reads the votes of a
@@ -107,7 +107,7 @@
 
     @property
     def load(self) -> MemberLoad:
-        """What this member reports to the others, and what its weight is computed from."""
+        """The load that this member reports to the others, and from which its weight is computed."""
         return MemberLoad(self.capacity, self.is_draining, self.loop_delay_us)
 
     def held_shards(self) -> list[int]:
@@ -137,9 +137,10 @@
             seq: The number of the record that the command requires; 0 for none.
 
         Returns:
-            FULL while the lease is valid. REPEAT_ONLY if it expired because no quorum is reachable and no
-            later term was seen: commands that repeat previous tables may be sent, but none that admits
-            additional requests or retries. None if nothing may be sent.
+            FULL while the lease is valid and a quorum has accepted the required record. REPEAT_ONLY if the
+            lease expired because no quorum is reachable, and no later term was seen: commands that repeat
+            previous tables may be sent, but none that admits additional requests or retries. None if nothing
+            may be sent.
         """
         if self.leases.is_valid(now, shard, seq):
             return Permission.FULL
--- a/ravenshelf/leadership/decisions/messages.py
+++ b/ravenshelf/leadership/decisions/messages.py
@@ -74,7 +74,7 @@
 
 
 class MemberLoad(NamedTuple):
-    """What a member's weight is computed from."""
+    """The load of a member, from which its weight is computed."""
 
     capacity: float
     is_draining: bool
@@ -86,7 +86,7 @@
 
 
 class StateReply(NamedTuple):
-    """All votes of a voter; None if the voter is recovering itself."""
+    """All votes of a voter, or None while the voter is recovering itself."""
 
     votes: list[RecordedVote] | None
 
@@ -126,7 +126,7 @@
 
 
 class LeaseReply(NamedTuple):
-    """The leases that the voter has granted, and those that it has rejected."""
+    """The leases that the voter has granted, and the requests that it has rejected."""
 
     granted_leases: list[Grant]
     rejected_terms: list[PromisedTerm]
--- a/ravenshelf/leadership/decisions/peers.py
+++ b/ravenshelf/leadership/decisions/peers.py
@@ -12,7 +12,11 @@
 
 @dataclass(slots=True)
 class Peer:
-    """Another member. Times are microseconds of the local member's clock."""
+    """Another member.
+
+    Times are microseconds of the local member's clock. `last_contact` is None until a message has arrived;
+    `reachable_since` is the time of the first message after the latest gap of more than a lease length.
+    """
 
     last_contact: int | None = None
     reachable_since: int = 0
@@ -65,11 +69,11 @@
         """
         if quorum < 2:
             return now
-        times = sorted(
+        contact_times = sorted(
             (NEVER if peer.last_contact is None else peer.last_contact for peer in self.peers.values()),
             reverse=True,
         )
-        return times[quorum - 2]
+        return contact_times[quorum - 2]
 
 
 class QuorumMonitor:
@@ -83,8 +87,8 @@
     def tick(self, now: int) -> None:
         """Detect a pause of this process; called at each tick.
 
-        While the process was paused, no reply could be handled. So missing replies don't show that the quorum
-        was unreachable, and the time without one is counted from the end of the pause.
+        While the process was paused, it could not handle replies. Missing replies therefore don't show that
+        the quorum was unreachable, and the time without a quorum is counted from the end of the pause.
         """
         was_paused = now - self.last_tick > self.configuration.lease_us
         if was_paused and self.unreachable_since is not None:
@@ -92,7 +96,7 @@
         self.last_tick = now
 
     def update(self, now: int, quorum_last_contact: int) -> None:
-        """Update the reachability from the last contact with a quorum (`NEVER` for none)."""
+        """Record whether a quorum is reachable, given the last contact with a quorum (`NEVER` for none)."""
         if now - quorum_last_contact <= self.configuration.lease_us and quorum_last_contact >= 0:
             self.unreachable_since = None
         elif self.unreachable_since is None:
@@ -106,8 +110,8 @@
     def is_lost(self, now: int) -> bool:
         """Return whether a quorum has been unreachable for too long to be a pause of this process.
 
-        That is the case when renewals that were sent after the last contact with a quorum have had no reply
-        for two lease lengths.
+        That is the case when this process has been running, and the renewals that it sent after the last
+        contact with a quorum have had no reply for two lease lengths.
         """
         lease_us = self.configuration.lease_us
         is_running = now - self.last_tick <= lease_us
--- a/ravenshelf/leadership/decisions/recovery.py
+++ b/ravenshelf/leadership/decisions/recovery.py
@@ -43,9 +43,9 @@
     def on_reply(self, now: int, member: int, reply: StateReply, output: LeaseOutput) -> None:
         """Adopt the votes of a quorum of the other members, and end the recovery.
 
-        Every quorum that accepted something without this member has a voter in common with those that are
-        read here. If all other members reply and none of them has any vote, this is the first start of the
-        cluster, and the recovery ends as well.
+        Every quorum that accepted a promise or a record without this member has a voter in common with the
+        quorum that is read here, so none is missed. If all other members reply and none of them has any vote,
+        this is the first start of the cluster, and the recovery ends as well.
         """
         if not self.is_active or member == self.local_member:
             return
@@ -55,10 +55,10 @@
         if len(available_votes) < self.quorum and not is_first_start:
             return
         for votes in available_votes:
-            for recorded in votes:
-                self._voter.merge(recorded)
-        for recorded in self._voter.recorded_votes():
-            self._voter.store(recorded.shard, output)
+            for recorded_vote in votes:
+                self._voter.merge(recorded_vote)
+        for recorded_vote in self._voter.recorded_votes():
+            self._voter.store(recorded_vote.shard, output)
         output.store_voting()
         self.is_active = False
         self._replies = {}
--- a/ravenshelf/leadership/decisions/renewals.py
+++ b/ravenshelf/leadership/decisions/renewals.py
@@ -1,4 +1,7 @@
-"""Renewals that a member has sent. A lease counts from when the renewal was sent, not from the replies."""
+"""Renewals that a member has sent.
+
+A renewed lease is valid from the time at which the renewal was sent, not from the arrival of the replies.
+"""
 
 from collections import deque
 from dataclasses import dataclass
@@ -13,9 +16,9 @@
     """A renewal that was sent.
 
     Attributes:
-        number: Its number, as the replies repeat it.
-        sent_at: When it was sent, microseconds of the member's clock.
-        terms: The renewed term by shard.
+        number: The number of the renewal, which the replies repeat.
+        sent_at: When the renewal was sent, microseconds of the member's clock.
+        terms: The term of each renewed lease, by shard.
     """
 
     number: int
--- a/ravenshelf/leadership/decisions/voter.py
+++ b/ravenshelf/leadership/decisions/voter.py
@@ -22,7 +22,7 @@
 )
 from ravenshelf.leadership.decisions.output import LeaseOutput, PackedRecord
 
-# by shard: promised term, term and number of the accepted record, the record
+# by shard: the promised term, the term and the number of the accepted record, and the record itself
 StoredVotes: TypeAlias = Mapping[int, tuple[int, int, int, PackedRecord]]
 
 
@@ -31,7 +31,8 @@
     """The state of a voter for one shard. `holder` and `granted_until` are in memory only.
 
     Attributes:
-        promised_term: The latest promised term; requests and records of earlier terms are rejected.
+        promised_term: The latest promised term. Renewals and records of earlier terms are rejected, and so
+            are lease requests in this term or an earlier one.
         accepted_term: The term of the accepted record.
         accepted_seq: The number of the accepted record in that term.
         record: The accepted record.
@@ -47,7 +48,7 @@
     granted_until: int = 0
 
     def is_available_to(self, now: int, member: int) -> bool:
-        """Return whether no other member has an unexpired grant."""
+        """Return whether no member other than `member` has an unexpired grant."""
         return self.holder in (None, member) or now >= self.granted_until
 
 
@@ -56,7 +57,7 @@
 
     Args:
         configuration: Durations and the number of shards.
-        stored: The votes that were read from disk.
+        stored: The votes that were read from disk, by shard.
         now: The present time, microseconds.
         on_promise: Called with the shard and the output after each promise, because a promise may end a
             lease of this member.
@@ -94,14 +95,17 @@
             if vote.promised_term or vote.accepted_seq
         ]
 
-    def merge(self, recorded: RecordedVote) -> None:
+    def merge(self, recorded_vote: RecordedVote) -> None:
         """Adopt a promise or a record of another voter if it is later than the local one."""
-        vote = self.votes[recorded.shard]
-        vote.promised_term = max(vote.promised_term, recorded.promised_term)
-        if (recorded.accepted_term, recorded.accepted_seq) > (vote.accepted_term, vote.accepted_seq):
-            vote.accepted_term = recorded.accepted_term
-            vote.accepted_seq = recorded.accepted_seq
-            vote.record = recorded.record
+        vote = self.votes[recorded_vote.shard]
+        vote.promised_term = max(vote.promised_term, recorded_vote.promised_term)
+        if (recorded_vote.accepted_term, recorded_vote.accepted_seq) > (
+            vote.accepted_term,
+            vote.accepted_seq,
+        ):
+            vote.accepted_term = recorded_vote.accepted_term
+            vote.accepted_seq = recorded_vote.accepted_seq
+            vote.record = recorded_vote.record
 
     def on_probe(self, now: int, member: int, request: ProbeRequest, output: LeaseOutput) -> None:
         """Reply which leases this voter would grant now; nothing is promised."""
@@ -145,7 +149,7 @@
                 vote.accepted_seq = seq
                 vote.record = record
                 if vote.holder != member:
-                    # this voter missed the request that a quorum granted: it acts as if it had granted it
+                    # this voter missed the request that a quorum granted, and acts as if it had granted it
                     vote.holder = member
                     vote.granted_until = max(vote.granted_until, now + self.configuration.lease_us)
                 self.store(shard, output)
--- a/ravenshelf/leadership/gate.py
+++ b/ravenshelf/leadership/gate.py
@@ -1,9 +1,10 @@
 """Queue of a shard's commands that wait for its record, and the order in which they are sent. Pure.
 
-A command that grants a retry, or admits more, is sent once a quorum has accepted a record that contains it.
-The same holds for a command that ejects a draining endpoint, so that a successor with an older endpoint list
-does not readmit the endpoint. All other commands are sent at once. But no command for a proxy is sent before
-the earlier ones for that proxy: a table must not arrive before the admission level that precedes it.
+A command that admits more requests or more retries than the shard's record permits is sent only after a
+quorum has accepted a record that contains it. The same holds for a command that ejects a draining endpoint,
+so that a successor with an older endpoint list does not readmit the endpoint. All other commands are sent at
+once. But no command for a proxy is sent before the earlier ones for that proxy: a table must not arrive
+before the admission level that was commanded before it.
 """
 
 from collections import deque
@@ -13,7 +14,8 @@
 
 from ravenshelf.leadership.record import Record
 
-# the most commands that wait for one proxy; a proxy with more is bound again once that is permitted
+# The largest number of commands that wait for one proxy. Further commands are dropped, and the proxy is bound
+# again once that is permitted.
 WAITING_LIMIT = 64
 # these two stand in for the number of a record
 NOT_RECORDED = -1  # the record that the command requires is not written yet
@@ -25,8 +27,8 @@
     """What a record has to contain before a command is sent.
 
     Attributes:
-        levels: Tuples of traffic group, admission level and retry mode.
-        drains: Tuples of endpoint and version of the endpoint list that drained it.
+        levels: Tuples of a traffic group, its admission level and its retry mode.
+        drains: Tuples of an endpoint and the version of the endpoint list that drained it.
     """
 
     levels: list[tuple[str, float, int]] = field(default_factory=list)
@@ -49,7 +51,7 @@
 
     Attributes:
         proxy: The proxy that the command is for.
-        payload: What is sent.
+        payload: The content of the command, which the queue passes on unread.
         requirements: What the record has to contain.
         seq: The number of the record that the command waits for. With NO_RECORD it waits only for the
             earlier commands to the same proxy.
@@ -65,8 +67,8 @@
     """The waiting commands of one shard.
 
     Attributes:
-        record: The record that was written last.
-        seq: Its number.
+        record: The record that was sent to the voters last.
+        seq: The number of that record.
         committed_seq: The number of the newest record that a quorum has accepted.
         queues: The waiting commands by proxy, in the order in which they are sent.
         overflowed_proxies: Proxies that have to be bound again, because a command for them was dropped.
@@ -99,7 +101,7 @@
         """Return a copy of the record that meets the requirements of all waiting commands.
 
         Args:
-            warming_since: The endpoints that are warming up now, with the times of their starts.
+            warming_since: The start of each endpoint that is warming up now, microseconds, by endpoint.
         """
         new_record = self.record.copy()
         for command in self._commands():
@@ -121,9 +123,9 @@
                 command.seq = seq
 
     def lowered_record(self, sent_commands: Iterable[WaitingCommand]) -> Record | None:
-        """Return the record with the admission levels that commands have lowered, or None if none is lower.
+        """Return the record with the lower admission levels of sent commands, or None if none is lower.
 
-        With the earlier, higher level still in the record, a successor would admit too much.
+        A successor would admit too much if the record still had the earlier, higher levels.
         """
         record = self.record.copy()
         is_changed = False
--- a/ravenshelf/leadership/inheritance.py
+++ b/ravenshelf/leadership/inheritance.py
@@ -1,8 +1,8 @@
 """Limits of a successor as long as its own decisions have less information than the previous holder. Pure.
 
-The record says what the previous holder had commanded; what the successor has no information about counts as
-commanded. A drain stays until a newer endpoint list ends it, an endpoint that was warming up continues from
-its recorded start, and shed load is admitted step by step. Times are microseconds.
+The record contains what the previous holder had commanded. The successor applies it as long as it has no
+information of its own: a drain stays until a newer endpoint list ends it, an endpoint that was warming up
+continues from its recorded start, and shed load is admitted step by step. Times are microseconds.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,7 +13,7 @@
 ADMISSION_STEP = 1.25  # factor by which the admission level of a shed group rises at each step
 ADMISSION_STEP_INTERVAL_US = 2 * SECOND
 UNLIMITED_LEVEL = 1e5  # an admission level that sheds nothing
-LEARNING_PERIOD_US = 60 * SECOND  # afterwards only the successor's own decisions count
+LEARNING_PERIOD_US = 60 * SECOND  # afterwards the recorded admission levels are no limit any more
 
 
 class InheritedState:
@@ -36,7 +36,7 @@
         }
 
     def limit_level(self, now: int, group: str, level: float) -> float:
-        """Return the admission level to command when the successor's own decisions result in `level`."""
+        """Return the admission level to command for a group for which the successor decided `level`."""
         recorded_admission = self.record.admission_levels.get(group)
         is_learning = now - self.taken_over_at <= LEARNING_PERIOD_US
         if recorded_admission is None or recorded_admission[0] >= UNLIMITED_LEVEL or not is_learning:
@@ -67,5 +67,5 @@
         return endpoint in self.drained_at
 
     def warming_since(self) -> Mapping[str, int]:
-        """Return when endpoints that were warming up started, for a list that lacks these times."""
+        """Return the starts of the endpoints that were warming up, for an endpoint list that lacks them."""
         return dict(self.record.warming_since)
--- a/ravenshelf/leadership/lease_filter.py
+++ b/ravenshelf/leadership/lease_filter.py
@@ -1,8 +1,8 @@
 """Restriction of a server's control cycle to the shards whose lease the server holds.
 
-The decisions get only the proxies of those shards, and no command is sent without permission. `ShardGate`,
-`InheritedState` and `Member` decide which commands are sent and how they are limited; this module applies
-their decisions to the proxies' connections.
+The control cycle gets only the proxies of those shards, and no command is sent without permission.
+`ShardGate`, `InheritedState` and `Member` decide which commands are sent and how they are limited; this
+module applies their decisions to the proxies' connections.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -41,7 +41,7 @@
 
 
 class LeaseFilter:
-    """Filters events on their way to the decisions, and commands on their way to the proxies.
+    """Filters events on their way to the control cycle, and commands on their way to the proxies.
 
     Args:
         member: The member whose leases count.
@@ -54,7 +54,7 @@
         endpoint_name: Returns the name of an endpoint, by index.
         list_version: Returns the version of the server's endpoint list.
         endpoint_index: Returns the index of an endpoint, by name, or None.
-        warming_since: Returns the endpoints that are warming up now, with the times of their starts.
+        warming_since: Returns the start of each endpoint that is warming up now, microseconds, by endpoint.
         restore_warm_up: Adopts the starts of endpoints that an earlier holder recorded.
     """
 
@@ -80,7 +80,7 @@
         self.counters = counters
         self.shards = member.configuration.shards
         self.connected_proxies: dict[int, ProxyJoined] = {}
-        self.bound_proxies: set[int] = set()  # the connected proxies that were reported to the decisions
+        self.bound_proxies: set[int] = set()  # the connected proxies that were reported to the control cycle
         self.owned_shards: dict[int, HeldShard] = {}
         self._report_event = report_event
         self._write = write
@@ -92,7 +92,7 @@
         self._restore_warm_up = restore_warm_up
 
     def passes(self, event: Event) -> bool:
-        """Record an event, and return whether the decisions get it now."""
+        """Record an event, and return whether the control cycle gets it now."""
         if isinstance(event, ProxyJoined):
             self.connected_proxies[event.proxy] = event
             if self._shard_of(event.proxy) not in self.owned_shards:
@@ -128,7 +128,8 @@
     def lease_acquired(self, shard: int, term: int, packed_record: bytes | None) -> None:
         """Bind the shard's proxies, now that the lease is held and a quorum has accepted the record.
 
-        If the shard is owned already, its lease continues in a later term: waiting commands are sent in that.
+        If the shard is owned already, its lease continues in a later term: waiting commands are sent in the
+        later term.
         """
         record = self._unpack(packed_record)
         held_shard = self.owned_shards.get(shard)
@@ -141,10 +142,10 @@
         held_shard = HeldShard(term, record, self.clock(), self._list_version())
         self.owned_shards[shard] = held_shard
         self._restore_warm_up(held_shard.inherited_state.warming_since())
-        for proxy, joined in list(self.connected_proxies.items()):
+        for proxy, join_event in list(self.connected_proxies.items()):
             if self._shard_of(proxy) == shard and proxy not in self.bound_proxies:
                 self.bound_proxies.add(proxy)
-                self._report_event(joined._replace(is_fresh=False))
+                self._report_event(join_event._replace(is_fresh=False))
 
     def _unpack(self, packed_record: bytes | None) -> Record:
         """Return the record, or an empty one if the bytes can't be decoded."""
@@ -155,7 +156,7 @@
             return Record()
 
     def lease_lost(self, shard: int) -> None:
-        """Drop the shard's waiting commands, and report its proxies as left to the decisions."""
+        """Drop the shard's waiting commands, and report to the control cycle that its proxies have left."""
         if self.owned_shards.pop(shard, None) is None:
             return
         for proxy in [proxy for proxy in self.bound_proxies if self._shard_of(proxy) == shard]:
@@ -166,7 +167,7 @@
         """Change the updates of a message in place according to the state of the shard's previous holder.
 
         Endpoints that were drained by a newer list than the local one stay ejected, and load that the
-        previous holder shed is admitted step by step. Both ends with the inherited state.
+        previous holder shed is admitted step by step. Neither applies once the inherited state has ended.
         """
         held_shard = self.owned_shards.get(self._shard_of(proxy))
         now = self.clock()
@@ -185,7 +186,7 @@
         self._restore_levels(now, held_shard.inherited_state, updates)
 
     def _keep_drained(self, inherited_state: InheritedState, updates: list[TableUpdate]) -> None:
-        """Eject the drained endpoints that the message would readmit or give a weight."""
+        """Remove drained endpoints from the readmissions, and eject those that the message gives a weight."""
         indices = map(self._endpoint_index, inherited_state.drained_at)
         drained_endpoints = {index for index in indices if index is not None}
         if not drained_endpoints:
@@ -201,7 +202,7 @@
             ]
 
     def _restore_levels(self, now: int, inherited_state: InheritedState, updates: list[TableUpdate]) -> None:
-        """Add the inherited admission levels after each complete table, since a table resets them."""
+        """Add the inherited admission levels after each complete table, which resets the proxy's levels."""
         complete_tables = [
             update for update in updates if update.is_complete and update.admission_level is None
         ]
@@ -292,7 +293,8 @@
     def _bind_overflowed(self, shard: int, held_shard: HeldShard) -> None:
         """Bind proxies again for which commands were dropped.
 
-        The decisions count these commands as sent, so they have to start again with these proxies.
+        The control cycle counts the dropped commands as sent. To the control cycle these proxies leave and
+        join again, so that it starts again with them.
         """
         if not held_shard.gate.overflowed_proxies or self.member.permission(self.clock(), shard) is None:
             return
--- a/ravenshelf/leadership/link.py
+++ b/ravenshelf/leadership/link.py
@@ -18,9 +18,10 @@
 from ravenshelf.net.connection_end import ConnectionEnd
 from ravenshelf.state.buffers import BufferPool
 
+# the versions of the protocol: the local one, and the oldest that the other side may have
 VERSION = 1
 OLDEST_VERSION = 1
-# a connection with more unsent bytes is closed: a member that reads so slowly counts as unreachable
+# a connection with more unsent bytes is closed, because a member that reads so slowly counts as unreachable
 UNSENT_LIMIT_BYTES = 4 * 1024 * 1024
 
 
@@ -61,7 +62,10 @@
 
 
 class Link(BufferedConnection):
-    """One connection to another member; `member` is its number once its hello is accepted."""
+    """One connection to another member.
+
+    `member` is the number of the other member, or None before its hello is accepted.
+    """
 
     def __init__(self, buffers: BufferPool, owner: LinkOwner, hello: list) -> None:
         super().__init__(buffers)
@@ -108,7 +112,11 @@
         return str(self.transport.get_extra_info("peername")) if self.transport is not None else ""
 
     def peer_common_name(self) -> str | None:
-        """Return the common name of the other side's certificate, or None without TLS."""
+        """Return the common name of the other side's certificate.
+
+        Returns:
+            None without TLS; an empty text if the certificate has no common name.
+        """
         certificate = self.transport.get_extra_info("peercert") if self.transport is not None else None
         if not certificate:
             return None
--- a/ravenshelf/leadership/peer_connections.py
+++ b/ravenshelf/leadership/peer_connections.py
@@ -19,9 +19,10 @@
 DIAL_INTERVAL_S = 0.3
 DIAL_TIMEOUT_S = 1.0
 HELLO_TIMEOUT_US = 2 * SECOND
-# the most connections that have not sent a hello yet; the oldest is closed when there is one more
+# The largest number of connections whose hello has not arrived yet. When there is one more, the oldest is
+# closed.
 UNIDENTIFIED_LIMIT = 32
-SHOWN_CHARACTERS = 60  # an error message shows at most this much of an unusable message
+SHOWN_CHARACTERS = 60  # an error message shows at most this many characters of an unusable message
 
 
 class MessageReceiver(Protocol):
@@ -31,7 +32,7 @@
         """Handle a message, given as the list that was on the wire; an exception ends the connection."""
 
     def message_handled(self, message: list) -> None:
-        """Act on the completion of a message; called after `receive_message` unless it raised."""
+        """Act on a message that `receive_message` has handled without an exception."""
 
 
 class PeerConnections:
@@ -117,7 +118,7 @@
             self._server.close()
 
     def close_links(self) -> None:
-        """Close all connections after the data that is ready to be sent."""
+        """Close all connections; bytes that are already written to them are still sent."""
         for link in [*self.links.values(), *self._unidentified_since]:
             link.close(ConnectionEnd.STOPPING)
 
@@ -147,7 +148,7 @@
     def hello_received(self, link: Link, hello: list) -> str | None:
         """Identify the other side by its hello, and return why it is rejected, or None.
 
-        An earlier connection to the same member is closed.
+        If the other side is accepted, an earlier connection to the same member is closed.
         """
         try:
             _, _, _, name, incarnation, _ = hello
--- a/ravenshelf/leadership/persistence.py
+++ b/ravenshelf/leadership/persistence.py
@@ -13,7 +13,7 @@
 
 
 class OutgoingMessage(NamedTuple):
-    """A message and the number of its receiver."""
+    """A message, and the number of the member that it is for."""
 
     member: int
     message: Message
@@ -44,8 +44,8 @@
 class DurableOutbox:
     """Delays messages until everything that was stored with them or before them is on disk.
 
-    `deliver` sends messages. `commit_ended` is called with the messages of a commit once the commit is on
-    disk, or with the error if it failed.
+    `deliver` sends messages at once. `commit_ended` is called at the end of a commit, with the messages that
+    waited for it, and with the error if it failed or None if it is on disk.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._committer = committer
         self._deliver = deliver
         self._commit_ended = commit_ended
-        # by key, because only the last value of a shard has to be stored
+        # by key, because only the last of several values of a shard has to be stored
         self._changes: dict[int | str, Any] = {}
         self._messages: list[OutgoingMessage] = []
         self._commits_in_flight = 0
--- a/ravenshelf/leadership/record.py
+++ b/ravenshelf/leadership/record.py
@@ -1,4 +1,4 @@
-"""The record of a shard, which a successor of its holder continues from. Pure.
+"""The record of a shard, from which the next holder of its lease continues. Pure.
 
 A record is a map of named fields, each a map. A program of an earlier version that reads a record of a later
 one keeps the fields that it does not support and writes them back with its own, so that two versions can
@@ -36,7 +36,7 @@
         admission_levels: The admission level and the retry mode of each traffic group, as last commanded or
             higher.
         drained_at: The version of the endpoint list that drained an endpoint, by endpoint.
-        warming_since: When an endpoint that is warming up started, by endpoint.
+        warming_since: When an endpoint that is warming up started, microseconds, by endpoint.
         unknown_fields: The fields of a later version, as stored.
         version: The version that the record was written in.
     """
--- a/ravenshelf/leadership/service.py
+++ b/ravenshelf/leadership/service.py
@@ -35,13 +35,14 @@
 
 
 class Leadership:
-    """Runs a `Member`, whose `LeaseOutput` and `MessageReceiver` it implements.
+    """Runs a `Member`.
 
+    It is the `LeaseOutput` of the member, and the `MessageReceiver` of the member's connections.
     `lease_listener` must be set before `start` is called.
 
     Args:
         settings: The table `[leadership]` of the operator file.
-        folder: The folder of its table `[store]`.
+        folder: The folder that the table `[store]` of the operator file names.
         loop: The event loop.
         counters: The server's counters.
         rng: Draws the retry delays.
@@ -145,7 +146,7 @@
         return result
 
     def _deliver(self, messages: list[OutgoingMessage]) -> None:
-        frames: dict[int, bytes] = {}  # by identity, because a message to several members is encoded once
+        frames: dict[int, bytes] = {}  # by id of the message: one to several members is encoded once
         for member, message in messages:
             if member == self.membership.local_member:
                 self._local_messages.append(message)
@@ -179,7 +180,7 @@
         self._run_step(lambda: self._receive_in_step(member, message))
 
     def message_handled(self, message: list) -> None:
-        """Send commands that the message has permitted: a quorum may have accepted their record."""
+        """Send the commands whose record a quorum may have accepted with this message."""
         if message[0] == message_codec.KIND_OF_TYPE[RecordWriteReply]:
             self.lease_listener.send_permitted()
 
@@ -195,7 +196,7 @@
         return self._run_step(lambda: self.member.write_record(clock(), shard, record, self))
 
     def _call_in_loop(self, callback: Callable[[], None]) -> None:
-        with suppress(RuntimeError):  # raised after the end of the loop
+        with suppress(RuntimeError):  # raised once the event loop is closed
             self.loop.call_soon_threadsafe(callback)
 
     def _tick(self) -> None:
@@ -266,7 +267,9 @@
         )
 
     def drain(self, is_enabled: bool = True) -> int:
-        """Set or reset this member's weight to 0, so that its shards go to the others by rebalancing.
+        """Begin to drain this member, or stop draining it if `is_enabled` is False.
+
+        A draining member has weight 0, so that rebalancing hands its shards over to the others.
 
         Returns:
             The number of shards that it holds now.
--- a/ravenshelf/leadership/shard_placement.py
+++ b/ravenshelf/leadership/shard_placement.py
@@ -15,13 +15,15 @@
 # An overloaded member's weight drops to at most this share of its capacity, so that it hands shards over
 # before its leases expire.
 OVERLOAD_WEIGHT_FACTOR = 0.5
+# However late its event loop is, an overloaded member keeps at least this share of its capacity as weight.
 MIN_WEIGHT_FACTOR = 0.05
 
 
 def member_weight(capacity: float, is_draining: bool, loop_delay_us: int, loop_delay_limit_us: int) -> float:
     """Return the weight of a member.
 
-    It is 0 while the member drains. Above the limit of the event loop's delay it falls as the delay grows.
+    The weight is 0 while the member drains, and otherwise the capacity. When the delay of the member's event
+    loop exceeds the limit, the weight falls as the delay grows.
     """
     if is_draining or capacity <= 0:
         return 0.0
@@ -50,10 +52,16 @@
 def shard_limits(
     shards: int, weights: Mapping[int, float], factor: float = SHARD_LIMIT_FACTOR
 ) -> dict[int, int]:
-    """Return the largest number of shards that each member may hold, out of `shards` in all."""
-    total = sum(weights.values())
+    """Return the largest number of shards that each member may hold, by member.
+
+    Args:
+        shards: The number of all shards.
+        weights: The weight of each reachable member.
+        factor: The multiple of its share that a member may hold.
+    """
+    total_weight = sum(weights.values())
     return {
-        member: ceil(factor * shards * weight / total) if total > 0 else 0
+        member: ceil(factor * shards * weight / total_weight) if total_weight > 0 else 0
         for member, weight in weights.items()
     }
 
@@ -75,9 +83,9 @@
     for shard in range(shards):
         if placement[shard] is not None:
             continue
-        ranked = ranked_members(shard, weights)
+        candidates = ranked_members(shard, weights)
         member = next(
-            (candidate for candidate in ranked if len(member_shards[candidate]) < limits[candidate]), None
+            (candidate for candidate in candidates if len(member_shards[candidate]) < limits[candidate]), None
         )
         if member is not None:
             placement[shard] = member
@@ -114,23 +122,22 @@
 
     Each is taken from the member that is furthest above its share.
     """
-    total = sum(weights.values())
-    if total <= 0:
+    total_weight = sum(weights.values())
+    if total_weight <= 0:
         return
-    shares = {member: len(placement) * weight / total for member, weight in weights.items()}
+    shares = {member: len(placement) * weight / total_weight for member, weight in weights.items()}
     while True:
-        lowest = min(shares, key=lambda member: (len(member_shards[member]) - shares[member], member))
-        highest = max(shares, key=lambda member: (len(member_shards[member]) - shares[member], -member))
+        target = min(shares, key=lambda member: (len(member_shards[member]) - shares[member], member))
+        source = max(shares, key=lambda member: (len(member_shards[member]) - shares[member], -member))
         is_filled = (
-            len(member_shards[lowest]) + 1 > shares[lowest]
-            or len(member_shards[highest]) - 1 < shares[highest]
+            len(member_shards[target]) + 1 > shares[target] or len(member_shards[source]) - 1 < shares[source]
         )
-        if is_filled or lowest == highest:
+        if is_filled or target == source:
             return
-        shard = _select_shard_to_migrate(member_shards[highest], highest, lowest, weights)
-        member_shards[highest].remove(shard)
-        member_shards[lowest].append(shard)
-        placement[shard] = lowest
+        shard = _select_shard_to_migrate(member_shards[source], source, target, weights)
+        member_shards[source].remove(shard)
+        member_shards[target].append(shard)
+        placement[shard] = target
 
 
 def _select_shard_to_migrate(
