--- a/ravenshelf/graphite/service.py
+++ b/ravenshelf/graphite/service.py
@@ -146,9 +146,9 @@
 
     def _export_shares(self, batch: Batch) -> None:
         has_share = [self.has_share[receiver] for receiver in self.router.receivers]
-        for index, share in self.router.partition(batch.points, has_share).items():
+        for index, share_points in self.router.partition(batch.points, has_share).items():
             exporter = self.exporters[self.router.receivers[index]]
-            exporter.add([Batch(batch.time, batch.importance, share)])
+            exporter.add([Batch(batch.time, batch.importance, share_points)])
 
     def _update_shares(self) -> None:
         """Update which receivers get their own share of the points.
--- a/ravenshelf/operator_config/keys.py
+++ b/ravenshelf/operator_config/keys.py
@@ -32,9 +32,11 @@
     return str(getattr(key_type, "__name__", key_type))
 
 
-def changed_tables(previous: OperatorConfiguration, current: OperatorConfiguration) -> list[str]:
+def changed_tables(
+    first_operator: OperatorConfiguration, second_operator: OperatorConfiguration
+) -> list[str]:
     """Return the names of the tables in which two operator files differ."""
-    return [name for name in table_types() if getattr(previous, name) != getattr(current, name)]
+    return [name for name in table_types() if getattr(first_operator, name) != getattr(second_operator, name)]
 
 
 def rows() -> list[tuple[str, str, str, str]]:
--- a/ravenshelf/process/command_execution.py
+++ b/ravenshelf/process/command_execution.py
@@ -52,5 +52,5 @@
             case commands.CheckHealth(endpoint):
                 self.health_checks.begin(endpoint)
             case commands.SendPeerMessage(peer, payload):
-                sent = self.send_to_peer(peer, payload)
-                self.counters["datagrams_sent" if sent else "datagrams_not_sent"] += 1
+                was_sent = self.send_to_peer(peer, payload)
+                self.counters["datagrams_sent" if was_sent else "datagrams_not_sent"] += 1
--- a/ravenshelf/process/configuration.py
+++ b/ravenshelf/process/configuration.py
@@ -154,7 +154,9 @@
     return check(configuration)
 
 
-def apply_reload(old: Configuration, new: Configuration) -> tuple[Configuration, list[str]]:
+def apply_reload(
+    old_configuration: Configuration, new_configuration: Configuration
+) -> tuple[Configuration, list[str]]:
     """Return the configuration in force after a reload.
 
     Only a new address of the endpoint registry takes effect. The file of another deployment, loaded by
@@ -168,25 +170,28 @@
     Raises:
         ConfigurationError: A zone or traffic group of the old configuration is missing from the new one.
     """
-    _check_same_deployment(old, new, "azs", str)
-    _check_same_deployment(old, new, "classes", lambda group: str(group["name"]))
+    _check_same_deployment(old_configuration, new_configuration, "azs", str)
+    _check_same_deployment(old_configuration, new_configuration, "classes", lambda group: str(group["name"]))
     restart_fields = []
-    for name in sorted((set(old) | set(new)) - FIELDS_WITHOUT_RESTART):
-        old_value = old.get(name)
-        new_value = new.get(name)
+    for name in sorted((set(old_configuration) | set(new_configuration)) - FIELDS_WITHOUT_RESTART):
+        old_value = old_configuration.get(name)
+        new_value = new_configuration.get(name)
         if isinstance(old_value, dict) and isinstance(new_value, dict):
             keys = sorted(set(old_value) | set(new_value))
             restart_fields += [f"{name}.{key}" for key in keys if old_value.get(key) != new_value.get(key)]
         elif old_value != new_value:
             restart_fields.append(name)
-    return old | {"discovery": new["discovery"]}, restart_fields
+    return old_configuration | {"discovery": new_configuration["discovery"]}, restart_fields
 
 
 def _check_same_deployment(
-    old: Configuration, new: Configuration, name: str, name_of: Callable[[Any], str]
+    old_configuration: Configuration,
+    new_configuration: Configuration,
+    name: str,
+    name_of: Callable[[Any], str],
 ) -> None:
-    old_names = [name_of(entry) for entry in old["settings"][name]]
-    new_names = [name_of(entry) for entry in new["settings"][name]]
+    old_names = [name_of(entry) for entry in old_configuration["settings"][name]]
+    new_names = [name_of(entry) for entry in new_configuration["settings"][name]]
     if not set(old_names) <= set(new_names):
         raise ConfigurationError(
             f"settings.{name}",
--- a/ravenshelf/process/controller.py
+++ b/ravenshelf/process/controller.py
@@ -46,13 +46,13 @@
     def __init__(self, configuration: dict, operator: OperatorConfiguration, loop: asyncio.AbstractEventLoop):
         table = operator.distribution
         settings = decode_settings(configuration["settings"])
-        self.file = Path(table.services)
+        self.services_path = Path(table.services)
         self.zones = len(settings.zones)
-        self.services = services_file.read(self.file, self.zones)
+        self.services = services_file.read(self.services_path, self.zones)
         self.loop = loop
         self.listen = table.listen
         # Set when the process must end: the reason of a failure, or an empty text after a signal.
-        self.ended: asyncio.Future[str] = loop.create_future()
+        self.end_reason: asyncio.Future[str] = loop.create_future()
         random_source = random.Random()
         self.leadership = Leadership(
             operator.leadership, operator.store.folder, loop, Counters(), random_source, self._end
@@ -92,7 +92,7 @@
         return address
 
     def _run_cycle(self) -> None:
-        if self.ended.done():
+        if self.end_reason.done():
             return
         now = clock()
         if now - self._followed_at >= FOLLOW_INTERVAL:
@@ -106,7 +106,7 @@
     def reload(self) -> None:
         """Read the services file again; if it is not valid, the previous services stay in force."""
         try:
-            services = services_file.read(self.file, self.zones)
+            services = services_file.read(self.services_path, self.zones)
         except services_file.ServicesFileError as error:
             log_events.SERVICES_REJECTED(why=str(error))
             return
@@ -122,8 +122,8 @@
         self._end("")
 
     def _end(self, reason: str) -> None:
-        if not self.ended.done():
-            self.ended.set_result(reason)
+        if not self.end_reason.done():
+            self.end_reason.set_result(reason)
 
     def close(self) -> None:
         """Release all leases and close all connections."""
@@ -143,14 +143,14 @@
     """
     loop = asyncio.get_running_loop()
     process = OwnerProcess(configuration, operator, loop)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, process.stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, process.stop)
     loop.add_signal_handler(signal.SIGHUP, process.reload)
     address = await process.start()
     log_events.SERVICE_OWNER_LISTENING(
         name=operator.distribution.name, address=address, services=len(process.services)
     )
-    reason = await process.ended
+    reason = await process.end_reason
     process.close()
     await asyncio.sleep(LEASE_RELEASE_TIME)
     if reason:
--- a/ravenshelf/process/operations/collectd_signals.py
+++ b/ravenshelf/process/operations/collectd_signals.py
@@ -146,13 +146,13 @@
 
     # Reload
 
-    def reload(self, previous: OperatorConfiguration, current: OperatorConfiguration) -> None:
+    def reload(self, previous_operator: OperatorConfiguration, new_operator: OperatorConfiguration) -> None:
         """Replace the listener if the table `[collectd]` changed, otherwise read a changed password file.
 
         The new listener opens in a task of the event loop.
         """
-        self.table = current.collectd
-        if previous.collectd != current.collectd:
+        self.table = new_operator.collectd
+        if previous_operator.collectd != new_operator.collectd:
             self.endpoints_version = NO_LIST_VERSION
             self.endpoints_by_host = {}
             task = self.server.loop.create_task(self._replace_listener())
--- a/ravenshelf/process/operations/composer.py
+++ b/ravenshelf/process/operations/composer.py
@@ -112,31 +112,31 @@
         else:
             self.metrics.run_due(key, now)
 
-    def reload(self, operator: OperatorConfiguration, done: Callable[[str], None]) -> None:
+    def reload(self, new_operator: OperatorConfiguration, on_done: Callable[[str], None]) -> None:
         """Apply a new operator file as a whole.
 
         A new collectd listener opens in a task of the event loop, after this has returned.
 
         Args:
-            operator: The new operator file's tables.
-            done: Function that is called with a text that lists the changed tables, or says that nothing
+            new_operator: The new operator file's tables.
+            on_done: Function that is called with a text that lists the changed tables, or says that nothing
                 changed.
         """
         from ravenshelf.operator_config.keys import changed_tables
 
-        previous = self.operator
-        self.operator = operator
-        table_names = changed_tables(previous, operator)
+        previous_operator = self.operator
+        self.operator = new_operator
+        table_names = changed_tables(previous_operator, new_operator)
         if "background" in table_names:
-            self.background.replace_queue(job_queue(operator.background))
+            self.background.replace_queue(job_queue(new_operator.background))
         features: tuple[OperatorFeature | None, ...] = (self.metrics, self.collectd, self.leases)
         for feature in features:
             if feature is not None:
-                feature.reload(previous, operator)
+                feature.reload(previous_operator, new_operator)
         for table in RESTART_TABLES:
             if table in table_names and (table == "distribution" or self.leases is not None):
                 log_events.RESTART_REQUIRED(table=table)
-        done(", ".join(f"[{table}]" for table in table_names) or "nothing changed")
+        on_done(", ".join(f"[{table}]" for table in table_names) or "nothing changed")
 
     def close(self) -> None:
         """Close the connections of all features."""
--- a/ravenshelf/process/operations/feature.py
+++ b/ravenshelf/process/operations/feature.py
@@ -26,7 +26,7 @@
     async def start(self) -> None:
         """Start the feature, if the operator file turns it on."""
 
-    def reload(self, previous: OperatorConfiguration, current: OperatorConfiguration) -> None:
+    def reload(self, previous_operator: OperatorConfiguration, new_operator: OperatorConfiguration) -> None:
         """Apply a new operator file in place of the previous one."""
 
     def measurements(self) -> Measurements:
--- a/ravenshelf/process/operations/leases.py
+++ b/ravenshelf/process/operations/leases.py
@@ -80,25 +80,25 @@
 
     def _recent_starts(self) -> dict[str, int]:
         """Return the start times, in microseconds by endpoint name, of endpoints that started recently."""
-        since = self.server.clock() - WARM_UP_MEMORY
+        earliest_start = self.server.clock() - WARM_UP_MEMORY
         registry = self.server.registry
         return {
             registry.names[index]: entry.started_at
             for index, entry in registry.entries.items()
-            if entry.started_at > since
+            if entry.started_at > earliest_start
         }
 
     def _restore_warm_up(self, starts: Mapping[str, int]) -> None:
         """Deliver start times that the previous lease holder recorded and that are later than the list's."""
         registry = self.server.registry
-        restarted = []
+        restarted_entries = []
         for name, started_at in starts.items():
             index = registry.index_by_name.get(name)
             entry = None if index is None else registry.entries.get(index)
             if entry is not None and entry.started_at < started_at:
-                restarted.append(entry._replace(started_at=started_at))
-        if restarted:
-            self.server.deliver(EndpointsListed(ListKind.UPDATE, tuple(restarted)))
+                restarted_entries.append(entry._replace(started_at=started_at))
+        if restarted_entries:
+            self.server.deliver(EndpointsListed(ListKind.UPDATE, tuple(restarted_entries)))
 
     async def start(self) -> None:
         """Listen, and connect to the other members.
@@ -108,9 +108,9 @@
         """
         await self.leadership.start()
 
-    def reload(self, previous: OperatorConfiguration, current: OperatorConfiguration) -> None:
+    def reload(self, previous_operator: OperatorConfiguration, new_operator: OperatorConfiguration) -> None:
         """Read the certificates again, which may have been renewed under the same file names."""
-        del previous, current
+        del previous_operator, new_operator
         try:
             self.leadership.read_certificates()
         except OSError as error:
@@ -120,7 +120,9 @@
         """Return the shards, members and waiting commands, and the totals of records and commits."""
         from ravenshelf.graphite import metrics
 
-        waiting_commands = sum(len(owned.gate) for owned in self.lease_filter.owned_shards.values())
+        waiting_commands = sum(
+            len(owned_shard.gate) for owned_shard in self.lease_filter.owned_shards.values()
+        )
         levels: dict[metrics.Metric, float] = {
             metrics.SHARDS_OWNED: len(self.leadership.member.held_shards()),
             metrics.MEMBERS_CONNECTED: 1 + len(self.leadership.connections.links),
--- a/ravenshelf/process/operations/metrics_export.py
+++ b/ravenshelf/process/operations/metrics_export.py
@@ -155,10 +155,10 @@
             return {}
         return {metric: (total - last_totals.get(metric, 0)) / seconds for metric, total in totals.items()}
 
-    def reload(self, previous: OperatorConfiguration, current: OperatorConfiguration) -> None:
+    def reload(self, previous_operator: OperatorConfiguration, new_operator: OperatorConfiguration) -> None:
         """Start, stop or change the export if the table `[graphite]` changed."""
-        self.table = current.graphite
-        if previous.graphite == current.graphite:
+        self.table = new_operator.graphite
+        if previous_operator.graphite == new_operator.graphite:
             return
         if self.service is None or self.collector is None:
             if self.table.receivers:
@@ -168,7 +168,7 @@
         else:
             self.service.reload(self.table)
             self.collector.path_names.prefix = self._prefix()
-            if self.table.every_s != previous.graphite.every_s:
+            if self.table.every_s != previous_operator.graphite.every_s:
                 self._schedule(self.server.clock())
 
     def _stop(self, service: GraphiteService, collector: MetricsCollector) -> None:
--- a/ravenshelf/process/operations/subscription.py
+++ b/ravenshelf/process/operations/subscription.py
@@ -49,7 +49,7 @@
         """Connect to the parents."""
         self.service.start()
 
-    def reload(self, previous: OperatorConfiguration, current: OperatorConfiguration) -> None:
+    def reload(self, previous_operator: OperatorConfiguration, new_operator: OperatorConfiguration) -> None:
         """Do nothing, because a changed table `[distribution]` takes effect only after a restart."""
 
     def measurements(self) -> Measurements:
--- a/ravenshelf/process/optional_features.py
+++ b/ravenshelf/process/optional_features.py
@@ -53,8 +53,8 @@
     async def start(self) -> None:
         """Start the features: listen, connect and measure."""
 
-    def reload(self, operator: "OperatorConfiguration", done: Callable[[str], None]) -> None:
-        """Apply a new operator file; `done` is called with a text that lists the changed tables."""
+    def reload(self, new_operator: "OperatorConfiguration", on_done: Callable[[str], None]) -> None:
+        """Apply a new operator file; `on_done` is called with a text that lists the changed tables."""
 
     def run_due(self, key: tuple[Any, ...], now: int) -> None:
         """Handle a deadline whose key starts with one of TIMERS; `now` is in microseconds."""
--- a/ravenshelf/process/relay.py
+++ b/ravenshelf/process/relay.py
@@ -56,9 +56,9 @@
     """
     table = operator.distribution
     loop = asyncio.get_running_loop()
-    ended = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
+    stop_event = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_event.set)
     service = _relay_service(table, loop)
     address = await service.start(table.listen)
     admin = None
@@ -70,7 +70,7 @@
 
         metrics_export = RelayMetricsExport(operator, service, loop)
     log_events.RELAY_LISTENING(name=table.name, address=address, parents=len(table.parents))
-    await ended.wait()
+    await stop_event.wait()
     if admin is not None:
         admin.close()
     if metrics_export is not None:
@@ -113,20 +113,20 @@
 
 async def _print_versions(parent: str, cluster: str, topics: Sequence[str], count: int) -> None:
     loop = asyncio.get_running_loop()
-    done = asyncio.Event()
+    all_printed = asyncio.Event()
     printed_versions: list[Version] = []
 
     def print_topic(topic: Topic) -> None:
         print(topic_as_json(topic), flush=True)
         printed_versions.append(topic.version)
         if count and len(printed_versions) >= count:
-            done.set()
+            all_printed.set()
 
     name = f"watch-{random.getrandbits(WATCHER_NAME_BITS):08x}"
     node = Node(loop, clock, cluster, name, {parent: parent})
     service = SubscriptionService(node, random.Random(), print_topic)
     service.start(topics)
-    await done.wait()
+    await all_printed.wait()
     service.stop()
 
 
--- a/ravenshelf/process/run.py
+++ b/ravenshelf/process/run.py
@@ -56,7 +56,7 @@
         log_events.SERVER_FAILED.with_traceback()
         exit_code = 1
     # The interpreter restores the default signal handlers when it ends; a signal would then kill the process.
-    for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1):
-        signal.signal(number, signal.SIG_IGN)
+    for signal_number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1):
+        signal.signal(signal_number, signal.SIG_IGN)
     sink.finish(logs.FLUSH_TIMEOUT)
     return exit_code
--- a/ravenshelf/process/serving.py
+++ b/ravenshelf/process/serving.py
@@ -30,11 +30,11 @@
         metavar="SECONDS",
         help="Interval between log lines with the counters; 0 for none.",
     )
-    parsed = parser.parse_args(arguments)
-    parsed.log_level = parsed.log_level.upper()
-    if parsed.log_level not in LEVELS:
+    options = parser.parse_args(arguments)
+    options.log_level = options.log_level.upper()
+    if options.log_level not in LEVELS:
         parser.error(f"--log-level: expected one of {', '.join(LEVELS)}")
-    return parsed
+    return options
 
 
 def report_error(error: Exception | str) -> int:
@@ -46,15 +46,15 @@
 
 def main(arguments: list[str]) -> int:
     """Run `ravenshelf serve` with the arguments after the command's name and return the exit code."""
-    parsed = parse_options(arguments)
+    options = parse_options(arguments)
     operator = None
     read_operator = None
-    if parsed.operator is not None:  # without an operator file its modules are not loaded
+    if options.operator is not None:  # without an operator file its modules are not loaded
         from pathlib import Path
 
         from ravenshelf.operator_config import reading
 
-        file = Path(parsed.operator)
+        file = Path(options.operator)
         try:
             operator = reading.read(file)
         except reading.OperatorConfigurationError as error:
@@ -65,16 +65,16 @@
 
         read_operator = read_operator_file
     try:
-        checked = configuration.read(parsed.config)
+        server_configuration = configuration.read(options.config)
     except configuration.ConfigurationError as error:
         return report_error(error)
     from ravenshelf.process import run
 
     return run.run(
-        checked,
-        lambda: configuration.read(parsed.config),
-        parsed.log_level,
-        parsed.counters_every,
+        server_configuration,
+        lambda: configuration.read(options.config),
+        options.log_level,
+        options.counters_every,
         operator,
         read_operator,
     )
--- a/ravenshelf/process/timers.py
+++ b/ravenshelf/process/timers.py
@@ -78,13 +78,13 @@
             return
         self.loop_timer = None
         self.fires_at = None
-        secondary = []
+        secondary_keys = []
         for key in self.deadlines.pop_expired(now):
             if self.is_secondary(key):
-                secondary.append(key)
+                secondary_keys.append(key)
             else:
                 self._handle(key, now)
-        for key in secondary:
+        for key in secondary_keys:
             self._handle(key, now)
         self.arm()
 
