--- a/ravenshelf/log_events.py
+++ b/ravenshelf/log_events.py
@@ -123,8 +123,8 @@
     "configuration.reloaded",
     "INFO",
     "configuration reloaded: discovery at {discovery}{waiting}",
-    "The configuration was read at SIGHUP. Only a new address of discovery takes effect without a restart.",
-    discovery="host:port",
+    "The configuration was read at SIGHUP. Only a new registry address takes effect before a restart.",
+    discovery="host:port of the endpoint registry",
     waiting="a list of the changed fields that take effect after a restart, or empty",
 )
 OPERATOR_CONFIGURATION_REJECTED = add_event(
@@ -149,27 +149,27 @@
     table="the table of the operator file",
 )
 
-# Discovery and connections
+# Endpoint registry and connections
 
 WATCH_EVENT_MALFORMED = add_event(
     "discovery.watch_event_malformed",
     "WARNING",
     "malformed watch event from discovery, watch restarted: {why}",
-    "A line of the watch is not a valid endpoint list. The watch is restarted.",
+    "A line of the watch of the endpoint registry is not a valid endpoint list. The watch is restarted.",
     why="what was expected",
 )
 ENDPOINT_LIST_MALFORMED = add_event(
     "discovery.list_malformed",
     "WARNING",
     "malformed endpoint list from discovery, the previous list stays in force: {why}",
-    "A response is not a valid endpoint list. The previous list stays in force.",
+    "A response of the endpoint registry is not a valid endpoint list. The previous list stays in force.",
     why="what was expected",
 )
 DISCOVERY_REQUEST_FAILED = add_event(
     "discovery.request_failed",
     "INFO",
     "discovery {purpose} failed: {end}{status}",
-    "A request to discovery has failed.",
+    "A watch or fetch of the endpoint registry (discovery) has failed.",
     purpose="watch or fetch",
     end="how the connection ended",
     status="the HTTP status in parentheses, or empty if none was received",
@@ -223,9 +223,9 @@
     "graphite.connected",
     "INFO",
     "connected to Graphite receiver {receiver}; {waiting} points queued",
-    "A connection to the receiver is open.",
+    "A connection to the receiver was opened. The queued points are sent.",
     receiver="host:port",
-    waiting="number of queued points",
+    waiting="number of points that are queued for the receiver",
 )
 RECEIVER_STALLED = add_event(
     "graphite.stalled",
@@ -250,13 +250,13 @@
     "Graphite receiver {receiver} is down; {moved} points rerouted",
     "The receiver's share of the points goes to the other receivers until it has recovered.",
     receiver="host:port",
-    moved="number of points",
+    moved="number of queued points that go to other receivers",
 )
 RECEIVER_RECOVERED = add_event(
     "graphite.recovered",
     "INFO",
     "Graphite receiver {receiver} recovered and gets its share again",
-    "The receiver has stayed connected for long enough.",
+    "The receiver has been connected for at least 20 s.",
     receiver="host:port",
 )
 POINTS_DROPPED = add_event(
@@ -264,7 +264,7 @@
     "WARNING",
     "{points} points for Graphite receiver {receiver} dropped ({importance})",
     "The queue was full. The least important points are dropped first, the oldest of these before others.",
-    points="number of points",
+    points="number of dropped points",
     receiver="host:port",
     importance="the importance of the metrics",
 )
@@ -272,7 +272,7 @@
     "graphite.spool_failed",
     "WARNING",
     "spool of Graphite receiver {receiver} failed: {why}",
-    "The spool is not used for a while. Until then, points are queued in memory up to the queue's limit.",
+    "The spool is not used for 60 s. During this time, points are queued only in memory, up to the limit.",
     receiver="host:port",
     why="the system's error message",
 )
--- a/tests/process/test_control_cycle.py
+++ b/tests/process/test_control_cycle.py
@@ -87,10 +87,12 @@
     driver = drive_cycle()
     driver.run(join(0))
     driver.now += 20 * SECOND
-    listed = EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),))
+    list_update = EndpointsListed(
+        ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),)
+    )
     # The table keeps the endpoint's line, so the endpoint has to be readmitted later.
     driver.control_cycle.controller.tables.write = lambda *_: None
-    driver.run(listed)
+    driver.run(list_update)
     assert "out=s-1" in driver.messages[0][1]
     driver.run(EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, 0),)))
     driver.control_cycle.controller.channel.queued_lines = 0.0
--- a/tests/process/test_control_plane.py
+++ b/tests/process/test_control_plane.py
@@ -64,8 +64,8 @@
 def test_a_long_cycle_leaves_as_much_time_to_accept_connections(running_server, connections_arrive, interval):
     """After the loss of servers, hundreds of proxies connect at once, and the loop accepts one per iteration.
 
-    Without the pause, a control cycle would run between every two of them. If no connection arrives, events
-    must not wait for one.
+    Without the pause, a control cycle would run between every two of them. If no connection arrives, there
+    must be no pause.
     """
     server, loop = running_server
     cycle_starts, run_cycle = [], server.control_cycle.controller.run_cycle
--- a/tests/process/test_endings.py
+++ b/tests/process/test_endings.py
@@ -271,24 +271,24 @@
         tmp_path, settings=SETTINGS_WITH_LARGE_QUEUE, known={"rev": 4, "all": True, "targets": targets}
     )
     try:
-        slow = socket.socket()
-        slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-        slow.settimeout(20)
-        slow.connect(("127.0.0.1", port))
-        slow.sendall(b"SUBSCRIBE proxy=1 zone=a weight=20 fresh=1\r\n")
-        slow.recv(1, socket.MSG_PEEK)  # the first message has been written
+        slow_socket = socket.socket()
+        slow_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+        slow_socket.settimeout(20)
+        slow_socket.connect(("127.0.0.1", port))
+        slow_socket.sendall(b"SUBSCRIBE proxy=1 zone=a weight=20 fresh=1\r\n")
+        slow_socket.recv(1, socket.MSG_PEEK)  # the first message has been written
         stopped_at = time.monotonic()
         process.send_signal(signal.SIGTERM)
         assert is_refused(port)
         received = b""
         try:
-            slow.sendall(b"RATE proxy=1 class=look tries=1 failed=0 span_ms=1000\r\n" * 20)
-            while data := slow.recv(65536):
+            slow_socket.sendall(b"RATE proxy=1 class=look tries=1 failed=0 span_ms=1000\r\n" * 20)
+            while data := slow_socket.recv(65536):
                 received += data
         except ConnectionResetError:
             assert time.monotonic() - stopped_at >= LINGER_TIMEOUT_S
             return None
-        slow.close()
+        slow_socket.close()
         assert process.wait(20) == 0
         return received
     finally:
--- a/tests/process/test_schedules.py
+++ b/tests/process/test_schedules.py
@@ -113,7 +113,10 @@
     # Events
 
     def advance_clock(self):
-        """Let a control cycle take time, so that deadlines it sets are late by the controller's own clock."""
+        """Advance the clock as if a control cycle took time.
+
+        The server's clock is then ahead of the time that the controller was given for the cycle.
+        """
         self.loop.now += self.random_source.randrange(8000)
 
     def open_watches(self):
