--- a/standins/controllers/__init__.py
+++ b/standins/controllers/__init__.py
@@ -1,9 +1,10 @@
-"""Members of a cluster with their disks, clocks, network and proxies: simulated and seeded.
+"""A seeded simulation of a cluster: members with their disks and clocks, the network and the proxies.
 
-The member under test is the program's own (`leadership.decisions`, `record`, `inheritance`); here are only
-its surroundings and what an adapter would do with it. A schedule of faults is drawn from the seed; the same
-seed gives the same history to the last event. `Defect` names deliberate defects, by which the checker
-(`histories`) is checked.
+The members run the program's own code (`leadership.decisions`, `record`, `inheritance`). This package
+simulates only their environment and the leadership service that calls them. The schedule of faults is drawn
+from the seed. The same seed produces the same history up to the last event, also in another process if that
+has the same PYTHONHASHSEED, on which the order of endpoints in sets depends. `Defect` lists deliberate
+defects, with which tests verify that the history checker (`standins.histories`) detects violations.
 """
 
 from standins.controllers.cluster import SimulatedCluster
--- a/standins/controllers/cluster.py
+++ b/standins/controllers/cluster.py
@@ -1,4 +1,4 @@
-"""A simulated cluster: its members, their network, the proxies and the endpoint list."""
+"""A simulated cluster: the members, their network, the proxies and the endpoint list."""
 
 import dataclasses
 import random
@@ -11,9 +11,9 @@
 from standins.controllers.network import Network
 from standins.controllers.parameters import (
     END_US,
+    MAX_SYNC_US,
     MILLISECOND,
     SECOND,
-    SYNC_LIMIT_US,
     Defect,
     DriftIgnored,
     FaultMoment,
@@ -21,15 +21,15 @@
 from standins.controllers.scheduler import Scheduler
 from standins.histories import Command, CommandApplied, CommandSent, FaultsEnded, HistoryEvent
 
-START_LIMIT_US = 300 * MILLISECOND
-SHORTEST_DELIVERY_US = 200
-DELIVERY_LIMIT_US = 3 * MILLISECOND
+MAX_START_DELAY_US = 300 * MILLISECOND
+MIN_DELIVERY_US = 200
+MAX_DELIVERY_US = 3 * MILLISECOND
 
 
 class SimulatedCluster:
-    """`count` members share so many `shards`, each with one proxy of the shard's number.
+    """A cluster of `count` members that share the leases of `shards` shards.
 
-    `has_extreme_drift`: clocks run apart as far as `clock_drift` allows.
+    Each shard has one proxy, whose number is that of the shard.
     """
 
     def __init__(
@@ -42,6 +42,17 @@
         has_extreme_drift: bool = False,
         clock_drift: float = 0.05,
     ) -> None:
+        """Create the members, and schedule their starts and the faults.
+
+        Args:
+            seed: Seed of all random decisions.
+            count: Number of members.
+            shards: Number of shards.
+            defects: The deliberate defects.
+            has_faults: Whether there are faults.
+            has_extreme_drift: Whether clocks drift apart as far as `clock_drift` allows.
+            clock_drift: Largest relative deviation of a clock's rate from true time.
+        """
         self.rng = random.Random(seed)
         self.count = count
         self.has_extreme_drift = has_extreme_drift
@@ -51,12 +62,13 @@
         self.configuration = self._configuration(shards, clock_drift)
         self.endpoint_list = EndpointListHistory(self.rng)
         self._requests = WaitingRequests(self.rng, shards)
-        self._highest_term = dict.fromkeys(range(shards), 0)  # by proxy
-        self._delivered_at: dict[tuple[int, int], int] = {}  # (member, shard): of the last command
+        self._highest_terms = dict.fromkeys(range(shards), 0)  # by proxy
+        # By member and shard: the time when the last command arrives.
+        self._delivered_at: dict[tuple[int, int], int] = {}
         self.members = [SimulatedMember(self, number) for number in range(count)]
         self.network = Network(self.rng, self.scheduler, self.members.__getitem__, self._receive)
         for member in self.members:
-            self.scheduler.call_later(self.rng.randrange(START_LIMIT_US), member.start)
+            self.scheduler.call_later(self.rng.randrange(MAX_START_DELAY_US), member.start)
         if has_faults:
             FaultSchedule(self).plan()
 
@@ -67,63 +79,62 @@
         return configuration
 
     def has_defect(self, defect: Defect) -> bool:
-        """Whether this deliberate defect is there."""
+        """Return whether the cluster has a deliberate defect."""
         return defect in self._defects
 
     def run(self, until: int = END_US) -> list[HistoryEvent]:
-        """Plays up to a true time, microseconds; returns the history so far."""
+        """Run up to a true time in microseconds, and return the history since the start."""
         self.scheduler.run(until)
         return self.events
 
     def seconds(self) -> float:
-        """True time."""
+        """Return the true time in seconds."""
         return self.scheduler.now / SECOND
 
     def record(self, event: HistoryEvent) -> None:
-        """Adds to the history."""
+        """Add an event to the history."""
         self.events.append(event)
 
     def waiting_requests(self, shard: int) -> list[str]:
-        """Keys of requests that may be retried once."""
+        """Return the keys of the requests of a shard that wait for a retry, which may be granted once."""
         return self._requests.keys(shard, self.scheduler.now)
 
     def _receive(self, sender: int, receiver: int, message: Message) -> None:
         self.members[receiver].receive(sender, message)
 
-    # --- proxies ---
-
     def deliver(
         self, member: SimulatedMember, shard: int, term: int, permission: Permission, command: Command
     ) -> None:
-        """A command leaves a member.
+        """Record a command that a member sends, and schedule its arrival at the proxy.
 
-        What a process wrote just before it was paused may leave its buffer when it wakes.
+        A command that was written just before its process was paused may leave the process's buffer only when
+        the process continues.
         """
         self.record(CommandSent(self.seconds(), member.number, shard, term, permission, command))
         now = self.scheduler.now
-        place = (member.number, shard)
-        delay = self.rng.randrange(SHORTEST_DELIVERY_US, DELIVERY_LIMIT_US)
-        at = max(self._delivered_at.get(place, 0), now + delay)
+        stream = (member.number, shard)
+        delay = self.rng.randrange(MIN_DELIVERY_US, MAX_DELIVERY_US)
+        arrives_at = max(self._delivered_at.get(stream, 0), now + delay)
         if member.reach_moment(FaultMoment.BUFFER):
-            at = max(at, member.paused_until)
-        self._delivered_at[place] = at
-        self.scheduler.call_later(at - now, lambda: self._apply_command(member.number, shard, term, command))
+            arrives_at = max(arrives_at, member.paused_until)
+        self._delivered_at[stream] = arrives_at
+        self.scheduler.call_later(
+            arrives_at - now, lambda: self._apply_command(member.number, shard, term, command)
+        )
 
     def _apply_command(self, member: int, proxy: int, term: int, command: Command) -> None:
-        highest = self._highest_term[proxy]
-        if term < highest and not self.has_defect(Defect.NO_FENCE_AT_PROXIES):
+        highest_term = self._highest_terms[proxy]
+        if term < highest_term and not self.has_defect(Defect.NO_FENCE_AT_PROXIES):
             return
-        self._highest_term[proxy] = max(term, highest)
+        self._highest_terms[proxy] = max(term, highest_term)
         self.record(CommandApplied(self.seconds(), proxy, member, term, command))
 
-    # --- the end of faults ---
-
     def heal(self) -> None:
-        """Ends all faults."""
+        """End all faults: start the stopped members, continue the paused ones and reconnect the network."""
         self.network.heal()
         for member in self.members:
             member.paused_until = min(member.paused_until, self.scheduler.now)
-            member.sync_limit_us = SYNC_LIMIT_US
+            member.max_sync_us = MAX_SYNC_US
             member.pending_fault = None
             member.start_unless_alive()
             member.member.is_draining = False
--- a/standins/controllers/endpoint_list.py
+++ b/standins/controllers/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list that members read with a lag, and the requests that wait to be retried."""
+"""The endpoint list, which members read with a delay, and the requests that wait for a retry."""
 
 import random
 from typing import NamedTuple
@@ -8,48 +8,51 @@
 ENDPOINTS = frozenset({"s-0", "s-1", "s-2"})
 LAST_VERSION = 11
 VERSION_INTERVAL_US = 1300 * MILLISECOND
-VERSION_SPREAD_US = 800 * MILLISECOND
+MAX_VERSION_JITTER_US = 800 * MILLISECOND
 REQUESTS_PER_SHARD = 30
 
 
 class ListVersion(NamedTuple):
-    """From when on a version of the list holds, and which endpoints it drains."""
+    """A version of the list: the time from which it is current, and the endpoints that it drains."""
 
     at: int
     version: int
-    drained: frozenset[str]
+    drained_endpoints: frozenset[str]
 
 
 class EndpointListHistory:
-    """All versions of the list, drawn in advance; each drains or readmits one endpoint."""
+    """All versions of the list, drawn in advance; each version drains or readmits one endpoint."""
 
     def __init__(self, rng: random.Random) -> None:
         self.endpoints = set(ENDPOINTS)
         self._versions = [ListVersion(0, 1, frozenset())]
-        drained: frozenset[str] = frozenset()
+        drained_endpoints: frozenset[str] = frozenset()
         for version in range(2, LAST_VERSION + 1):
-            drained = drained ^ {rng.choice(sorted(self.endpoints))}
-            at = version * VERSION_INTERVAL_US + rng.randrange(VERSION_SPREAD_US)
-            self._versions.append(ListVersion(at, version, drained))
+            drained_endpoints = drained_endpoints ^ {rng.choice(sorted(self.endpoints))}
+            at = version * VERSION_INTERVAL_US + rng.randrange(MAX_VERSION_JITTER_US)
+            self._versions.append(ListVersion(at, version, drained_endpoints))
 
     def version(self, at: int) -> int:
-        """The version that holds at a time."""
+        """Return the version that is current at a true time in microseconds."""
         return max((entry.version for entry in self._versions if entry.at <= at), default=1)
 
-    def drained(self, version: int) -> set[str]:
-        """The endpoints that a version drains."""
-        return set(self._versions[version - 1].drained)
+    def drained_at_version(self, version: int) -> set[str]:
+        """Return the endpoints that a version drains."""
+        return set(self._versions[version - 1].drained_endpoints)
 
 
 class WaitingRequests:
-    """Requests by shard that may be retried once, where a lease holder grants it."""
+    """Requests by shard, each of which may be retried once if a lease holder grants it."""
 
     def __init__(self, rng: random.Random, shards: int) -> None:
         self._requests = {
-            shard: [(rng.randrange(END_US), f"build-order-{shard}-{n}") for n in range(REQUESTS_PER_SHARD)]
+            shard: [
+                (rng.randrange(END_US), f"build-order-{shard}-{number}")
+                for number in range(REQUESTS_PER_SHARD)
+            ]
             for shard in range(shards)
         }
 
     def keys(self, shard: int, now: int) -> list[str]:
-        """The keys of those that wait now."""
+        """Return the keys of the requests that wait at a true time in microseconds."""
         return [key for at, key in self._requests[shard] if at <= now]
--- a/standins/controllers/member.py
+++ b/standins/controllers/member.py
@@ -1,4 +1,4 @@
-"""A simulated member: its process may be stopped or paused, its disk and clock go on."""
+"""A simulated member, whose process may be stopped or paused while its disk and its clock continue."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from standins.controllers.parameters import (
     HEALED_AT_US,
     LAST_FAULT_US,
+    MAX_SYNC_US,
     MILLISECOND,
-    SYNC_LIMIT_US,
     Defect,
     FaultMoment,
 )
@@ -23,39 +23,41 @@
     from standins.controllers.cluster import SimulatedCluster
 
 COMMAND_INTERVAL_US = 50 * MILLISECOND
-SHORTEST_TICK_US = MILLISECOND
-LONGEST_TICK_US = 50 * MILLISECOND
-SHORTEST_SYNC_US = MILLISECOND // 2
-SHORTEST_LAG_US = 200 * MILLISECOND  # of the endpoint list
-LONGEST_LAG_US = 1500 * MILLISECOND
-PARTIAL_SYNC = 0.5  # probability that a stop leaves what was on its way to the disk
-SECOND_PAUSE = 0.7  # probability that a kill at a write finds another member paused
+MIN_TICK_US = MILLISECOND
+MAX_TICK_US = 50 * MILLISECOND
+MIN_SYNC_US = MILLISECOND // 2
+MIN_LIST_LAG_US = 200 * MILLISECOND  # delay with which a member reads the endpoint list
+MAX_LIST_LAG_US = 1500 * MILLISECOND
+# The probability that changes on their way to the disk are stored when the process is killed.
+PARTIAL_SYNC_PROBABILITY = 0.5
+# The probability that another member is paused when a member is killed at a write.
+SECOND_PAUSE_PROBABILITY = 0.7
 
-StoredVote = tuple[int, int, int, PackedRecord]  # promised, term, seq, record
+StoredVote = tuple[int, int, int, PackedRecord]  # promised term, term, sequence number, record
 
 
 class PendingFault(NamedTuple):
-    """A fault that waits for its moment, and how long it lasts, microseconds."""
+    """A fault that happens at the member's next step of a kind, and its duration in microseconds."""
 
     moment: FaultMoment
     duration: int
 
 
 class Disk:
-    """What survives a stop."""
+    """The data of a member that survives a kill of its process."""
 
     def __init__(self) -> None:
         self.votes: dict[int, StoredVote] = {}  # by shard
         self.is_voting = False
 
     def write(self, changes: StepChanges) -> None:
-        """Stores what a step has changed."""
+        """Store the changes of a step."""
         self.votes.update(changes.votes)
         self.is_voting = self.is_voting or changes.is_voting
 
 
 class StepChanges:
-    """What a step stores, and the messages that follow once it is on disk."""
+    """The changes that a step stores, and the messages that are sent once the changes are on disk."""
 
     def __init__(self) -> None:
         self.votes: dict[int, StoredVote] = {}
@@ -63,12 +65,12 @@
         self.messages: list[tuple[int, Message]] = []
 
     def has_writes(self) -> bool:
-        """Whether it stores anything."""
+        """Return whether the step stores anything."""
         return bool(self.votes) or self.is_voting
 
 
 class SimulatedMember:
-    """Runs a `Member` and stands for its effects (`LeaseOutput`)."""
+    """A process that runs a `Member` and is its `LeaseOutput`."""
 
     member: Member
 
@@ -85,24 +87,22 @@
         self.incarnation = 0
         self.paused_until = 0
         self.pending_fault: PendingFault | None = None
-        self.sync_limit_us = SYNC_LIMIT_US
-        self.list_lag_us = cluster.rng.randrange(SHORTEST_LAG_US, LONGEST_LAG_US)
-        self.shards: dict[int, ShardCommands] = {}
+        self.max_sync_us = MAX_SYNC_US
+        self.list_lag_us = cluster.rng.randrange(MIN_LIST_LAG_US, MAX_LIST_LAG_US)
+        self.commands_by_shard: dict[int, ShardCommands] = {}
         self._step = StepChanges()
-        self._unsynced: deque[StepChanges] = deque()
+        self._unsynced_steps: deque[StepChanges] = deque()
         self._is_syncing = False
 
     def clock(self) -> int:
-        """Microseconds by the member's own clock."""
+        """Return the time on the member's own clock in microseconds."""
         return self.clock_offset + int(self.clock_rate * self.cluster.scheduler.now)
 
-    def _later(self, delay: int, call: Callable[[], None]) -> None:
-        self.cluster.scheduler.call_later(delay, call, self)
-
-    # --- start and stop ---
+    def _call_later(self, delay: int, callback: Callable[[], None]) -> None:
+        self.cluster.scheduler.call_later(delay, callback, self)
 
     def start(self, has_empty_disk: bool = False) -> None:
-        """Starts the process; with an empty disk it has lost its votes."""
+        """Start the process; with an empty disk it has lost its votes."""
         self.incarnation += 1
         self.is_alive = True
         if has_empty_disk:
@@ -125,38 +125,41 @@
             self.member.leases.quorum = 1
             self.member.recovery.quorum = 1
         self._step = StepChanges()
-        self._unsynced = deque()
+        self._unsynced_steps = deque()
         self._is_syncing = False
-        self.shards = {}
-        self._later(0, self._tick)
-        self._later(rng.randrange(COMMAND_INTERVAL_US), self._send_commands)
+        self.commands_by_shard = {}
+        self._call_later(0, self._tick)
+        self._call_later(rng.randrange(COMMAND_INTERVAL_US), self._send_commands)
 
     def start_unless_alive(self) -> None:
-        """Starts again after a fault."""
+        """Start the process again, unless it runs."""
         if not self.is_alive:
             self.start()
 
     def start_empty_unless_alive(self) -> None:
-        """Starts again with an empty disk."""
+        """Start the process again with an empty disk, unless it runs."""
         if not self.is_alive:
             self.start(has_empty_disk=True)
 
     def stop(self) -> None:
-        """Killed: of what was on its way to the disk some may be there, none was acknowledged."""
+        """Kill the process.
+
+        Some of the changes that were on their way to the disk, none of which was acknowledged, may be stored.
+        """
         if not self.is_alive:
             return
         self.is_alive = False
         self.incarnation += 1
-        if self._unsynced and self.cluster.rng.random() < PARTIAL_SYNC:
-            self.disk.write(self._unsynced[0])
+        if self._unsynced_steps and self.cluster.rng.random() < PARTIAL_SYNC_PROBABILITY:
+            self.disk.write(self._unsynced_steps[0])
         self.cluster.record(MemberStopped(self.cluster.seconds(), self.number))
 
     def pause_until(self, until: int) -> None:
-        """Pauses the process up to a true time, but not beyond the end of faults."""
+        """Pause the process up to a true time in microseconds, but not beyond the end of faults."""
         self.paused_until = min(HEALED_AT_US, until)
 
     def reach_moment(self, moment: FaultMoment) -> bool:
-        """Whether a fault waits for this moment; it happens now."""
+        """Begin the pending fault if it waits for this moment, and return whether it did."""
         now = self.cluster.scheduler.now
         fault = self.pending_fault
         if fault is None or fault.moment is not moment or now >= LAST_FAULT_US:
@@ -172,49 +175,48 @@
         scheduler = self.cluster.scheduler
         scheduler.call_later(0, self.stop)
         scheduler.call_later(duration, self.start_unless_alive)
-        other = self.cluster.rng.choice(self.cluster.members)  # it is unreachable for a while
-        if other is not self and self.cluster.rng.random() < SECOND_PAUSE:
+        other = self.cluster.rng.choice(self.cluster.members)
+        if other is not self and self.cluster.rng.random() < SECOND_PAUSE_PROBABILITY:
             until = min(HEALED_AT_US, scheduler.now + 2 * duration)
             other.paused_until = max(other.paused_until, until)
 
-    # --- effects of the member ---
-
     def store_vote(self, shard: int, promised: int, term: int, seq: int, record: PackedRecord) -> None:
-        """Stores a vote with this step."""
+        """Store a vote with this step."""
         self._step.votes[shard] = (promised, term, seq, record)
 
     def store_voting(self) -> None:
-        """Stores that the member votes."""
+        """Store with this step that the member votes."""
         self._step.is_voting = True
 
     def send(self, member: int, message: Message) -> None:
-        """Sends a message once this step is on disk."""
+        """Send a message once this step is on disk."""
         self._step.messages.append((member, message))
 
     def lease_changed(self, shard: int, state: LeaseState, term: int, record: PackedRecord) -> None:
-        """Begins or ends the commands of a shard."""
+        """Begin or end the commands of a shard."""
         if state is LeaseState.HELD:
             self.cluster.record(LeaseAcquired(self.cluster.seconds(), self.number, shard))
-            held = self.shards.get(shard)
-            if held is None or held.term != term:
-                self.shards[shard] = ShardCommands(self, shard, term, record)
+            shard_commands = self.commands_by_shard.get(shard)
+            if shard_commands is None or shard_commands.term != term:
+                self.commands_by_shard[shard] = ShardCommands(self, shard, term, record)
         elif state is LeaseState.IDLE:
-            self.shards.pop(shard, None)
-
-    # --- steps ---
+            self.commands_by_shard.pop(shard, None)
 
     def _end_step(self) -> None:
-        """What was stored goes to disk; what was sent with it or after it waits until it is there."""
+        """Write the changes of this step to disk.
+
+        The messages of this step and of later ones wait until the changes are on disk.
+        """
         step = self._step
         self._step = StepChanges()
         if self.cluster.has_defect(Defect.REPLY_BEFORE_SYNC):
             self._send_all(step)
             step.messages = []
         has_writes = step.has_writes()
-        if not has_writes and not self._unsynced:
+        if not has_writes and not self._unsynced_steps:
             self._send_all(step)
         elif has_writes or step.messages:
-            self._unsynced.append(step)
+            self._unsynced_steps.append(step)
             self._begin_sync()
         if has_writes:
             self.reach_moment(FaultMoment.WRITE)
@@ -224,14 +226,14 @@
             self.cluster.network.send(self.number, member, message)
 
     def _begin_sync(self) -> None:
-        if not self._is_syncing and self._unsynced:
+        if not self._is_syncing and self._unsynced_steps:
             self._is_syncing = True
-            self._later(self.cluster.rng.randrange(SHORTEST_SYNC_US, self.sync_limit_us), self._synced)
+            self._call_later(self.cluster.rng.randrange(MIN_SYNC_US, self.max_sync_us), self._complete_sync)
 
-    def _synced(self) -> None:
+    def _complete_sync(self) -> None:
         self._is_syncing = False
-        batch = self._unsynced
-        self._unsynced = deque()
+        batch = self._unsynced_steps
+        self._unsynced_steps = deque()
         for step in batch:
             self.disk.write(step)
         for step in batch:
@@ -239,7 +241,7 @@
         self._begin_sync()
 
     def receive(self, sender: int, message: Message) -> None:
-        """A message of a member."""
+        """Receive a message of a member."""
         self.member.receive(self.clock(), sender, message, self)
         self._end_step()
 
@@ -248,11 +250,11 @@
         next_tick_at = self.member.tick(now, self)
         self._end_step()
         delay = int((next_tick_at - now) / self.clock_rate)
-        self._later(max(SHORTEST_TICK_US, min(LONGEST_TICK_US, delay)), self._tick)
+        self._call_later(max(MIN_TICK_US, min(MAX_TICK_US, delay)), self._tick)
 
     def _send_commands(self) -> None:
-        """The adapter's turn: the commands of every shard."""
-        for shard in list(self.shards.values()):
-            shard.send_commands()
+        """Send the commands of every shard, as the leadership service does at intervals."""
+        for shard_commands in list(self.commands_by_shard.values()):
+            shard_commands.send_commands()
         self._end_step()
-        self._later(COMMAND_INTERVAL_US, self._send_commands)
+        self._call_later(COMMAND_INTERVAL_US, self._send_commands)
--- a/standins/controllers/parameters.py
+++ b/standins/controllers/parameters.py
@@ -1,4 +1,4 @@
-"""Times of a simulated day, its faults, and the defects that a checker has to find. Microseconds."""
+"""The times of a simulated day in microseconds, the faults, and the defects that a checker has to detect."""
 
 from enum import Enum
 
@@ -7,19 +7,19 @@
 MILLISECOND = 1000
 SECOND = 1_000_000
 FAULTS_BEGIN_US = 2 * SECOND
-HEALED_AT_US = 14 * SECOND  # from here on there is no fault any more
+HEALED_AT_US = 14 * SECOND  # all faults have ended at this time
 LAST_FAULT_US = HEALED_AT_US - SECOND
 END_US = 21 * SECOND
 
-SHED_LEVEL = 50.0  # the admission level that the decisions want once they have learnt the load
-SYNC_LIMIT_US = 4 * MILLISECOND
-SLOW_SYNC_LIMIT_US = 400 * MILLISECOND
-MESSAGE_LOSS = 0.01
-ROUGH_MESSAGE_LOSS = 0.25
+SHED_LEVEL = 50.0  # the admission level that the decisions choose once they know the load
+MAX_SYNC_US = 4 * MILLISECOND
+MAX_SLOW_SYNC_US = 400 * MILLISECOND
+MESSAGE_LOSS_PROBABILITY = 0.01
+HIGH_MESSAGE_LOSS_PROBABILITY = 0.25
 
 
 class Defect(Enum):
-    """A deliberate defect of a member or of its surroundings."""
+    """A deliberate defect of a member or of its environment."""
 
     NO_FENCE_AT_PROXIES = "no fence at proxies"
     LEASE_CHECKED_BEFORE_ENCODING = "lease checked before encoding"
@@ -33,7 +33,7 @@
 
 
 class Fault(Enum):
-    """What happens to a member, in the order in which a schedule draws from them."""
+    """A kind of fault. The order of the members decides which one a seed draws."""
 
     KILL = "kill"
     KILL_AT_WRITE = "kill at a write"
@@ -52,7 +52,7 @@
 
 
 class FaultMoment(Enum):
-    """The moment for which a fault waits."""
+    """A step of a member at which a pending fault happens."""
 
     WRITE = "write"
     COMMAND = "command"
@@ -60,8 +60,8 @@
 
 
 class DriftIgnored(LeaseConfiguration):
-    """A deliberate defect: a lease holder relies on the whole lease, whatever the clocks do."""
+    """A configuration with a deliberate defect: a lease holder ignores that clocks may drift."""
 
     def usable_lease_us(self) -> int:
-        """All of the lease."""
+        """Return the whole lease in microseconds, without a margin for drift."""
         return self.lease_us
--- a/standins/controllers/scheduler.py
+++ b/standins/controllers/scheduler.py
@@ -1,4 +1,4 @@
-"""Simulated time: events in order, each of a member that may be stopped or paused."""
+"""Simulated time: events in order, some of them of processes that may be stopped or paused."""
 
 import heapq
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 
 
 class Process(Protocol):
-    """A simulated process, as its events see it."""
+    """The state of a simulated process that decides when its events run."""
 
     is_alive: bool
     incarnation: int
@@ -16,41 +16,49 @@
 
 @dataclass(order=True)
 class ScheduledEvent:
-    """A call at a time. One of a process is dropped once that has ended."""
+    """A callback and its time. An event of a process is dropped once that process has ended."""
 
     at: int
     number: int
-    call: Callable[[], Any] = field(compare=False)
+    callback: Callable[[], Any] = field(compare=False)
     process: Process | None = field(compare=False, default=None)
     incarnation: int = field(compare=False, default=0)
 
 
 class Scheduler:
-    """Microseconds of true time, which no member knows."""
+    """The queue of events, and the true time `now` in microseconds, which no member can read."""
 
     def __init__(self) -> None:
         self.now = 0
         self._events: list[ScheduledEvent] = []
-        self._count = 0
+        self._event_count = 0
 
-    def call_later(self, delay: int, call: Callable[[], Any], process: Process | None = None) -> None:
-        """Schedules a call; one of a process happens only while the same incarnation is alive."""
-        self._count += 1
+    def call_later(self, delay: int, callback: Callable[[], Any], process: Process | None = None) -> None:
+        """Schedule a callback.
+
+        Args:
+            delay: Time until the callback in microseconds.
+            callback: Function that is called.
+            process: The process that the callback belongs to. The callback is dropped if this incarnation of
+                the process has ended, and delayed while the process is paused.
+        """
+        self._event_count += 1
         incarnation = process.incarnation if process is not None else 0
-        event = ScheduledEvent(self.now + delay, self._count, call, process, incarnation)
+        event = ScheduledEvent(self.now + delay, self._event_count, callback, process, incarnation)
         heapq.heappush(self._events, event)
 
     def run(self, until: int) -> None:
-        """Plays all events up to a time."""
+        """Run all events up to a true time in microseconds."""
         while self._events and self._events[0].at <= until:
             event = heapq.heappop(self._events)
             process = event.process
             if process is not None:
                 if not process.is_alive or event.incarnation != process.incarnation:
                     continue
-                if process.paused_until > event.at:  # all of it happens when the process wakes, in order
+                if process.paused_until > event.at:
+                    # All events of a pause run, in order, when the process continues.
                     heapq.heappush(self._events, replace(event, at=process.paused_until))
                     continue
             self.now = event.at
-            event.call()
+            event.callback()
         self.now = until
--- a/standins/fenced_proxies.py
+++ b/standins/fenced_proxies.py
@@ -80,7 +80,7 @@
         self.rejected_count = 0
         self.owner: int | None = None  # the controller whose command was applied last
         self.table: dict[str, float] = {}
-        self.ejected: set[str] = set()
+        self.ejected_endpoints: set[str] = set()
         self.levels: dict[str, tuple[float, int]] = {}  # by traffic group: level and retry mode
         self.complete_table_at = 0.0  # time of the last complete table, by the monotonic clock
         self.streams: dict[int, ProxyStream] = {}  # by controller
@@ -113,7 +113,7 @@
         if "whole" in words:
             self.levels = {}
             self.complete_table_at = time.monotonic()
-        self.table = update_table(words, self.table, self.ejected)
+        self.table = update_table(words, self.table, self.ejected_endpoints)
         if "level" in words:
             for group in words.get("classes", "*").split("+"):
                 self.levels[group] = (float(words["level"]), int(words["retry"]))
--- a/standins/histories.py
+++ b/standins/histories.py
@@ -1,6 +1,7 @@
-"""Checks what members ordered and proxies obeyed, as recorded: the rules of several members on one fleet.
+"""A checker of recorded histories: which commands members sent, and which of them proxies applied.
 
-Times of events are seconds of true time, which no member knows.
+It checks the rules that several members that control the same fleet have to obey. The times of events are
+seconds of true time, which no member can read.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,31 +13,31 @@
 
 
 class BindProxy(NamedTuple):
-    """A complete table."""
+    """The command that binds a proxy by a complete table."""
 
 
 class GrantRetry(NamedTuple):
-    """One retry of a request."""
+    """The command that grants one retry of the request with a key."""
 
     key: str
 
 
 class EjectEndpoint(NamedTuple):
-    """An endpoint is ejected, for it is drained by this version of the list."""
+    """The command that ejects an endpoint because a version of the endpoint list drains it."""
 
     endpoint: str
     list_version: int
 
 
 class ReadmitEndpoint(NamedTuple):
-    """An endpoint is readmitted by this version of the list."""
+    """The command that readmits an endpoint according to a version of the endpoint list."""
 
     endpoint: str
     list_version: int
 
 
 class SetAdmissionLevel(NamedTuple):
-    """How much of a traffic group is admitted."""
+    """The command that sets the admission level of a traffic group."""
 
     group: str
     level: float
@@ -46,7 +47,7 @@
 
 
 class CommandSent(NamedTuple):
-    """A command has left a member, under this permission."""
+    """A member has sent a command with a permission."""
 
     at: float
     member: int
@@ -57,7 +58,7 @@
 
 
 class CommandApplied(NamedTuple):
-    """A proxy has obeyed a command."""
+    """A proxy has applied a command."""
 
     at: float
     proxy: int
@@ -67,7 +68,7 @@
 
 
 class LeaseAcquired(NamedTuple):
-    """A member holds a shard's lease."""
+    """A member has acquired a shard's lease."""
 
     at: float
     member: int
@@ -82,7 +83,7 @@
 
 
 class FaultsEnded(NamedTuple):
-    """All members are alive and connected from here on."""
+    """From this time on all members are alive and connected."""
 
     at: float
 
@@ -91,7 +92,7 @@
 
 
 class Rule(Enum):
-    """What must hold."""
+    """A rule that a history must not break."""
 
     SINGLE_LEASE_HOLDER = "a shard has one lease holder at a time"
     TERMS_ASCEND = "a proxy obeys terms in ascending order"
@@ -102,7 +103,7 @@
 
 
 class Violation(NamedTuple):
-    """A broken rule."""
+    """A broken rule, and the time and circumstances."""
 
     rule: Rule
     at: float
@@ -111,31 +112,32 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberTerm:
-    """The highest term seen, and whose it was."""
+    """The highest term so far, and its member."""
 
     term: int
     member: int
 
     def is_contradicted_by(self, term: int, member: int) -> bool:
-        """Whether a command is of an earlier term, or of the same term by another member."""
+        """Return whether a command is of an earlier term, or of the same term but by another member."""
         return term < self.term or (term == self.term and member != self.member)
 
 
 class HistoryChecker:
-    """Takes the events of a history in order; `violations` has what was broken."""
+    """A checker that reads the events of a history in order and collects the `violations` of rules."""
 
     def __init__(self, admission_step_limit: float) -> None:
         self.admission_step_limit = admission_step_limit
         self.violations: list[Violation] = []
         self._granted_terms: dict[int, MemberTerm] = {}  # by shard
         self._applied_terms: dict[int, MemberTerm] = {}  # by proxy
-        self._retries: dict[str, tuple[float, int]] = {}  # when and by which member
-        self._drained_by: dict[tuple[int, str], int] = {}  # (proxy, endpoint): version of the list
-        self._levels: dict[tuple[int, str], tuple[int, float]] = {}  # (proxy, group): term, level
+        self._retries: dict[str, tuple[float, int]] = {}  # time and member of the grant, by key
+        # By proxy and endpoint: the version of the list by which the endpoint was drained.
+        self._drain_versions: dict[tuple[int, str], int] = {}
+        self._levels: dict[tuple[int, str], tuple[int, float]] = {}  # term and level, by proxy and group
         self._holders: dict[int, int | None] = {}  # by shard
         self._vacant_since: dict[int, float] = {}  # by shard
         self._faults_ended_at: float | None = None
-        self._last_at = 0.0
+        self._last_event_at = 0.0
         self._handlers: dict[type, Callable[[Any], None]] = {
             CommandSent: self._on_command_sent,
             CommandApplied: self._on_command_applied,
@@ -145,27 +147,31 @@
         }
 
     def add(self, event: HistoryEvent) -> None:
-        """The next event."""
-        self._last_at = event.at
+        """Check the next event."""
+        self._last_event_at = event.at
         self._handlers[type(event)](event)
 
     def finish(self, takeover_limit_s: float) -> None:
-        """The history ends: shards without a holder must not be without one for longer than this."""
+        """End the history: report each shard that has been without a lease holder for too long.
+
+        Args:
+            takeover_limit_s: Seconds that a shard may be without a holder once all faults have ended.
+        """
         if self._faults_ended_at is None:
             return
-        for shard, since in self._vacant_since.items():
-            if self._last_at - max(since, self._faults_ended_at) > takeover_limit_s:
-                details = f"shard {shard} without a lease holder since {since:.2f}"
-                self._add_violation(Rule.TAKEOVER_IN_TIME, self._last_at, details)
+        for shard, vacant_since in self._vacant_since.items():
+            if self._last_event_at - max(vacant_since, self._faults_ended_at) > takeover_limit_s:
+                details = f"shard {shard} without a lease holder since {vacant_since:.2f}"
+                self._add_violation(Rule.TAKEOVER_IN_TIME, self._last_event_at, details)
 
     def _add_violation(self, rule: Rule, at: float, details: str) -> None:
         self.violations.append(Violation(rule, at, details))
 
     def _on_command_sent(self, event: CommandSent) -> None:
         if event.permission is Permission.FULL:
-            granted = self._granted_terms.get(event.shard)
-            if granted is not None and granted.is_contradicted_by(event.term, event.member):
-                details = f"shard {event.shard}: {event.member} in term {event.term} after {granted}"
+            granted_term = self._granted_terms.get(event.shard)
+            if granted_term is not None and granted_term.is_contradicted_by(event.term, event.member):
+                details = f"shard {event.shard}: {event.member} in term {event.term} after {granted_term}"
                 self._add_violation(Rule.SINGLE_LEASE_HOLDER, event.at, details)
             else:
                 self._granted_terms[event.shard] = MemberTerm(event.term, event.member)
@@ -177,13 +183,13 @@
             self._retries[key] = (event.at, event.member)
 
     def _on_command_applied(self, event: CommandApplied) -> None:
-        obeyed = self._applied_terms.get(event.proxy, MemberTerm(0, event.member))
-        if obeyed.is_contradicted_by(event.term, event.member):
-            details = f"proxy {event.proxy}: {event.member} in term {event.term} after {obeyed}"
+        applied_term = self._applied_terms.get(event.proxy, MemberTerm(0, event.member))
+        if applied_term.is_contradicted_by(event.term, event.member):
+            details = f"proxy {event.proxy}: {event.member} in term {event.term} after {applied_term}"
             self._add_violation(Rule.TERMS_ASCEND, event.at, details)
-        if (event.term, event.member) > (obeyed.term, obeyed.member):
-            obeyed = MemberTerm(event.term, event.member)
-        self._applied_terms[event.proxy] = obeyed
+        if (event.term, event.member) > (applied_term.term, applied_term.member):
+            applied_term = MemberTerm(event.term, event.member)
+        self._applied_terms[event.proxy] = applied_term
         if isinstance(event.command, EjectEndpoint):
             self._on_ejected(event.proxy, event.command)
         elif isinstance(event.command, ReadmitEndpoint):
@@ -192,22 +198,22 @@
             self._on_level(event, event.command)
 
     def _on_ejected(self, proxy: int, command: EjectEndpoint) -> None:
-        place = (proxy, command.endpoint)
-        self._drained_by[place] = max(command.list_version, self._drained_by.get(place, -1))
+        key = (proxy, command.endpoint)
+        self._drain_versions[key] = max(command.list_version, self._drain_versions.get(key, -1))
 
     def _on_readmitted(self, event: CommandApplied, command: ReadmitEndpoint) -> None:
-        drained_by = self._drained_by.pop((event.proxy, command.endpoint), None)
-        if drained_by is not None and command.list_version <= drained_by:
+        drain_version = self._drain_versions.pop((event.proxy, command.endpoint), None)
+        if drain_version is not None and command.list_version <= drain_version:
             details = (
                 f"proxy {event.proxy}: {command.endpoint} readmitted by list {command.list_version}, "
-                f"drained by {drained_by}"
+                f"drained by {drain_version}"
             )
             self._add_violation(Rule.DRAIN_KEPT, event.at, details)
 
     def _on_level(self, event: CommandApplied, command: SetAdmissionLevel) -> None:
-        before = self._levels.get((event.proxy, command.group))
-        if before is not None:
-            term, level = before
+        previous_level = self._levels.get((event.proxy, command.group))
+        if previous_level is not None:
+            term, level = previous_level
             if term != event.term and command.level > level * self.admission_step_limit:
                 details = f"proxy {event.proxy}: {command.group} from {level:g} to {command.level:g}"
                 self._add_violation(Rule.ADMISSION_STEPS, event.at, details)
@@ -230,10 +236,12 @@
 def check(
     events: Iterable[HistoryEvent], takeover_limit_s: float, admission_step_limit: float = 2.0
 ) -> list[Violation]:
-    """What was broken.
+    """Return the violations of rules in a history.
 
-    `takeover_limit_s`: within which every shard has a lease holder once all faults have ended.
-    `admission_step_limit`: the factor by which a level may rise at a takeover.
+    Args:
+        events: The history.
+        takeover_limit_s: Seconds within which every shard has a lease holder once all faults have ended.
+        admission_step_limit: The factor by which an admission level may rise at a takeover.
     """
     checker = HistoryChecker(admission_step_limit)
     for event in events:
@@ -243,7 +251,7 @@
 
 
 def takeover_times(events: Iterable[HistoryEvent]) -> list[float]:
-    """Seconds from each stop of a member to the next lease holder of each shard that it held."""
+    """Return the seconds from each stop of a member to the next lease holder, for each shard that it held."""
     holders: dict[int, int] = {}
     stopped_at: dict[int, float] = {}  # by shard
     times = []
--- a/standins/installation.py
+++ b/standins/installation.py
@@ -1,4 +1,4 @@
-"""Several control-plane servers as processes on loopback, with a registry and proxies that obey terms."""
+"""Several control-plane servers as processes on loopback, with an endpoint registry and fenced proxies."""
 
 import asyncio
 import contextlib
@@ -14,12 +14,12 @@
 from standins.loopback import LoopbackRegistry, registry_entry, server_configuration
 from standins.server_process import start_server
 
-POLL_INTERVAL = 0.005  # seconds
-STOP_TIMEOUT = 5  # seconds until a process is killed
+POLL_INTERVAL_S = 0.005
+STOP_TIMEOUT_S = 5  # a process that has not ended by then is killed
 
 
 def find_free_ports(count: int) -> list[int]:
-    """Return free ports of the system; all are reserved at once, so that no two are the same."""
+    """Return free ports, which are all reserved at the same time so that they differ."""
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
         for reserved in sockets:
@@ -28,7 +28,7 @@
 
 
 class Installation:
-    """Servers that share the proxies' shards by leases."""
+    """Servers that share the shards of the proxies by leases, and the proxies and endpoint registry."""
 
     def __init__(
         self,
@@ -41,8 +41,18 @@
         leadership_settings: str = "",
         serve_arguments: tuple[str, ...] = (),
     ):
-        """`leadership_settings`: appended to each member's `[leadership]` table; `serve_arguments`: further
-        arguments of the processes."""
+        """Create the proxies and the entries of the registry; `start` starts the servers.
+
+        Args:
+            folder: Folder for the files, stores and logs of the servers.
+            controllers: Number of servers.
+            proxies: Number of proxies.
+            endpoints: Number of endpoints.
+            lease_ms: Length of a lease.
+            shards: Number of shards.
+            leadership_settings: Lines that are appended to the `[leadership]` table of each server.
+            serve_arguments: Further arguments of the processes.
+        """
         self.folder = folder
         self.serve_arguments = serve_arguments
         self.server_names = [f"c{number}" for number in range(controllers)]
@@ -59,7 +69,7 @@
         self.proxy_tasks: list[asyncio.Task] = []
 
     async def start(self) -> "Installation":
-        """Start the registry, all servers and all proxies."""
+        """Start the endpoint registry, all servers and all proxies."""
         self.registry = await LoopbackRegistry(self.registry_entries).start()
         for name, listen in zip(self.server_names, self.listen_addresses, strict=True):
             self._write_files(name, listen)
@@ -100,34 +110,38 @@
         self.signal(name, signal.SIGKILL)
         await self.processes[name].wait()
 
-    def served_shards(self, name: str) -> set[int]:
-        """Return the proxies that last obeyed this server."""
+    def served_proxies(self, name: str) -> set[int]:
+        """Return the numbers of the proxies that applied their last command from a server."""
         number = self.server_names.index(name)
         return {proxy.number for proxy in self.proxies if proxy.owner == number}
 
-    async def wait_until(self, condition: Callable[[], Any], seconds: float) -> float:
-        """Wait for a condition; return the seconds that it took, or raise TimeoutError."""
+    async def wait_until(self, condition: Callable[[], Any], timeout_s: float) -> float:
+        """Wait until a condition is true, and return the seconds that this took.
+
+        Raises:
+            TimeoutError: The condition is still false after `timeout_s` seconds.
+        """
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(timeout_s):
             while not condition():
-                await asyncio.sleep(POLL_INTERVAL)
+                await asyncio.sleep(POLL_INTERVAL_S)
         return loop.time() - started_at
 
     def is_settled(self, min_proxies: int = 1) -> bool:
-        """Return whether every proxy has a table and every living server has `min_proxies` proxies."""
-        alive = [name for name, process in self.processes.items() if process.returncode is None]
+        """Return whether every proxy has a table and every running server has `min_proxies` proxies."""
+        running_servers = [name for name, process in self.processes.items() if process.returncode is None]
         has_tables = all(proxy.table for proxy in self.proxies)
-        return has_tables and all(len(self.served_shards(name)) >= min_proxies for name in alive)
+        return has_tables and all(len(self.served_proxies(name)) >= min_proxies for name in running_servers)
 
-    def send_admin_request(self, name: str, question: dict[str, Any]) -> dict[str, Any]:
-        """Ask a server on its admin socket."""
+    def send_admin_request(self, name: str, request: dict[str, Any]) -> dict[str, Any]:
+        """Send a request to a server's admin socket, and return the response."""
         from ravenshelf.leadership.admin import send_request
 
-        return send_request(f"{self.folder / name}.sock", question)
+        return send_request(f"{self.folder / name}.sock", request)
 
     async def stop(self) -> None:
-        """End all proxies and processes, suspended ones too."""
+        """Stop all proxies and server processes, including suspended ones."""
         for task in self.proxy_tasks:
             task.cancel()
         for process in self.processes.values():
@@ -137,7 +151,7 @@
                     process.terminate()
         for process in self.processes.values():
             try:
-                await asyncio.wait_for(process.wait(), STOP_TIMEOUT)
+                await asyncio.wait_for(process.wait(), STOP_TIMEOUT_S)
             except TimeoutError:
                 process.kill()
                 await process.wait()
--- a/standins/loopback.py
+++ b/standins/loopback.py
@@ -121,7 +121,7 @@
         self.nominal_rate = nominal_rate
         self.on_line = on_line
         self.table: dict[str, float] = {}
-        self.ejected: set[str] = set()
+        self.ejected_endpoints: set[str] = set()
         self.writer: asyncio.StreamWriter | None = None
 
     async def run(self) -> None:
@@ -142,14 +142,14 @@
         """Apply a line, and acknowledge it if requested."""
         self.on_line(self, line)
         words = parse_words(line)
-        self.table = update_table(words, self.table, self.ejected)
+        self.table = update_table(words, self.table, self.ejected_endpoints)
         if "ticket" in words:
             assert self.writer is not None, "lines come on an open stream"
             self.writer.write(f"ACK proxy={self.number} mark={words['ticket']} took_ms=1\r\n".encode())
 
     def active_weights(self) -> dict[str, float]:
         """Return the weights of the table without ejected endpoints."""
-        return {uid: weight for uid, weight in self.table.items() if uid not in self.ejected}
+        return {uid: weight for uid, weight in self.table.items() if uid not in self.ejected_endpoints}
 
     def report_demand(self, group: str, requests: int, unanswered: int = 0, window_ms: float = 1000) -> None:
         """Report the requests of a traffic group, if connected."""
--- a/standins/server_process.py
+++ b/standins/server_process.py
@@ -1,4 +1,4 @@
-"""Starts control-plane servers as processes."""
+"""Control-plane servers as processes, for tests, benchmarks and examples."""
 
 import asyncio
 import contextlib
@@ -17,10 +17,14 @@
     errors: int | IO[bytes] | None = asyncio.subprocess.DEVNULL,
     new_session: bool = False,
 ) -> asyncio.subprocess.Process:
-    """Start `ravenshelf serve` with a configuration file and further arguments.
+    """Start `ravenshelf serve` with a configuration file, and return its process.
 
-    `output` and `errors`: None inherits those of this process. `new_session`: the signals of this process's
-    terminal do not reach it.
+    Args:
+        configuration: Path of the configuration file.
+        arguments: Further arguments of the command.
+        output: Destination of the standard output; None inherits that of this process.
+        errors: Destination of the standard error output; None inherits that of this process.
+        new_session: Whether the process is protected from signals of this process's terminal.
     """
     command = (sys.executable, "-m", "ravenshelf", "serve", "--config", str(configuration), *arguments)
     return await asyncio.create_subprocess_exec(
--- a/tests/leadership/test_cluster_processes.py
+++ b/tests/leadership/test_cluster_processes.py
@@ -34,21 +34,24 @@
 
 
 def is_ejected_everywhere(installation, endpoint):
-    return all(endpoint in proxy.ejected or endpoint not in proxy.table for proxy in installation.proxies)
+    return all(
+        endpoint in proxy.ejected_endpoints or endpoint not in proxy.table for proxy in installation.proxies
+    )
 
 
 async def take_over_a_killed_member(installation):
     """Kill a member while a third of the endpoints drain, and start it again."""
-    shards = installation.served_shards("c0")
+    shards = installation.served_proxies("c0")
     drained_endpoints = {"s-0", "s-4", "s-8", "s-11"}
     for endpoint in sorted(drained_endpoints):
         await installation.registry.change_endpoint(endpoint, "DRAINING")
     await installation.kill("c0")
-    assert await installation.wait_until(lambda: not installation.served_shards("c0") & shards, 15) < 5
+    assert await installation.wait_until(lambda: not installation.served_proxies("c0") & shards, 15) < 5
     await installation.wait_until(
         lambda: (
             not any(
-                drained_endpoints & (proxy.table.keys() - proxy.ejected) for proxy in installation.proxies
+                drained_endpoints & (proxy.table.keys() - proxy.ejected_endpoints)
+                for proxy in installation.proxies
             )
         ),
         5,
@@ -62,7 +65,7 @@
 async def take_over_a_paused_member(installation):
     """Pause a member, whose connections to proxies are still open when it continues."""
     installation.signal("c1", signal.SIGSTOP)
-    await installation.wait_until(lambda: not installation.served_shards("c1"), 15)
+    await installation.wait_until(lambda: not installation.served_proxies("c1"), 15)
     await installation.registry.change_endpoint("s-3", "DRAINING")
     await installation.wait_until(lambda: is_ejected_everywhere(installation, "s-3"), 10)
     installation.signal("c1", signal.SIGCONT)
@@ -109,7 +112,7 @@
         installation = await Installation(tmp_path, 3, 60, lease_ms=400, shards=8).start()
         try:
             await installation.wait_until(lambda: installation.is_settled(4), SETTLING_LIMIT_S)
-            shards = installation.served_shards("c0")
+            shards = installation.served_proxies("c0")
             await installation.kill("c1")
             await installation.kill("c2")
             await installation.wait_until(
@@ -193,7 +196,7 @@
             code, output = await run_controllers_command(socket, "handover", "--to", "nobody")
             assert code == 2 and "expected one of c1, c2" in output
             assert (await run_controllers_command(socket, "drain"))[0] == 0
-            await installation.wait_until(lambda: not installation.served_shards("c0"), 15)
+            await installation.wait_until(lambda: not installation.served_proxies("c0"), 15)
             issue_certificates(tmp_path, "c0", "c1", "c2")
             for name in installation.server_names:
                 installation.signal(name, signal.SIGHUP)
