--- a/ravenshelf/background/decisions.py
+++ b/ravenshelf/background/decisions.py
@@ -46,7 +46,7 @@
     steps: Iterator[None]
     on_dropped: Callable[[], None] | None = None
     is_perishable: bool = False
-    waiting_since: int = 0  # when the job was queued, or its latest slice ended
+    waiting_since: int = 0  # time at which the job was queued, or its latest slice ended
     arrival_number: int = 0  # position in the order of arrival
 
 
--- a/ravenshelf/graphite/decisions/queue.py
+++ b/ravenshelf/graphite/decisions/queue.py
@@ -30,7 +30,7 @@
     # Whether sending was started. The receiver may have part of the batch. With route "hash", the batch may
     # therefore be sent again only to this receiver.
     is_attempted: bool = False
-    flushed_at: int | None = None  # when the kernel had accepted all of its bytes
+    flushed_at: int | None = None  # time at which the kernel had accepted all of its bytes
 
     def __len__(self) -> int:
         return len(self.points)
@@ -53,9 +53,8 @@
 
     max_points: int
     backfill_rate: int  # points per second
-    queued_batches: list[deque[Batch]] = field(
-        default_factory=lambda: [deque() for _ in IMPORTANCES]
-    )  # by importance
+    # Batches to send, by importance.
+    queued_batches: list[deque[Batch]] = field(default_factory=lambda: [deque() for _ in IMPORTANCES])
     unconfirmed_batches: deque[Batch] = field(default_factory=deque)  # in the order of sending
     point_count: int = 0  # queued and unconfirmed points
     backfill_tokens: float = 0.0  # points; below 0 after a batch that was larger than the balance
--- a/ravenshelf/process/acceptor.py
+++ b/ravenshelf/process/acceptor.py
@@ -77,7 +77,7 @@
         self.clock = clock
         self.publish = publish
         self.call_soon = call_soon
-        self.streams: dict[int, AcceptedConnection] = {}  # by proxy
+        self.streams: dict[int, AcceptedConnection] = {}  # by proxy; the newest stream of each proxy
         self.collectors: dict[int, AcceptedConnection] = {}  # by zone; the newest collector of each zone
         self.unidentified_connections: dict[AcceptedConnection, None] = {}  # ordered by connection time
         # Ordered by the time of the last message.
--- a/ravenshelf/process/command_execution.py
+++ b/ravenshelf/process/command_execution.py
@@ -39,9 +39,8 @@
     def execute(self, command: commands.Command) -> None:
         """Carry out one command; a command of any other type is ignored."""
         match command:
-            case commands.StartTimer(
-                at, key
-            ):  # a time in the past expires in a later loop iteration, not now
+            case commands.StartTimer(at, key):
+                # A timer whose time is in the past expires in a later iteration of the event loop, not now.
                 self.timers.set(ControllerTimer(at, key), at)
             case commands.LogMessage(text):
                 log_events.DECISION_MESSAGE(text=text)
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -37,10 +37,10 @@
 DEFAULT_SOCKETS = 1024
 RESERVED_DESCRIPTORS = 24  # descriptors reserved for the process itself, which was seen to use 12
 CALL_LIMIT = 64  # open calls to the endpoint registry and to endpoints
-SOCKETS_PER_CALL = 16  # at most one socket in this many is used for a call
-COLLECTOR_RESERVE = 16
+SOCKETS_PER_CALL = 16  # calls may use one socket in this many
+COLLECTOR_RESERVE = 16  # slots that unidentified connections leave free for collectors
 DEFAULT_TICK_US = 1000
-BACKLOG = 1024
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
 # At a stop, connections have this many seconds to deliver what was written to them. SIGKILL follows SIGTERM
 # after 0.7 s, and the rest of the log has to be written before that too.
 LINGER_TIMEOUT_S = 0.25
@@ -181,7 +181,7 @@
     # Deadlines
 
     def _is_feature_deadline(self, key: Hashable) -> bool:
-        """Return whether an optional feature handles the deadline; these run after the server's own."""
+        """Return whether an optional feature handles the deadline; it then runs after the server's own."""
         return (
             self.optional_features is not None
             and isinstance(key, tuple)
@@ -210,7 +210,8 @@
                 self.optional_features.run_due(key, now)
 
     def _schedule_watch(self, wait_us: int) -> None:
-        if ServerDeadline.WATCH not in self.timers.deadlines:  # a deadline already set is not postponed
+        # A deadline that is already set is not postponed.
+        if ServerDeadline.WATCH not in self.timers.deadlines:
             self.timers.set(ServerDeadline.WATCH, self.clock() + wait_us)
 
     # Start, reload and stop
