--- a/tests/distribution/test_controller_processes.py
+++ b/tests/distribution/test_controller_processes.py
@@ -10,7 +10,7 @@
 from types import SimpleNamespace
 
 import pytest
-from test_distribution_sockets import SECOND, WAIT, clock, run_command
+from test_distribution_sockets import SECOND, WAIT_LIMIT_S, clock, run_command
 
 from ravenshelf.distribution.decisions.ownership import shard_of_service
 from ravenshelf.distribution.decisions.planner import read_table, service_topic, zone_topic
@@ -26,7 +26,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 SERVICES = [f"service-{n}" for n in range(6)]
-NAMES = ["c0", "c1", "c2"]
+CONTROLLER_NAMES = ["c0", "c1", "c2"]
 
 
 def services_text(limit: str) -> str:
@@ -45,8 +45,12 @@
     def __init__(self, folder: Path):
         self.folder, self.loop = folder, asyncio.get_running_loop()
         free_ports = find_free_ports(6)
-        self.members = {name: f"127.0.0.1:{port}" for name, port in zip(NAMES, free_ports[:3], strict=True)}
-        self.listen = {name: f"127.0.0.1:{port}" for name, port in zip(NAMES, free_ports[3:], strict=True)}
+        self.members = {
+            name: f"127.0.0.1:{port}" for name, port in zip(CONTROLLER_NAMES, free_ports[:3], strict=True)
+        }
+        self.listen_addresses = {
+            name: f"127.0.0.1:{port}" for name, port in zip(CONTROLLER_NAMES, free_ports[3:], strict=True)
+        }
         self.processes: dict[str, asyncio.subprocess.Process] = {}
         self.versions: dict[str, list] = {}
 
@@ -54,12 +58,12 @@
         (self.folder / "services.toml").write_text(services_text("1"))
         configuration = server_configuration("127.0.0.1:1", ["north"], 1)
         (self.folder / "fleet.json").write_text(json.dumps(configuration))
-        for name in NAMES:
+        for name in CONTROLLER_NAMES:
             self._write_operator_file(name)
             await self.run(name)
         self.relay = RelayService(
-            Node(self.loop, clock, "test", "relay-0", self.listen),
-            {name: [name] for name in NAMES},
+            Node(self.loop, clock, "test", "relay-0", self.listen_addresses),
+            {name: [name] for name in CONTROLLER_NAMES},
             random.Random(2),
             upstreams_are_owners=True,
         )
@@ -78,15 +82,15 @@
 
     def _write_operator_file(self, name: str) -> None:
         members = "\n".join(f'{member} = "{address}"' for member, address in self.members.items())
-        others = "\n".join(
-            f'{other} = "{address}"' for other, address in self.listen.items() if other != name
+        parents = "\n".join(
+            f'{other} = "{address}"' for other, address in self.listen_addresses.items() if other != name
         )
         (self.folder / f"{name}.toml").write_text(
             f'[store]\nfolder = "{self.folder / name}"\n[leadership]\nname = "{name}"\n'
             'cluster = "test"\nshards = 8\n'
             f"[leadership.members]\n{members}\n"
-            f'[distribution]\nname = "{name}"\ncluster = "test"\nlisten = "{self.listen[name]}"\n'
-            f'services = "{self.folder / "services.toml"}"\n[distribution.parents]\n{others}\n'
+            f'[distribution]\nname = "{name}"\ncluster = "test"\nlisten = "{self.listen_addresses[name]}"\n'
+            f'services = "{self.folder / "services.toml"}"\n[distribution.parents]\n{parents}\n'
         )
 
     async def run(self, name: str) -> None:
@@ -125,7 +129,7 @@
             service: read_table(self.server.topics[zone_topic(service, 0)].entries) for service in SERVICES
         }
 
-    async def wait_until(self, condition, seconds: float = 2 * WAIT) -> None:
+    async def wait_until(self, condition, seconds: float = 2 * WAIT_LIMIT_S) -> None:
         async with asyncio.timeout(seconds):
             while not condition():
                 await asyncio.sleep(0.02)
@@ -138,7 +142,7 @@
                 process.send_signal(signal.SIGCONT)
                 process.terminate()
         for process in self.processes.values():
-            await asyncio.wait_for(process.wait(), WAIT)
+            await asyncio.wait_for(process.wait(), WAIT_LIMIT_S)
 
 
 def run_on_cluster(scenario, folder: Path) -> None:
@@ -176,7 +180,7 @@
         )
         assert all(cluster.tables().values())
         (cluster.folder / "services.toml").write_text(services_text("2"))
-        for name in NAMES:
+        for name in CONTROLLER_NAMES:
             if name != killed_controller:
                 cluster.processes[name].send_signal(signal.SIGHUP)
         await cluster.wait_until(lambda: cluster.limit_values() == {"2"})
@@ -228,10 +232,10 @@
 
 def test_claims_are_withdrawn_without_a_valid_lease_and_made_again_with_one():
     claims, now = [], [0]
-    leases = LeasedServices(MemberWithSwitchedLease(), NAMES, lambda: now[0], 8)
+    leases = LeasedServices(MemberWithSwitchedLease(), CONTROLLER_NAMES, lambda: now[0], 8)
     publisher = SimpleNamespace(
         acquire=lambda *arguments: None,
-        set_claimed=lambda service, claimed: claims.append((service, claimed)),
+        set_claimed=lambda service, is_claimed: claims.append((service, is_claimed)),
     )
     leases.attach(publisher, ["s"])
     leases.lease_acquired(shard_of_service("s", 8), 4, None)
@@ -272,9 +276,9 @@
 def test_an_invalid_services_file_is_rejected_with_its_path(tmp_path, text, message):
     file = tmp_path / "services.toml"
     file.write_text(text)
-    with pytest.raises(ServicesFileError) as raised:
+    with pytest.raises(ServicesFileError) as error_info:
         read(file, 1)
-    assert str(file) in str(raised.value) and (message in str(raised.value) or message == "TOML")
+    assert str(file) in str(error_info.value) and (message in str(error_info.value) or message == "TOML")
 
 
 @pytest.mark.parametrize(
@@ -292,7 +296,7 @@
     configuration = server_configuration("127.0.0.1:1", ["north"], 1)
     (tmp_path / "fleet.json").write_text(json.dumps(configuration))
     (tmp_path / "operator.toml").write_text(f'[distribution]\nname = "a"\ncluster = "c"\n{table}')
-    code, _, errors = asyncio.run(
+    exit_code, _, errors = asyncio.run(
         run_command(
             "controller",
             "--config",
@@ -301,4 +305,4 @@
             str(tmp_path / "operator.toml"),
         )
     )
-    assert code == 2 and message in errors
+    assert exit_code == 2 and message in errors
--- a/tests/distribution/test_distributed_controller.py
+++ b/tests/distribution/test_distributed_controller.py
@@ -7,7 +7,7 @@
 
 import pytest
 from conftest import RecordingWriter, endpoint_list, load_report
-from test_distribution_sockets import SECOND, WAIT, clock
+from test_distribution_sockets import SECOND, WAIT_LIMIT_S, clock
 
 from ravenshelf.distribution.decisions.distributed_controller import DistributedController
 from ravenshelf.distribution.decisions.fallback import TableSource
@@ -166,7 +166,7 @@
     table = {f"t:s-{n}": TableLine(weight) for n, weight in enumerate((800.0, 100.0, 100.0))}
     reports: list[ZoneLoadReport] = []
 
-    async def wait_until(condition, seconds: float = WAIT) -> None:
+    async def wait_until(condition, seconds: float = WAIT_LIMIT_S) -> None:
         async with asyncio.timeout(seconds):
             while not condition():
                 await asyncio.sleep(0.02)
--- a/tests/distribution/test_distribution_decisions.py
+++ b/tests/distribution/test_distribution_decisions.py
@@ -69,8 +69,8 @@
     return topic
 
 
-def make_delta(base_version: Version, until: Version, **changes) -> Delta:
-    return Delta("t", base_version, until, changes)
+def make_delta(base_version: Version, new_version: Version, **changes) -> Delta:
+    return Delta("t", base_version, new_version, changes)
 
 
 @pytest.mark.parametrize(
@@ -173,14 +173,15 @@
 
 def test_parts_of_a_discarded_snapshot_are_not_combined_with_later_parts():
     source = make_topic(1, 5, **{f"k{n}": FIRST_VALUE for n in range(3 * SNAPSHOT_PART_ENTRIES)})
-    first, second, third = source.snapshot()
+    first_part, second_part, third_part = source.snapshot()
     topic = Topic("t")
-    assert topic.receive(first) is UpdateOutcome.INCOMPLETE and not topic.entries
+    assert topic.receive(first_part) is UpdateOutcome.INCOMPLETE and not topic.entries
     topic.discard_partial_snapshot()
     assert (
-        topic.receive(second) is UpdateOutcome.INCOMPLETE and topic.receive(third) is UpdateOutcome.INCOMPLETE
+        topic.receive(second_part) is UpdateOutcome.INCOMPLETE
+        and topic.receive(third_part) is UpdateOutcome.INCOMPLETE
     )
-    assert topic.receive(first) is UpdateOutcome.APPLIED and topic.entries == source.entries
+    assert topic.receive(first_part) is UpdateOutcome.APPLIED and topic.entries == source.entries
 
 
 def test_parts_of_an_older_snapshot_are_ignored_during_a_newer_one():
@@ -243,7 +244,7 @@
         self.distributor.receive(name, Subscribe("t", held_version))
 
     def pull_messages(self, name: str, byte_limit: int = 10**6, now: int = NOW) -> list:
-        return [outgoing.message for outgoing in self.distributor.pull(now, name, byte_limit)]
+        return [encoded_message.message for encoded_message in self.distributor.pull(now, name, byte_limit)]
 
     def change_entries(self, **changes) -> list[str]:
         held_version = self.topic.version
@@ -267,8 +268,10 @@
 
 def test_snapshots_wait_for_their_budget_while_deltas_are_sent():
     topic = make_topic(1, 1, **{f"k{n}": Setting("x" * 100) for n in range(100)})
-    size = sum(len(encode(part)) for part in topic.snapshot())
-    served_topic = ServedTopic(topic, snapshot_bytes_per_second=size, snapshot_burst_bytes=size)
+    snapshot_size = sum(len(encode(part)) for part in topic.snapshot())
+    served_topic = ServedTopic(
+        topic, snapshot_bytes_per_second=snapshot_size, snapshot_burst_bytes=snapshot_size
+    )
     for name in ("first", "second"):
         served_topic.subscribe(name)
     served_topic.subscribe("current", version(1, 1))
@@ -404,10 +407,10 @@
         client.connection_lost(NOW)
     delays = sorted(client.due_at() - NOW for client in clients)
     assert delays[0] < 5_000 and delays[-1] > 450_000
-    largest_group = max(
-        sum(at <= delay < at + 50_000 for delay in delays) for at in range(0, 500_000, 10_000)
+    largest_count = max(
+        sum(start <= delay < start + 50_000 for delay in delays) for start in range(0, 500_000, 10_000)
     )
-    assert largest_group < 0.15 * len(clients)
+    assert largest_count < 0.15 * len(clients)
     backoff = Backoff(random.Random(1))
     assert max(backoff.next_delay() for _ in range(40)) <= 2 * SECOND
     assert sum(backoff.next_delay() for _ in range(100)) / 100 > 0.7 * SECOND
@@ -619,21 +622,23 @@
 def test_the_bound_of_an_endpoint_in_slow_start_holds_for_18000_servers_whatever_they_eject():
     table = read_table(run_planner(20, has_restart=True).zone_entries(0))
     restarted_line = table["e0"]
-    total = sum(line.weight for line in table.values())
+    total_weight = sum(line.weight for line in table.values())
     assert 0 < restarted_line.largest_share < 1 and table["e1"].largest_share == 1.0
     random_source = random.Random(5)
-    for max_ejected in (2, 3):
-        received = 0.0
+    for max_ejected_count in (2, 3):
+        share_sum = 0.0
         # Each server ejects different endpoints, because of an older list or of failures that it has seen.
         for _ in range(18_000):
-            ejected = random_source.sample(["e1", "e2", "e3"], random_source.randint(0, max_ejected))
-            shares = received_shares(table, ejected)
-            received += shares["e0"]
+            ejected_endpoints = random_source.sample(
+                ["e1", "e2", "e3"], random_source.randint(0, max_ejected_count)
+            )
+            shares = received_shares(table, ejected_endpoints)
+            share_sum += shares["e0"]
             assert sum(shares.values()) <= 1 + 1e-9 and (
-                len(ejected) == 3 or sum(shares.values()) == pytest.approx(1)
+                len(ejected_endpoints) == 3 or sum(shares.values()) == pytest.approx(1)
             )
-        assert received <= 18_000 * restarted_line.largest_share + 1e-6
-    assert restarted_line.largest_share <= 3 / 2 * restarted_line.weight / total + 1e-3
+        assert share_sum <= 18_000 * restarted_line.largest_share + 1e-6
+    assert restarted_line.largest_share <= 3 / 2 * restarted_line.weight / total_weight + 1e-3
 
 
 @pytest.mark.parametrize(
@@ -675,4 +680,4 @@
         for _, action in relay.tick(NOW + 2 * SECOND).upstream_actions
         if isinstance(action, Send)
     ]
-    assert [sent_report.endpoints["a"].attempts for sent_report in sent_reports] == [20]
+    assert [report.endpoints["a"].attempts for report in sent_reports] == [20]
--- a/tests/distribution/test_distribution_sockets.py
+++ b/tests/distribution/test_distribution_sockets.py
@@ -46,7 +46,7 @@
 from standins.distribution.world import DistributionSize, SimulatedDistribution
 
 SECOND = 1_000_000
-WAIT = 10.0
+WAIT_LIMIT_S = 10.0
 ROOT = Path(__file__).resolve().parent.parent.parent
 
 
@@ -104,7 +104,7 @@
         )
 
     async def wait_until(self, condition) -> None:
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             while not condition():
                 await asyncio.sleep(0.01)
 
@@ -171,16 +171,16 @@
     """A listener that records messages and events."""
 
     def __init__(self):
-        self.messages, self.open, self.ended = [], asyncio.Event(), asyncio.Event()
+        self.messages, self.open_event, self.end_event = [], asyncio.Event(), asyncio.Event()
 
     def connection_opened(self, connection) -> None:
-        self.open.set()
+        self.open_event.set()
 
     def message_received(self, connection, message) -> None:
         self.messages.append(message)
 
     def connection_ended(self, connection) -> None:
-        self.ended.set()
+        self.end_event.set()
 
     def write_resumed(self, connection) -> None:
         pass
@@ -211,7 +211,7 @@
         await installation.wait_until(lambda: installation.all_subscribers_have("0"))
         listener, connection = await dial(installation)
         connection.write(payload)
-        await asyncio.wait_for(listener.ended.wait(), WAIT)
+        await asyncio.wait_for(listener.end_event.wait(), WAIT_LIMIT_S)
         installation.publish_setting("1")
         await installation.wait_until(lambda: installation.all_subscribers_have("1"))
 
@@ -223,7 +223,7 @@
         listener, connection = await dial(installation)
         connection.send(Hello(PROTOCOL, "test", "wrong-message"))
         connection.send(Heartbeat(1))
-        await asyncio.wait_for(listener.ended.wait(), WAIT)
+        await asyncio.wait_for(listener.end_event.wait(), WAIT_LIMIT_S)
 
     run_on_sockets(scenario)
 
@@ -282,12 +282,12 @@
         1,
     )
     simulated_messages: list[tuple] = []
-    on_message = world.servers[0].on_message
+    receive_simulated_message = world.servers[0].on_message
 
     def record_simulated_message(upstream, message):
         if isinstance(message, Snapshot | Delta):
             simulated_messages.append((type(message).__name__, message.topic, len(encode(message))))
-        on_message(upstream, message)
+        receive_simulated_message(upstream, message)
 
     world.servers[0].on_message = record_simulated_message
     world.run(5)
@@ -321,17 +321,17 @@
             random.Random(3),
             lambda topic: None,
         )
-        receive = subscriber.upstream_message_received
+        receive_message = subscriber.upstream_message_received
 
         def record_socket_message(upstream, message):
             if isinstance(message, Snapshot | Delta):
                 socket_messages.append((type(message).__name__, message.topic, len(encode(message))))
-            receive(upstream, message)
+            receive_message(upstream, message)
 
         subscriber.upstream_message_received = record_socket_message
         subscriber.start(["service-0@", "service-0@0"])
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(WAIT):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 for number in range(5):
                     while len(socket_messages) < 2 + number:
                         await asyncio.sleep(0.01)
@@ -361,20 +361,21 @@
     process = await asyncio.create_subprocess_exec(
         *command(*arguments), cwd=ROOT, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE
     )
-    output, errors = await asyncio.wait_for(process.communicate(), 2 * WAIT)
+    output, errors = await asyncio.wait_for(process.communicate(), 2 * WAIT_LIMIT_S)
     return process.returncode, output.decode(), errors.decode()
 
 
 def test_a_relay_process_serves_watch_and_status_commands_and_stops_on_sigterm(tmp_path):
     async def scenario(installation: Installation) -> None:
         await installation.wait_until(lambda: installation.all_subscribers_have("0"))
-        listen = installation.relay_address
+        listen_address = installation.relay_address
         installation.relay.stop()  # The process started below replaces this relay.
         admin_socket = tmp_path / "relay.sock"
         file = tmp_path / "operator.toml"
         file.write_text(
-            f'[distribution]\nname = "relay-0"\ncluster = "test"\nlisten = "{listen}"\nowners = true\n'
-            f'admin = "{admin_socket}"\n[distribution.parents]\nowner-0 = "{installation.owner_address}"\n'
+            f'[distribution]\nname = "relay-0"\ncluster = "test"\nlisten = "{listen_address}"\n'
+            f'owners = true\nadmin = "{admin_socket}"\n[distribution.parents]\n'
+            f'owner-0 = "{installation.owner_address}"\n'
         )
         process = await asyncio.create_subprocess_exec(
             *command("relay", "--operator", str(file)), cwd=ROOT, stderr=asyncio.subprocess.PIPE
@@ -382,17 +383,19 @@
         try:
             installation.publish_setting("7")
             await installation.wait_until(lambda: installation.all_subscribers_have("7"))
-            code, output, _ = await run_command("watch", listen, "s@", "--cluster", "test", "--count", "1")
-            line = json.loads(output)
-            assert code == 0 and line["topic"] == "s@" and line["epoch"] == 1
-            assert line["entries"] == {"c:x": {"value": "7"}}
-            code, output, _ = await run_command("status", "--admin", str(admin_socket), "--json")
-            assert code == 0 and json.loads(output)["subscribers"] == 3
-            code, output, _ = await run_command("status", "--admin", str(admin_socket))
-            assert code == 0 and "relay-0 of test" in output and "connected" in output
+            exit_code, output, _ = await run_command(
+                "watch", listen_address, "s@", "--cluster", "test", "--count", "1"
+            )
+            printed_update = json.loads(output)
+            assert exit_code == 0 and printed_update["topic"] == "s@" and printed_update["epoch"] == 1
+            assert printed_update["entries"] == {"c:x": {"value": "7"}}
+            exit_code, output, _ = await run_command("status", "--admin", str(admin_socket), "--json")
+            assert exit_code == 0 and json.loads(output)["subscribers"] == 3
+            exit_code, output, _ = await run_command("status", "--admin", str(admin_socket))
+            assert exit_code == 0 and "relay-0 of test" in output and "connected" in output
         finally:
             process.send_signal(signal.SIGTERM)
-            _, errors = await asyncio.wait_for(process.communicate(), WAIT)
+            _, errors = await asyncio.wait_for(process.communicate(), WAIT_LIMIT_S)
         assert (
             process.returncode == 0
             and b"relay relay-0 listens at" in errors
@@ -447,8 +450,8 @@
 def test_an_invalid_distribution_table_is_rejected_with_its_key(tmp_path, text, message):
     file = tmp_path / "operator.toml"
     file.write_text(text)
-    code, _, errors = asyncio.run(run_command("relay", "--operator", str(file)))
-    assert code == 2 and message in errors
+    exit_code, _, errors = asyncio.run(run_command("relay", "--operator", str(file)))
+    assert exit_code == 2 and message in errors
 
 
 def test_load_reports_reach_the_owner_and_its_table_avoids_a_failing_endpoint():
@@ -488,7 +491,7 @@
         for subscriber in subscription_services:
             subscriber.start(["s@", "s@0"])
         try:
-            async with asyncio.timeout(2 * WAIT):
+            async with asyncio.timeout(2 * WAIT_LIMIT_S):
                 for window in itertools.count(1):
                     await asyncio.sleep(0.1)
                     decisions.run_cycle(clock())
@@ -531,9 +534,9 @@
         operator = OperatorConfiguration(
             graphite=Graphite(receivers=[f"127.0.0.1:{carbon.port}"], every_s=1, prefix="shop")
         )
-        figures = RelayMetricsExport(operator, installation.relay, installation.loop)
+        metrics_export = RelayMetricsExport(operator, installation.relay, installation.loop)
         try:
-            paths = {
+            metric_paths = {
                 f"shop.relay-0.relay.{name}"
                 for name in (
                     "subscribers",
@@ -545,7 +548,7 @@
                     "bytes_per_s",
                 )
             }
-            await installation.wait_until(lambda: {path for path, _ in carbon.points} >= paths)
+            await installation.wait_until(lambda: {path for path, _ in carbon.points} >= metric_paths)
             last_values = {
                 path: value
                 for (path, _), value in sorted(carbon.points.items(), key=lambda point: point[0][1])
@@ -559,7 +562,7 @@
                 lambda: any(value > 0 for (path, _), value in carbon.points.items() if path == bytes_path)
             )
         finally:
-            figures.stop()
+            metrics_export.stop()
             await carbon.stop()
 
     run_on_sockets(scenario)
--- a/tests/distribution/test_distribution_world.py
+++ b/tests/distribution/test_distribution_world.py
@@ -14,7 +14,7 @@
 from standins.distribution.schedules import BREAKS, Schedule, play
 from standins.distribution.world import DistributionSize, SimulatedDistribution, Violation
 
-SCHEDULES = 100
+SCHEDULE_COUNT = 100
 HOUR = 3600.0
 
 
@@ -261,7 +261,7 @@
 def broken_schedules(name: str = "") -> dict[int, Violation]:
     """Return the first violation of each schedule that has one, by seed."""
     with ProcessPoolExecutor(min(8, os.cpu_count() or 1)) as pool:
-        results = pool.map(play, [Schedule(seed, name) for seed in range(SCHEDULES)], chunksize=4)
+        results = pool.map(play, [Schedule(seed, name) for seed in range(SCHEDULE_COUNT)], chunksize=4)
         return {seed: violations[0] for seed, violations in enumerate(results) if violations}
 
 
--- a/tests/distribution/test_service_decisions.py
+++ b/tests/distribution/test_service_decisions.py
@@ -29,7 +29,7 @@
 
 SECOND = 1_000_000
 NOW = 1000 * SECOND
-NAMES = [f"e{n}" for n in range(4)]
+ENDPOINT_NAMES = [f"e{n}" for n in range(4)]
 
 
 class OwnerWithDecisions:
@@ -37,14 +37,14 @@
 
     def __init__(self):
         self.now = NOW
-        self.service = ServiceConfiguration(
-            {name: EndpointEntry(0, True, 1.0) for name in NAMES}, {"team": "orders"}
+        self.configuration = ServiceConfiguration(
+            {name: EndpointEntry(0, True, 1.0) for name in ENDPOINT_NAMES}, {"team": "orders"}
         )
-        self.decisions = ServiceDecisions(SETTINGS, lambda service: self.service, 1)
+        self.decisions = ServiceDecisions(SETTINGS, lambda service: self.configuration, 1)
         self.owner = ServiceOwner("a", 1, 8, self.decisions.content, [], random.Random(1), NOW)
         self.decisions.attach(self.owner)
         self.owner.distributor.add_subscriber(NOW, "relay")
-        self.reports = 0
+        self.report_count = 0
 
     def acquire_service(self, epoch: int = 5) -> "OwnerWithDecisions":
         self.owner.acquire(self.now, "s", PublicationLease(epoch, NOW + 10_000 * SECOND))
@@ -56,8 +56,8 @@
         return self
 
     def change_endpoints(self, **changed_endpoints: EndpointEntry) -> None:
-        self.service = ServiceConfiguration(
-            {**self.service.endpoints, **changed_endpoints}, self.service.settings
+        self.configuration = ServiceConfiguration(
+            {**self.configuration.endpoints, **changed_endpoints}, self.configuration.settings
         )
 
     def run(self, seconds: float, failing_endpoint: str = "") -> "OwnerWithDecisions":
@@ -71,16 +71,22 @@
 
     def report(self, failing_endpoint: str) -> None:
         """Report the load of zone 0 in one second, in which all attempts at one endpoint fail."""
-        self.reports += 1
+        self.report_count += 1
         load_by_endpoint = {
             name: EndpointLoad(
                 50, 50 if name == failing_endpoint else 0, 0 if name == failing_endpoint else 50 * 200_000
             )
-            for name in NAMES
+            for name in ENDPOINT_NAMES
         }
         self.decisions.add_load_report(
             ZoneLoadReport(
-                "s", 0, self.now // SECOND, "relay#1", self.reports, load_by_endpoint, {0: GroupDemand(200)}
+                "s",
+                0,
+                self.now // SECOND,
+                "relay#1",
+                self.report_count,
+                load_by_endpoint,
+                {0: GroupDemand(200)},
             )
         )
 
@@ -100,7 +106,7 @@
 
 def test_tables_follow_the_load_reports():
     controller = OwnerWithDecisions().acquire_service().subscribe(0).run(1)
-    assert controller.table() == dict.fromkeys(NAMES, 250.0)
+    assert controller.table() == dict.fromkeys(ENDPOINT_NAMES, 250.0)
     controller.run(20, failing_endpoint="e2")
     table = controller.table()
     assert table["e2"] < 0.2 * table["e1"] and controller.owner.topics[zone_topic("s", 0)].version.epoch == 5
@@ -110,7 +116,7 @@
 def test_a_report_that_arrives_twice_is_counted_once():
     controller = OwnerWithDecisions().acquire_service().subscribe(0).run(1)
     controller.report("e1")
-    controller.reports -= 1
+    controller.report_count -= 1
     controller.report("e1")
     assert controller.decisions.aggregator.duplicate_count == 1
 
@@ -137,7 +143,9 @@
     assert controller.table() == {"e0": 900.0, "e1": 60.0, "e2": 40.0}
     assert controller.owner.topics[zone_topic("s", 0)].version.epoch == 5
     controller.run(12, failing_endpoint="e0")
-    assert controller.table()["e0"] < controller.table()["e1"] and set(controller.table()) == set(NAMES)
+    assert controller.table()["e0"] < controller.table()["e1"] and set(controller.table()) == set(
+        ENDPOINT_NAMES
+    )
 
 
 def test_without_load_reports_the_inherited_table_is_replaced_after_the_longer_warm_up():
@@ -148,7 +156,7 @@
         .run(WARM_UP_WITHOUT_REPORTS_US / SECOND - 1)
     )
     assert controller.table() == {"e0": 900.0, "e1": 100.0}
-    assert controller.run(2).table() == dict.fromkeys(NAMES, 250.0)
+    assert controller.run(2).table() == dict.fromkeys(ENDPOINT_NAMES, 250.0)
 
 
 @pytest.mark.parametrize(
@@ -169,7 +177,7 @@
     # Nothing is published before there is a table.
     assert controller.owner.topics[zone_topic("s", 0)].version == NEVER
     controller.run(1)
-    for name in NAMES:
+    for name in ENDPOINT_NAMES:
         controller.change_endpoints(**{name: EndpointEntry(0, False, 1.0)})
     assert controller.run(3).table()
 
--- a/tests/leadership/test_cluster_processes.py
+++ b/tests/leadership/test_cluster_processes.py
@@ -193,8 +193,8 @@
             assert [member["met"] for member in status["members"]] == [True] * 3
             assert len(status["shards"]) >= 3
             assert "incarnation 1" in (await run_controllers_command(socket, "status"))[1]
-            code, output = await run_controllers_command(socket, "handover", "--to", "nobody")
-            assert code == 2 and "expected one of c1, c2" in output
+            exit_code, output = await run_controllers_command(socket, "handover", "--to", "nobody")
+            assert exit_code == 2 and "expected one of c1, c2" in output
             assert (await run_controllers_command(socket, "drain"))[0] == 0
             await installation.wait_until(lambda: not installation.served_proxies("c0"), 15)
             issue_certificates(tmp_path, "c0", "c1", "c2")
--- a/tests/leadership/test_member.py
+++ b/tests/leadership/test_member.py
@@ -74,23 +74,23 @@
 
 
 @pytest.mark.parametrize(
-    "attribute, max_held",
+    "attribute, max_shard_count",
     [pytest.param("loop_delay_us", 1, id="late event loop"), pytest.param("is_draining", 0, id="draining")],
 )
-def test_a_member_hands_shards_over_while_its_event_loop_is_late_or_it_drains(attribute, max_held):
+def test_a_member_hands_shards_over_while_its_event_loop_is_late_or_it_drains(attribute, max_shard_count):
     cluster = ThreeMembers(shards=12, stability_period_us=SECOND).run(6)
-    counts = [len(member.held_shards()) for member in cluster.members]
-    assert sum(counts) == 12 and min(counts) >= 3
+    shard_counts = [len(member.held_shards()) for member in cluster.members]
+    assert sum(shard_counts) == 12 and min(shard_counts) >= 3
     is_late = attribute == "loop_delay_us"
     value = 10 * cluster.configuration.loop_delay_limit_us if is_late else True
     setattr(cluster.members[0], attribute, value)
     cluster.run(4)
-    assert len(cluster.members[0].held_shards()) <= max_held
+    assert len(cluster.members[0].held_shards()) <= max_shard_count
     assert sum(len(member.held_shards()) for member in cluster.members) == 12
 
 
 def test_a_member_with_an_empty_disk_reads_a_quorum_before_it_votes(cluster):
-    promised_terms = [vote.promised_term for vote in cluster.members[2].votes]
+    earlier_terms = [vote.promised_term for vote in cluster.members[2].votes]
     restarted_member = cluster.restart_with_empty_disk(2, seed=9)
     cluster.partitioned_pairs |= {(0, 2), (2, 0)}
     cluster.run(3)
@@ -101,7 +101,7 @@
     assert not restarted_member.is_recovering
     assert all(
         vote.promised_term >= earlier_term
-        for vote, earlier_term in zip(restarted_member.votes, promised_terms, strict=True)
+        for vote, earlier_term in zip(restarted_member.votes, earlier_terms, strict=True)
     )
 
 
--- a/tests/leadership/test_peer_connections.py
+++ b/tests/leadership/test_peer_connections.py
@@ -18,7 +18,7 @@
 from ravenshelf.state.counters import Counters
 
 TEST_LIMIT_S = 90
-AGREED = [8, 400_000, 3]
+AGREED_SETTINGS = [8, 400_000, 3]
 
 
 class FakeTransport:
@@ -64,10 +64,18 @@
 @pytest.mark.parametrize(
     "hello, reason",
     [
-        pytest.param(["hello", 9, "loopback", "c1", 1, AGREED], "expected hello in version", id="version"),
-        pytest.param(["hello", 1, "other", "c1", 1, AGREED], "expected cluster loopback", id="cluster"),
-        pytest.param(["hello", 1, "loopback", "c7", 1, AGREED], "expected another of", id="unknown name"),
-        pytest.param(["hello", 1, "loopback", "c0", 1, AGREED], "expected another of", id="own name"),
+        pytest.param(
+            ["hello", 9, "loopback", "c1", 1, AGREED_SETTINGS], "expected hello in version", id="version"
+        ),
+        pytest.param(
+            ["hello", 1, "other", "c1", 1, AGREED_SETTINGS], "expected cluster loopback", id="cluster"
+        ),
+        pytest.param(
+            ["hello", 1, "loopback", "c7", 1, AGREED_SETTINGS], "expected another of", id="unknown name"
+        ),
+        pytest.param(
+            ["hello", 1, "loopback", "c0", 1, AGREED_SETTINGS], "expected another of", id="own name"
+        ),
         pytest.param(
             ["hello", 1, "loopback", "c1", 1, [9, 400_000, 3]],
             "expected shards, lease and members",
@@ -84,9 +92,11 @@
         connections = leadership.connections
         link = new_link(leadership)
         assert reason in connections.hello_received(link, hello)
-        assert connections.hello_received(link, ["hello", 1, "loopback", "c1", 5, AGREED]) is None
+        assert connections.hello_received(link, ["hello", 1, "loopback", "c1", 5, AGREED_SETTINGS]) is None
         earlier_link = new_link(leadership)
-        rejection = connections.hello_received(earlier_link, ["hello", 1, "loopback", "c1", 4, AGREED])
+        rejection = connections.hello_received(
+            earlier_link, ["hello", 1, "loopback", "c1", 4, AGREED_SETTINGS]
+        )
         assert "incarnation 5 or later" in rejection
 
     run_with_leadership(test)
@@ -122,9 +132,9 @@
     ],
 )
 def test_a_list_that_is_not_a_message_raises_an_error(message):
-    with pytest.raises(message_codec.MalformedMessageError) as raised:
+    with pytest.raises(message_codec.MalformedMessageError) as error_info:
         message_codec.decode(message)
-    assert raised.value.message == message
+    assert error_info.value.message == message
 
 
 def test_a_command_begins_with_its_term():
@@ -177,7 +187,7 @@
     ],
 )
 def test_an_unusable_leadership_table_is_rejected_with_the_reason(tables, reason):
-    with pytest.raises(OperatorConfigurationError) as raised:
+    with pytest.raises(OperatorConfigurationError) as error_info:
         decode(tables, "f")
-    assert reason in str(raised.value)
-    assert "f: " in str(raised.value)  # the name of the file
+    assert reason in str(error_info.value)
+    assert "f: " in str(error_info.value)  # the name of the file
--- a/tests/leadership/test_shard_placement.py
+++ b/tests/leadership/test_shard_placement.py
@@ -30,9 +30,11 @@
 
 def test_a_returning_member_gets_its_share_and_no_other_shard_migrates():
     holders = place_shards([None] * 60, {0: 1.0, 1: 1.0})
-    after = place_shards(holders, {0: 1.0, 1: 1.0, 2: 1.0})
-    assert 19 <= after.count(2) <= 20
-    assert sum(new != old for new, old in zip(after, holders, strict=True)) == after.count(2)
+    new_holders = place_shards(holders, {0: 1.0, 1: 1.0, 2: 1.0})
+    assert 19 <= new_holders.count(2) <= 20
+    assert sum(
+        new_holder != holder for new_holder, holder in zip(new_holders, holders, strict=True)
+    ) == new_holders.count(2)
 
 
 @pytest.mark.parametrize(
--- a/tests/leadership/test_shard_records.py
+++ b/tests/leadership/test_shard_records.py
@@ -17,14 +17,18 @@
     }
     record = Record.unpack(msgspec.msgpack.encode(fields))
     record.retries["k2"] = 1
-    packed = msgspec.msgpack.decode(record.pack())
-    assert packed["quotas"] == {"t": 7} and packed["v"] == 3 and set(packed["tries"]) == {"k", "k2"}
+    written_fields = msgspec.msgpack.decode(record.pack())
+    assert (
+        written_fields["quotas"] == {"t": 7}
+        and written_fields["v"] == 3
+        and set(written_fields["tries"]) == {"k", "k2"}
+    )
 
 
 def test_fields_that_an_earlier_version_lacks_are_empty():
-    earlier = msgspec.msgpack.encode({"v": 1, "tries": {}, "levels": {}, "drains": {"s": 4}})
-    assert Record.unpack(earlier).drained_at == {"s": 4}
-    assert Record.unpack(earlier).warming_since == {}
+    packed_record = msgspec.msgpack.encode({"v": 1, "tries": {}, "levels": {}, "drains": {"s": 4}})
+    assert Record.unpack(packed_record).drained_at == {"s": 4}
+    assert Record.unpack(packed_record).warming_since == {}
 
 
 def test_a_shard_that_had_no_holder_yet_has_an_empty_record():
@@ -42,6 +46,6 @@
     ],
 )
 def test_bytes_that_are_not_a_record_raise_an_error(data):
-    with pytest.raises(UnreadableRecordError) as raised:
+    with pytest.raises(UnreadableRecordError) as error_info:
         Record.unpack(data)
-    assert raised.value.data == data
+    assert error_info.value.data == data
