--- a/standins/carbon.py
+++ b/standins/carbon.py
@@ -1,8 +1,9 @@
-"""A test double of a carbon receiver: each connection in turn has a behaviour, such as to stop reading.
+"""A test double of a carbon receiver whose connections behave in chosen ways, such as to stop reading.
 
     CarbonReceiver([StopReading(after_bytes=100), AcceptAll()])  # only the first connection stops
 
-It keeps what carbon would keep: complete lines or frames, and a point that comes twice overwrites itself.
+It stores what carbon would store: the points of complete lines or frames, where a point that is received
+again replaces the earlier one.
 """
 
 import asyncio
@@ -19,68 +20,68 @@
 
 
 class Behaviour(Protocol):
-    """How one connection behaves."""
+    """The behaviour of one connection."""
 
     async def allowed_bytes(self, received_bytes: int) -> int:
-        """Return how much to read next, after `received_bytes`; 0: no more."""
+        """Return the most bytes to read next after `received_bytes`, or 0 to read no more."""
 
     async def end(self, writer: asyncio.StreamWriter) -> None:
-        """Do what follows when no more is read; the connection is closed afterwards."""
+        """End the connection after the last read; the receiver closes it afterwards."""
 
 
 @dataclass(frozen=True)
 class AcceptAll:
-    """Reads everything."""
+    """Behaviour of a connection that reads everything."""
 
     async def allowed_bytes(self, received_bytes: int) -> int:
-        """Allow more whatever was received."""
+        """Return the size of a full read."""
         del received_bytes
         return READ_BYTES
 
     async def end(self, writer: asyncio.StreamWriter) -> None:
-        """Never called."""
+        """Do nothing; this behaviour never stops reading."""
 
 
 @dataclass(frozen=True)
 class ReadSlowly:
-    """Reads a few bytes in each second."""
+    """Behaviour of a connection that reads a few bytes per second."""
 
     bytes_per_s: int = 1
 
     async def allowed_bytes(self, received_bytes: int) -> int:
-        """Return the bytes of a second after it has passed."""
+        """Wait a second, and return the bytes to read in it."""
         del received_bytes
         await asyncio.sleep(1)
         return self.bytes_per_s
 
     async def end(self, writer: asyncio.StreamWriter) -> None:
-        """Never called."""
+        """Do nothing; this behaviour never stops reading."""
 
 
 @dataclass(frozen=True)
 class _ReadUntil:
-    """Reads `after_bytes` and then ends."""
+    """Behaviour of a connection that reads `after_bytes` bytes and then ends."""
 
     after_bytes: int = 0
 
     async def allowed_bytes(self, received_bytes: int) -> int:
-        """Return what is left of the bytes."""
+        """Return the remaining number of bytes."""
         return max(0, self.after_bytes - received_bytes)
 
 
 @dataclass(frozen=True)
 class StopReading(_ReadUntil):
-    """Stops reading and keeps the connection open."""
+    """Behaviour of a connection that stops reading and stays open."""
 
     async def end(self, writer: asyncio.StreamWriter) -> None:
-        """Wait for ever."""
+        """Stop reading, and wait until the connection is cancelled."""
         writer.transport.pause_reading()
         await asyncio.Event().wait()
 
 
 @dataclass(frozen=True)
 class ResetConnection(_ReadUntil):
-    """Resets the connection."""
+    """Behaviour of a connection that is reset."""
 
     async def end(self, writer: asyncio.StreamWriter) -> None:
         """Reset the connection."""
@@ -90,18 +91,22 @@
 
 @dataclass(frozen=True)
 class CloseConnection(_ReadUntil):
-    """Closes the connection in good order."""
+    """Behaviour of a connection that is closed orderly."""
 
     async def end(self, writer: asyncio.StreamWriter) -> None:
-        """Leave the close to the caller."""
+        """Do nothing; the receiver closes the connection."""
 
 
 class CarbonReceiver:
-    """A receiver on a loopback port; the last behaviour is for all further connections.
-
-    `points` has the values by (path, time). Counted are `duplicate_count`, connections that ended within a
-    line or frame (`truncated_count`), `connection_count` and `bytes_received`; `malformed_lines` has the
-    lines that carbon would ignore.
+    """A carbon receiver on a loopback port.
+
+    Attributes:
+        points: Values by path and time (seconds since 1970).
+        duplicate_count: Number of points that were received again.
+        truncated_count: Number of connections that ended within a line or frame.
+        connection_count: Number of connections since the start.
+        bytes_received: Number of bytes received on all connections.
+        malformed_lines: Lines that carbon would ignore.
     """
 
     def __init__(
@@ -110,6 +115,14 @@
         protocol: str = "plaintext",
         buffer_bytes: int = 4096,
     ) -> None:
+        """Create a receiver, which `start` opens.
+
+        Args:
+            behaviours: The behaviours of the connections in their order; the last one is also that of all
+                further connections.
+            protocol: `plaintext` or `pickle`.
+            buffer_bytes: Size of the receive buffers.
+        """
         self.behaviours = list(behaviours)
         self.protocol = protocol
         self.buffer_bytes = buffer_bytes
@@ -125,23 +138,23 @@
         self.change_event = asyncio.Event()
 
     async def start(self) -> "CarbonReceiver":
-        """Listen on a port that the system chooses, and on the same one again after `stop`."""
-        listening = socket.socket()
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        # before bind: accepted connections inherit it
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, self.buffer_bytes)
-        listening.bind(("127.0.0.1", self.port))
-        self.port = listening.getsockname()[1]
-        self.server = await asyncio.start_server(self._serve, sock=listening, limit=self.buffer_bytes)
+        """Listen on a port that the system chooses, or, after `stop`, on the same port again."""
+        listening_socket = socket.socket()
+        listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        # Accepted connections inherit this option only if it is set before `bind`.
+        listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, self.buffer_bytes)
+        listening_socket.bind(("127.0.0.1", self.port))
+        self.port = listening_socket.getsockname()[1]
+        self.server = await asyncio.start_server(self._serve, sock=listening_socket, limit=self.buffer_bytes)
         return self
 
     @property
     def address(self) -> str:
-        """The address that it listens on."""
+        """The address of the receiver as host:port."""
         return f"127.0.0.1:{self.port}"
 
     async def stop(self) -> None:
-        """Refuse connections from now on; open ones are reset."""
+        """Refuse new connections and reset the open ones."""
         if self.server is not None:
             self.server.close()
         for writer in list(self.open_writers):
@@ -150,7 +163,11 @@
         await asyncio.sleep(0)
 
     async def wait_until(self, condition: Callable[[], bool], timeout_s: float = 20) -> None:
-        """Wait until `condition()` holds, which is checked after each piece that is received."""
+        """Wait until `condition()` is true, which is checked after each read and each change of a connection.
+
+        Raises:
+            TimeoutError: The condition is still false after `timeout_s` seconds.
+        """
         async with asyncio.timeout(timeout_s):
             while not condition():
                 self.change_event.clear()
@@ -161,38 +178,38 @@
         self.connection_count += 1
         self.open_writers.add(writer)
         self.change_event.set()
-        incomplete = b""
-        received = 0
+        incomplete_data = b""
+        received_bytes = 0
         try:
-            while allowed_bytes := await behaviour.allowed_bytes(received):
+            while allowed_bytes := await behaviour.allowed_bytes(received_bytes):
                 data = await reader.read(allowed_bytes)
                 if not data:
                     return
-                received += len(data)
+                received_bytes += len(data)
                 self.bytes_received += len(data)
-                incomplete = self._decode(incomplete + data)
+                incomplete_data = self._decode(incomplete_data + data)
                 self.change_event.set()
             await behaviour.end(writer)
         except (ConnectionError, asyncio.CancelledError):
             pass
         finally:
-            self.truncated_count += bool(incomplete)
+            self.truncated_count += bool(incomplete_data)
             self.open_writers.discard(writer)
             writer.close()
             self.change_event.set()
 
     def _decode(self, data: bytes) -> bytes:
-        """Take the points of complete lines or frames and return the rest."""
+        """Store the points of complete lines or frames, and return the remaining bytes."""
         if self.protocol == "pickle":
             return self._decode_frames(data)
-        *lines, rest = data.split(b"\n")
+        *lines, incomplete_line = data.split(b"\n")
         for line in lines:
             try:
                 path, value, time = line.decode("ascii").split(" ")
-                self._add(path, int(time), float(value))
+                self._add_point(path, int(time), float(value))
             except ValueError:
                 self.malformed_lines.append(line)
-        return rest
+        return incomplete_line
 
     def _decode_frames(self, data: bytes) -> bytes:
         while len(data) >= FRAME_HEADER_BYTES:
@@ -201,10 +218,10 @@
             if len(data) < frame_end:
                 break
             for path, (time, value) in pickle.loads(data[FRAME_HEADER_BYTES:frame_end]):
-                self._add(path, time, value)
+                self._add_point(path, time, value)
             data = data[frame_end:]
         return data
 
-    def _add(self, path: str, time: int, value: float) -> None:
+    def _add_point(self, path: str, time: int, value: float) -> None:
         self.duplicate_count += (path, time) in self.points
         self.points[path, time] = value
--- a/standins/fenced_proxies.py
+++ b/standins/fenced_proxies.py
@@ -1,6 +1,7 @@
-"""Proxies with a stream to each of several controllers: they obey the highest term that they have seen.
+"""Proxies with a stream to each of several controllers, which reject commands of earlier terms.
 
-Each command, with its time and term, is passed to a callback, so that a checker can read it.
+Each applied command is passed to a callback together with its controller and term, so that a checker can read
+it.
 """
 
 import asyncio
@@ -10,7 +11,7 @@
 
 from standins.loopback import parse_words, update_table
 
-RECONNECT_DELAY = 0.1  # seconds
+RECONNECT_DELAY_S = 0.1
 
 CommandCallback = Callable[["FencedProxy", int, int, dict[str, str]], None]
 
@@ -19,7 +20,7 @@
     """A proxy's stream to one controller."""
 
     def __init__(self, proxy: "FencedProxy", controller: int, end_future: asyncio.Future[None]):
-        """`end_future`: resolved when the stream has ended."""
+        """Create a stream; `end_future` is resolved when its connection is lost."""
         self.proxy = proxy
         self.controller = controller
         self.end_future = end_future
@@ -27,7 +28,7 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Called by the event loop."""
+        """Subscribe to the controller; called by the event loop."""
         self.transport = transport
         proxy = self.proxy
         transport.write(
@@ -36,18 +37,18 @@
         )
 
     def data_received(self, data: bytes) -> None:
-        """Called by the event loop."""
+        """Apply the complete lines that were received; called by the event loop."""
         *lines, self.incomplete_line = (self.incomplete_line + data).split(b"\r\n")
         for line in lines:
             self.proxy.apply_line(self, line.decode())
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Called by the event loop."""
+        """Resolve `end_future`; called by the event loop."""
         if not self.end_future.done():
             self.end_future.set_result(None)
 
     def write(self, line: str) -> None:
-        """Write a line, if connected."""
+        """Write a line, or nothing if the stream is not connected."""
         if self.transport is not None:
             self.transport.write(line.encode())
 
@@ -57,7 +58,16 @@
 
 
 class FencedProxy:
-    """A proxy that rejects commands of earlier terms, and counts them in `rejected_count`."""
+    """A proxy that rejects commands of earlier terms.
+
+    Attributes:
+        term: The highest term so far.
+        rejected_count: Number of rejected commands.
+        owner: Number of the controller whose command was applied last, or None.
+        levels: Admission level and retry mode by traffic group.
+        complete_table_at: Time of the last complete table, by the monotonic clock in seconds.
+        streams: The open streams by controller.
+    """
 
     def __init__(
         self,
@@ -68,8 +78,17 @@
         has_fencing: bool = True,
         on_command: CommandCallback = _ignore_command,
     ):
-        """`controllers`: host:port; `on_command`: called with (proxy, controller, term, words) of each
-        command."""
+        """Create a proxy; `run` connects it.
+
+        Args:
+            number: Number of the proxy.
+            zone: Zone of the proxy.
+            controllers: Addresses of the controllers as host:port.
+            nominal_rate: Requests per second that the proxy announces.
+            has_fencing: Whether commands of earlier terms are rejected.
+            on_command: Function that is called with the proxy, controller, term and words of each applied
+                command.
+        """
         self.number = number
         self.zone = zone
         self.nominal_rate = nominal_rate
@@ -78,12 +97,12 @@
         self.controllers = controllers
         self.term = 0
         self.rejected_count = 0
-        self.owner: int | None = None  # the controller whose command was applied last
+        self.owner: int | None = None
         self.table: dict[str, float] = {}
         self.ejected_endpoints: set[str] = set()
-        self.levels: dict[str, tuple[float, int]] = {}  # by traffic group: level and retry mode
-        self.complete_table_at = 0.0  # time of the last complete table, by the monotonic clock
-        self.streams: dict[int, ProxyStream] = {}  # by controller
+        self.levels: dict[str, tuple[float, int]] = {}
+        self.complete_table_at = 0.0
+        self.streams: dict[int, ProxyStream] = {}
 
     async def run(self) -> None:
         """Keep all streams open until cancelled."""
@@ -99,10 +118,10 @@
                 self.streams[controller] = stream
                 await stream.end_future
             self.streams.pop(controller, None)
-            await asyncio.sleep(RECONNECT_DELAY)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
     def apply_line(self, stream: ProxyStream, line: str) -> None:
-        """Apply a line of a stream, unless its term is an earlier one; acknowledge it if requested."""
+        """Apply a line of a stream, unless it is of an earlier term, and acknowledge it if requested."""
         words = parse_words(line)
         term = int(words.get("term", 0))
         if self.has_fencing and term < self.term:
@@ -122,7 +141,13 @@
         self.on_command(self, stream.controller, term, words)
 
     def report_demand(self, group: str, requests: int, unanswered: int = 0) -> None:
-        """Report the requests of a traffic group in the last second to all controllers."""
+        """Report the requests of a traffic group in the last second to all controllers.
+
+        Args:
+            group: Name of the traffic group.
+            requests: Number of requests.
+            unanswered: Number of requests without an answer.
+        """
         for stream in self.streams.values():
             stream.write(
                 f"RATE proxy={self.number} class={group} tries={requests} failed={unanswered} "
--- a/standins/loopback.py
+++ b/standins/loopback.py
@@ -1,7 +1,7 @@
-"""Test doubles of all that a control-plane server talks to, on loopback sockets.
+"""Test doubles of all peers of a control-plane server, on loopback sockets.
 
-The endpoint registry with its watch, proxies that hold tables, a collector that reports their load, and
-endpoints that answer: a small installation for examples, benchmarks and tests.
+They are the endpoint registry with its watch, proxies with tables, a collector that reports the load of
+endpoints, and endpoints that respond. Examples, benchmarks and tests build small installations from them.
 """
 
 import asyncio
@@ -11,13 +11,16 @@
 from collections.abc import Callable
 from typing import Any
 
-KEEPALIVE_INTERVAL = 2  # seconds between empty lines of a watch
-RECONNECT_DELAY = 0.2  # seconds
-MAX_CHANGES = 1000  # that a watch can catch up on
+KEEPALIVE_INTERVAL_S = 2  # time between empty lines of a watch
+RECONNECT_DELAY_S = 0.2
+MAX_CHANGES = 1000  # the latest changes, which are kept for watches that fall behind
 
 
 class LoopbackRegistry:
-    """The endpoint list and its watch; `change_endpoint` notifies all watches at once."""
+    """An endpoint registry: it serves the endpoint list, and watches that report its changes.
+
+    `watch_count` is the number of watches that were opened in total.
+    """
 
     def __init__(self, entries: list[dict[str, Any]]):
         self.entries = {entry["uid"]: entry for entry in entries}
@@ -25,16 +28,16 @@
         self.changes: list[tuple[int, dict[str, Any]]] = []  # revision and changed entry
         self.change_condition = asyncio.Condition()
         self.server: asyncio.Server | None = None
-        self.watch_count = 0  # opened in total
+        self.watch_count = 0
 
     async def start(self, port: int = 0) -> "LoopbackRegistry":
-        """Listen; port 0 is chosen by the system."""
+        """Listen on a port; with port 0 the system chooses one."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         return self
 
     @property
     def address(self) -> str:
-        """host:port."""
+        """The address of the registry as host:port."""
         assert self.server is not None, "start has not been called"
         return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
@@ -58,9 +61,9 @@
             chunk = line.encode() + b"\n"
             writer.write(b"%x\r\n%s\r\n" % (len(chunk), chunk))
             await writer.drain()
-            line = ""  # the keepalive
+            line = ""  # The next line is a keepalive, unless there is a change.
             try:
-                await asyncio.wait_for(self._changed_since(sent_revision), KEEPALIVE_INTERVAL)
+                await asyncio.wait_for(self._changed_since(sent_revision), KEEPALIVE_INTERVAL_S)
             except TimeoutError:
                 continue
             entries = [entry for revision, entry in self.changes if revision > sent_revision]
@@ -72,7 +75,16 @@
             await self.change_condition.wait_for(lambda: self.revision > revision)
 
     async def change_endpoint(self, uid: str, state: str, boot_ms: float = 0) -> float:
-        """Change an endpoint's state; return the time of the notification, by the monotonic clock."""
+        """Change an endpoint's state and notify all watches.
+
+        Args:
+            uid: Identifier of the endpoint.
+            state: The new state.
+            boot_ms: Time of the endpoint's start in milliseconds since 1970, or 0.
+
+        Returns:
+            The time of the notification, by the monotonic clock in seconds.
+        """
         async with self.change_condition:
             self.revision += 1
             entry = self.entries[uid] | {"state": state, "boot_ms": boot_ms}
@@ -84,19 +96,30 @@
 
 
 def parse_words(line: str) -> dict[str, str]:
-    """Return the key=value words of a line of a proxy's stream."""
+    """Return the key=value words of a line of a proxy's stream, without the first word of the line."""
     return dict(word.partition("=")[::2] for word in line.split()[1:])
 
 
-def update_table(words: dict[str, str], table: dict[str, float], ejected: set[str]) -> dict[str, float]:
-    """Return the table after a message's words; `ejected` is changed in place."""
-    updated = {} if "whole" in words else dict(table)
+def update_table(
+    words: dict[str, str], table: dict[str, float], ejected_endpoints: set[str]
+) -> dict[str, float]:
+    """Apply the words of a message to a proxy's table.
+
+    Args:
+        words: The words of the message.
+        table: The weights by endpoint before the message.
+        ejected_endpoints: The ejected endpoints, which are changed in place.
+
+    Returns:
+        The weights by endpoint after the message, without those of 0.
+    """
+    updated_table = {} if "whole" in words else dict(table)
     for pair in words.get("lines", "").split(",") if words.get("lines") else ():
         uid, _, weight = pair.partition(":")
-        updated[uid] = float(weight)
-    ejected |= set(filter(None, words.get("out", "").split(",")))
-    ejected -= set(words.get("back", "").split(","))
-    return {uid: weight for uid, weight in updated.items() if weight}
+        updated_table[uid] = float(weight)
+    ejected_endpoints |= set(filter(None, words.get("out", "").split(",")))
+    ejected_endpoints -= set(words.get("back", "").split(","))
+    return {uid: weight for uid, weight in updated_table.items() if weight}
 
 
 def _ignore_line(_proxy: "LoopbackProxy", _line: str) -> None:
@@ -104,7 +127,7 @@
 
 
 class LoopbackProxy:
-    """A proxy's stream: holds the table that it is sent, acknowledges, and reconnects."""
+    """A proxy that applies and acknowledges the commands of a server, and reconnects when its stream ends."""
 
     def __init__(
         self,
@@ -114,7 +137,15 @@
         nominal_rate: float = 40.0,
         on_line: Callable[["LoopbackProxy", str], None] = _ignore_line,
     ):
-        """`server_address`: returns host:port; `on_line`: called before a line is applied."""
+        """Create a proxy; `run` connects it.
+
+        Args:
+            server_address: Function that returns the address of the server as host:port.
+            number: Number of the proxy.
+            zone: Zone of the proxy.
+            nominal_rate: Requests per second that the proxy announces.
+            on_line: Function that is called with the proxy and each line, before the line is applied.
+        """
         self.server_address = server_address
         self.number = number
         self.zone = zone
@@ -136,7 +167,7 @@
                 )
                 while line := await reader.readline():
                     self.apply_line(line.decode())
-            await asyncio.sleep(RECONNECT_DELAY)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
     def apply_line(self, line: str) -> None:
         """Apply a line, and acknowledge it if requested."""
@@ -148,11 +179,18 @@
             self.writer.write(f"ACK proxy={self.number} mark={words['ticket']} took_ms=1\r\n".encode())
 
     def active_weights(self) -> dict[str, float]:
-        """Return the weights of the table without ejected endpoints."""
+        """Return the weights by endpoint, without those of ejected endpoints."""
         return {uid: weight for uid, weight in self.table.items() if uid not in self.ejected_endpoints}
 
     def report_demand(self, group: str, requests: int, unanswered: int = 0, window_ms: float = 1000) -> None:
-        """Report the requests of a traffic group, if connected."""
+        """Report the requests of a traffic group, or nothing if the proxy is not connected.
+
+        Args:
+            group: Name of the traffic group.
+            requests: Number of requests in the window.
+            unanswered: Number of requests without an answer.
+            window_ms: Length of the window.
+        """
         if self.writer is not None:
             self.writer.write(
                 f"RATE proxy={self.number} class={group} tries={requests} failed={unanswered} "
@@ -161,7 +199,7 @@
 
 
 class LoadReporter:
-    """A collector: reports the load of a zone's endpoints."""
+    """A collector that reports the load of the endpoints of a zone."""
 
     def __init__(
         self,
@@ -171,8 +209,16 @@
         interval: float = 1.0,
         endpoint_load: str = "inflight:1",
     ):
-        """`collect_loads`: returns (attempts, failed, mean ms) by endpoint since its last call; `interval`:
-        seconds."""
+        """Create a collector; `run` connects it.
+
+        Args:
+            server_address: Function that returns the address of the server as host:port.
+            zone: Zone of the endpoints.
+            collect_loads: Function that returns, by endpoint, the attempts and the failed attempts since its
+                last call, and their mean latency in milliseconds.
+            interval: Seconds between reports.
+            endpoint_load: The load that is reported of every endpoint.
+        """
         self.server_address = server_address
         self.zone = zone
         self.collect_loads = collect_loads
@@ -180,7 +226,7 @@
         self.endpoint_load = endpoint_load
 
     async def run(self) -> None:
-        """Report each interval until cancelled."""
+        """Report the loads at each interval until cancelled."""
         while True:
             try:
                 host, _, port = self.server_address().rpartition(":")
@@ -191,23 +237,26 @@
                     self._report(writer)
                     await writer.drain()
             except (ConnectionError, ValueError):
-                await asyncio.sleep(RECONNECT_DELAY)
+                await asyncio.sleep(RECONNECT_DELAY_S)
 
     def _report(self, writer: asyncio.StreamWriter) -> None:
-        for uid, (attempts, failed, mean) in self.collect_loads().items():
+        for uid, (attempts, failures, mean_ms) in self.collect_loads().items():
             writer.write(
-                f"LOAD zone={self.zone} server={uid} tries={attempts} failed={failed} "
-                f"span_ms={self.interval * 1000} mean_ms={mean:.1f} load={self.endpoint_load}\r\n".encode()
+                f"LOAD zone={self.zone} server={uid} tries={attempts} failed={failures} "
+                f"span_ms={self.interval * 1000} mean_ms={mean_ms:.1f} load={self.endpoint_load}\r\n".encode()
             )
 
 
-async def start_endpoint(answer_time: Callable[[], float], port: int = 0) -> asyncio.Server:
-    """Start an HTTP server that takes `answer_time()` seconds for each response."""
+async def start_endpoint(response_time: Callable[[], float], port: int = 0) -> asyncio.Server:
+    """Start an endpoint: an HTTP server that responds after `response_time()` seconds.
+
+    With port 0 the system chooses a port.
+    """
 
     async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             await reader.readuntil(b"\r\n\r\n")
-            await asyncio.sleep(answer_time())
+            await asyncio.sleep(response_time())
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ninflight=1")
         writer.close()
 
@@ -215,7 +264,7 @@
 
 
 def registry_entry(uid: str, zone: str, port: int = 9, weight: float = 1.0) -> dict[str, Any]:
-    """Return the registry's entry of an endpoint on loopback."""
+    """Return the endpoint registry's entry of an endpoint on loopback."""
     return {
         "uid": uid,
         "endpoint": f"127.0.0.1:{port}",
@@ -243,11 +292,16 @@
 def server_configuration(
     registry: str, zones: list[str], proxies: int, listen: str = "127.0.0.1:0", **service: Any
 ) -> dict[str, Any]:
-    """Return the configuration of a server in such an installation, with two traffic groups.
-
-    `registry` and `listen`: host:port; `service`: keys of `family-info` to set.
+    """Return the configuration of a server of such an installation, with two traffic groups.
+
+    Args:
+        registry: Address of the endpoint registry as host:port.
+        zones: Names of the zones.
+        proxies: Number of proxies.
+        listen: Address on which the server listens, as host:port.
+        service: Keys of `family-info` that differ from the defaults.
     """
-    family = {
+    service_defaults = {
         "lines-per-s": 1000,
         "most-waiting": 500,
         "envelope": 3,
@@ -265,7 +319,7 @@
         "discovery": "on_request",
         "weights": "rough",
         "classes": [dict(group) for group in _TRAFFIC_GROUPS],
-        "family-info": family | service,
+        "family-info": service_defaults | service,
         "telemetry": {"how": "answers", "columns": ["active"]},
         "limits": {"probing": True, "dial-timeout-ms": 250, "peer_messages": False},
         "rules": {"cold_share": 0.2, "fall_multiple": 4, "warm_after_ms": 15000},
