--- a/standins/fleet/__init__.py
+++ b/standins/fleet/__init__.py
@@ -1,8 +1,8 @@
 """Several control-plane servers in one small simulated fleet, on a simulated clock.
 
-Servers run their own control cycles, so what proxies hold comes from messages as written. `RateSimulation`
-has request rates that follow the tables at once; `RequestSimulation` draws every request and follows its
-attempts. Neither predicts how well a day would go.
+Every server runs the real control cycle, and proxies get their tables from the messages that it writes. In a
+`RateSimulation`, requests are rates that follow the tables at once; in a `RequestSimulation`, every request
+is drawn and its attempts are followed. Neither predicts how well a real deployment would perform.
 """
 
 from standins.fleet.parameters import Parameters
--- a/standins/fleet/budget.py
+++ b/standins/fleet/budget.py
@@ -1,8 +1,8 @@
-"""The budget of work that an endpoint in slow start may be sent, checked over every window. No I/O.
+"""The budget of work that may be sent to an endpoint in slow start, checked over every window of time.
 
-In any window of the rule's length, an endpoint that has just started may be sent at most `multiple` times its
-present capacity at the window's end, over the whole length. All work counts: rejected, failed and retried
-attempts too.
+In any window of the rule's length, the work sent to an endpoint that has just started may be at most
+`capacity_multiple` times the work that its present capacity at the end of the window would do over the whole
+window. All work counts, also that of rejected, failed and retried attempts. This module does no I/O.
 """
 
 from collections import deque
@@ -10,116 +10,159 @@
 from dataclasses import dataclass
 from math import sqrt
 
-SECOND = 1_000_000
-MIN_INFORMED_SHARE = 2 / 3  # of the work in a window, for the excess to count against the servers
+SECOND = 1_000_000  # in microseconds
+MIN_INFORMED_SHARE = 2 / 3  # the least share of a window's work by informed senders that makes a violation
 
 
 @dataclass(frozen=True)
 class BudgetRule:
-    """The rule's parameters; `deviations` standard deviations of a Poisson count are allowed for chance."""
+    """The parameters of the budget.
 
-    multiple: float
-    window: int  # microseconds
-    deviations: float = 0.0
-    mean_work: float = 0.0  # seconds of work of one attempt, weighted by work
+    Attributes:
+        capacity_multiple: The allowed work, relative to the work that the endpoint can do in a window.
+        window: The length of a window in microseconds.
+        allowed_deviations: The allowance for chance, in standard deviations of a Poisson count.
+        mean_work: The seconds of work of one attempt, averaged with the work as weight.
+    """
+
+    capacity_multiple: float
+    window: int
+    allowed_deviations: float = 0.0
+    mean_work: float = 0.0
 
 
 @dataclass(frozen=True)
 class ColdStart:
-    """A start of an endpoint: its capacity rises linearly from the cold share to the full within
-    `warm_up_time`."""
+    """A start of an endpoint.
+
+    Its capacity rises linearly from the cold capacity share to its full capacity within `warm_up_time`.
+
+    Attributes:
+        endpoint: The name of the endpoint.
+        started_at: The time of the start in microseconds.
+        warm_up_time: The length of the slow start in microseconds.
+        cold_capacity_share: The share of its capacity that it has at the start.
+        capacity: The seconds of work a second that it can do once it is warm.
+    """
 
     endpoint: str
-    started: int
+    started_at: int
     warm_up_time: int
     cold_capacity_share: float
-    capacity: float  # seconds of work a second when warm
+    capacity: float
 
-    def capacity_share(self, at: int) -> float:
-        """Return the share of the capacity that it has reached."""
-        passed = min(1.0, max(0.0, (at - self.started) / self.warm_up_time))
-        return self.cold_capacity_share + (1 - self.cold_capacity_share) * passed
+    def capacity_share(self, time: int) -> float:
+        """Return the share of the full capacity that the endpoint has reached."""
+        elapsed_share = min(1.0, max(0.0, (time - self.started_at) / self.warm_up_time))
+        return self.cold_capacity_share + (1 - self.cold_capacity_share) * elapsed_share
 
-    def present_capacity(self, at: int) -> float:
-        """Return the seconds of work a second that it can do."""
-        return self.capacity * self.capacity_share(at)
+    def present_capacity(self, time: int) -> float:
+        """Return the seconds of work a second that the endpoint can do."""
+        return self.capacity * self.capacity_share(time)
 
-    def covers(self, at: int) -> bool:
-        """Return whether it is in slow start."""
-        return self.started <= at < self.started + self.warm_up_time
+    def is_in_slow_start(self, time: int) -> bool:
+        """Return whether the endpoint is in slow start."""
+        return self.started_at <= time < self.started_at + self.warm_up_time
 
 
 @dataclass(frozen=True)
 class SentWork:
-    """Work of one attempt. `informed`: the sender knew of the start, by its last message or by its server."""
+    """The work of one attempt at an endpoint.
+
+    Attributes:
+        sent_at: The time of the attempt in microseconds.
+        work: The work in seconds.
+        is_informed: Whether the sender knew of the start, by the last message to it or through its server.
+        is_retry: Whether the attempt was a retry.
+    """
 
-    at: int
+    sent_at: int
     work: float
-    informed: bool
-    repeated: bool = False
+    is_informed: bool
+    is_retry: bool = False
 
 
 @dataclass(frozen=True)
 class Excess:
-    """A window in which an endpoint was sent more than its budget."""
+    """A window in which more work was sent to an endpoint than its budget allows.
+
+    Attributes:
+        endpoint: The name of the endpoint.
+        window_end: The end of the window in microseconds.
+        age: The microseconds from the start of the endpoint to the end of the window.
+        ratio: The work sent, relative to the work that the endpoint could do in the window.
+        informed_share: The share of the sent work that came from informed senders.
+        retry_share: The share of the sent work that came from retries.
+    """
 
     endpoint: str
-    at: int  # the window's end
-    age: int  # of the endpoint at that time
-    ratio: float  # work sent over what it could do in the window
-    informed_share: float  # of that work
-    repeated_share: float
+    window_end: int
+    age: int
+    ratio: float
+    informed_share: float
+    retry_share: float
 
     @property
-    def violates(self) -> bool:
-        """Whether the excess counts against the servers."""
+    def is_violation(self) -> bool:
+        """Whether the servers are responsible for the excess."""
         return self.informed_share >= MIN_INFORMED_SHARE
 
 
-def budget(rule: BudgetRule, capacity: float) -> float:
-    """Return the work that a window may bring to an endpoint of this present capacity."""
-    base = rule.multiple * capacity * rule.window / SECOND
-    return base + rule.deviations * sqrt(base * rule.mean_work)
+def window_budget(rule: BudgetRule, capacity: float) -> float:
+    """Return the seconds of work that an endpoint of this present capacity may be sent in a window."""
+    base = rule.capacity_multiple * capacity * rule.window / SECOND
+    return base + rule.allowed_deviations * sqrt(base * rule.mean_work)
+
 
+def iterate_windows(
+    start: ColdStart, sent_work: Iterable[SentWork], rule: BudgetRule
+) -> Iterator[tuple[float, Excess]]:
+    """Yield each window that ends with an attempt, in order of time.
 
-def windows(start: ColdStart, sent: Iterable[SentWork], rule: BudgetRule) -> Iterator[tuple[float, Excess]]:
-    """Yield each window that ends with an attempt: its work over its budget, and the excess it would be."""
-    held_lines: deque[SentWork] = deque()
-    for work in sorted(sent, key=lambda work: work.at):
-        if not start.covers(work.at) or work.work <= 0:
+    Each item is the work in the window, relative to its budget, and the window as an excess, whether or not
+    the budget is exceeded.
+    """
+    attempts_in_window: deque[SentWork] = deque()
+    for attempt in sorted(sent_work, key=lambda attempt: attempt.sent_at):
+        if not start.is_in_slow_start(attempt.sent_at) or attempt.work <= 0:
             continue
-        held_lines.append(work)
-        while held_lines[0].at <= work.at - rule.window:
-            held_lines.popleft()
-        total = sum(one.work for one in held_lines)
-        capacity = start.present_capacity(work.at)
+        attempts_in_window.append(attempt)
+        while attempts_in_window[0].sent_at <= attempt.sent_at - rule.window:
+            attempts_in_window.popleft()
+        total = sum(earlier.work for earlier in attempts_in_window)
+        capacity = start.present_capacity(attempt.sent_at)
         yield (
-            total / budget(rule, capacity),
+            total / window_budget(rule, capacity),
             Excess(
                 start.endpoint,
-                work.at,
-                work.at - start.started,
+                attempt.sent_at,
+                attempt.sent_at - start.started_at,
                 total / (capacity * rule.window / SECOND),
-                sum(one.work for one in held_lines if one.informed) / total,
-                sum(one.work for one in held_lines if one.repeated) / total,
+                sum(earlier.work for earlier in attempts_in_window if earlier.is_informed) / total,
+                sum(earlier.work for earlier in attempts_in_window if earlier.is_retry) / total,
             ),
         )
 
 
-def excesses(start: ColdStart, sent: Iterable[SentWork], rule: BudgetRule) -> list[Excess]:
+def find_excesses(start: ColdStart, sent_work: Iterable[SentWork], rule: BudgetRule) -> list[Excess]:
     """Return every window over the budget, in order of time."""
-    return [excess for used, excess in windows(start, sent, rule) if used > 1]
+    return [excess for used_share, excess in iterate_windows(start, sent_work, rule) if used_share > 1]
+
 
+def find_violations(start: ColdStart, sent_work: Iterable[SentWork], rule: BudgetRule) -> list[Excess]:
+    """Return the windows over the budget for which the servers are responsible."""
+    return [excess for excess in find_excesses(start, sent_work, rule) if excess.is_violation]
 
-def violations(start: ColdStart, sent: Iterable[SentWork], rule: BudgetRule) -> list[Excess]:
-    """Return the windows over the budget that count against the servers."""
-    return [excess for excess in excesses(start, sent, rule) if excess.violates]
 
+def find_fullest_window(
+    start: ColdStart, sent_work: Iterable[SentWork], rule: BudgetRule
+) -> tuple[float, Excess] | None:
+    """Return the window that used the largest share of its budget, with that share.
 
-def nearest(start: ColdStart, sent: Iterable[SentWork], rule: BudgetRule) -> tuple[float, Excess] | None:
-    """Return the window that used most of its budget, among those that would count against the servers."""
+    Only windows for which the servers would be responsible count; None if there is none.
+    """
     return max(
-        (window for window in windows(start, sent, rule) if window[1].violates),
+        (window for window in iterate_windows(start, sent_work, rule) if window[1].is_violation),
         key=lambda window: window[0],
         default=None,
     )
--- a/standins/fleet/channels.py
+++ b/standins/fleet/channels.py
@@ -7,30 +7,49 @@
 from standins.fleet.clock import SECOND, EventQueue
 from standins.fleet.proxies import SimulatedProxy
 
-FIXED_DELAY = SECOND // 5  # microseconds of delivery, and of the acknowledgement
+FIXED_DELAY = SECOND // 5  # in microseconds, for the delivery and again for the acknowledgement
 
 
 class Receiver(Protocol):
     """The sending server, which is notified of each delivery."""
 
     def message_arrived(
-        self, proxy: SimulatedProxy, message: str, marker: int | None, took: int, starts: Mapping[str, int]
+        self,
+        proxy: SimulatedProxy,
+        message: str,
+        marker: int | None,
+        delivery_time: int,
+        known_starts: Mapping[str, int],
     ) -> None:
-        """A message has arrived; `took`: microseconds since it was sent; `starts`: those that the sender
-        knew."""
+        """Handle the arrival of a message at its proxy.
+
+        Args:
+            proxy: The proxy that the message arrives at.
+            message: The message, one or more lines.
+            marker: The marker of a requested acknowledgement, if any.
+            delivery_time: The microseconds since the message was sent.
+            known_starts: The start time by endpoint that the server knew when it sent the message.
+        """
 
 
 class Channel(Protocol):
     """Delivers messages to proxies."""
 
     def send(
-        self, proxy: SimulatedProxy, message: str, marker: int | None, starts: Mapping[str, int]
+        self, proxy: SimulatedProxy, message: str, marker: int | None, known_starts: Mapping[str, int]
     ) -> None:
-        """Send a message; `marker`: of a requested acknowledgement; `starts`: those that the sender knows."""
+        """Send a message to a proxy.
+
+        Args:
+            proxy: The proxy to send to.
+            message: The message, one or more lines.
+            marker: The marker of a requested acknowledgement, if any.
+            known_starts: The start time by endpoint that the sending server knows.
+        """
 
 
 def line_count(message: str, message_overhead: int) -> int:
-    """Return the lines of a message as flow control counts them, with the overhead."""
+    """Return the lines of a message as flow control counts them, including the message overhead."""
     count = message_overhead
     for line in message.splitlines():
         for word in line.split()[1:]:
@@ -43,23 +62,27 @@
 
 
 class FixedChannel:
-    """Unlimited capacity; every message takes the same time."""
+    """A channel of unlimited rate in which every message has the same delivery time."""
 
     def __init__(self, events: EventQueue, receiver: Receiver):
         self.events = events
         self.receiver = receiver
 
     def send(
-        self, proxy: SimulatedProxy, message: str, marker: int | None, starts: Mapping[str, int]
+        self, proxy: SimulatedProxy, message: str, marker: int | None, known_starts: Mapping[str, int]
     ) -> None:
         """Send a message."""
         self.events.call_later(
-            FIXED_DELAY, lambda: self.receiver.message_arrived(proxy, message, marker, FIXED_DELAY, starts)
+            FIXED_DELAY,
+            lambda: self.receiver.message_arrived(proxy, message, marker, FIXED_DELAY, known_starts),
         )
 
 
 class BoundedChannel:
-    """Sends messages one after another, so many lines a second; each arrives a random time later."""
+    """A channel that sends messages one after another at a limited rate of lines.
+
+    Each message arrives a random delay after it was sent, and messages to the same proxy stay in order.
+    """
 
     def __init__(
         self,
@@ -67,28 +90,32 @@
         receiver: Receiver,
         lines_per_second: float,
         message_overhead: int,
-        delay: tuple[int, int],
+        delay_range: tuple[int, int],
         random_source: random.Random,
     ):
         self.events = events
         self.receiver = receiver
         self.lines_per_second = lines_per_second
         self.message_overhead = message_overhead
-        self.delay = delay
+        self.delay_range = delay_range
         self.random_source = random_source
         self.free_at = 0
-        self.last: dict[int, int] = {}  # by proxy: arrival of the newest message
+        self.latest_arrivals: dict[int, int] = {}  # by proxy number; the arrival time of its latest message
 
     def send(
-        self, proxy: SimulatedProxy, message: str, marker: int | None, starts: Mapping[str, int]
+        self, proxy: SimulatedProxy, message: str, marker: int | None, known_starts: Mapping[str, int]
     ) -> None:
         """Send a message."""
-        ordered = self.events.now
+        queued_at = self.events.now
         lines = line_count(message, self.message_overhead)
-        self.free_at = max(self.free_at, ordered) + round(lines / self.lines_per_second * SECOND)
-        arrives = max(self.free_at + self.random_source.randint(*self.delay), self.last.get(proxy.number, 0))
-        self.last[proxy.number] = arrives
-        took = arrives - ordered
+        self.free_at = max(self.free_at, queued_at) + round(lines / self.lines_per_second * SECOND)
+        arrives_at = max(
+            self.free_at + self.random_source.randint(*self.delay_range),
+            self.latest_arrivals.get(proxy.number, 0),
+        )
+        self.latest_arrivals[proxy.number] = arrives_at
+        delivery_time = arrives_at - queued_at
         self.events.call_later(
-            took, lambda: self.receiver.message_arrived(proxy, message, marker, took, starts)
+            delivery_time,
+            lambda: self.receiver.message_arrived(proxy, message, marker, delivery_time, known_starts),
         )
--- a/standins/fleet/clock.py
+++ b/standins/fleet/clock.py
@@ -1,30 +1,34 @@
-"""Units of time, and the queue of scheduled calls."""
+"""Units of time, and the queue of scheduled callbacks that drives the simulated clock."""
 
 import heapq
 import itertools
 from collections.abc import Callable
 
-SECOND = 1_000_000  # microseconds
-TICK = SECOND // 20  # interval of the servers' control loops
-START = 1000 * SECOND  # the clock's first value; 0 stands for "never started" elsewhere
+SECOND = 1_000_000  # in microseconds
+TICK = SECOND // 20  # the interval of the servers' control loops, in microseconds
+START_TIME = 1000 * SECOND  # not 0, which means "never started" in the start time of an endpoint
 
 
 class EventQueue:
-    """Calls in order of time and then of scheduling. `now`: time of the call under way, in microseconds."""
+    """A queue of callbacks, ordered by their due time and then by the order of scheduling.
+
+    Attributes:
+        now: The time of the running callback, in microseconds.
+    """
 
     def __init__(self):
-        self.now = START
-        self._events: list[tuple[int, int, Callable[[], None]]] = []
-        self._order = itertools.count()
+        self.now = START_TIME
+        self._scheduled: list[tuple[int, int, Callable[[], None]]] = []
+        self._sequence_numbers = itertools.count()
 
-    def call_later(self, after: int, call: Callable[[], None]) -> None:
-        """Schedule a call after so many microseconds."""
-        heapq.heappush(self._events, (self.now + after, next(self._order), call))
+    def call_later(self, delay: int, callback: Callable[[], None]) -> None:
+        """Schedule a callback after a delay in microseconds."""
+        heapq.heappush(self._scheduled, (self.now + delay, next(self._sequence_numbers), callback))
 
     def advance(self, until: int) -> None:
-        """Make all calls due up to `until`, including those that they schedule."""
-        while self._events and self._events[0][0] <= until:
-            at, _, call = heapq.heappop(self._events)
-            self.now = max(self.now, at)
-            call()
+        """Set the clock to `until`, and run all callbacks due by then, including those that they schedule."""
+        while self._scheduled and self._scheduled[0][0] <= until:
+            due_at, _, callback = heapq.heappop(self._scheduled)
+            self.now = max(self.now, due_at)
+            callback()
         self.now = until
--- a/standins/fleet/control_plane.py
+++ b/standins/fleet/control_plane.py
@@ -1,4 +1,4 @@
-"""A simulated control-plane server: the real control cycle, driven by the simulation's clock."""
+"""A simulated control-plane server: the real control cycle, driven by the simulated clock."""
 
 from collections.abc import Callable, Mapping
 
@@ -26,45 +26,65 @@
 
 
 class SimulatedServer:
-    """Runs the control cycle, and polls the registry for the endpoint list."""
+    """Runs the control cycle, and polls the registry for the endpoint list.
+
+    Attributes:
+        is_alive: Whether its process is running.
+        is_watching: Whether it has a watch at the registry.
+        previous_starts: The number of its earlier processes.
+        list_revision: The revision of the endpoint list that it has.
+        has_pending_poll: Whether it has a poll in the queue of the registry.
+        timers: The times at which it has asked for a control cycle.
+        known_starts: The latest start time by endpoint that it knows.
+        start_known_since: The time since when it knows a start, by endpoint and start time.
+    """
 
     def __init__(
         self,
         number: int,
         settings: Settings,
-        world: ServedFleet,
+        fleet: ServedFleet,
         channel: Callable[["SimulatedServer"], Channel],
-        restored: ListSnapshot,
-        starts: int = 0,
+        restored_list: ListSnapshot,
+        previous_starts: int = 0,
     ):
-        """`restored`: the list as this server had it last; `starts`: the number of its earlier processes."""
+        """Start the server.
+
+        Args:
+            number: The number of the server.
+            settings: The settings of the deployment.
+            fleet: The fleet that the server belongs to.
+            channel: Creates the control channel of a server.
+            restored_list: The last endpoint list that an earlier process of the server had.
+            previous_starts: The number of its earlier processes.
+        """
         self.number = number
-        self.world = world
-        self.alive = True
-        self.watching = False
-        self.starts = starts
-        self.revision = 0  # of the list that it has
-        self.poll_pending = False  # whether a poll is queued
+        self.fleet = fleet
+        self.is_alive = True
+        self.is_watching = False
+        self.previous_starts = previous_starts
+        self.list_revision = 0
+        self.has_pending_poll = False
         self.counters = Counters()
         self.tables = ProxyTables(len(settings.traffic_groups), False)
-        self.endpoint_registry = EndpointRegistry(lambda: world.now, self.tables.has_endpoint)
-        seed = FIRST_SEED + number + SEEDS_BETWEEN_STARTS * starts
+        self.endpoint_registry = EndpointRegistry(lambda: fleet.now, self.tables.has_endpoint)
+        seed = FIRST_SEED + number + SEEDS_BETWEEN_STARTS * previous_starts
         self.cycle = ControlCycle(settings, seed, self.endpoint_registry, self.tables, self.counters)
-        self.wake_times: list[int] = []
-        self.known_starts: Mapping[str, int] = {}  # by endpoint: the newest start that it knows
-        self.known_since: dict[tuple[str, int], int] = {}
+        self.timers: list[int] = []
+        self.known_starts: Mapping[str, int] = {}
+        self.start_known_since: dict[tuple[str, int], int] = {}
         self.channel = channel(self)
-        self._take(ListKind.REPLACE, restored)
+        self._apply_list(ListKind.REPLACE, restored_list)
         self.cycle.begin()
         self.run_cycle()
 
-    def take(self, kind: ListKind) -> EndpointsListed | None:
-        """Take over the present list; return the event for the controller."""
-        return self._take(kind, self.world.snapshot())
+    def read_list(self, kind: ListKind) -> EndpointsListed | None:
+        """Read the present endpoint list and return the event for the controller, if there is one."""
+        return self._apply_list(kind, self.fleet.snapshot())
 
-    def _take(self, kind: ListKind, snapshot: ListSnapshot) -> EndpointsListed | None:
-        self.revision = snapshot.revision
-        self._restored = snapshot
+    def _apply_list(self, kind: ListKind, snapshot: ListSnapshot) -> EndpointsListed | None:
+        self.list_revision = snapshot.revision
+        self._stored_list = snapshot
         entries = [
             ListedEndpoint(
                 self.endpoint_registry.index_of(entry.name),
@@ -73,18 +93,18 @@
                 0,
                 EndpointState(entry.state),
                 entry.weight,
-                entry.started,
+                entry.started_at,
             )
             for entry in snapshot.entries
         ]
-        self.known_starts = {entry.name: entry.started for entry in snapshot.entries}
+        self.known_starts = {entry.name: entry.started_at for entry in snapshot.entries}
         for start in self.known_starts.items():
-            self.known_since.setdefault(start, self.world.now)
+            self.start_known_since.setdefault(start, self.fleet.now)
         return self.endpoint_registry.update(kind, snapshot.revision + 1, entries, {})
 
-    def restored_list(self) -> ListSnapshot:
-        """Return the list as its next process restores it."""
-        return self._restored
+    def stored_list(self) -> ListSnapshot:
+        """Return the endpoint list that the next process of this server will restore."""
+        return self._stored_list
 
     def receive(self, event: Event) -> None:
         """Pass an event to the controller."""
@@ -92,22 +112,24 @@
 
     def is_due(self) -> bool:
         """Return whether a control cycle is due."""
-        return bool(self.cycle.events) or any(at <= self.world.now for at in self.wake_times)
+        return bool(self.cycle.events) or any(due_at <= self.fleet.now for due_at in self.timers)
 
     def run_cycle(self) -> None:
-        """Run a control cycle and perform its commands."""
-        self.wake_times = [at for at in self.wake_times if at > self.world.now]
-        for command in self.cycle.run(self.world.now, self.write) or ():
+        """Run a control cycle and execute its commands."""
+        self.timers = [due_at for due_at in self.timers if due_at > self.fleet.now]
+        for command in self.cycle.run(self.fleet.now, self.write) or ():
             if isinstance(command, StartTimer):
-                self.wake_times.append(command.at)
+                self.timers.append(command.at)
             elif isinstance(command, WatchEndpoints):
-                self.watching = False
-                self.world.registry.poll(self)
+                self.is_watching = False
+                self.fleet.registry.poll(self)
 
     def write(self, proxy: int, message: bytes, marker: int | None) -> None:
         """Send a message to a proxy."""
-        self.world.lines[self.number] = self.world.lines.get(self.number, 0) + message.count(b":") + 3
-        self.channel.send(self.world.proxies[proxy], message.decode(), marker, self.known_starts)
+        self.fleet.written_lines[self.number] = (
+            self.fleet.written_lines.get(self.number, 0) + message.count(b":") + 3
+        )
+        self.channel.send(self.fleet.proxies[proxy], message.decode(), marker, self.known_starts)
 
     def message_arrived(
         self,
@@ -115,22 +137,22 @@
         message: str,
         marker: int | None,
         delivery_time: int,
-        starts: Mapping[str, int],
+        known_starts: Mapping[str, int],
     ) -> None:
-        """Apply a message at its proxy, unless the stream has broken since."""
-        if proxy.server is not self or not self.alive:
+        """Apply a message at its proxy, unless the connection has been lost since it was sent."""
+        if proxy.server is not self or not self.is_alive:
             return
         proxy.apply_message(message)
         proxy.table_source = self
-        proxy.informed = starts
+        proxy.starts_known_to_sender = known_starts
         if marker is not None:
-            self.world.call_later(delivery_time, lambda: self._answered(proxy, marker, delivery_time))
+            self.fleet.call_later(delivery_time, lambda: self._acknowledged(proxy, marker, delivery_time))
 
-    def _answered(self, proxy: SimulatedProxy, marker: int, delivery_time: int) -> None:
+    def _acknowledged(self, proxy: SimulatedProxy, marker: int, delivery_time: int) -> None:
         if proxy.server is self:
             self.receive(BatchAcknowledged(proxy.number, marker, delivery_time))
 
-    def has_known(self, name: str, started: int, span: int) -> bool:
-        """Return whether the server has known of a start for `span` microseconds."""
-        since = self.known_since.get((name, started))
-        return since is not None and self.world.now - since >= span
+    def has_known_start_for(self, name: str, started_at: int, duration: int) -> bool:
+        """Return whether the server has known of a start of an endpoint for so many microseconds."""
+        known_since = self.start_known_since.get((name, started_at))
+        return known_since is not None and self.fleet.now - known_since >= duration
--- a/standins/fleet/interfaces.py
+++ b/standins/fleet/interfaces.py
@@ -1,4 +1,4 @@
-"""What the parts of a simulated fleet need of each other, so that no two import one another."""
+"""The interfaces through which the components of a simulated fleet use each other without import cycles."""
 
 from collections.abc import Callable, Sequence
 from typing import Protocol
@@ -12,11 +12,11 @@
     """A control-plane server as the registry sees it."""
 
     number: int
-    watching: bool
-    poll_pending: bool
+    is_watching: bool
+    has_pending_poll: bool
 
-    def take(self, kind: ListKind) -> EndpointsListed | None:
-        """Take over the present list; return the event for the controller."""
+    def read_list(self, kind: ListKind) -> EndpointsListed | None:
+        """Read the present endpoint list and return the event for the controller, if there is one."""
 
     def receive(self, event: Event) -> None:
         """Pass an event to the controller."""
@@ -27,27 +27,27 @@
 
     @property
     def now(self) -> int:
-        """The present time."""
+        """The present time in microseconds."""
 
-    def living_servers(self) -> Sequence[Watcher]:
-        """Return the servers whose process runs."""
+    def running_servers(self) -> Sequence[Watcher]:
+        """Return the servers whose process is running."""
 
 
 class Registry(Protocol):
     """The registry as a control-plane server sees it."""
 
     def poll(self, server: Watcher) -> None:
-        """Queue a server's poll."""
+        """Queue a poll of a server."""
 
 
 class ServedFleet(Protocol):
     """The fleet as a control-plane server sees it."""
 
-    lines: dict[int, int]
+    written_lines: dict[int, int]
 
     @property
     def now(self) -> int:
-        """The present time."""
+        """The present time in microseconds."""
 
     @property
     def registry(self) -> Registry:
@@ -60,5 +60,5 @@
     def snapshot(self) -> ListSnapshot:
         """Return the present endpoint list."""
 
-    def call_later(self, after: int, call: Callable[[], None]) -> None:
-        """Schedule a call after so many microseconds."""
+    def call_later(self, delay: int, callback: Callable[[], None]) -> None:
+        """Schedule a callback after a delay in microseconds."""
--- a/standins/fleet/simulation.py
+++ b/standins/fleet/simulation.py
@@ -1,4 +1,4 @@
-"""What every simulated fleet has: a clock, servers, proxies, a registry, and faults."""
+"""The base of the simulated fleets: a clock, servers, proxies, a registry, and faults."""
 
 import random
 from collections.abc import Callable
@@ -14,11 +14,16 @@
 from standins.fleet.registry import SimulatedRegistry
 from standins.fleet.snapshots import ListEntry, ListSnapshot
 
-NOTICE_AT_ONCE = (0, 0)
+IMMEDIATE_NOTICE = (0, 0)
 
 
 class FleetSimulation:
-    """A simulated fleet; subclasses add endpoints' loads."""
+    """A simulated fleet, whose subclasses add the load of the endpoints.
+
+    Attributes:
+        list_revision: The present revision of the endpoint list.
+        written_lines: The number of lines that each server has written, by the number of the server.
+    """
 
     def __init__(
         self,
@@ -30,16 +35,16 @@
         polls_per_second: float,
     ):
         self.random_source = random.Random(seed)
-        self.revision = 0
+        self.list_revision = 0
         self.events = EventQueue()
         self.settings = settings
-        self.endpoints = {s.name: s for s in endpoints}
+        self.endpoints = {endpoint.name: endpoint for endpoint in endpoints}
         self.proxies = proxies
-        self.lines: dict[int, int] = {}  # by server: lines written
+        self.written_lines: dict[int, int] = {}
         self.registry = SimulatedRegistry(self, polls_per_second)
         self.servers = [self.start_server(number, self.snapshot()) for number in range(servers)]
         for proxy in proxies:
-            self.join(proxy)
+            self.connect_proxy(proxy)
 
     @property
     def now(self) -> int:
@@ -47,105 +52,120 @@
         return self.events.now
 
     @now.setter
-    def now(self, at: int) -> None:
-        """The present time in microseconds."""
-        self.events.now = at
+    def now(self, time: int) -> None:
+        """Set the present time in microseconds."""
+        self.events.now = time
 
-    def call_later(self, after: int, call: Callable[[], None]) -> None:
-        """Schedule a call after so many microseconds."""
-        self.events.call_later(after, call)
+    def call_later(self, delay: int, callback: Callable[[], None]) -> None:
+        """Schedule a callback after a delay in microseconds."""
+        self.events.call_later(delay, callback)
 
-    # --- servers and proxies ---
+    # Servers and proxies
 
-    def start_server(self, number: int, restored: ListSnapshot, starts: int = 0) -> SimulatedServer:
-        """Start a control-plane server with a restored endpoint list."""
-        return SimulatedServer(number, self.settings, self, self.make_channel, restored, starts)
+    def start_server(
+        self, number: int, restored_list: ListSnapshot, previous_starts: int = 0
+    ) -> SimulatedServer:
+        """Start a control-plane server that restores an endpoint list."""
+        return SimulatedServer(number, self.settings, self, self.make_channel, restored_list, previous_starts)
 
     def make_channel(self, server: SimulatedServer) -> Channel:
-        """Create a server's control channel."""
+        """Create the control channel of a server."""
         return FixedChannel(self.events, server)
 
-    def living_servers(self) -> list[SimulatedServer]:
-        """Return the servers whose process runs."""
-        return [server for server in self.servers if server.alive]
+    def running_servers(self) -> list[SimulatedServer]:
+        """Return the servers whose process is running."""
+        return [server for server in self.servers if server.is_alive]
 
-    def join(self, proxy: SimulatedProxy) -> None:
-        """Connect a proxy to a random living server."""
-        proxy.server = self.random_source.choice(self.living_servers())
+    def connect_proxy(self, proxy: SimulatedProxy) -> None:
+        """Connect a proxy to a random running server."""
+        proxy.server = self.random_source.choice(self.running_servers())
         proxy.server.receive(ProxyJoined(proxy.number, proxy.zone, proxy.request_rate, not proxy.table))
 
     def kill_server(self, server: SimulatedServer) -> None:
-        """Kill a server: all of its proxies connect to others at once."""
-        server.alive = False
+        """Kill a server; all of its proxies connect to others at once."""
+        server.is_alive = False
         for proxy in [proxy for proxy in self.proxies if proxy.server is server]:
-            self.join(proxy)
+            self.connect_proxy(proxy)
 
-    # --- endpoint list ---
+    # Endpoint list
 
     def snapshot(self) -> ListSnapshot:
         """Return the present endpoint list."""
         return ListSnapshot(
-            self.revision,
+            self.list_revision,
             tuple(
-                ListEntry(s.name, s.zone, s.state, s.listed_weight, s.started)
-                for s in self.endpoints.values()
-                if s.state != "gone"
+                ListEntry(
+                    endpoint.name,
+                    endpoint.zone,
+                    endpoint.state,
+                    endpoint.listed_weight,
+                    endpoint.started_at,
+                )
+                for endpoint in self.endpoints.values()
+                if endpoint.state != "gone"
             ),
         )
 
-    def change(
+    def change_endpoints(
         self,
         *names: str,
         state: str | None = None,
-        start: bool = False,
-        notice: tuple[int, int] = NOTICE_AT_ONCE,
+        has_restarted: bool = False,
+        notice_delay: tuple[int, int] = IMMEDIATE_NOTICE,
     ) -> None:
-        """Change endpoints and the list; each watch is notified after a random time of `notice`."""
+        """Change endpoints and publish the new list.
+
+        Args:
+            names: The names of the endpoints.
+            state: The new state; None: unchanged.
+            has_restarted: Whether the endpoints start now.
+            notice_delay: The range of the time until a watching server is notified, in microseconds.
+        """
         for name in names:
             endpoint = self.endpoints[name]
             endpoint.state = state or endpoint.state
-            endpoint.started = self.now if start else endpoint.started
-        self.announce(notice)
+            endpoint.started_at = self.now if has_restarted else endpoint.started_at
+        self.publish_list(notice_delay)
 
-    def announce(self, notice: tuple[int, int]) -> None:
-        """Publish a new revision of the list; each watch is notified after a random time of `notice`."""
-        self.revision += 1
-        for server in self.living_servers():
-            self.call_later(self.random_source.randint(*notice), partial(self._notify, server))
+    def publish_list(self, notice_delay: tuple[int, int]) -> None:
+        """Publish a new revision of the list, and notify each server after a random delay in this range."""
+        self.list_revision += 1
+        for server in self.running_servers():
+            self.call_later(self.random_source.randint(*notice_delay), partial(self._notify, server))
 
-    def replace(self, *names: str) -> None:
-        """Drain endpoints, and start others under new names in their place."""
+    def replace_endpoints(self, *names: str) -> None:
+        """Drain endpoints, and start replacements under different names."""
         for name in names:
-            new = self.endpoints[name].successor(self.now)
-            self.endpoints[new.name] = new
-        self.change(*names, state="draining")
+            replacement = self.endpoints[name].create_replacement(self.now)
+            self.endpoints[replacement.name] = replacement
+        self.change_endpoints(*names, state="draining")
 
     def _notify(self, server: SimulatedServer) -> None:
-        if server.alive and server.watching and server.revision < self.revision:
-            server.receive(server.take(ListKind.REPLACE))
+        if server.is_alive and server.is_watching and server.list_revision < self.list_revision:
+            server.receive(server.read_list(ListKind.REPLACE))
 
-    # --- time ---
+    # Time
 
     def run(self, seconds: float) -> "FleetSimulation":
-        """Advance the clock by so many seconds."""
+        """Advance the simulation by so many seconds."""
         for _ in range(round(seconds * SECOND / TICK)):
             self.events.advance(self.now + TICK)
             self.registry.run_due(self.now)
             self.step()
-            for server in self.living_servers():
+            for server in self.running_servers():
                 if server.is_due():
                     server.run_cycle()
         return self
 
     def step(self) -> None:
-        """What a kind of simulation does at each tick, before the servers' control cycles."""
+        """Do the work of a subclass at each tick, before the control cycles of the servers."""
 
-    # --- what checks over the fleet read ---
+    # Measurements
 
     def proxies_without_table(self) -> list[int]:
         """Return the numbers of the proxies without a usable table."""
         return [proxy.number for proxy in self.proxies if not proxy.shares()]
 
     def proxies_using(self, name: str) -> list[int]:
-        """Return the numbers of the proxies that may send to an endpoint."""
+        """Return the numbers of the proxies that may send requests to an endpoint."""
         return [proxy.number for proxy in self.proxies if name in proxy.shares()]
--- a/standins/fleet/streams.py
+++ b/standins/fleet/streams.py
@@ -1,16 +1,22 @@
-"""Seeded draws: one generator for each purpose, so that more draws for one do not change the others."""
+"""Seeded random generators, one for each purpose.
+
+Additional draws for one purpose do not change the draws for the others.
+"""
 
 import random
 
 
-class Streams:
-    """The generators, by purpose."""
+class RandomStreams:
+    """Random generators by purpose, each created when it is first used.
+
+    The name of the purpose is part of the generator's seed, so a different name leads to different draws.
+    """
 
     def __init__(self, seed: int):
         self.seed = seed
-        self._made: dict[str, random.Random] = {}
+        self._generators: dict[str, random.Random] = {}
 
     def __getitem__(self, purpose: str) -> random.Random:
-        if purpose not in self._made:
-            self._made[purpose] = random.Random(f"{self.seed}/{purpose}")
-        return self._made[purpose]
+        if purpose not in self._generators:
+            self._generators[purpose] = random.Random(f"{self.seed}/{purpose}")
+        return self._generators[purpose]
--- a/tests/standins/test_slow_start_budget.py
+++ b/tests/standins/test_slow_start_budget.py
@@ -1,8 +1,8 @@
-"""The budget of endpoints in slow start over whole fleets: they return while seven in ten servers or proxies
-are killed.
+"""The budget of endpoints in slow start, checked over whole fleets.
 
-Sizes and ranges are those of `Parameters`; each release names what differs. What is checked is what the rule
-says: no window over the budget of which two thirds came from proxies or pilots that knew of the start.
+Endpoints restart while seven in ten servers or proxies are killed. Sizes and ranges are those of
+`Parameters`; each case states what differs. No window may exceed the budget if two thirds of its work came
+from proxies that were informed of the start, or whose servers were.
 """
 
 from collections import Counter
@@ -10,17 +10,17 @@
 
 import pytest
 
-import ravenshelf.process.control_cycle as cycle
+import ravenshelf.process.control_cycle as control_cycle
 from ravenshelf.policy.controller import Controller
 from ravenshelf.settings import SECOND
 from standins.fleet import Parameters, RequestSimulation
-from standins.fleet.scenarios import Killed, OutlierKind, Release, play
+from standins.fleet.scenarios import KillTarget, OutlierKind, Release, run_release
 
-PAIR = Parameters(servers=2, proxies=50)
-FIVE = Parameters(servers=5, proxies=33)
-TWENTY = Parameters(servers=20, proxies=10)
-MANY = Parameters(servers=230, proxies=1, polls_per_second=100.0)
-DENSE = Parameters(servers=5, proxies=60, endpoints=20)
+TWO_SERVERS = Parameters(servers=2, proxies_per_server=50)
+FIVE_SERVERS = Parameters(servers=5, proxies_per_server=33)
+TWENTY_SERVERS = Parameters(servers=20, proxies_per_server=10)
+MANY_SERVERS = Parameters(servers=230, proxies_per_server=1, polls_per_second=100.0)
+MANY_ENDPOINTS = Parameters(servers=5, proxies_per_server=60, endpoints_per_zone=20)
 
 
 @dataclass(frozen=True)
@@ -30,206 +30,276 @@
     release: Release
     seed: int
 
-    def play(self) -> RequestSimulation:
-        return play(self.parameters, self.release, self.seed)
+    def run(self) -> RequestSimulation:
+        return run_release(self.parameters, self.release, self.seed)
 
 
-WITHIN_BUDGET = [
-    Case("pair, pilots, slow", PAIR.with_changes(load=0.8), Release(), 1),
+RELEASES = [
+    Case("two servers, servers killed, slow outliers", TWO_SERVERS.with_changes(load=0.8), Release(), 1),
     Case(
-        "pair, pilots, failing, full",
-        PAIR.with_changes(load=1.0, endpoints=4),
-        Release(outlier=OutlierKind.FAILING),
+        "two servers, servers killed, failing outliers, full load",
+        TWO_SERVERS.with_changes(load=1.0, endpoints_per_zone=4),
+        Release(outlier_kind=OutlierKind.FAILING),
         2,
     ),
     Case(
-        "pair, proxies, slow, over",
-        PAIR.with_changes(load=1.2),
-        Release(killed=Killed.PROXIES, killed_after=4 * SECOND),
+        "two servers, proxies killed, slow outliers, overload",
+        TWO_SERVERS.with_changes(load=1.2),
+        Release(kill_target=KillTarget.PROXIES, kill_delay=4 * SECOND),
         3,
     ),
-    Case("five, pilots, slow, low", FIVE.with_changes(load=0.6), Release(killed_after=2 * SECOND), 1),
     Case(
-        "five, pilots, failing, over",
-        FIVE.with_changes(load=1.2),
-        Release(outlier=OutlierKind.FAILING, killed_after=6 * SECOND),
+        "five servers, servers killed, slow outliers, low load",
+        FIVE_SERVERS.with_changes(load=0.6),
+        Release(kill_delay=2 * SECOND),
+        1,
+    ),
+    Case(
+        "five servers, servers killed, failing outliers, overload",
+        FIVE_SERVERS.with_changes(load=1.2),
+        Release(outlier_kind=OutlierKind.FAILING, kill_delay=6 * SECOND),
         2,
     ),
     Case(
-        "five, proxies, failing",
-        FIVE.with_changes(load=0.9),
-        Release(killed=Killed.PROXIES, outlier=OutlierKind.FAILING),
+        "five servers, proxies killed, failing outliers",
+        FIVE_SERVERS.with_changes(load=0.9),
+        Release(kill_target=KillTarget.PROXIES, outlier_kind=OutlierKind.FAILING),
         3,
     ),
     Case(
-        "five, pilots, tables of three", FIVE.with_changes(load=0.9, endpoints=3), Release(returning=0.1), 4
+        "five servers, servers killed, three endpoints in a zone",
+        FIVE_SERVERS.with_changes(load=0.9, endpoints_per_zone=3),
+        Release(restarted_share=0.1),
+        4,
     ),
     Case(
-        "five, one try after proof",
-        FIVE.with_changes(load=1.0, base_mode=1),
-        Release(killed_after=-SECOND),
+        "five servers, one retry if the work was not begun",
+        FIVE_SERVERS.with_changes(load=1.0, default_retry_mode=1),
+        Release(kill_delay=-SECOND),
         5,
     ),
-    Case("twenty, pilots, slow", TWENTY.with_changes(load=0.8), Release(killed_after=3 * SECOND), 1),
     Case(
-        "twenty, proxies, failing",
-        TWENTY.with_changes(load=1.1),
-        Release(killed=Killed.PROXIES, outlier=OutlierKind.FAILING),
+        "twenty servers, servers killed, slow outliers",
+        TWENTY_SERVERS.with_changes(load=0.8),
+        Release(kill_delay=3 * SECOND),
+        1,
+    ),
+    Case(
+        "twenty servers, proxies killed, failing outliers",
+        TWENTY_SERVERS.with_changes(load=1.1),
+        Release(kill_target=KillTarget.PROXIES, outlier_kind=OutlierKind.FAILING),
         2,
     ),
-    Case("230, pilots, slow", MANY.with_changes(load=0.8), Release(watched=14 * SECOND), 1),
+    Case(
+        "230 servers, servers killed, slow outliers",
+        MANY_SERVERS.with_changes(load=0.8),
+        Release(observation_time=14 * SECOND),
+        1,
+    ),
 ]
 
-# Over capacity most servers restart without what they had learnt: nothing is rejected, and a weak cold
-# endpoint in a table of four receives it all.
+# Most servers restart without what they had learnt while the load exceeds the capacity: nothing is rejected,
+# and an endpoint of low capacity in slow start receives all the load of a table of four.
 OVER_CAPACITY = [
     Case(
-        "dense, killed soon",
-        DENSE.with_changes(load=1.03, capacity_cv=0.27, load_cv=0.9, client_comes_again=0.98),
-        Release(outlier=OutlierKind.FAILING, away=6 * SECOND, killed_after=1_716_894),
+        "many endpoints, servers killed early",
+        MANY_ENDPOINTS.with_changes(load=1.03, capacity_cv=0.27, load_cv=0.9, client_repeat_probability=0.98),
+        Release(
+            outlier_kind=OutlierKind.FAILING,
+            endpoint_downtime=6 * SECOND,
+            kill_delay=1_716_894,
+        ),
         3,
     ),
     Case(
-        "dense, killed later",
-        DENSE.with_changes(load=1.11, capacity_cv=0.3, load_cv=1.0, client_comes_again=0.9),
-        Release(outlier=OutlierKind.FAILING, away=6 * SECOND, killed_after=6 * SECOND),
+        "many endpoints, servers killed late",
+        MANY_ENDPOINTS.with_changes(load=1.11, capacity_cv=0.3, load_cv=1.0, client_repeat_probability=0.9),
+        Release(
+            outlier_kind=OutlierKind.FAILING,
+            endpoint_downtime=6 * SECOND,
+            kill_delay=6 * SECOND,
+        ),
         7,
     ),
 ]
 
-# Proxies that each carry much of the load avoid warm endpoints that reject them; the rest goes to the cold
-# one.
-FEW = Parameters(servers=2, proxies=1, endpoints=10, load=1.2, load_cv=0.8, client_comes_again=1.0)
-FEW_RELEASE = Release(returning=0.1, away=6 * SECOND, killed_after=4 * SECOND)
-AVOIDING = [
-    Case("one proxy a pilot", FEW, FEW_RELEASE, 3),
-    Case("two proxies a pilot", FEW.with_changes(proxies=2), FEW_RELEASE, 21),
+# Proxies that each carry much of the load avoid warm endpoints that reject attempts, and send the rest of the
+# load to the endpoint in slow start.
+FEW_PROXIES = Parameters(
+    servers=2,
+    proxies_per_server=1,
+    endpoints_per_zone=10,
+    load=1.2,
+    load_cv=0.8,
+    client_repeat_probability=1.0,
+)
+FEW_PROXIES_RELEASE = Release(restarted_share=0.1, endpoint_downtime=6 * SECOND, kill_delay=4 * SECOND)
+WITH_AVOIDANCE = [
+    Case("one proxy for each server", FEW_PROXIES, FEW_PROXIES_RELEASE, 3),
+    Case(
+        "two proxies for each server", FEW_PROXIES.with_changes(proxies_per_server=2), FEW_PROXIES_RELEASE, 21
+    ),
 ]
 WITHOUT_AVOIDANCE = [
-    Case(f"{case.name}, none shuns", case.parameters.with_changes(outlier_after=0), case.release, case.seed)
-    for case in AVOIDING
+    Case(
+        f"{case.name}, no avoidance",
+        case.parameters.with_changes(outlier_after_failures=0),
+        case.release,
+        case.seed,
+    )
+    for case in WITH_AVOIDANCE
 ]
 
 
-def named(cases: list[Case]):
+def parametrize_cases(cases: list[Case]):
     return pytest.mark.parametrize("case", cases, ids=[case.name for case in cases])
 
 
-def check(world: RequestSimulation) -> None:
-    assert world.ledger.sent, "no cold endpoint was sent anything: the case shows nothing"
-    check_rules(world)
+def check(simulation: RequestSimulation) -> None:
+    assert simulation.ledger.sent_work, "no work was sent to an endpoint in slow start, so nothing is checked"
+    check_rules(simulation)
 
 
-def check_rules(world: RequestSimulation) -> None:
-    assert not any(server.cycle.failures for server in world.servers) and not world.proxies_without_table()
-    assert not world.ledger.violations()
+def check_rules(simulation: RequestSimulation) -> None:
+    assert (
+        not any(server.cycle.failures for server in simulation.servers)
+        and not simulation.proxies_without_table()
+    )
+    assert not simulation.ledger.find_violations()
 
 
-@named(WITHIN_BUDGET + WITHOUT_AVOIDANCE)
+@parametrize_cases(RELEASES + WITHOUT_AVOIDANCE)
 def test_a_release_keeps_the_budget(case):
-    check(case.play())
+    check(case.run())
 
 
-@named(OVER_CAPACITY)
+@parametrize_cases(OVER_CAPACITY)
 def test_a_release_over_capacity_keeps_the_budget(case):
-    check(case.play())
+    check(case.run())
 
 
-class NoSlowStart(Controller):
-    """Cold endpoints get as much as warm ones, and nothing is ever refused."""
+class ControllerWithoutSlowStart(Controller):
+    """Gives endpoints in slow start as much load as warm ones, and admits all requests."""
 
-    def __init__(self, *values):
-        super().__init__(*values)
+    def __init__(self, *arguments):
+        super().__init__(*arguments)
         self.slow_start.capacity_share = lambda endpoint, now: 1.0
         self.admission.admitted_share = lambda *_: 1.0
 
 
-@named(AVOIDING)
+@parametrize_cases(WITH_AVOIDANCE)
 def test_proxies_that_avoid_warm_endpoints_keep_the_budget(case):
-    check_rules(case.play())
+    check_rules(case.run())
 
 
-@named(AVOIDING)
-def test_the_cases_of_avoiding_proxies_break_without_slow_start(case, monkeypatch):
-    """An endpoint may get nothing until it is warm, so that no attempt need be seen: without slow start it
-    is."""
-    monkeypatch.setattr(cycle, "Controller", NoSlowStart)
-    assert case.play().ledger.violations()
+@parametrize_cases(WITH_AVOIDANCE)
+def test_proxies_that_avoid_warm_endpoints_violate_the_budget_without_slow_start(case, monkeypatch):
+    """The test above passes too if an endpoint gets no attempts until it is warm.
 
+    This test shows that the same cases violate the budget without slow start.
+    """
+    monkeypatch.setattr(control_cycle, "Controller", ControllerWithoutSlowStart)
+    assert case.run().ledger.find_violations()
 
-@named(AVOIDING)
-def test_an_endpoint_that_gets_nothing_in_slow_start_is_used_once_it_is_warm(case):
-    release = replace(case.release, watched=40 * SECOND)
-    warm_at = release.settled_after + release.away + max(case.parameters.warm_up_time)
-    tries_when_warm: Counter = Counter()
-    world = play(
+
+@parametrize_cases(WITH_AVOIDANCE)
+def test_an_endpoint_without_attempts_in_slow_start_gets_some_once_it_is_warm(case):
+    release = replace(case.release, observation_time=40 * SECOND)
+    warm_at = release.crash_at + release.endpoint_downtime + max(case.parameters.warm_up_time)
+    attempts_until_warm: Counter = Counter()
+    simulation = run_release(
         case.parameters,
         release,
         case.seed,
-        lambda world: world.call_later(warm_at, lambda: tries_when_warm.update(world.attempts)),
+        lambda simulation: simulation.call_later(
+            warm_at, lambda: attempts_until_warm.update(simulation.attempts)
+        ),
+    )
+    check_rules(simulation)
+    restarted_endpoints = [endpoint.name for endpoint in simulation.endpoints.values() if endpoint.started_at]
+    assert restarted_endpoints
+    assert all(
+        simulation.attempts[name, False] > attempts_until_warm[name, False] for name in restarted_endpoints
     )
-    check_rules(world)
-    restarted = [endpoint.name for endpoint in world.endpoints.values() if endpoint.started]
-    assert restarted
-    assert all(world.attempts[name, False] > tries_when_warm[name, False] for name in restarted)
 
 
-@named(
+@parametrize_cases(
     [
-        Case("pair", PAIR.with_changes(load=1.0), Release(killed=Killed.NONE), 1),
-        Case("five", FIVE.with_changes(load=1.0), Release(killed=Killed.NONE), 1),
-        Case("twenty", TWENTY.with_changes(load=1.0), Release(killed=Killed.NONE, watched=12 * SECOND), 1),
+        Case("two servers", TWO_SERVERS.with_changes(load=1.0), Release(kill_target=KillTarget.NONE), 1),
+        Case("five servers", FIVE_SERVERS.with_changes(load=1.0), Release(kill_target=KillTarget.NONE), 1),
+        Case(
+            "twenty servers",
+            TWENTY_SERVERS.with_changes(load=1.0),
+            Release(kill_target=KillTarget.NONE, observation_time=12 * SECOND),
+            1,
+        ),
     ]
 )
-def test_the_budget_sees_a_deliberate_break(case, monkeypatch):
-    check(case.play())
-    monkeypatch.setattr(cycle, "Controller", NoSlowStart)
+def test_the_check_of_the_budget_detects_a_deliberate_fault(case, monkeypatch):
+    check(case.run())
+    monkeypatch.setattr(control_cycle, "Controller", ControllerWithoutSlowStart)
     with pytest.raises(AssertionError, match="Excess"):
-        check(case.play())
+        check(case.run())
 
 
-CAPACITY_MARGIN = 0.15  # servers learn of a start late and expect a longer slow start
+# Servers learn of a start late and assume a longer slow start, so a weight may exceed the capacity share.
+CAPACITY_SHARE_MARGIN = 0.15
 
 
-class ShareWatch:
-    """Watches weights in slow start, relative to the heaviest line of the table, in tables of restarted
-    servers."""
+class WeightObserver:
+    """Compares the weights of endpoints in slow start with their capacity shares every second.
 
-    def __init__(self, world: RequestSimulation):
-        self.world, self.seen, self.beyond = world, 0, []
-        world.call_later(SECOND, self.look)
+    It reads the tables that restarted servers have sent, and takes weights relative to the heaviest warm
+    endpoint of the table.
+    """
 
-    def look(self) -> None:
-        self.world.call_later(SECOND, self.look)
-        now = self.world.now
-        for proxy in self.world.proxies:
-            if proxy.table_source is None or not proxy.table_source.starts:
+    def __init__(self, simulation: RequestSimulation):
+        self.simulation, self.compared_weights, self.excessive_weights = simulation, 0, []
+        simulation.call_later(SECOND, self.compare_weights)
+
+    def compare_weights(self) -> None:
+        self.simulation.call_later(SECOND, self.compare_weights)
+        now = self.simulation.now
+        for proxy in self.simulation.proxies:
+            if proxy.table_source is None or not proxy.table_source.previous_starts:
                 continue
-            warm = [
+            warm_weights = [
                 weight
                 for name, weight in proxy.table.items()
-                if not self.world.endpoints[name].is_warming_up(now)
+                if not self.simulation.endpoints[name].is_warming_up(now)
             ]
             for name in (
-                [name for name in proxy.table if self.world.endpoints[name].is_warming_up(now)]
-                if warm
+                [name for name in proxy.table if self.simulation.endpoints[name].is_warming_up(now)]
+                if warm_weights
                 else ()
             ):
-                self.seen += 1
-                part, capacity_share = (
-                    proxy.table[name] / max(warm),
-                    self.world.endpoints[name].capacity_share(now),
+                self.compared_weights += 1
+                relative_weight, capacity_share = (
+                    proxy.table[name] / max(warm_weights),
+                    self.simulation.endpoints[name].capacity_share(now),
                 )
-                if part > capacity_share + CAPACITY_MARGIN:
-                    self.beyond.append((proxy.number, name, round(part, 2), round(capacity_share, 2)))
+                if relative_weight > capacity_share + CAPACITY_SHARE_MARGIN:
+                    self.excessive_weights.append(
+                        (proxy.number, name, round(relative_weight, 2), round(capacity_share, 2))
+                    )
+
 
+@pytest.mark.parametrize("kill_delay", [2, 5, 8, 12])
+def test_restarted_servers_weight_endpoints_in_slow_start_by_their_capacity_share(kill_delay):
+    """A fifth of the endpoints restart before the servers do.
 
-@pytest.mark.parametrize("killed_after", [2, 5, 8, 12])
-def test_restarted_servers_give_an_endpoint_in_slow_start_its_share_of_a_table(killed_after):
-    """Only a fifth of the endpoints restart: the list that a restarted server begins with says which."""
-    watches = []
+    Only the list that a restarted server begins with says which of the endpoints are in slow start.
+    """
+    observers = []
     release = Release(
-        outlier=OutlierKind.NONE, killed_after=killed_after * SECOND, watched=(killed_after + 6) * SECOND
+        outlier_kind=OutlierKind.NONE,
+        kill_delay=kill_delay * SECOND,
+        observation_time=(kill_delay + 6) * SECOND,
+    )
+    run_release(
+        FIVE_SERVERS.with_changes(load=0.6),
+        release,
+        1,
+        lambda simulation: observers.append(WeightObserver(simulation)),
     )
-    play(FIVE.with_changes(load=0.6), release, 1, lambda world: watches.append(ShareWatch(world)))
-    assert watches[0].seen and not watches[0].beyond
+    assert observers[0].compared_weights and not observers[0].excessive_weights
