--- a/benchmarks/graphite.py
+++ b/benchmarks/graphite.py
@@ -56,7 +56,7 @@
         self.address = ""
         self.awaited: dict[tuple[int, str], float] = {}  # time of the change by (proxy, endpoint)
         self.proxies = [
-            LoopbackProxy(lambda: self.address, number, "north", on_line=self.on_line)
+            LoopbackProxy(lambda: self.address, number, "north", line_callback=self.on_line)
             for number in range(PROXIES)
         ]
 
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -65,7 +65,7 @@
         self.faults_every = faults_every
         self.loads: dict[str, EndpointLoad] = {}
         self.requests = 0
-        self.proxy = LoopbackProxy(lambda: self.server, 0, "north", on_line=_print_message)
+        self.proxy = LoopbackProxy(lambda: self.server, 0, "north", line_callback=_print_message)
         self.collector = LoadReporter(lambda: self.server, "north", self.collect_loads)
 
     async def start(self, registry_port: int) -> None:
--- a/ravenshelf/store/journal.py
+++ b/ravenshelf/store/journal.py
@@ -120,7 +120,7 @@
             )
             self._recover()
             if not self.segments.segment_sizes and not is_readonly:
-                self._write([self._encoded_identity()])
+                self._write([self._encode_identity()])
         except BaseException:
             self._unlock()
             raise
@@ -140,7 +140,9 @@
 
     def _recover(self) -> None:
         skipped_ranges = self.segments.skipped_ranges
-        self.torn_tail_bytes = sum(damage.size_bytes for damage in skipped_ranges if damage.is_torn_tail)
+        self.torn_tail_bytes = sum(
+            skipped_range.size_bytes for skipped_range in skipped_ranges if skipped_range.is_torn_tail
+        )
         for number, records in self.segments.read_all():
             self._replay(self.segments.path(number).name, records)
 
@@ -173,7 +175,9 @@
         try:
             kind, version, key, value = msgspec.msgpack.decode(body)
         except (msgspec.DecodeError, TypeError, ValueError) as error:
-            raise DamagedSegmentError(file, f"the record at {offset} cannot be decoded", offset) from error
+            raise DamagedSegmentError(
+                file, f"cannot decode the record at {offset}, expected kind, version, key, value", offset
+            ) from error
         if version > self.version:
             reason = f"a record of version {version} at {offset}, expected at most version {self.version}"
             raise DamagedSegmentError(file, reason, offset)
@@ -204,7 +208,9 @@
             changes: (key, value) pairs; a value of None removes the key.
 
         Raises:
-            JournalFailedError: This write or an earlier one has failed. The entries are unchanged.
+            JournalFailedError: This write, an earlier one or the compaction after this write has failed. The
+                entries have the changes only in the last case.
+            OSError: The changes are stored, but an old segment could not be removed after the compaction.
         """
         changes = list(changes)
         bodies = [
@@ -237,11 +243,12 @@
 
         Raises:
             JournalFailedError: The new segment could not be written.
+            OSError: An old segment could not be removed.
         """
         old_segments = list(self.segments.segment_sizes)
         self.segments.close()
         first_records = [
-            self._encoded_identity(),
+            self._encode_identity(),
             encode_record(RecordKind.SNAPSHOT_BEGIN.value, version=self.version),
         ]
         entries = [encode_record(CHANGE, key, value, self.version) for key, value in self.entries.items()]
@@ -252,7 +259,7 @@
         self._snapshot_bytes = sum(map(len, entries))
         self._change_bytes = 0
 
-    def _encoded_identity(self) -> bytes:
+    def _encode_identity(self) -> bytes:
         return encode_record(RecordKind.IDENTITY.value, None, self.identity, self.version)
 
     def close(self) -> None:
--- a/ravenshelf/store/segments.py
+++ b/ravenshelf/store/segments.py
@@ -146,7 +146,7 @@
         """Write records, all or none of them, and drop the oldest segments beyond the size limit.
 
         Raises:
-            OSError: The records could not be written or synced.
+            OSError: The records could not be written or synced, or an old segment could not be removed.
             ValueError: A record is too long.
         """
         data = b"".join(map(pack, bodies))
--- a/standins/controllers/cluster.py
+++ b/standins/controllers/cluster.py
@@ -59,12 +59,12 @@
         self.events: list[HistoryEvent] = []
         self.scheduler = Scheduler()
         self._defects = frozenset(defects)
-        self.configuration = self._configuration(shards, clock_drift)
+        self.configuration = self._create_configuration(shards, clock_drift)
         self.endpoint_list = EndpointListHistory(self.rng)
         self._requests = WaitingRequests(self.rng, shards)
         self._highest_terms = dict.fromkeys(range(shards), 0)  # by proxy
         # By member and shard: the time when the last command arrives.
-        self._delivered_at: dict[tuple[int, int], int] = {}
+        self._last_arrivals: dict[tuple[int, int], int] = {}
         self.members = [SimulatedMember(self, number) for number in range(count)]
         self.network = Network(self.rng, self.scheduler, self.members.__getitem__, self._receive)
         for member in self.members:
@@ -72,7 +72,7 @@
         if has_faults:
             FaultSchedule(self).plan()
 
-    def _configuration(self, shards: int, clock_drift: float) -> LeaseConfiguration:
+    def _create_configuration(self, shards: int, clock_drift: float) -> LeaseConfiguration:
         configuration = LeaseConfiguration(shards=shards, stability_period_us=SECOND, clock_drift=clock_drift)
         if self.has_defect(Defect.DRIFT_IGNORED):
             return DriftIgnored(**dataclasses.asdict(configuration))
@@ -114,10 +114,10 @@
         now = self.scheduler.now
         stream = (member.number, shard)
         delay = self.rng.randrange(MIN_DELIVERY_US, MAX_DELIVERY_US)
-        arrives_at = max(self._delivered_at.get(stream, 0), now + delay)
+        arrives_at = max(self._last_arrivals.get(stream, 0), now + delay)
         if member.reach_moment(FaultMoment.BUFFER):
             arrives_at = max(arrives_at, member.paused_until)
-        self._delivered_at[stream] = arrives_at
+        self._last_arrivals[stream] = arrives_at
         self.scheduler.call_later(
             arrives_at - now, lambda: self._apply_command(member.number, shard, term, command)
         )
--- a/standins/controllers/member.py
+++ b/standins/controllers/member.py
@@ -37,7 +37,7 @@
 
 
 class PendingFault(NamedTuple):
-    """A fault that happens at the member's next step of a kind, and its duration in microseconds."""
+    """A fault that waits for a moment of the member, and its duration in microseconds."""
 
     moment: FaultMoment
     duration: int
--- a/standins/controllers/network.py
+++ b/standins/controllers/network.py
@@ -69,9 +69,9 @@
         if (sender, receiver) in self._partitioned_pairs or self._rng.random() < self.loss_probability:
             return
         for _ in range(2 if self._rng.random() < DUPLICATION_PROBABILITY else 1):
-            self._scheduler.call_later(self._delay(), lambda: self._arrive(sender, receiver, message))
+            self._scheduler.call_later(self._draw_delay(), lambda: self._arrive(sender, receiver, message))
 
-    def _delay(self) -> int:
+    def _draw_delay(self) -> int:
         if self._rng.random() < NOMINAL_DELAY_PROBABILITY:
             return self._rng.randrange(MIN_DELAY_US, MAX_NOMINAL_DELAY_US)
         return self._rng.randrange(MAX_LONG_DELAY_US)
--- a/standins/controllers/parameters.py
+++ b/standins/controllers/parameters.py
@@ -52,7 +52,11 @@
 
 
 class FaultMoment(Enum):
-    """A step of a member at which a pending fault happens."""
+    """A moment of a member for which a fault waits.
+
+    The moments are a write to disk, the encoding of a command, and the time when a command is in the buffer
+    of a stream.
+    """
 
     WRITE = "write"
     COMMAND = "command"
--- a/standins/fenced_proxies.py
+++ b/standins/fenced_proxies.py
@@ -76,7 +76,7 @@
         controllers: list[str],
         nominal_rate: float = 5.0,
         has_fencing: bool = True,
-        on_command: CommandCallback = _ignore_command,
+        command_callback: CommandCallback = _ignore_command,
     ):
         """Create a proxy; `run` connects it.
 
@@ -86,14 +86,14 @@
             controllers: Addresses of the controllers as host:port.
             nominal_rate: Requests per second that the proxy announces.
             has_fencing: Whether commands of earlier terms are rejected.
-            on_command: Function that is called with the proxy, controller, term and words of each applied
-                command.
+            command_callback: Function that is called with the proxy, controller, term and words of each
+                applied command.
         """
         self.number = number
         self.zone = zone
         self.nominal_rate = nominal_rate
         self.has_fencing = has_fencing
-        self.on_command = on_command
+        self.command_callback = command_callback
         self.controllers = controllers
         self.term = 0
         self.rejected_count = 0
@@ -138,7 +138,7 @@
                 self.levels[group] = (float(words["level"]), int(words["retry"]))
         if "ticket" in words:
             stream.write(f"ACK proxy={self.number} mark={words['ticket']} took_ms=1\r\n")
-        self.on_command(self, stream.controller, term, words)
+        self.command_callback(self, stream.controller, term, words)
 
     def report_demand(self, group: str, requests: int, unanswered: int = 0) -> None:
         """Report the requests of a traffic group in the last second to all controllers.
--- a/standins/installation.py
+++ b/standins/installation.py
@@ -22,9 +22,9 @@
     """Return free ports, which are all reserved at the same time so that they differ."""
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket()) for _ in range(count)]
-        for reserved in sockets:
-            reserved.bind(("127.0.0.1", 0))
-        return [reserved.getsockname()[1] for reserved in sockets]
+        for reserved_socket in sockets:
+            reserved_socket.bind(("127.0.0.1", 0))
+        return [reserved_socket.getsockname()[1] for reserved_socket in sockets]
 
 
 class Installation:
--- a/standins/loopback.py
+++ b/standins/loopback.py
@@ -135,7 +135,7 @@
         number: int,
         zone: str,
         nominal_rate: float = 40.0,
-        on_line: Callable[["LoopbackProxy", str], None] = _ignore_line,
+        line_callback: Callable[["LoopbackProxy", str], None] = _ignore_line,
     ):
         """Create a proxy; `run` connects it.
 
@@ -144,13 +144,13 @@
             number: Number of the proxy.
             zone: Zone of the proxy.
             nominal_rate: Requests per second that the proxy announces.
-            on_line: Function that is called with the proxy and each line, before the line is applied.
+            line_callback: Function that is called with the proxy and each line, before the line is applied.
         """
         self.server_address = server_address
         self.number = number
         self.zone = zone
         self.nominal_rate = nominal_rate
-        self.on_line = on_line
+        self.line_callback = line_callback
         self.table: dict[str, float] = {}
         self.ejected_endpoints: set[str] = set()
         self.writer: asyncio.StreamWriter | None = None
@@ -171,7 +171,7 @@
 
     def apply_line(self, line: str) -> None:
         """Apply a line, and acknowledge it if requested."""
-        self.on_line(self, line)
+        self.line_callback(self, line)
         words = parse_words(line)
         self.table = update_table(words, self.table, self.ejected_endpoints)
         if "ticket" in words:
--- a/tests/leadership/test_cluster_processes.py
+++ b/tests/leadership/test_cluster_processes.py
@@ -78,7 +78,7 @@
         applied_commands = []
         installation = await Installation(tmp_path, 3, 120, lease_ms=600, shards=24).start()
         for proxy in installation.proxies:
-            proxy.on_command = lambda proxy, member, term, _fields: applied_commands.append(
+            proxy.command_callback = lambda proxy, member, term, _fields: applied_commands.append(
                 (proxy.number, member, term)
             )
         try:
--- a/tests/store/failing_disk.py
+++ b/tests/store/failing_disk.py
@@ -67,8 +67,8 @@
         """Truncate each file to its synced size and a random part of the unsynced data."""
         for path, size in self.synced_sizes.items():
             if os.path.exists(path):
-                unsynced = max(0, os.path.getsize(path) - size)
-                os.truncate(path, size + self.rng.randrange(unsynced + 1))
+                unsynced_bytes = max(0, os.path.getsize(path) - size)
+                os.truncate(path, size + self.rng.randrange(unsynced_bytes + 1))
 
 
 class FullDisk(FileSystem):
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -10,7 +10,7 @@
 import pytest
 from failing_disk import FailingDisk
 
-from ravenshelf.store import journal as journals
+from ravenshelf.store import journal as journal_module
 from ravenshelf.store.errors import DamagedSegmentError, JournalFailedError
 from ravenshelf.store.journal import Journal
 
@@ -149,7 +149,7 @@
 
 
 def test_compaction_bounds_the_size_by_the_entries(tmp_path, monkeypatch):
-    monkeypatch.setattr(journals, "MIN_COMPACTION_BYTES", 4096)
+    monkeypatch.setattr(journal_module, "MIN_COMPACTION_BYTES", 4096)
     journal = Journal(tmp_path, IDENTITY)
     for number in range(2000):
         journal.append([(number % 5, "v" * 50)])
--- a/tools/make_stored_fixtures.py
+++ b/tools/make_stored_fixtures.py
@@ -17,7 +17,7 @@
 from ravenshelf.leadership.decisions import LeaseConfiguration, LeaseState, Member, Message
 from ravenshelf.leadership.link import encode_frame
 from ravenshelf.leadership.record import Record
-from ravenshelf.store import journal as journals
+from ravenshelf.store import journal as journal_module
 from ravenshelf.store.journal import Journal
 
 IDENTITY = {"cluster": "fixtures", "member": "c0"}
@@ -152,7 +152,7 @@
 
 def write_journal(folder: Path) -> None:
     """Write a journal of several segments, with a compaction in between and a torn tail."""
-    journals.SEGMENT_BYTES = SMALL_SEGMENT_BYTES
+    journal_module.SEGMENT_BYTES = SMALL_SEGMENT_BYTES
     journal = Journal(folder, IDENTITY)
     journal.append([("incarnation", 3), ("votes", True)])
     for number in range(30):
