--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -19,7 +19,7 @@
 from benchmarks.scale import distribution, fleet, servers, sockets
 from benchmarks.scale.agreement import Agreement, compare
 from benchmarks.scale.fits import RUNS, Measurement
-from standins.distribution.schedules import BREAKS, Schedule, play
+from standins.distribution.schedules import BREAKS, Schedule, run_schedule
 
 RESULTS = Path(__file__).resolve().parent.parent / "results"
 SCALE_FILE, SOCKETS_FILE = RESULTS / "scale.json", RESULTS / "sockets.json"
@@ -106,11 +106,14 @@
     """Seeded schedules of faults, and schedules with each deliberate break."""
     count, breaks = (SHORT_SCHEDULES, SHORT_SCHEDULES) if short else (SCHEDULES, BREAK_SCHEDULES)
     with ProcessPoolExecutor(PROCESSES if short else SCHEDULES_AT_ONCE, _spawn) as pool:
-        played = pool.map(play, [Schedule(seed) for seed in range(count)], chunksize=8)
+        played = pool.map(run_schedule, [Schedule(seed) for seed in range(count)], chunksize=8)
         broken = {seed: violations[0].rule for seed, violations in enumerate(played) if violations}
         found = {
             name: sum(
-                map(bool, pool.map(play, [Schedule(seed, name) for seed in range(breaks)], chunksize=8))
+                map(
+                    bool,
+                    pool.map(run_schedule, [Schedule(seed, name) for seed in range(breaks)], chunksize=8),
+                )
             )
             for name in BREAKS
         }
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -81,7 +81,7 @@
         servers=pilots,
         services=max(24, SERVICES * pilots // PILOTS),
         endpoints=ENDPOINTS // SERVICES,
-        services_called=SERVICES_CALLED,
+        services_per_server=SERVICES_CALLED,
         regions=REGIONS,
         zones=ZONES,
         fan_out=FAN_OUT,
@@ -96,7 +96,7 @@
     def __init__(self, pilots: int, seed: int, parts: Sequence[str]):
         self.world = SimulatedDistribution(size(pilots), seed, checked=False)
         self.random_source = random.Random(f"{seed}/player")
-        self.fleet = Fleet(pilots, sum(len(level) for level in self.world.levels), seed, list(parts))
+        self.fleet = Fleet(pilots, sum(len(level) for level in self.world.relay_levels), seed, list(parts))
 
     def play(self) -> Fleet:
         """Plays the parts in turn and returns what they showed."""
@@ -118,7 +118,7 @@
 
         The busiest relay and controller are recorded.
         """
-        relays = [relay for level in self.world.levels for relay in level]
+        relays = [relay for level in self.world.relay_levels for relay in level]
         before = self.server_bytes()
         out = [node.bytes_out for node in relays], [node.bytes_out for node in self.world.owners]
         play()
@@ -137,7 +137,7 @@
         """
         found: list[float] = []
         for service in services:
-            had = self.world.change_seen_at[service]
+            had = self.world.change_applied_at[service]
             self.fleet.behind += len(self.world.subscribers(service)) - len(had)
             found += [(at - marked_at[service]) / SECOND for at in had.values()]
         return found
@@ -179,7 +179,7 @@
             marked |= self.mark([service])
             self.world.run(0.5)
         self.world.run(4)
-        heartbeats = sum(len(owner.served) for owner in self.world.owners) * 9
+        heartbeats = sum(len(owner.subscriber_connections) for owner in self.world.owners) * 9
         sent = sum(owner.messages_out for owner in self.world.owners) - before
         found = self.latencies(services, marked)
         self.fleet.owner_messages_a_change = max(0.0, (sent - heartbeats) / len(services))
@@ -233,7 +233,7 @@
         services = self.random_source.sample(self.world.services, 5)
         snapshots = self.world.snapshot_bytes()
         dials = len(self.world.network.dials)
-        for relay in self.world.levels[0]:
+        for relay in self.world.relay_levels[0]:
             relay.stop_for(5)
         self.world.run(0.2)
         marked = self.mark(services)
@@ -250,7 +250,7 @@
 
         def restart() -> None:
             for server in self.random_source.sample(self.world.servers, count):
-                server.stop_for(2, forget=True)
+                server.stop_for(2, loses_topics=True)
                 self.world.run(10 / count)
             self.world.run(5)
 
@@ -260,7 +260,7 @@
     def region_parted(self) -> None:
         """A region is cut off while an hour's changes pile up, then the cut heals."""
         region = REGIONS // 2
-        self.world.network.cut_off(region)
+        self.world.network.isolate_region(region)
         self.world.run(8)
         services = [
             self.random_source.choice(self.world.services)
@@ -273,7 +273,7 @@
         healed = self.world.events.now
 
         def heal() -> None:
-            self.world.network.heal(region)
+            self.world.network.reconnect_region(region)
             self.world.run(15)
 
         self.fleet.parted_bytes = self.a_second(15, heal) * self.fleet.pilots * 15
@@ -313,7 +313,7 @@
                 servers=pilots,
                 services=services,
                 endpoints=30,
-                services_called=called,
+                services_per_server=called,
                 regions=3,
                 zones=3,
                 fan_out=fan_out,
@@ -326,7 +326,7 @@
         world.run(20)
         before = (
             sum(server.bytes_in for server in world.servers),
-            sum(relay.bytes_out for relay in world.levels[-1]),
+            sum(relay.bytes_out for relay in world.relay_levels[-1]),
         )
         for service in world.services:
             world.change(service)
@@ -334,6 +334,6 @@
         world.run(2)
         found += [
             (sum(server.bytes_in for server in world.servers) - before[0]) / pilots / 12,
-            (sum(relay.bytes_out for relay in world.levels[-1]) - before[1]) / 12,
+            (sum(relay.bytes_out for relay in world.relay_levels[-1]) - before[1]) / 12,
         ]
     return Baseline(pilots, seed, *found)
--- a/standins/distribution/interfaces.py
+++ b/standins/distribution/interfaces.py
@@ -10,7 +10,7 @@
 from standins.fleet.clock import EventQueue
 
 
-class Named(Protocol):
+class NamedProcess(Protocol):
     """Has a name."""
 
     name: str
@@ -33,5 +33,5 @@
     def record_publications(self, owner: ServiceOwner, topics: Iterable[str]) -> None:
         """Record what an owner has just published."""
 
-    def update_applied(self, server: Named, topic: str, state: Topic) -> None:
+    def update_applied(self, server: NamedProcess, topic: str, state: Topic) -> None:
         """A server has applied an update."""
--- a/standins/distribution/leases.py
+++ b/standins/distribution/leases.py
@@ -51,31 +51,31 @@
         self.world = world
         self.shards = shards
         self.grants: dict[int, _Grant] = {}
-        self.suspended = False  # no lease is granted, as without a quorum
+        self.grants_suspended = False  # no lease is granted, as without a quorum
         self.epochs = dict.fromkeys(range(shards), 0)
-        self.shard = {service: shard_of_service(service, shards) for service in world.services}
-        self.services: dict[int, list[str]] = {}
-        for service, shard in self.shard.items():
-            self.services.setdefault(shard, []).append(service)
+        self.shard_by_service = {service: shard_of_service(service, shards) for service in world.services}
+        self.services_by_shard: dict[int, list[str]] = {}
+        for service, shard in self.shard_by_service.items():
+            self.services_by_shard.setdefault(shard, []).append(service)
         self._run_cycle()
 
     def owner_of(self, service: str) -> OwnerNode | None:
         """Return the holder of the lease of a service."""
-        grant = self.grants.get(self.shard[service])
+        grant = self.grants.get(self.shard_by_service[service])
         return self.world.owners[grant.owner] if grant is not None else None
 
     def epoch_of(self, service: str) -> int:
         """Return the latest epoch that was granted for a service."""
-        return self.epochs[self.shard[service]]
+        return self.epochs[self.shard_by_service[service]]
 
-    def _reachable(self, place: int) -> bool:
-        node, network = self.world.owners[place], self.world.network
-        return node.alive and not node.is_paused() and not network.is_cut(node.region, QUORUM_REGION)
+    def _is_reachable(self, number: int) -> bool:
+        node, network = self.world.owners[number], self.world.network
+        return node.alive and not node.is_paused() and not network.is_partitioned(node.region, QUORUM_REGION)
 
     def _run_cycle(self) -> None:
         """Renew leases, and grant those that have expired."""
         now = self.world.events.now
-        weights = {place: 1.0 for place in range(len(self.world.owners)) if self._reachable(place)}
+        weights = {number: 1.0 for number in range(len(self.world.owners)) if self._is_reachable(number)}
         for shard in range(self.shards):
             grant = self.grants.get(shard)
             if (
@@ -85,44 +85,46 @@
                 and now < grant.expires_at
             ):
                 grant.expires_at = now + LEASE_DURATION
-            elif (grant is None or now >= grant.expires_at) and weights and not self.suspended:
-                self._grant(shard, ranked_members(shard, weights)[0])
-        standby = self._standby(weights)
-        for place in weights:
-            self._notify(place, standby.get(place, {}))
+            elif (grant is None or now >= grant.expires_at) and weights and not self.grants_suspended:
+                self._grant_lease(shard, ranked_members(shard, weights)[0])
+        standby = self._find_standby_shards(weights)
+        for number in weights:
+            self._notify(number, standby.get(number, {}))
         self.world.network.call_later(RENEW_INTERVAL, self._run_cycle)
 
-    def _standby(self, weights: dict[int, float]) -> dict[int, dict[int, int]]:
+    def _find_standby_shards(self, weights: dict[int, float]) -> dict[int, dict[int, int]]:
         """Return for each controller the shards that it replicates, with their owners."""
-        found: dict[int, dict[int, int]] = {}
+        standby_shards: dict[int, dict[int, int]] = {}
         for shard, grant in self.grants.items():
-            for place in replica_controllers(shard, grant.owner, weights):
-                found.setdefault(place, {})[shard] = grant.owner
-        return found
+            for number in replica_controllers(shard, grant.owner, weights):
+                standby_shards.setdefault(number, {})[shard] = grant.owner
+        return standby_shards
 
-    def _grant(self, shard: int, place: int) -> None:
+    def _grant_lease(self, shard: int, number: int) -> None:
         self.epochs[shard] += 1
-        node = self.world.owners[place]
+        node = self.world.owners[number]
         self.grants[shard] = _Grant(
-            place, node.incarnation, self.epochs[shard], self.world.events.now + LEASE_DURATION
+            number, node.incarnation, self.epochs[shard], self.world.events.now + LEASE_DURATION
         )
 
-    def _notify(self, place: int, standby: dict[int, int]) -> None:
+    def _notify(self, number: int, standby: dict[int, int]) -> None:
         """Notify a controller of the leases that it holds, and of the shards that it is to replicate."""
-        node = self.world.owners[place]
+        node = self.world.owners[number]
         owned = {
             shard: grant
             for shard, grant in self.grants.items()
-            if grant.owner == place and grant.incarnation == node.incarnation
+            if grant.owner == number and grant.incarnation == node.incarnation
         }
         node.run(lambda: self._apply(node, owned, standby))
 
     def _apply(self, node: OwnerNode, owned: dict[int, _Grant], standby: dict[int, int]) -> None:
         owner, now = node.owner, node.now
-        for service in [service for service in owner.owned_services if self.shard[service] not in owned]:
+        for service in [
+            service for service in owner.owned_services if self.shard_by_service[service] not in owned
+        ]:
             owner.release(now, service)
         for shard, grant in owned.items():
-            for service in self.services.get(shard, ()):
+            for service in self.services_by_shard.get(shard, ()):
                 lease = owner.owned_services.get(service)
                 if lease is None or lease.epoch != grant.epoch:
                     owner.acquire(now, service, PublicationLease(grant.epoch, grant.expires_at))
@@ -130,6 +132,6 @@
                     lease.renew(grant.expires_at)
         for shard in [shard for shard in owner.followed_shards if shard not in standby]:
             node.perform(owner.unfollow_shard(shard))
-        for shard, place in standby.items():
-            node.perform(owner.follow_shard(shard, self.world.owners[place].name))
+        for shard, number in standby.items():
+            node.perform(owner.follow_shard(shard, self.world.owners[number].name))
         node.publish()
--- a/standins/distribution/network.py
+++ b/standins/distribution/network.py
@@ -13,8 +13,8 @@
 from standins.fleet.clock import SECOND, EventQueue
 
 MILLISECOND = 1000  # microseconds
-RETRANSMISSION = 250 * MILLISECOND  # delay of a message that was lost once in transit
-KEEPALIVE = 15 * SECOND  # until a parent detects that a child is unreachable
+RETRANSMISSION_DELAY = 250 * MILLISECOND  # delay of a message that was lost once in transit
+KEEPALIVE_TIMEOUT = 15 * SECOND  # until a parent detects that a child is unreachable
 
 
 @dataclass
@@ -26,11 +26,11 @@
 
     within_region: tuple[int, int] = (300, 1500)
     between_regions: tuple[int, int] = (10 * MILLISECOND, 120 * MILLISECOND)
-    loss: float = 0.001
+    loss_share: float = 0.001
     bytes_per_second: float = 12_500_000.0  # of one connection
-    dropped: float = 0.0
-    repeated: float = 0.0
-    reordered: float = 0.0
+    dropped_share: float = 0.0
+    repeated_share: float = 0.0
+    reordered_share: float = 0.0
 
 
 class Process(Protocol):
@@ -52,7 +52,7 @@
     def accept_subscriber(self, connection: "Connection") -> bool:
         """Accept a connection, or return False."""
 
-    def dialled(self, generation: int, connection: "Connection") -> None:
+    def dial_accepted(self, generation: int, connection: "Connection") -> None:
         """A dial of that generation was accepted."""
 
     def dial_refused(self, generation: int, upstream: str) -> None:
@@ -76,12 +76,12 @@
         "child",
         "delay",
         "free_at",
-        "last_down",
-        "last_up",
+        "is_open",
+        "last_downstream_delivery_at",
+        "last_upstream_delivery_at",
         "network",
-        "open",
+        "next_send_at",
         "parent",
-        "pump_at",
         "upstream",
     )
 
@@ -91,16 +91,16 @@
         self.upstream = upstream
         self.parent = parent
         self.delay = network.delay(child.region, parent.region)
-        self.open = True
-        self.free_at = self.last_down = self.last_up = 0
-        self.pump_at: int | None = None
+        self.is_open = True
+        self.free_at = self.last_downstream_delivery_at = self.last_upstream_delivery_at = 0
+        self.next_send_at: int | None = None
         self.bytes_per_second = min(network.rules.bytes_per_second, child.bytes_per_second)
 
     def send_up(self, message: Message) -> None:
         """Send from the child to the parent."""
         self.parent.bytes_in += len(encode(message))
-        self.last_up = self._carry(
-            self.last_up, 0, lambda: self.parent.subscriber_message_arrived(self, message)
+        self.last_upstream_delivery_at = self._schedule_delivery(
+            self.last_upstream_delivery_at, 0, lambda: self.parent.subscriber_message_arrived(self, message)
         )
 
     def send_down(self, outgoing: EncodedMessage) -> None:
@@ -110,46 +110,53 @@
         self.free_at = max(self.free_at, network.events.now) + round(size / self.bytes_per_second * SECOND)
         self.parent.bytes_out += size
         self.parent.messages_out += 1
-        self.last_down = self._carry(
-            self.last_down, self.free_at - network.events.now, lambda: self._arrived(outgoing.message, size)
+        self.last_downstream_delivery_at = self._schedule_delivery(
+            self.last_downstream_delivery_at,
+            self.free_at - network.events.now,
+            lambda: self._deliver_to_child(outgoing.message, size),
         )
 
-    def _arrived(self, message: Message, size: int) -> None:
+    def _deliver_to_child(self, message: Message, size: int) -> None:
         self.child.bytes_in += size
         self.child.messages_in += 1
         self.child.upstream_message_arrived(self, message)
 
-    def _carry(self, last: int, wait: int, call: Callable[[], None]) -> int:
+    def _schedule_delivery(self, last: int, wait: int, call: Callable[[], None]) -> int:
         """Schedule the delivery, in order; return its time. In a partition nothing is delivered."""
         network, random_source, rules = self.network, self.network.random_source, self.network.rules
         at = (
             network.events.now
             + wait
             + self.delay
-            + (RETRANSMISSION if random_source.random() < rules.loss else 0)
+            + (RETRANSMISSION_DELAY if random_source.random() < rules.loss_share else 0)
         )
-        if network.is_cut(self.child.region, self.parent.region) or random_source.random() < rules.dropped:
+        if (
+            network.is_partitioned(self.child.region, self.parent.region)
+            or random_source.random() < rules.dropped_share
+        ):
             return last
-        if random_source.random() < rules.reordered:
-            network.at(at + random_source.randint(0, RETRANSMISSION), lambda: self.open and call())
+        if random_source.random() < rules.reordered_share:
+            network.at(at + random_source.randint(0, RETRANSMISSION_DELAY), lambda: self.is_open and call())
             return last
         at = max(at, last)
-        network.at(at, lambda: self.open and call())
-        if random_source.random() < rules.repeated:
-            network.at(at + random_source.randint(0, RETRANSMISSION), lambda: self.open and call())
+        network.at(at, lambda: self.is_open and call())
+        if random_source.random() < rules.repeated_share:
+            network.at(at + random_source.randint(0, RETRANSMISSION_DELAY), lambda: self.is_open and call())
         return at
 
     def close(self, by: Process, silently: bool = False) -> None:
         """End the connection. The other end is notified a delay later, or by its keepalive if it is
         unreachable."""
-        if not self.open:
+        if not self.is_open:
             return
-        self.open = False
+        self.is_open = False
         other = self.parent if by is self.child else self.child
-        unreachable = silently or self.network.is_cut(self.child.region, self.parent.region)
+        unreachable = silently or self.network.is_partitioned(self.child.region, self.parent.region)
         if other is self.child and unreachable:
             return  # the client has a silence timeout of its own
-        self.network.call_later(KEEPALIVE if unreachable else self.delay, lambda: other.connection_lost(self))
+        self.network.call_later(
+            KEEPALIVE_TIMEOUT if unreachable else self.delay, lambda: other.connection_lost(self)
+        )
 
 
 class Network:
@@ -162,7 +169,7 @@
             for first in range(regions)
             for second in range(first)
         }
-        self._cut: set[int] = set()  # partitioned regions
+        self._isolated_regions: set[int] = set()  # partitioned regions
         self.dials: list[tuple[int, str, str]] = []  # when, by whom, to whom
 
     def call_later(self, after: int, call: Callable[[], object]) -> None:
@@ -179,30 +186,32 @@
             return self.random_source.randint(*self.rules.within_region)
         return self._delays[max(one, other), min(one, other)]
 
-    def cut_off(self, region: int) -> None:
+    def isolate_region(self, region: int) -> None:
         """Partition a region from all others."""
-        self._cut.add(region)
+        self._isolated_regions.add(region)
 
-    def heal(self, region: int) -> None:
+    def reconnect_region(self, region: int) -> None:
         """End the partition of a region."""
-        self._cut.discard(region)
+        self._isolated_regions.discard(region)
 
-    def is_cut(self, one: int, other: int) -> bool:
+    def is_partitioned(self, one: int, other: int) -> bool:
         """Return whether two regions are partitioned from each other."""
-        return one != other and (one in self._cut or other in self._cut)
+        return one != other and (one in self._isolated_regions or other in self._isolated_regions)
 
     def dial(self, child: Process, upstream: str, parent: Process | None) -> None:
         """Dial a parent; the child learns the outcome after a round trip, and nothing in a partition."""
-        if parent is None or self.is_cut(child.region, parent.region):
+        if parent is None or self.is_partitioned(child.region, parent.region):
             return
         self.dials.append((self.events.now, child.name, parent.name))
         delay = self.delay(child.region, parent.region)
-        self.call_later(delay, lambda: self._dialled(child, child.generation, upstream, parent, delay))
+        self.call_later(delay, lambda: self._complete_dial(child, child.generation, upstream, parent, delay))
 
-    def _dialled(self, child: Process, generation: int, upstream: str, parent: Process, delay: int) -> None:
+    def _complete_dial(
+        self, child: Process, generation: int, upstream: str, parent: Process, delay: int
+    ) -> None:
         connection = Connection(self, child, upstream, parent)
         accepted = parent.alive and not parent.is_paused() and parent.accept_subscriber(connection)
         if accepted:
-            self.call_later(delay, lambda: child.dialled(generation, connection))
+            self.call_later(delay, lambda: child.dial_accepted(generation, connection))
         elif not parent.is_paused():
             self.call_later(delay, lambda: child.dial_refused(generation, upstream))
--- a/standins/distribution/node.py
+++ b/standins/distribution/node.py
@@ -28,7 +28,7 @@
         self.clients: Mapping[str, SubscriptionClient] = {}  # by upstream
         self.distributor: Distributor | None = None
         self.connections: dict[str, Connection] = {}  # by upstream
-        self.served: dict[str, Connection] = {}  # by subscriber
+        self.subscriber_connections: dict[str, Connection] = {}  # by subscriber
         self.bytes_in = 0
         self.bytes_out = 0
         self.messages_in = 0
@@ -71,18 +71,20 @@
         """Return whether the process is suspended."""
         return self.paused_until > self.now
 
-    def run(self, call: Callable[[], None]) -> None:
+    def run(self, callback: Callable[[], None]) -> None:
         """Call now, or at the end of a suspension unless the process has ended by then."""
         if not self.alive:
             return
         if self.is_paused():
             generation = self.generation
-            self.world.network.at(self.paused_until, lambda: generation == self.generation and self.run(call))
+            self.world.network.at(
+                self.paused_until, lambda: generation == self.generation and self.run(callback)
+            )
             return
-        call()
-        self.arm()
+        callback()
+        self.schedule_timer()
 
-    def arm(self) -> None:
+    def schedule_timer(self) -> None:
         """Set the timer to the next deadline, at most MAX_TICK_INTERVAL from now.
 
         Deadlines are computed again only when the timer fires: messages postpone most of them, and a node
@@ -111,7 +113,7 @@
         if due is not None and due <= self.now:
             self.run(self.tick)
         else:
-            self.arm()
+            self.schedule_timer()
 
     def stop(self, silently: bool = False) -> None:
         """End the process; `silently`: its machine fails, so nobody is notified."""
@@ -120,10 +122,10 @@
         if self.distributor is not None:
             self.world.ended_snapshot_bytes += self.distributor.snapshot_bytes
             self.distributor.snapshot_bytes = 0
-        for connection in [*self.connections.values(), *self.served.values()]:
+        for connection in [*self.connections.values(), *self.subscriber_connections.values()]:
             connection.close(self, silently)
         self.connections.clear()
-        self.served.clear()
+        self.subscriber_connections.clear()
 
     # --- upstream ---
 
@@ -138,11 +140,11 @@
             elif isinstance(action, Disconnect) and upstream in self.connections:
                 self.connections.pop(upstream).close(self)
 
-    def dialled(self, generation: int, connection: Connection) -> None:
+    def dial_accepted(self, generation: int, connection: Connection) -> None:
         """A parent has accepted a dial."""
         client = self.clients.get(connection.upstream)
-        late = generation != self.generation or not self.alive or client is None
-        if late or client.parent != connection.parent.name or not connection.open:
+        is_stale = generation != self.generation or not self.alive or client is None
+        if is_stale or client.parent != connection.parent.name or not connection.is_open:
             connection.close(self)
             return
         self.connections[connection.upstream] = connection
@@ -169,63 +171,63 @@
         if self.distributor is None:
             return False
         name = f"{connection.child.name}/{connection.upstream}"
-        if name in self.served:
-            self.served.pop(name).open = False
+        if name in self.subscriber_connections:
+            self.subscriber_connections.pop(name).is_open = False
             self.on_subscriber_lost(name)
         if not self.distributor.add_subscriber(self.now, name):
             return False
-        self.served[name] = connection
-        self.schedule_pump(name, self.distributor.due_at(self.now, name))
+        self.subscriber_connections[name] = connection
+        self.schedule_send(name, self.distributor.due_at(self.now, name))
         return True
 
     def subscriber_message_arrived(self, connection: Connection, message: Message) -> None:
         """Handle a message of a subscriber, unless its connection was replaced."""
         name = f"{connection.child.name}/{connection.upstream}"
-        if self.served.get(name) is connection:
+        if self.subscriber_connections.get(name) is connection:
             self.run(lambda: self._handle_subscriber_message(name, message))
 
     def _handle_subscriber_message(self, name: str, message: Message) -> None:
-        if name in self.served:
+        if name in self.subscriber_connections:
             self.on_subscriber_message(name, message)
-            self.pump(name)
+            self.send_pending(name)
 
     def connection_lost(self, connection: Connection) -> None:
         """The other end has ended a connection."""
         name = f"{connection.child.name}/{connection.upstream}"
-        if connection.parent is self and self.served.get(name) is connection:
-            del self.served[name]
+        if connection.parent is self and self.subscriber_connections.get(name) is connection:
+            del self.subscriber_connections[name]
             self.run(lambda: self.on_subscriber_lost(name))
         elif connection.child is self and self.connections.get(connection.upstream) is connection:
             del self.connections[connection.upstream]
             self.run(lambda: self._upstream_lost(connection.upstream))
 
-    def schedule_pump(self, name: str, at: int) -> None:
+    def schedule_send(self, name: str, at: int) -> None:
         """Schedule a pull for a subscriber, unless an earlier one is scheduled."""
-        connection = self.served[name]
-        if connection.pump_at is not None and connection.pump_at <= at:
+        connection = self.subscriber_connections[name]
+        if connection.next_send_at is not None and connection.next_send_at <= at:
             return
-        connection.pump_at = at
-        self.world.network.at(at, lambda: self._pump_due(name, connection, at))
+        connection.next_send_at = at
+        self.world.network.at(at, lambda: self._send_due(name, connection, at))
 
-    def _pump_due(self, name: str, connection: Connection, at: int) -> None:
-        if connection.pump_at != at or not connection.open:
+    def _send_due(self, name: str, connection: Connection, at: int) -> None:
+        if connection.next_send_at != at or not connection.is_open:
             return
-        connection.pump_at = None
-        self.run(lambda: self.pump(name))
+        connection.next_send_at = None
+        self.run(lambda: self.send_pending(name))
 
-    def pump(self, name: str) -> None:
+    def send_pending(self, name: str) -> None:
         """Send a subscriber its pending messages, as far as its connection has capacity."""
-        connection = self.served.get(name)
-        if connection is None or not connection.open:
+        connection = self.subscriber_connections.get(name)
+        if connection is None or not connection.is_open:
             return
         if connection.free_at > self.now:
-            self.schedule_pump(name, connection.free_at)
+            self.schedule_send(name, connection.free_at)
             return
         for outgoing in self.distributor.pull(self.now, name, WRITE_BUFFER_BYTES):
             connection.send_down(outgoing)
-        self.schedule_pump(name, max(connection.free_at, self.distributor.due_at(self.now, name)))
+        self.schedule_send(name, max(connection.free_at, self.distributor.due_at(self.now, name)))
 
-    def pump_all(self, names: Iterable[str]) -> None:
+    def send_all_pending(self, names: Iterable[str]) -> None:
         """Send several subscribers their pending messages."""
         for name in dict.fromkeys(names):
-            self.pump(name)
+            self.send_pending(name)
--- a/standins/distribution/nodes.py
+++ b/standins/distribution/nodes.py
@@ -25,39 +25,39 @@
         name: str,
         region: int,
         parents: list[str],
-        wanted: Iterable[str],
+        subscribed_topics: Iterable[str],
         random_source: random.Random,
         started_at: int,
     ):
         super().__init__(world, name, region)
         self.parents, self.random_source = parents, random_source
         self.topics: dict[str, Topic] = {}
-        self.live: dict[str, bool] = {}
-        self._start(wanted, started_at)
+        self.topic_liveness: dict[str, bool] = {}
+        self._start(subscribed_topics, started_at)
 
-    def _start(self, wanted: Iterable[str], at: int) -> None:
+    def _start(self, subscribed_topics: Iterable[str], at: int) -> None:
         client = SubscriptionClient(self.parents, self.topics, self.random_source, at)
         self.clients = {TREE: client}
-        for topic in wanted:
+        for topic in subscribed_topics:
             client.subscribe(topic)
-        self.arm()
+        self.schedule_timer()
 
     @property
     def client(self) -> SubscriptionClient:
         """The only client."""
         return self.clients[TREE]
 
-    def stop_for(self, seconds: float, forget: bool) -> None:
+    def stop_for(self, seconds: float, loses_topics: bool) -> None:
         """Stop for a while; `forget`: restart without the topics that were held."""
-        wanted = list(self.client.held_versions.versions())
+        subscribed_topics = list(self.client.held_versions.versions())
         self.stop()
-        if forget:
+        if loses_topics:
             self.topics = {}
-        self.world.network.call_later(round(seconds * SECOND), lambda: self._back(wanted))
+        self.world.network.call_later(round(seconds * SECOND), lambda: self._restart(subscribed_topics))
 
-    def _back(self, wanted: list[str]) -> None:
+    def _restart(self, subscribed_topics: list[str]) -> None:
         self.alive, self._timer_at = True, None
-        self._start(wanted, self.now)
+        self._start(subscribed_topics, self.now)
 
     def subscribe(self, topic: str) -> None:
         """Subscribe to a topic."""
@@ -70,7 +70,7 @@
     def _unsubscribe(self, topic: str) -> None:
         self.perform((TREE, action) for action in self.client.unsubscribe(topic))
         self.topics.pop(topic, None)
-        self.live.pop(topic, None)
+        self.topic_liveness.pop(topic, None)
 
     def tick(self) -> None:
         """Do what is due."""
@@ -86,7 +86,7 @@
             if isinstance(action, TopicChanged):
                 self.world.update_applied(self, action.topic, self.topics[action.topic])
             elif isinstance(action, LivenessChanged):
-                self.live[action.topic] = action.is_live
+                self.topic_liveness[action.topic] = action.is_live
             else:
                 self.perform([(upstream, action)])
 
@@ -98,18 +98,18 @@
 class ServingNode(Node):
     """A process without stored state: after a restart it begins anew."""
 
-    def begin(self) -> None:
+    def create_decision_object(self) -> None:
         """Create the decision object."""
         raise NotImplementedError
 
     def stop_for(self, seconds: float, silently: bool = False) -> None:
         """Stop, and restart after so many seconds."""
         self.stop(silently)
-        self.world.network.call_later(round(seconds * SECOND), self._back)
+        self.world.network.call_later(round(seconds * SECOND), self._restart)
 
-    def _back(self) -> None:
+    def _restart(self) -> None:
         self.alive, self._timer_at = True, None
-        self.begin()
+        self.create_decision_object()
 
 
 class RelayNode(ServingNode):
@@ -130,23 +130,23 @@
         self.random_source = random_source
         self.limits = limits
         self.upstreams_are_owners = owners
-        self.begin()
+        self.create_decision_object()
 
-    def begin(self) -> None:
+    def create_decision_object(self) -> None:
         """Create the decision object."""
         self.relay = Relay(
             self.name, self.upstreams, self.random_source, self.now, self.limits, self.upstreams_are_owners
         )
         self.clients, self.distributor = self.relay.clients, self.relay.distributor
-        self.arm()
+        self.schedule_timer()
 
     def due_at(self) -> int:
         """Return the time at which `tick` has something to do."""
         return self.relay.due_at()
 
-    def _apply(self, effects: NodeActions) -> None:
-        self.perform(effects.upstream_actions)
-        self.pump_all(effects.pending_subscribers)
+    def _apply(self, actions: NodeActions) -> None:
+        self.perform(actions.upstream_actions)
+        self.send_all_pending(actions.pending_subscribers)
 
     def tick(self) -> None:
         """Do what is due."""
@@ -188,9 +188,9 @@
         self.limits = limits
         self.shards = shards
         self.incarnation = 0
-        self.begin()
+        self.create_decision_object()
 
-    def begin(self) -> None:
+    def create_decision_object(self) -> None:
         """Create the decision object."""
         self.incarnation += 1
         self.owner = ServiceOwner(
@@ -204,7 +204,7 @@
             self.limits,
         )
         self.clients, self.distributor = self.owner.clients, self.owner.distributor
-        self.arm()
+        self.schedule_timer()
 
     def due_at(self) -> int | None:
         """Return the time at which `tick` has something to do."""
@@ -225,7 +225,7 @@
         """Publish what is due, and record it for the checks."""
         topics, pending_subscribers = self.owner.publish(self.now)
         self.world.record_publications(self.owner, topics)
-        self.pump_all(pending_subscribers)
+        self.send_all_pending(pending_subscribers)
 
     def on_connected(self, upstream: str) -> None:
         """A dial has succeeded."""
@@ -233,9 +233,9 @@
 
     def on_message(self, upstream: str, message: Message) -> None:
         """An upstream has sent a message."""
-        effects = self.owner.upstream_message_received(self.now, upstream, message)
-        self.perform(effects.upstream_actions)
-        self.pump_all(effects.pending_subscribers)
+        actions = self.owner.upstream_message_received(self.now, upstream, message)
+        self.perform(actions.upstream_actions)
+        self.send_all_pending(actions.pending_subscribers)
 
     def on_subscriber_message(self, name: str, message: Message) -> None:
         """A subscriber has changed its subscriptions."""
--- a/standins/distribution/schedules.py
+++ b/standins/distribution/schedules.py
@@ -30,10 +30,10 @@
     """A seeded schedule, perhaps with a deliberate break."""
 
     seed: int
-    broken: str = ""  # the name of a deliberate break
+    break_name: str = ""  # the name of a deliberate break
 
 
-def sizes(random_source: random.Random) -> DistributionSize:
+def draw_size(random_source: random.Random) -> DistributionSize:
     """Draw the size of a distribution."""
     regions = random_source.choice((1, 2, 3))
     return DistributionSize(
@@ -41,7 +41,7 @@
         servers=random_source.choice((12, 24, 40)),
         services=random_source.choice((2, 5, 8)),
         endpoints=random_source.choice((2, 4, 600)),
-        services_called=random_source.choice((1, 2, 4)),
+        services_per_server=random_source.choice((1, 2, 4)),
         regions=regions,
         zones=random_source.choice((1, 2)) * regions,
         fan_out=random_source.choice((6, 12, 32)),
@@ -49,14 +49,14 @@
     )
 
 
-class Script:
+class FaultScript:
     """Draws faults, each of which ends before the time for faults is over."""
 
     def __init__(self, world: SimulatedDistribution, random_source: random.Random):
         self.world, self.random_source = world, random_source
-        self.ends = world.events.now + FAULT_SECONDS * SECOND
+        self.faults_end_at = world.events.now + FAULT_SECONDS * SECOND
 
-    def begin(self) -> None:
+    def schedule_faults(self) -> None:
         """Schedule all faults and changes."""
         faults: list[Callable[[], None]] = [
             self.stop_relay,
@@ -77,13 +77,13 @@
         for _ in range(self.random_source.randint(5, 60)):
             self._after(self.random_source.uniform(3, FAULT_SECONDS), self.change)
 
-    def _after(self, seconds: float, call: Callable[[], object]) -> None:
-        self.world.network.call_later(round(seconds * SECOND), call)
+    def _after(self, seconds: float, callback: Callable[[], object]) -> None:
+        self.world.network.call_later(round(seconds * SECOND), callback)
 
-    def _fault_duration(self, most: float) -> float:
+    def _fault_duration(self, max_seconds: float) -> float:
         """Draw the seconds of a fault, which ends in time."""
-        left = (self.ends - self.world.events.now) / SECOND
-        return min(self.random_source.uniform(0.5, most), max(0.1, left))
+        remaining_seconds = (self.faults_end_at - self.world.events.now) / SECOND
+        return min(self.random_source.uniform(0.5, max_seconds), max(0.1, remaining_seconds))
 
     def change(self) -> None:
         """Change a service's configuration or its table."""
@@ -99,11 +99,11 @@
     def burst_of_changes(self) -> None:
         """Change a service 300 times within a second."""
         service = self.random_source.choice(self.world.services)
-        for n in range(300):
-            self._after(n / 300, partial(self.world.change, service, f"burst-{n % 7}"))
+        for number in range(300):
+            self._after(number / 300, partial(self.world.change, service, f"burst-{number % 7}"))
 
     def _relay(self) -> RelayNode:
-        return self.random_source.choice(self.random_source.choice(self.world.levels))
+        return self.random_source.choice(self.random_source.choice(self.world.relay_levels))
 
     def stop_relay(self) -> None:
         """Stop a relay for a while."""
@@ -150,26 +150,26 @@
     def partition_region(self) -> None:
         """Partition a region for a while."""
         region = self.random_source.randrange(self.world.size.regions)
-        self.world.network.cut_off(region)
-        self._after(self._fault_duration(30), lambda: self.world.network.heal(region))
+        self.world.network.isolate_region(region)
+        self._after(self._fault_duration(30), lambda: self.world.network.reconnect_region(region))
 
     def disturb_transport(self) -> None:
         """Drop, repeat and reorder messages for a while."""
         rules = self.world.network.rules
-        rules.dropped, rules.repeated, rules.reordered = (
+        rules.dropped_share, rules.repeated_share, rules.reordered_share = (
             self.random_source.uniform(0, 0.2) for _ in range(3)
         )
         self._after(self._fault_duration(20), self._restore_transport)
 
     def _restore_transport(self) -> None:
         rules = self.world.network.rules
-        rules.dropped = rules.repeated = rules.reordered = 0.0
+        rules.dropped_share = rules.repeated_share = rules.reordered_share = 0.0
 
     def stop_server(self) -> None:
         """Stop a server for a while."""
         server = self.random_source.choice(self.world.servers)
         if server.alive:
-            server.stop_for(self._fault_duration(40), forget=self.random_source.random() < 0.3)
+            server.stop_for(self._fault_duration(40), loses_topics=self.random_source.random() < 0.3)
 
     def change_subscriptions(self) -> None:
         """Subscribe or unsubscribe a server to or from a service."""
@@ -183,19 +183,21 @@
         for topic in self.world.topics_of(service, zone):
             if topic in server.client.held_versions:
                 server.unsubscribe(topic)
-                self.world.seen_versions.pop((server.name, topic), None)
+                self.world.applied_versions.pop((server.name, topic), None)
             else:
                 server.subscribe(topic)
 
 
-def play(schedule: Schedule) -> list[Violation]:
+def run_schedule(schedule: Schedule) -> list[Violation]:
     """Play a schedule; return the violations of invariants."""
     random_source = random.Random(f"{schedule.seed}/schedule")
-    with deliberate_break(schedule.broken):
+    with deliberate_break(schedule.break_name):
         world = SimulatedDistribution(
-            sizes(random_source), schedule.seed, NetworkRules(loss=random_source.choice((0.0, 0.01, 0.05)))
+            draw_size(random_source),
+            schedule.seed,
+            NetworkRules(loss_share=random_source.choice((0.0, 0.01, 0.05))),
         )
-        Script(world, random_source).begin()
+        FaultScript(world, random_source).schedule_faults()
         world.run(FAULT_SECONDS + SETTLE_SECONDS)
         world.check_converged()
         check_dials(world)
--- a/standins/distribution/world.py
+++ b/standins/distribution/world.py
@@ -19,7 +19,7 @@
 from ravenshelf.distribution.decisions.topics import Topic
 from ravenshelf.distribution.decisions.tree import RelayLevel, candidate_parents, plan_relay_levels
 from ravenshelf.distribution.messages import EndpointEntry, Entry, Setting, TableLine, Version
-from standins.distribution.interfaces import Named
+from standins.distribution.interfaces import NamedProcess
 from standins.distribution.leases import Leases
 from standins.distribution.network import Network, NetworkRules
 from standins.distribution.node import Node
@@ -34,13 +34,13 @@
 
 @dataclass(frozen=True)
 class DistributionSize:
-    """Counts of everything. `services_called` are those of each server, `endpoints` those of each service."""
+    """Counts of processes, services and regions. `endpoints` is the count of each service."""
 
     controllers: int = 3
     servers: int = 18
     services: int = 6
     endpoints: int = 4
-    services_called: int = 3
+    services_per_server: int = 3
     regions: int = 3
     zones: int = 3
     fan_out: int = 8
@@ -55,7 +55,7 @@
 
     rule: str
     at: int
-    what: str
+    description: str
 
 
 class SimulatedDistribution:
@@ -74,34 +74,40 @@
             self.events, random.Random(f"{seed}/network"), size.regions, rules or NetworkRules()
         )
         self.nodes: dict[str, Node] = {}
-        self.services = [f"service-{n}" for n in range(size.services)]
-        self.configuration = {service: self._listed(service) for service in self.services}
-        self.tables = {service: self._table(service) for service in self.services}
-        self.states: dict[tuple[str, Version], int] = {}  # fingerprints of all states ever published
-        self.seen_versions: dict[tuple[str, str], Version] = {}  # by server and topic
+        self.services = [f"service-{number}" for number in range(size.services)]
+        self.configuration = {service: self._initial_configuration(service) for service in self.services}
+        self.tables = {service: self._initial_table(service) for service in self.services}
+        self.published_fingerprints: dict[
+            tuple[str, Version], int
+        ] = {}  # fingerprints of all states ever published
+        self.applied_versions: dict[tuple[str, str], Version] = {}  # by server and topic
         self.violations: list[Violation] = []
-        self.change_seen_at: dict[str, dict[str, int]] = {}  # by marked service and server: time
+        self.change_applied_at: dict[str, dict[str, int]] = {}  # by marked service and server: time
         self.marked_values: dict[str, str] = {}  # by marked service: the value of its change
         self.ended_snapshot_bytes = 0  # sent by processes that have ended
         self._zone_topics: dict[str, list[str]] = {service: [] for service in self.services}
         self.owners = self._make_owners()
-        self.levels = self._make_relays()
+        self.relay_levels = self._make_relays()
         self.servers = self._make_servers()
         self.leases = Leases(self, size.shards)
 
     # --- processes and services ---
 
-    def _listed(self, service: str) -> dict[str, Entry]:
+    def _initial_configuration(self, service: str) -> dict[str, Entry]:
         entries: dict[str, Entry] = {SETTING_PREFIX + "change": Setting("0")}
-        for n in range(self.size.endpoints):
-            entries[f"{ENDPOINT_PREFIX}{service}-{n}"] = EndpointEntry(n % self.size.zones, True, 1.0)
+        for number in range(self.size.endpoints):
+            entries[f"{ENDPOINT_PREFIX}{service}-{number}"] = EndpointEntry(
+                number % self.size.zones, True, 1.0
+            )
         return entries
 
-    def _table(self, service: str) -> dict[str, Entry]:
+    def _initial_table(self, service: str) -> dict[str, Entry]:
         lines = range(min(self.size.endpoints, TABLE_LINES))
-        return {f"{LINE_PREFIX}{service}-{n}": TableLine(round(1000 / len(lines), 2)) for n in lines}
+        return {
+            f"{LINE_PREFIX}{service}-{number}": TableLine(round(1000 / len(lines), 2)) for number in lines
+        }
 
-    def _random(self, name: str) -> random.Random:
+    def _make_random_source(self, name: str) -> random.Random:
         return random.Random(f"{self.seed}/{name}")
 
     def _add(self, node: AnyNode) -> AnyNode:
@@ -109,7 +115,7 @@
         return node
 
     def _make_owners(self) -> list[OwnerNode]:
-        names = [f"{OWNER_PREFIX}{n}" for n in range(self.size.controllers)]
+        names = [f"{OWNER_PREFIX}{number}" for number in range(self.size.controllers)]
         limits = DistributorLimits(
             4 * self.size.fan_out + len(names),
             self.size.limits.snapshot_bytes_per_second,
@@ -120,60 +126,72 @@
                 OwnerNode(
                     self,
                     name,
-                    n % self.size.regions,
+                    number % self.size.regions,
                     [other for other in names if other != name],
-                    self._random(name),
+                    self._make_random_source(name),
                     limits,
                     self.size.shards,
                 )
             )
-            for n, name in enumerate(names)
+            for number, name in enumerate(names)
         ]
 
     def _make_relays(self) -> list[list[RelayNode]]:
-        made: list[list[RelayNode]] = []
-        above: RelayLevel | None = None
+        relay_levels: list[list[RelayNode]] = []
+        parent_level: RelayLevel | None = None
         limits = DistributorLimits(
             self.size.fan_out,
             self.size.limits.snapshot_bytes_per_second,
             self.size.limits.snapshot_burst_bytes,
         )
         for level in plan_relay_levels(self.size.servers, self.size.fan_out):
-            made.append(
+            relay_levels.append(
                 [
-                    self._make_relay(name, place, len(level.names), above, limits)
-                    for place, name in enumerate(level.names)
+                    self._make_relay(name, index, len(level.names), parent_level, limits)
+                    for index, name in enumerate(level.names)
                 ]
             )
-            above = level
-        self.last_level = above
-        return made
+            parent_level = level
+        self.last_relay_level = parent_level
+        return relay_levels
 
     def _make_relay(
-        self, name: str, place: int, count: int, above: RelayLevel | None, limits: DistributorLimits
+        self, name: str, index: int, count: int, parent_level: RelayLevel | None, limits: DistributorLimits
     ) -> RelayNode:
-        region = place * self.size.regions // count
+        region = index * self.size.regions // count
         upstreams = (
             {owner.name: [owner.name] for owner in self.owners}
-            if above is None
-            else {"tree": candidate_parents(place, count, above)}
+            if parent_level is None
+            else {"tree": candidate_parents(index, count, parent_level)}
         )
         return self._add(
-            RelayNode(self, name, region, upstreams, self._random(name), limits, owners=above is None)
+            RelayNode(
+                self,
+                name,
+                region,
+                upstreams,
+                self._make_random_source(name),
+                limits,
+                owners=parent_level is None,
+            )
         )
 
     def _make_servers(self) -> list[ServerNode]:
-        return [self._make_server(place) for place in range(self.size.servers)]
+        return [self._make_server(index) for index in range(self.size.servers)]
 
-    def _make_server(self, place: int) -> ServerNode:
-        zone = place * self.size.zones // self.size.servers
+    def _make_server(self, index: int) -> ServerNode:
+        zone = index * self.size.zones // self.size.servers
         region = zone * self.size.regions // self.size.zones
-        called = self.random_source.sample(self.services, min(self.size.services_called, len(self.services)))
-        wanted = [topic for service in called for topic in self.topics_of(service, zone)]
-        parents = candidate_parents(place, self.size.servers, self.last_level)
-        name = f"pilot-{place}"
+        called_services = self.random_source.sample(
+            self.services, min(self.size.services_per_server, len(self.services))
+        )
+        topics = [topic for service in called_services for topic in self.topics_of(service, zone)]
+        parents = candidate_parents(index, self.size.servers, self.last_relay_level)
+        name = f"pilot-{index}"
         started_at = self.events.now + self.random_source.randint(0, self.size.start_spread)
-        return self._add(ServerNode(self, name, region, parents, wanted, self._random(name), started_at))
+        return self._add(
+            ServerNode(self, name, region, parents, topics, self._make_random_source(name), started_at)
+        )
 
     def topics_of(self, service: str, zone: int) -> tuple[str, str]:
         """Return the topics that a server of a zone subscribes to for a service."""
@@ -215,36 +233,38 @@
         for topic in topics if self.checked else ():
             publication = owner.publications[topic]
             state = publication.topic
-            if (topic, state.version) in self.states:
-                self._violated("one state a version", f"{topic} {state.version} of {owner.name}")
-            self.states[topic, state.version] = _fingerprint(state)
+            if (topic, state.version) in self.published_fingerprints:
+                self._record_violation("one state a version", f"{topic} {state.version} of {owner.name}")
+            self.published_fingerprints[topic, state.version] = _fingerprint(state)
             if (
                 service_of_topic(topic) in self.configuration
                 and self.leases.epoch_of(service_of_topic(topic)) > publication.epoch
             ):
-                self._violated("no order of a deposed owner", f"{topic} {state.version} of {owner.name}")
+                self._record_violation(
+                    "no order of a deposed owner", f"{topic} {state.version} of {owner.name}"
+                )
 
     # --- state of servers ---
 
-    def update_applied(self, server: Named, topic: str, state: Topic) -> None:
+    def update_applied(self, server: NamedProcess, topic: str, state: Topic) -> None:
         """Check and record an update that a server has applied."""
         service = service_of_topic(topic)
         if service in self.marked_values:
             entry = state.entries.get(SETTING_PREFIX + "change")
             if isinstance(entry, Setting) and entry.value == self.marked_values[service]:
-                self.change_seen_at[service].setdefault(server.name, self.events.now)
+                self.change_applied_at[service].setdefault(server.name, self.events.now)
         if not self.checked:
             return
-        before = self.seen_versions.get((server.name, topic))
+        before = self.applied_versions.get((server.name, topic))
         if before is not None and state.version < before:
-            self._violated("never back", f"{server.name} {topic} from {before} to {state.version}")
-        self.seen_versions[server.name, topic] = state.version
-        if self.states.get((topic, state.version)) != _fingerprint(state):
-            self._violated("the owner's state", f"{server.name} {topic} {state.version}")
+            self._record_violation("never back", f"{server.name} {topic} from {before} to {state.version}")
+        self.applied_versions[server.name, topic] = state.version
+        if self.published_fingerprints.get((topic, state.version)) != _fingerprint(state):
+            self._record_violation("the owner's state", f"{server.name} {topic} {state.version}")
 
     def mark_change(self, service: str) -> None:
         """Change a service, and record when each of its servers has applied the change."""
-        self.change_seen_at[service] = {}
+        self.change_applied_at[service] = {}
         self.marked_values[service] = self.change(service)
 
     def subscribers(self, service: str) -> list[ServerNode]:
@@ -261,15 +281,17 @@
         serving = [node.distributor for node in self.nodes.values() if node.distributor is not None]
         return self.ended_snapshot_bytes + sum(distributor.snapshot_bytes for distributor in serving)
 
-    def _violated(self, rule: str, what: str) -> None:
-        self.violations.append(Violation(rule, self.events.now, what))
+    def _record_violation(self, rule: str, description: str) -> None:
+        self.violations.append(Violation(rule, self.events.now, description))
 
     def check_converged(self) -> None:
         """Check that every living server holds the intended state of its topics."""
         for server in self.servers:
             for topic in server.client.held_versions.versions() if server.alive else ():
                 if server.topics[topic].entries != self.content(topic):
-                    self._violated("converged", f"{server.name} {topic} holds {server.topics[topic].version}")
+                    self._record_violation(
+                        "converged", f"{server.name} {topic} holds {server.topics[topic].version}"
+                    )
 
     # --- time ---
 
--- a/tests/distribution/test_distribution_sockets.py
+++ b/tests/distribution/test_distribution_sockets.py
@@ -274,7 +274,7 @@
             servers=1,
             services=1,
             endpoints=4,
-            services_called=1,
+            services_per_server=1,
             regions=1,
             zones=1,
             fan_out=8,
