--- a/ravenshelf/distribution/decisions/distributed_controller.py
+++ b/ravenshelf/distribution/decisions/distributed_controller.py
@@ -26,7 +26,7 @@
 
 
 class DistributedController(Controller):
-    """Controller that takes the split of each zone from the owner's table."""
+    """Controller that uses the owner's table for the split of each zone's requests."""
 
     def __init__(
         self,
--- a/ravenshelf/distribution/decisions/distributor.py
+++ b/ravenshelf/distribution/decisions/distributor.py
@@ -85,8 +85,8 @@
         self.topics = topics
         self.limits = limits
         self.subscribers: dict[str, _Subscriber] = {}
-        self.subscriptions: dict[str, dict[str, None]] = {}  # The subscribers of each topic are ordered.
-        self.snapshot_bytes = 0  # Total since the start.
+        self.subscriptions: dict[str, dict[str, None]] = {}  # Subscribers by topic, in order of subscription.
+        self.snapshot_bytes = 0  # Bytes of all snapshots since the start.
         self._unreachable_topics: set[str] = set()
         self._bucket = TokenBucket(limits.snapshot_bytes_per_second, limits.snapshot_burst_bytes)
         self._encoded_updates: dict[str, _EncodedUpdates] = {}
--- a/ravenshelf/distribution/decisions/ownership.py
+++ b/ravenshelf/distribution/decisions/ownership.py
@@ -1,7 +1,8 @@
 """Ownership of services: shards, replicas, claims with epochs, and the lease that permits publication.
 
-Services are hashed to shards. `leadership` assigns the shards to the living controllers by rendezvous hashing
-and grants them by leases; the term of a shard's lease is the epoch of everything that its owner publishes.
+Services are hashed to shards. `leadership` assigns the shards to the reachable controllers by rendezvous
+hashing and grants them by leases; the term of a shard's lease is the epoch of everything that its owner
+publishes.
 """
 
 from collections.abc import Mapping
@@ -32,7 +33,7 @@
     Args:
         shard: The replicated shard.
         owner: Member number of the shard's owner.
-        weights: Placement weights of the living controllers, by member number.
+        weights: Placement weights of the reachable controllers, by member number.
         count: Largest number of controllers to return.
     """
     return [member for member in ranked_members(shard, weights) if member != owner][:count]
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -62,7 +62,7 @@
         self.levels: dict[int, dict[int, tuple[float, int]]] = {}  # Level and retry mode by table and group.
         self.table_of_zone: dict[int, int] = {}
         self.ejected_endpoints: set[int] = set()
-        self.markers: list[int] = []  # Markers whose acknowledgement was requested in this cycle.
+        self.markers: list[int] = []  # Markers of the acknowledgements requested in this cycle.
 
     def set_weight(self, table: int, endpoint: int, weight: float) -> None:
         """Set an endpoint's weight in a table; weight 0 removes the line."""
--- a/ravenshelf/distribution/decisions/service_owner.py
+++ b/ravenshelf/distribution/decisions/service_owner.py
@@ -91,7 +91,7 @@
     def set_claimed(self, now: int, service: str, is_claimed: bool) -> None:
         """Claim an owned service, or withdraw the claim while its lease can't be renewed.
 
-        A withdrawn claim lets servers learn that the service has no owner.
+        When a claim is withdrawn, relays report to servers that the service has no owner.
         """
         key, entry = claim_entry(service, self.owned_services[service].epoch)
         self._put(now, claims_topic(self.name), key, entry if is_claimed else None)
@@ -176,8 +176,8 @@
 
     def _may_publish(self, now: int, topic: str) -> bool:
         service = service_of_topic(topic)
-        # A topic about this controller needs no lease: its readers compare epochs, so they ignore an outdated
-        # one.
+        # A topic that describes this controller needs no lease: its readers compare epochs, and so ignore
+        # outdated content.
         if not service:
             return True
         lease = self.owned_services.get(service)
--- a/ravenshelf/distribution/decisions/topics.py
+++ b/ravenshelf/distribution/decisions/topics.py
@@ -39,7 +39,8 @@
         self.name = name
         self.version = NEVER
         self.entries: dict[str, Entry] = {}
-        self._history: deque[Delta] = deque()  # Each delta begins at the version of the one before it.
+        # The oldest delta comes first. Each begins at the version to which the one before it leads.
+        self._history: deque[Delta] = deque()
         self._history_changes = 0
         self._partial_snapshot: _PartialSnapshot | None = None
 
--- a/ravenshelf/distribution/messages.py
+++ b/ravenshelf/distribution/messages.py
@@ -54,7 +54,7 @@
 
 
 class Setting(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """One value of the service's configuration."""
+    """A text value: a setting of a service, or the value of a key in a topic that describes a controller."""
 
     value: str
 
--- a/ravenshelf/leadership/decisions/claims.py
+++ b/ravenshelf/leadership/decisions/claims.py
@@ -26,7 +26,7 @@
     """Which commands may be sent for a shard."""
 
     FULL = "granting"
-    # only commands that repeat previous tables
+    # only commands that repeat previous tables may be sent
     REPEAT_ONLY = "keeping"
 
 
--- a/ravenshelf/leadership/record.py
+++ b/ravenshelf/leadership/record.py
@@ -17,7 +17,7 @@
 # the stored fields by the version that added them; a record of an earlier version lacks them
 FIELDS_BY_VERSION = {1: ("tries", "levels", "drains"), 2: ("ramps",)}
 KNOWN_FIELDS = tuple(name for version in sorted(FIELDS_BY_VERSION) for name in FIELDS_BY_VERSION[version])
-SHOWN_BYTES = 40  # the error message shows at most this much of an unreadable record
+SHOWN_BYTES = 40  # the error message shows at most this number of bytes of an unreadable record
 
 
 class UnreadableRecordError(RavenshelfError):
--- a/ravenshelf/leadership/service.py
+++ b/ravenshelf/leadership/service.py
@@ -131,7 +131,8 @@
         What the step stores is on disk before any message of this step or a later one is sent.
         """
         if self._is_in_step:
-            # called from within a step, by a command that requires a record: it belongs to that step
+            # The action was called from within a step, for a record that a command requires. It belongs to
+            # that step.
             return action()
         self._is_in_step = True
         try:
@@ -146,7 +147,8 @@
         return result
 
     def _deliver(self, messages: list[OutgoingMessage]) -> None:
-        frames: dict[int, bytes] = {}  # by id of the message: one to several members is encoded once
+        # by id of the message, so that a message to several members is encoded once
+        frames: dict[int, bytes] = {}
         for member, message in messages:
             if member == self.membership.local_member:
                 self._local_messages.append(message)
@@ -269,7 +271,7 @@
     def drain(self, is_enabled: bool = True) -> int:
         """Begin to drain this member, or stop draining it if `is_enabled` is False.
 
-        A draining member has weight 0, so that rebalancing hands its shards over to the others.
+        A draining member has weight 0, so that its shards go to the others at the rate of rebalancing.
 
         Returns:
             The number of shards that it holds now.
