--- a/ravenshelf/policy/admission.py
+++ b/ravenshelf/policy/admission.py
@@ -15,27 +15,30 @@
 
 # Capacities are loads per weight: the requests in service, divided by the effective weight.
 
-# The capacity is unlimited where listed weights do not express the size of endpoints.
+# The capacity counts as unlimited where listed weights do not express the size of endpoints.
 UNLIMITED_CAPACITY = 1e6
 INITIAL_CAPACITY = 0.8
 # The estimate falls if more than this share of the attempts miss.
 OVERLOAD_MISS_SHARE = 0.10
 # Endpoints are calm, and the estimate may rise, if less than this share of the attempts miss.
 CALM_MISS_SHARE = 0.06
-# These are the factors for one solve interval.
+# In a solve interval with overload, the estimate falls to this share of itself, or of the load if lower.
 DECREASE_FACTOR = 0.75
+# In a solve interval in which the estimate may rise, it is multiplied by this.
 INCREASE_FACTOR = 1.1
-# A low miss share raises the estimate only if the load exceeds this share of it, because few misses at a
-# lower load do not show that the capacity is greater.
+# A low miss share raises the estimate only if the load exceeds this share of the estimate, because few
+# misses at a lower load do not show that the capacity is greater.
 NEAR_CAPACITY_SHARE = 0.9
-# The estimate never falls below the load that was carried in calm, times this factor less half of the miss
-# share (at most times 1).
+# An overload does not lower the estimate below a multiple of the load that was carried in calm. The multiple
+# is this value less half of the miss share, and at most 1.
 MINIMUM_CARRIED_FACTOR = 1.1
 # Where no calm was observed before the first overload, the carried load is the load at that time divided by
 # this.
 FIRST_CARRIED_DIVISOR = 2
-# These are the factors for one calm solve interval.
+# In each calm solve interval, the load carried in calm is multiplied by this before it is compared with the
+# present load.
 CARRIED_DECAY = 0.995
+# In each calm solve interval, the load reported in calm is multiplied by this in the same way.
 CALM_LOAD_DECAY = 0.99
 # Endpoints are idle if the reported load is at most the load reported in calm times this factor, plus the
 # margin (load per weight).
@@ -43,11 +46,12 @@
 IDLE_LOAD_MARGIN = 0.1
 # The health factor of idle endpoints is their median health score raised to this power.
 IDLE_HEALTH_EXPONENT = 0.5
-# The miss share of an endpoint counts from this many attempts (decayed) on, and its load from this many
-# reports (decayed) on.
+# The miss share of an endpoint counts only with more than this many attempts (decayed), and its load only
+# with more than this many reports (decayed).
 MINIMUM_ATTEMPTS = 1
 MINIMUM_REPORTS = 0.2
-# At least this share of a traffic group's demand is admitted, whatever its priority weight.
+# At least this share of a traffic group's demand, or of the admitted rate if that is less, is admitted
+# whatever its priority weight.
 MINIMUM_GROUP_SHARE = 0.05
 # No load is shed if at least this share of all demand is admitted, and none of a traffic group's if at least
 # this share of its demand is admitted.
@@ -95,7 +99,7 @@
             adapts_estimate: Whether to adapt the capacity estimate to the reports first.
 
         Returns:
-            A share of at most 1; 1 while the service time is unknown.
+            A share of at most 1; 1 while the service time is unknown, or without demand or weight.
         """
         self._service_time.update(now)
         if not self._service_time.seconds or not demand or not total_effective_weight:
--- a/ravenshelf/policy/controller.py
+++ b/ravenshelf/policy/controller.py
@@ -46,17 +46,17 @@
     from ravenshelf.policy.commands import CommandWriter
 
 SOLVE_INTERVAL = 5 * SECOND // 2
-# The first solve follows the first load report by this time. By then the zones can be told apart.
+# After the first load report, the next solve is due after this time. By then the zones can be told apart.
 FIRST_SOLVE_DELAY = SECOND // 4
 ROLLOUT_STEP = SECOND // 4
 STEP_TIMER = "step"
-# A traffic group without a latency objective counts with this one.
+# This objective applies to traffic groups for which the settings state none.
 DEFAULT_LATENCY_OBJECTIVE = 10 * SECOND
-# This objective holds where the settings list no traffic groups.
+# This objective applies if the settings list no traffic groups.
 NO_GROUPS_LATENCY_OBJECTIVE = SECOND
 # An attempt that succeeds at half of the latency objective counts as 0.5 ** 3 = 1/8 of a miss.
 LATENCY_MISS_EXPONENT = 3
-# Miss curves weight latency against the miss bound in the same way.
+# In a miss curve, an attempt that succeeds at half of the miss bound counts as 0.5 ** 4 = 1/16 of a miss.
 CURVE_MISS_EXPONENT = 4
 # A host load sample of age 0 replaces this share of the older samples.
 NEW_SAMPLE_SHARE = 0.7
@@ -275,7 +275,7 @@
     def _learn_curve(self, endpoint: Endpoint, attempts: int, failures: int, latency: int) -> None:
         """Add a report to the miss curve of the endpoint's zone.
 
-        A mean latency near the miss bound means that some of its attempts have missed the bound, so a success
+        A mean latency near the miss bound means that some of the attempts have missed the bound, so a success
         counts as a partial miss that grows with latency. The report is weighted with the endpoint's health
         score, because the failures of an unhealthy endpoint say little about the load of its zone.
         """
@@ -362,7 +362,10 @@
         self._renew_tables(effective_weights, levels, writer, urgency, selected_tables)
 
     def _capacity_by_zone(self) -> tuple[list[float], list[float]]:
-        """Return two lists by zone: the weight that endpoints can carry now, and the listed weight."""
+        """Return two lists by zone: the present capacity of the usable endpoints, and their listed weight.
+
+        The present capacity is the listed weight, reduced by slow start and by the health score.
+        """
         capacity = [0.0] * self.zone_count
         listed_weight = [0.0] * self.zone_count
         for endpoint in self.usable_endpoints():
--- a/ravenshelf/policy/effective_weights.py
+++ b/ravenshelf/policy/effective_weights.py
@@ -12,12 +12,12 @@
 from ravenshelf.policy.proxies import Proxy
 from ravenshelf.policy.slow_start import SlowStart
 
-# An endpoint's mean latency counts from this many successful attempts (decayed) on.
+# An endpoint's mean latency counts only with more than this many successful attempts (decayed).
 MINIMUM_SUCCESSES = 2
 # The speed of an endpoint relative to the median of its zone is limited to this range.
 MINIMUM_SPEED = 0.1
 MAXIMUM_SPEED = 2.0
-# A machine's busy share counts from this many host load samples (decayed) on.
+# A machine's busy share counts only with more than this many host load samples (decayed).
 MINIMUM_SAMPLES = 0.05
 # The median busy share of a zone counts from this many sampled machines on.
 MINIMUM_SAMPLED_MACHINES = 3
@@ -98,7 +98,8 @@
     def _cold_share_divisor(self, endpoint: Endpoint, now: int) -> float:
         """Return the divisor for the weight of an endpoint that is warming up.
 
-        A server does not know the capacity of endpoints that started before its own first load report.
+        The divisor is greater than 1 only for endpoints that started before this server's first load report,
+        because the server does not know their capacity.
         """
         if endpoint.started_at < (self._miss_bound.first_report_at or now):
             return self._slow_start.cold_share_divisor
@@ -133,7 +134,7 @@
     ) -> list[bool]:
         """Return for each zone whether proxies would eject failing endpoints before load reports show them.
 
-        This depends on the request rate of a proxy, as the mean over all requests.
+        This depends on the mean request rate of a proxy. Each proxy counts in proportion to its requests.
         """
         rates = [max(proxy.nominal_rate, sum(proxy.demand(now) or ())) for proxy in proxies.values()]
         mean_rate_of_requests = sum(rate * rate for rate in rates) / (sum(rates) or 1)
@@ -145,7 +146,11 @@
         ]
 
     def _weight_factors(self, now: int, usable_endpoints: Iterable[Endpoint]) -> dict[Endpoint, float]:
-        """Return the health score times the relative speed, less the discount for busy machines."""
+        """Return the health score times the relative speed, less the discount for busy machines.
+
+        The speed is the median latency of the zone over the mean latency of the endpoint, or over the median
+        latency of its machine kind as long as its own is unknown.
+        """
         latencies = self._mean_latencies(now)
         zone_medians = [
             median([latency for endpoint, latency in latencies.items() if endpoint.zone == zone])
--- a/ravenshelf/policy/ejections.py
+++ b/ravenshelf/policy/ejections.py
@@ -31,8 +31,8 @@
     def update(self, pending_endpoints: Iterable[Endpoint], writer: CommandWriter) -> None:
         """Eject or readmit endpoints as far as the channel has capacity; the others remain pending.
 
-        An endpoint is readmitted only when no deferred table contains it, because such a table still has its
-        old weight.
+        An endpoint is readmitted only when no deferred table contains it, because such a table still has the
+        endpoint's old weight.
         """
         tables = self._tables
         deferred_endpoints = set().union(*(tables.lines.get(table, ()) for table in tables.deferred_tables))
--- a/ravenshelf/policy/flow_control.py
+++ b/ravenshelf/policy/flow_control.py
@@ -23,8 +23,8 @@
 if TYPE_CHECKING:  # Imported for annotations only, so that a simulated server starts without loading it.
     from ravenshelf.policy.commands import CommandWriter
 
-# These hold where the settings state no limit: lines (also per second), and messages per proxy and counting
-# window.
+# These limits apply where the settings state none: the first to lines and to lines per second, the second to
+# messages per proxy and counting window.
 UNLIMITED_LINES = 1e9
 UNLIMITED_MESSAGES = 1e9
 # Each message is charged with this many lines of overhead where the settings state none.
@@ -46,11 +46,13 @@
 
 # The following limits are indexed by urgency.
 
-# A change is not written if the queue takes longer than this to drain: the change would be outdated by then.
+# A change is not written if the queue before it takes longer than this to drain at the nominal rate, because
+# the change would be outdated by then.
 MAXIMUM_QUEUE_SECONDS = (0.7, 1.5, 1.5, 4.0, 1e9)
 # The estimated queue may take up this share of the queue limit.
 QUEUE_SHARES = (0.45, 0.65, 0.65, 0.75, 0.88)
-# The lines that may be queued at any rate of the channel may take up this share of the queue limit.
+# The lines that are not confirmed to have left the channel, and so may be queued whatever its rate is, may
+# take up this share of the queue limit.
 UNCONFIRMED_SHARES = (0.85, 0.85, 0.85, 0.9, 0.95)
 # This share of a proxy's messages per counting window may be used.
 MESSAGE_SHARES = (0.6, 0.7, 0.8, 0.8, 1.0)
@@ -68,8 +70,8 @@
         end_position: The position after the last line.
         earliest_start: When the channel reaches the batch at its nominal rate.
         latest_end: When the channel has sent the batch at its slowest rate.
-        total_lines: The lines of the batch, less those dropped with a connection before the batch was
-            reached.
+        total_lines: The lines of the batch, less those dropped with a connection before the channel
+            can have reached the batch.
         lines_behind: For each proxy, the lines of the batch that are sent after those of this proxy.
         acknowledged_lines: The lines that proxies have acknowledged.
         queued_lines: The estimated queue up to the end of the batch when it was written.
@@ -263,7 +265,7 @@
             charges[proxy] = charges.get(proxy, overhead) + lines
 
     def discard_charges(self) -> None:
-        """Discard the charges of this cycle, whose commands will not be sent."""
+        """Reset the charges of this cycle to none, for example because its commands will not be sent."""
         self.cycle_charges = {}
         self.cycle_lines = 0.0
 
@@ -376,7 +378,7 @@
         # the queue by the time that as many lines take at that rate.
         self.next_position -= lines * SLOWEST_FACTOR
         self.earliest_idle -= lines * self.slowest_line_time
-        # A batch that the channel may have reached already may have been sent with these lines.
+        # If the channel may have reached the batch, these lines may have been sent, so they still count.
         if batch.earliest_start > self.now:
             batch.total_lines -= lines
             self.unconfirmed_total -= lines
--- a/ravenshelf/policy/latency_bounds.py
+++ b/ravenshelf/policy/latency_bounds.py
@@ -16,9 +16,9 @@
 GAP_WINDOW = SECOND
 # Smaller changes of the latency between zones are ignored, so that they do not move the miss curves.
 MINIMUM_GAP_CHANGE = 1000
-# The latency between zones leaves at least this share of the miss bound for the request itself.
+# Whatever the latency between zones, at least this share of the miss bound counts as left for the request.
 MINIMUM_TIME_LEFT = 0.2
-# This bound holds as long as the miss bound is unknown.
+# This bound, in microseconds, is used as long as the miss bound is unknown.
 UNKNOWN_BOUND = 1e9
 
 
--- a/ravenshelf/policy/miss_curves.py
+++ b/ravenshelf/policy/miss_curves.py
@@ -1,9 +1,12 @@
-"""Miss curves: the share of a zone's attempts that miss the latency objective, as a function of its load.
+"""Miss curves: the share of a zone's attempts that miss, as a function of its load.
 
-The load is requests per second over listed weight. A curve is learnt from load reports and then fitted. The
-fitted curve increases with the load (isotonic regression by pooling adjacent violators) and is convex (the
-lower convex hull): the observed curve of a saturated zone is flat, and with it the solver would keep adding
-load to a zone that is already lost.
+A failed attempt is a miss. A successful attempt counts as a partial miss, up to a whole one as its latency
+reaches the miss bound. The load is the requests per second over the present capacity of the zone (see
+`spill_planning`).
+
+A curve is learnt from load reports and then fitted. The fitted curve increases with the load (isotonic
+regression by pooling adjacent violators) and is convex (the lower convex hull). The observed curve of a
+saturated zone is flat, and with it the solver would keep adding load to a zone that is already lost.
 """
 
 from collections.abc import Iterable
@@ -20,7 +23,8 @@
 OTHER_ZONES_SHARE = 0.15
 # A bucket counts from this many attempts (decayed) on.
 MINIMUM_ATTEMPTS = 1.0
-# Beyond the last point of a curve, the miss share rises by this much for each doubling of the load.
+# Beyond the last point of a curve, the miss share rises linearly with the load. Between the load of the last
+# point and twice that load, it rises by this much.
 EXTRAPOLATION_SLOPE = 0.6
 
 Point = tuple[float, float]  # load, miss share
@@ -37,13 +41,13 @@
         self.buckets: dict[int, DecayedTotals] = {}
 
     def add(self, now: int, load: float, attempts: float, missed: float) -> None:
-        """Add attempts at a load, and the number of them that missed the latency objective.
+        """Add attempts at a load, and the number of them that missed.
 
         Args:
             now: The time in microseconds.
             load: The load of the zone; it must be greater than 0.
             attempts: All attempts.
-            missed: The attempts that missed.
+            missed: The attempts that missed; a partial miss adds a fraction.
         """
         bucket = round(log(load) / BUCKET_WIDTH)
         self.buckets.setdefault(bucket, DecayedTotals(CURVE_TIME_CONSTANT, 2)).add(now, attempts, missed)
@@ -90,7 +94,7 @@
 
 
 def _convex_hull(pools: Iterable[_Pool]) -> list[Point]:
-    """Return the lower convex hull of the origin and the miss shares, without the origin itself."""
+    """Return the lower convex hull of the origin and the pools' miss shares, without the origin itself."""
     hull: list[Point] = [(0.0, 0.0)]
     for load, attempts, missed in pools:
         share = missed / attempts
--- a/ravenshelf/policy/partition_shares.py
+++ b/ravenshelf/policy/partition_shares.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Sequence
 
-# A partition carries at most its even load, increased by this share.
+# While any partition has spare capacity, each carries at most its even load, increased by this share.
 OVERLOAD_ALLOWANCE = 0.2
 # A table does not borrow less than this share of its demand, because that does not justify the cost of
 # additional lines from another partition.
 MINIMUM_BORROWED_SHARE = 0.02
-# If no partition has spare capacity, a table borrows this share of the total demand at a time.
+# If no partition has spare capacity, a table borrows this share of the total demand in each step.
 MINIMUM_BORROWED = 1e-6
 
 
--- a/ravenshelf/policy/proxies.py
+++ b/ravenshelf/policy/proxies.py
@@ -7,7 +7,7 @@
 # Demand reports decay with this time constant. On average their age is then that of the reports in a window
 # of 5 s.
 DEMAND_TIME_CONSTANT = 5 * SECOND // 2
-# The demand of a proxy is known from this many reported seconds (decayed) on.
+# The demand of a proxy is known only with more than this many reported seconds (decayed).
 MINIMUM_REPORTED_SECONDS = 0.05
 
 
@@ -18,7 +18,8 @@
         zone: The zone of the proxy.
         nominal_rate: The requests per second that the proxy announced when it joined.
         table: The table that the proxy is bound to; None before it is bound.
-        partition: The endpoint partition of its zone that the proxy is assigned to; None before that.
+        partition: The endpoint partition of its zone that the proxy is assigned to; None before it is
+            assigned.
     """
 
     __slots__ = (
--- a/ravenshelf/policy/service_time.py
+++ b/ravenshelf/policy/service_time.py
@@ -5,7 +5,7 @@
 
 # Successful attempts decay with this time constant.
 RECENT_TIME_CONSTANT = 2 * SECOND
-# The mean latency counts from this many successful attempts (decayed) on.
+# The mean latency counts only with more than this many successful attempts (decayed).
 MINIMUM_SUCCESSES = 20
 # The service time is at most the latency objective divided by this.
 OBJECTIVE_DIVISOR = 3
--- a/ravenshelf/policy/slow_start.py
+++ b/ravenshelf/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the share of its capacity that an endpoint is used with after it has started."""
+"""Slow start: the share of its capacity up to which an endpoint is used while it is warming up."""
 
 from collections.abc import Iterable
 
@@ -6,18 +6,18 @@
 from ravenshelf.policy.service_time import ServiceTimeEstimator
 from ravenshelf.settings import SECOND, WarmUpSettings
 
-# Slow start takes at most this time, and exactly this time if the settings promise none.
+# Slow start takes at most this time, and exactly this time if the settings state none.
 MAXIMUM_WARM_UP = 30 * SECOND
-# The endpoints of a lost zone return within this time.
+# The endpoints of a lost zone are expected to return within this time.
 RECOVERY_WINDOW = 10 * SECOND
 # The cold capacity share is multiplied with this while the service time, and so the traffic, is unknown.
 UNKNOWN_TRAFFIC_FACTOR = 0.25
 # The cold capacity share is reduced unless a cold endpoint survives an overload by this multiple of its
 # capacity. The overload that it survives is the overload multiple of the settings, less 1.
 OVERLOAD_MARGIN = 3
-# An overload of the settings below this counts as this.
+# A smaller overload in the settings counts as this one.
 MINIMUM_OVERLOAD = 0.1
-# An endpoint is known to work from this many successful attempts (decayed) on.
+# An endpoint is known to work if it has more than this many successful attempts (decayed).
 MINIMUM_SUCCESSES = 0.5
 
 
@@ -37,7 +37,7 @@
         self._service_time = service_time
 
     def capacity_share(self, endpoint: Endpoint, now: int) -> float:
-        """Return the share of its capacity that an endpoint is used with.
+        """Return the share of its capacity, at most 1, up to which an endpoint is used.
 
         The share rises linearly from the cold capacity share at the endpoint's start to 1.
         """
@@ -69,5 +69,5 @@
         """Return whether a zone has just returned: none of its older endpoints has recently succeeded."""
         if any(endpoint.latency.read(now)[0] > MINIMUM_SUCCESSES for endpoint in older_endpoints):
             return False
-        # Without recent reports from any zone, at least half of this zone's endpoints must have started.
+        # Without recent successes in any zone, at least half of this zone's endpoints must be new.
         return self._service_time.has_recent_successes(now) or 2 * len(older_endpoints) <= zone_size
--- a/ravenshelf/policy/spill_planning.py
+++ b/ravenshelf/policy/spill_planning.py
@@ -5,7 +5,8 @@
 from ravenshelf.policy.miss_curves import MissCurve, Point
 from ravenshelf.policy.spill_solver import solve_spill
 
-# While any zone is cold, a zone without a miss curve accepts this multiple of the mean load.
+# While any zone is cold, a zone without a miss curve is assumed to carry this multiple of the mean load
+# without misses.
 COLD_ZONE_LOAD = 1.2
 # A zone is cold if its capacity is less than this share of its listed weight.
 COLD_ZONE_CAPACITY = 0.7
@@ -19,7 +20,8 @@
     Attributes:
         curves: The miss curve of each zone.
         shares: `shares[sender][zone]` is the share of the sender's demand that the zone serves.
-        loads: Demand over capacity of each zone that serves any demand.
+        loads: The requests per second that a zone serves over its present capacity, for each zone that serves
+            any.
     """
 
     def __init__(self, zone_count: int):
@@ -41,7 +43,7 @@
         Args:
             now: The time in microseconds.
             demand: The requests per second of each zone.
-            capacity: The weight that the endpoints of each zone can carry now.
+            capacity: The present capacity of each zone; see `solve_spill`.
             listed_weight: The listed weight of the endpoints of each zone.
             load_factors: The factors on the load for the latency between zones; see `solve_spill`.
         """
@@ -59,7 +61,7 @@
         }
 
     def spilling_zones(self, demand: Sequence[float]) -> list[int]:
-        """Return the zones with demand of which other zones serve a considerable share."""
+        """Return the zones that serve less than `SPILLING_SHARE` of their own demand themselves."""
         return [zone for zone in self._zones if demand[zone] and self.shares[zone][zone] < SPILLING_SHARE]
 
     def _fit(self, now: int, curve: MissCurve) -> list[Point]:
--- a/ravenshelf/policy/spill_solver.py
+++ b/ravenshelf/policy/spill_solver.py
@@ -1,9 +1,10 @@
 """The spill solver (KurmaCost): the share of each zone's demand that other zones serve.
 
-The solver greedily moves small shares of demand (quanta) between zones. It moves as little as brings the
-misses of every zone below the target. Where that is impossible, it makes the moves that reduce the misses of
-all zones most. No zone both sends and receives demand. A zone without observations neither sends nor
-receives, except that the demand of a zone without capacity is always moved.
+The solver greedily moves small shares of demand (quanta) between zones. It moves only as much as is needed
+for the miss share of every zone to meet the target. Where that is impossible, it makes the moves that reduce
+the misses of all zones most. No zone both sends and receives demand. A zone without observations
+neither sends nor receives, except that the demand of zones without capacity always moves to the least loaded
+zones with capacity, observed or not.
 """
 
 from collections.abc import Sequence
@@ -14,11 +15,12 @@
 TARGET_MISS_SHARE = 0.05
 # One move takes this share of the sending zone's demand.
 QUANTUM = 0.01
-# Quanta are coarser with more zones than this, because the work grows with the third power of their number.
+# Quanta are coarser with more zones than this, because the work grows with the third power of the number of
+# zones.
 ZONES_WITH_FINE_QUANTA = 8
 # The demand may grow by this factor before the tables are in use.
 DEMAND_MARGIN = 1.2
-# Smaller gains, in misses per moved request, are rounding errors.
+# Smaller gains, in misses per request of the sending zone's demand, are rounding errors.
 MINIMUM_GAIN = 1e-9
 
 Pair = tuple[int, int]  # sending zone, receiving zone
@@ -34,7 +36,8 @@
 
     Args:
         demand: The requests per second of each zone.
-        capacity: The weight of the endpoints of each zone.
+        capacity: The present capacity of each zone: the listed weight of its endpoints, reduced by slow start
+            and by the health score.
         curves: The fitted miss curve of each zone; None or empty without observations.
         load_factors: `load_factors[sender][receiver]` is a factor on the load of the receiving zone, which
             accounts for the latency between the zones.
@@ -93,7 +96,7 @@
         )
 
     def _reach_target(self) -> None:
-        """Move as little as brings every zone below the target, while a receiver stays below it."""
+        """Move quanta away from zones over the target, as long as the target is met at the receiving zone."""
         while True:
             senders = [
                 zone for zone in self._zones_with_capacity if self._zone_misses(zone) > TARGET_MISS_SHARE
@@ -139,7 +142,7 @@
         return any(self._zone_misses(zone) > TARGET_MISS_SHARE for zone in self._zones if self._demand[zone])
 
     def _gain(self, sender: int, receiver: int) -> float:
-        """Return the misses that a move avoids, per moved request."""
+        """Return the misses that one move avoids, per request of the sending zone's demand."""
         quantum = self._quantum
         return (
             self._misses_at(sender, sender, 0)
@@ -149,7 +152,7 @@
         ) / self._demand[sender]
 
     def _misses_at(self, zone: int, sender: int, moved_share: float) -> float:
-        """Return the misses per second at a zone if a sender sent it this much more of its demand."""
+        """Return the misses per second at a zone if it served `moved_share` more of a sender's demand."""
         demand = self._demand
         shares = self._shares
         added_requests = moved_share * demand[sender]
@@ -171,7 +174,7 @@
         )
 
     def _miss_share(self, sender: int, zone: int, added_requests: float = 0.0) -> float:
-        """Return the miss share of a sender's requests at a zone with more requests per second than now."""
+        """Return the miss share of a sender's requests at a zone, if that served more requests per second."""
         curve = self._curves[zone]
         if not curve:
             return 0.0
--- a/ravenshelf/policy/urgency.py
+++ b/ravenshelf/policy/urgency.py
@@ -5,7 +5,7 @@
 
 # Weights drift; a later control cycle may decide them anew.
 ORDINARY = 0
-# An endpoint has been added, or an admission level has changed.
+# An endpoint has been added or is readmitted, or an admission level has changed.
 URGENT = 1
 # An endpoint has left, is draining or has restarted.
 ENDPOINT_LOSS = 2
--- a/ravenshelf/policy/weight_tables.py
+++ b/ravenshelf/policy/weight_tables.py
@@ -2,6 +2,8 @@
 
 Each partition of a zone has two tables, numbered `table` and `table ^ 1`. Proxies are bound to the current
 one of the two. A staged rollout writes the other table, which then becomes the current one.
+
+A line is the weight of one endpoint in a table. It is cold while its endpoint is warming up.
 """
 
 from __future__ import annotations
@@ -21,7 +23,7 @@
 
 # An admission level this high sheds no load.
 UNLIMITED_LEVEL = 1e6
-# This retry mode of the wire permits a retry only if the first attempt is proved never to have run.
+# This retry mode of the wire permits a retry only if it is certain that the first attempt never ran.
 RETRY_MODE = 1
 # A level is rewritten if it changes by more than this share of the lower of the old and the new level.
 MINIMUM_LEVEL_CHANGE = 0.1
@@ -87,8 +89,8 @@
         self._slow_start = slow_start
         self._zone_count = zone_count
         self._group_count = group_count
-        # While a table is deferred, a cold line may receive this multiple of its planned share, which is half
-        # of the load at which the endpoint fails.
+        # While a table is deferred, a cold line may receive this multiple of its planned share: half of the
+        # multiple at which the endpoint fails, but at least 1.
         self._tolerated_multiple = max(1.0, overload_multiple / 2)
 
     def add_proxy(self, index: int, proxy: Proxy) -> None:
@@ -198,7 +200,8 @@
         """Change a table to planned lines, and charge the change for every proxy that uses the table.
 
         If the channel has no capacity for the change, the table is deferred. Only cold lines that would be
-        overloaded in the meantime are then removed at once. The table is never empty in between.
+        overloaded in the meantime are then removed at once, or all changes are made if no other usable line
+        would remain. The table is never empty in between.
 
         Args:
             now: The time in microseconds.
