--- a/ravenshelf/net/accepted.py
+++ b/ravenshelf/net/accepted.py
@@ -9,8 +9,8 @@
 from ravenshelf.net.stream_codec import LINE_LIMIT_BYTES, may_begin_message
 from ravenshelf.state.buffers import BUFFER_BYTES, BufferPool
 
-# A connection with more than this unsent, beyond the socket's own buffer, is closed when the next message is
-# written to it: its peer does not read.
+# A connection with more unsent bytes than this, in addition to the socket's own buffer, is closed when the
+# next message is written to it, because its peer does not read.
 UNSENT_LIMIT_BYTES = 256 * 1024
 # An unidentified connection first sends a short line that identifies it. Many such connections that send
 # lines without an end must not fill the memory.
@@ -84,8 +84,8 @@
         """Handle one buffer of data per iteration of the event loop; called by the event loop.
 
         Without a pause the event loop would read from this connection as long as data keeps coming, and all
-        other connections would wait. In return, a peer that sends more at once than fits into a buffer needs
-        several iterations for it.
+        other connections would wait. The disadvantage is that data that does not fit into one buffer takes
+        several iterations.
         """
         super().buffer_updated(count)
         if count == BUFFER_BYTES and not self.transport.is_closing():
--- a/ravenshelf/net/connection_end.py
+++ b/ravenshelf/net/connection_end.py
@@ -32,7 +32,7 @@
 FETCH = "fetch"
 HEALTH_CHECK = "health check"
 
-# The server itself ended a stream in these ways, and the proxy may be healthy.
+# If a stream ended in one of these ways, this server ended it, and the proxy may be healthy.
 ENDS_BY_SERVER = (
     ConnectionEnd.UNREAD,
     ConnectionEnd.NO_CAPACITY,
--- a/ravenshelf/net/datagrams.py
+++ b/ravenshelf/net/datagrams.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-# The service allows no longer datagrams: a run in which one is sent is void.
+# Longer datagrams are forbidden: a run of the service in which one is sent is void.
 DATAGRAM_LIMIT_BYTES = 256
 
 
--- a/ravenshelf/net/endpoint_codec.py
+++ b/ravenshelf/net/endpoint_codec.py
@@ -13,7 +13,8 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.GONE,
 }
-# An endpoint with one of these characters in its name could not be named in a message on a proxy's stream.
+# These characters separate words and values in messages on a proxy's stream, so an endpoint's name must not
+# contain them.
 FORBIDDEN_NAME_CHARACTERS = set(" \t\r\n,:=")
 START_LIMIT_MS = 1e15
 LOGGED_TEXT_LENGTH = 80
--- a/ravenshelf/net/http.py
+++ b/ravenshelf/net/http.py
@@ -10,7 +10,8 @@
 from ravenshelf.state.buffers import BufferPool
 
 BODY_LIMIT_BYTES = 16 * 1024 * 1024
-# Limit on the data received before the status is known. A head without an end must not fill the memory.
+# At most this much data is accepted before the status is known, so that a head without an end cannot fill the
+# memory.
 HEAD_LIMIT_BYTES = 64 * 1024
 STATUS_OK = 200
 STATUS_SWITCHING_PROTOCOLS = 101
@@ -34,7 +35,7 @@
         chunk_bytes: Total length of `chunks`.
         head_bytes: Number of bytes received before the status was known.
         is_complete: Whether the response is complete.
-        has_length: Whether the head says where the body ends, by its length or by chunked encoding.
+        has_length: Whether the head says how the end of the body is found: by its length or chunked encoding.
         slot: Slot that the call's owner assigned to it, or None.
         dialing: Task that opens the connection, or None before `dial`.
     """
--- a/ravenshelf/net/stream_codec.py
+++ b/ravenshelf/net/stream_codec.py
@@ -1,6 +1,7 @@
-"""Codec of the protocol on proxies' streams and collectors: lines into events, table updates into lines.
+"""Codec of the protocol on the connections of proxies and collectors.
 
-The words of this protocol occur in this module only.
+It decodes lines into events, and encodes table updates as lines. The words of this protocol occur in this
+module only.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -10,7 +11,7 @@
 from ravenshelf.settings import Settings
 from ravenshelf.state.table_update import TableUpdate
 
-# Columns of the settings' telemetry, by the names that load reports on streams use for them.
+# Columns of the settings' telemetry, by the names that load reports may use for them instead.
 LOAD_COLUMN_ALIASES = {
     "inflight": "active",
     "queue": "waiting",
@@ -31,7 +32,7 @@
 PING = "PING"
 PONG = b"PONG\r\n"
 SUBSCRIBE = "SUBSCRIBE"  # a proxy joins
-SOURCE = "SOURCE"  # a collector names the zone of its load reports
+SOURCE = "SOURCE"  # a collector states the zone of its load reports
 LOAD = "LOAD"  # a load report
 RATE = "RATE"  # a demand report
 ACK = "ACK"  # an acknowledgement
@@ -85,7 +86,7 @@
 def may_begin_message(data: bytes | bytearray) -> bool:
     """Return whether an incomplete line may become a message of a known kind.
 
-    It rejects a peer that sends something else without a line end before its data fills the memory.
+    With this check, a peer that sends other data without a line end is rejected before that fills the memory.
     """
     first_bytes, space, _ = bytes(data[:KIND_PREFIX_BYTES]).partition(b" ")
     word = first_bytes.rstrip(b"\r").decode("latin-1")
--- a/ravenshelf/policy/commands.py
+++ b/ravenshelf/policy/commands.py
@@ -7,8 +7,8 @@
 
 from typing import NamedTuple, Protocol
 
-# As the table of an admission level, this number stands for all tables, so the level holds for every joined
-# proxy.
+# As the table of an admission level, this number stands for all tables, so that the level applies to every
+# joined proxy.
 ALL_TABLES = 65_535
 
 
--- a/ravenshelf/policy/flow_control.py
+++ b/ravenshelf/policy/flow_control.py
@@ -64,8 +64,8 @@
     Attributes:
         number: The number of the batch, counted from 1.
         dispatched_at: When the batch was written.
-        lines: The lines that are not acknowledged yet, by proxy. The key None holds lines that no proxy
-            acknowledges.
+        lines: The lines that are not acknowledged yet, by proxy. Under the key None are the lines that no
+            proxy acknowledges.
         start_position: The position of the first line.
         end_position: The position after the last line.
         earliest_start: When the channel reaches the batch at its nominal rate.
--- a/ravenshelf/policy/proxies.py
+++ b/ravenshelf/policy/proxies.py
@@ -63,7 +63,7 @@
 
     def _read_demand(self, now: int) -> list[float] | None:
         totals = self._reports.read(now)
-        # A traffic group without requests is not reported, so the longest reported time holds for all groups.
+        # A traffic group without requests is not reported, so the longest reported time applies to all.
         seconds = max(totals[self._group_count :], default=0)
         if seconds <= MINIMUM_REPORTED_SECONDS:
             return None
--- a/ravenshelf/policy/weight_tables.py
+++ b/ravenshelf/policy/weight_tables.py
@@ -51,8 +51,8 @@
         lines: The written lines (weight by endpoint index) of each table.
         levels: The written admission levels (level by traffic group) of each table.
         written_at: When each table was last written, in microseconds.
-        proxies_by_table: The proxies that use each table, in the order in which they were bound. The key None
-            holds the proxies that are not bound to a table yet.
+        proxies_by_table: The proxies that use each table, in the order in which they were bound. Under the
+            key None are the proxies that are not bound to a table yet.
         current_tables: The current table of each partition.
         deferred_tables: The tables whose changes did not fit into the channel, with their urgency.
     """
--- a/ravenshelf/settings.py
+++ b/ravenshelf/settings.py
@@ -11,7 +11,7 @@
 from ravenshelf.errors import RavenshelfError
 
 MICROSECONDS_PER_MILLISECOND = 1000
-SECOND = 1_000_000  # in microseconds
+SECOND = 1_000_000  # microseconds
 
 
 class SettingsError(RavenshelfError):
@@ -61,8 +61,8 @@
         proxy_count: The number of proxies across all control-plane servers.
         proxies_join_by_zone: Whether all proxies of a zone join the same control-plane server.
         lines_per_second: The nominal rate of the control channel; None: unlimited.
-        message_overhead_lines: The lines that each message counts for in addition to its own; None: not
-            stated.
+        message_overhead_lines: The lines that the control channel counts for each message, in addition to the
+            lines in it; None: not stated.
         queue_limit_lines: The queue limit of the control channel in lines; None: unlimited.
         messages_per_proxy_limit: The messages that a proxy may get within `message_count_window_us`; 0:
             unlimited.
@@ -94,7 +94,7 @@
         warm_after_us: The microseconds after which an endpoint has its full capacity; None: not stated.
         overload_multiple: The load, relative to its present capacity, at which an endpoint that is warming up
             fails.
-        removal_is_not_binding: Whether endpoints that are no longer listed may still be used for a time.
+        removal_is_not_binding: Whether endpoints that are no longer listed may still be used for some time.
     """
 
     cold_capacity_share: float = 0.2
@@ -138,7 +138,7 @@
         traffic_groups: The traffic groups.
         server_count: The number of control-plane servers.
         discovery: How endpoint lists arrive: "pushed" or "on_request".
-        weight_kind: The meaning of listed weights; "none": they have none.
+        weight_kind: What listed weights express; "none": nothing.
         tick_us: The interval between control cycles in microseconds; None: not stated.
         service: The proxies and the control channel.
         warm_up: The properties of endpoints that have just started.
--- a/ravenshelf/simulator/__main__.py
+++ b/ravenshelf/simulator/__main__.py
@@ -17,7 +17,7 @@
 
     Returns:
         The exit code: 0 at the end of the input; 1 if the input is malformed, which is reported on standard
-        error, or if the reader of the output has gone.
+        error, or if the output was closed by its reader.
     """
     host = Host()
     try:
--- a/ravenshelf/simulator/decode.py
+++ b/ravenshelf/simulator/decode.py
@@ -22,7 +22,7 @@
 SHOWN_LINE_LENGTH = 120  # characters of a line that an error message shows
 ENTRY_LENGTH = 8  # number of words of a list entry, including its first word
 LIST_COUNT_POSITION = 4  # position of the number of entries in the line, which may omit it
-# Names of an entry's values in the protocol's own terms
+# The values of a list entry, by the names that the protocol has for them; error messages show this text.
 ENTRY_SYNTAX = "'endpoint' name rack-zone family-type unit-group availability share last-start-ms"
 
 EndpointIndex = Callable[[str], int]  # returns the index of an endpoint's name in one instance
@@ -31,7 +31,7 @@
 
 
 class Boot(NamedTuple):
-    """The start of an instance, with the seed of its controller and its settings as a JSON object."""
+    """The start of an instance, with the seed of its controller and its settings as a decoded JSON object."""
 
     seed: int
     settings: dict[str, Any]
@@ -251,7 +251,7 @@
         int(values[3])  # the version is checked but not used
         count = int(values[LIST_COUNT_POSITION]) if len(values) > LIST_COUNT_POSITION else 0
         if (kind not in LIST_KINDS and kind != LIST_UNAVAILABLE) or count < 0:
-            raise ValueError("expected a list")
+            raise ValueError("expected a known kind of list and a count of 0 or more")
     except (ValueError, IndexError) as error:
         raise MalformedLineError(text, "topology i kind version members-list") from error
     endpoint_index = index_of(instance, text)
@@ -265,7 +265,7 @@
     values = text.split(" ")
     try:
         if values[0] != "endpoint" or len(values) < ENTRY_LENGTH or values[5] not in STATES:
-            raise ValueError("expected an entry of a list")
+            raise ValueError("expected a complete list entry with a known state")
         return events.ListedEndpoint(
             endpoint=endpoint_index(values[1]),
             zone=int(values[2]),
--- a/ravenshelf/simulator/host.py
+++ b/ravenshelf/simulator/host.py
@@ -24,7 +24,7 @@
     """An event for an instance that has no controller, because its settings were invalid at its boot."""
 
     def __init__(self, instance: int):
-        super().__init__(f"instance {instance} was not started, see the fault of its boot")
+        super().__init__(f"instance {instance} was not started; the reply to its boot says why")
         self.instance = instance
 
 
@@ -152,7 +152,7 @@
     values = head.split(" ")
     try:
         if len(values) != 3 or values[0] != "clock":
-            raise ValueError("not the head of a batch")
+            raise ValueError("expected the head of a batch")
         return decode_time(values[1]), int(values[2])
     except ValueError as error:
         raise MalformedLineError(head[:SHOWN_LINE_LENGTH], "clock t-ms frame") from error
--- a/ravenshelf/state/buffers.py
+++ b/ravenshelf/state/buffers.py
@@ -1,7 +1,8 @@
 """Pool of reusable read buffers of one size."""
 
 BUFFER_BYTES = 16 * 1024
-# A buffer is in use only from the start of a read to its end, so there are never this many in use at a time.
+# A connection uses a buffer only from the start of a read to its end, so that fewer than this are in use at a
+# time.
 POOL_LIMIT = 64
 
 
@@ -16,6 +17,6 @@
         return self.free_buffers.pop() if self.free_buffers else bytearray(BUFFER_BYTES)
 
     def release(self, buffer: bytearray) -> None:
-        """Accept back a buffer that `acquire` returned."""
+        """Put a buffer from `acquire` back into the pool; a full pool drops it."""
         if len(self.free_buffers) < POOL_LIMIT:
             self.free_buffers.append(buffer)
--- a/ravenshelf/state/endpoint_registry.py
+++ b/ravenshelf/state/endpoint_registry.py
@@ -8,10 +8,10 @@
 from ravenshelf.errors import RavenshelfError
 from ravenshelf.policy.events import EndpointsListed, EndpointState, ListedEndpoint, ListKind
 
-# An index is reassigned this long after its endpoint was delisted, at the earliest. By then the evidence
-# about that endpoint has decayed.
+# An index is reassigned at the earliest this long after its endpoint was delisted. By then the effect of the
+# reports about that endpoint has decayed.
 INDEX_REUSE_DELAY_US = 600_000_000
-# Number of names that are remembered of endpoints whose index was reassigned.
+# At most this many names of endpoints whose index was reassigned are remembered.
 FORMER_NAMES_LIMIT = 65_536
 
 
@@ -109,7 +109,7 @@
         self.on_index_reassigned(index)
 
     def _reusable_index(self) -> int | None:
-        """Return the index that has been delisted longest, of those that may be reassigned, or None."""
+        """Return the earliest delisted of the indices that may be reassigned, or None if there is none."""
         latest_delisting = self.clock() - INDEX_REUSE_DELAY_US
         for index, delisted_at in self.delisted_at.items():
             if delisted_at > latest_delisting:
--- a/ravenshelf/state/message_building.py
+++ b/ravenshelf/state/message_building.py
@@ -107,12 +107,14 @@
     ) -> tuple[list[int], list[int]]:
         """Return the endpoints that the message ejects and those that it readmits.
 
-        Both lists are as short as the proxy's tables after this cycle allow.
+        An endpoint is ejected only if the proxy may use it after this cycle and has not ejected it on this
+        stream. It is readmitted only if the proxy has ejected it, or may have done so by commands that this
+        server does not know.
         """
         endpoints_to_eject: list[int] = []
         endpoints_to_readmit: list[int] = []
         tables = [self.contents.weights.get(table, {}) for table in set(proxy.table_by_group.values())]
-        # Without a binding for every group, the proxy may use any table for the other groups.
+        # A proxy that is not bound to a table for every group may use any table for the other groups.
         is_partially_bound = len(proxy.table_by_group) < len(self.groups)
         for endpoint in sorted({*proxy.changed_ejections, *weighted_endpoints}):
             if endpoint in self.contents.ejected_endpoints:
--- a/ravenshelf/state/proxy_table_state.py
+++ b/ravenshelf/state/proxy_table_state.py
@@ -1,4 +1,4 @@
-"""What a joined proxy was sent, and what it may still hold from earlier streams."""
+"""The tables and ejections that a joined proxy was sent, also on earlier streams."""
 
 
 class ProxyTableState:
--- a/ravenshelf/state/proxy_tables.py
+++ b/ravenshelf/state/proxy_tables.py
@@ -66,7 +66,7 @@
     def reset(self) -> None:
         """Discard all tables and the cycle's changes, for a new controller.
 
-        What each proxy was sent on its stream is kept, because the proxies still hold it.
+        What each proxy was sent on its stream is kept, because the proxies still have it.
         """
         self.contents = TableContents()
         self.bound_proxies: dict[int, set[int]] = {}
