--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Helpers of all tests: a writer that keeps what the commands amount to, a controller that is driven by hand.
+"""Helpers for all tests: a writer that records commands, and drivers for a controller and an acceptor.
 
-Tests of `KNOWN-RED.txt`, which fail for a fault that is known, are passed over and printed with their cause.
+Tests in `KNOWN-RED.txt` fail because of a known fault. They are deselected and printed with their cause.
 """
 
 from pathlib import Path
@@ -37,18 +37,24 @@
 from ravenshelf.state.deadlines import DeadlineQueue
 from ravenshelf.state.slots import SlotTable
 
-hypothesis_settings.register_profile("ci", derandomize=True, database=None)  # the same verdict every time
+# Every run tries the same examples.
+hypothesis_settings.register_profile("ci", derandomize=True, database=None)
 hypothesis_settings.load_profile("ci")
 
 KNOWN_RED_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
-KNOWN_RED_MOST = 3
+MAXIMUM_KNOWN_RED = 3
 
 
 def known_red() -> dict[str, str]:
-    """Test id -> cause and issue, of the tests that are known to fail: "id | cause | issue" a line."""
+    """Return the tests that are known to fail, by id, with their cause and issue.
+
+    Each line of the file is "id | cause | issue".
+    """
     lines = KNOWN_RED_FILE.read_text().splitlines() if KNOWN_RED_FILE.exists() else []
-    if len(lines) > KNOWN_RED_MOST:
-        raise pytest.UsageError(f"{KNOWN_RED_FILE.name}: {len(lines)} lines, at most {KNOWN_RED_MOST}")
+    if len(lines) > MAXIMUM_KNOWN_RED:
+        raise pytest.UsageError(
+            f"{KNOWN_RED_FILE.name}: found {len(lines)} lines, expected at most {MAXIMUM_KNOWN_RED}"
+        )
     return {test.strip(): cause.strip() for test, _, cause in (line.partition("|") for line in lines)}
 
 
@@ -59,10 +65,10 @@
 def pytest_collection_modifyitems(config, items):
     if config.getoption("--known-red"):
         return
-    passed_over = [item for item in items if item.nodeid in known_red()]
-    items[:] = [item for item in items if item not in passed_over]
-    if passed_over:
-        config.hook.pytest_deselected(items=passed_over)
+    deselected_items = [item for item in items if item.nodeid in known_red()]
+    items[:] = [item for item in items if item not in deselected_items]
+    if deselected_items:
+        config.hook.pytest_deselected(items=deselected_items)
 
 
 def pytest_terminal_summary(terminalreporter):
@@ -77,7 +83,7 @@
 
 
 class RecordingWriter:
-    """Tables, ejections and bindings as the proxies of an obedient data plane would hold them."""
+    """The tables, ejections and bindings of proxies that execute every command."""
 
     def __init__(self):
         self.tables, self.ejected, self.bound, self.levels = {}, set(), {}, {}
@@ -111,7 +117,7 @@
 
 
 class ControllerDriver:
-    """A controller that is driven by hand, with what it writes."""
+    """A controller with a clock set by hand, and a writer that records its commands."""
 
     def __init__(self, **changes):
         service = ServiceSettings(
@@ -140,47 +146,56 @@
         self.controller.run_cycle(self.now, list(events), self.writer)
 
     def run(self, seconds, events_at=lambda second: ()):
-        """Quarter seconds pass; `events_at` gives what comes in at each whole second."""
+        """Run a control cycle every quarter second; `events_at` returns the events of each whole second."""
         for quarter in range(round(seconds * 4)):
             self.now += SECOND // 4
             self.send(*(events_at(quarter // 4) if quarter % 4 == 0 else ()))
 
     def line_share(self, index, zone=0):
-        """Weight of an endpoint in the table that a zone's proxies are led to, as a share."""
+        """Return an endpoint's share of the weight in the current table of a zone."""
         lines = self.writer.tables[self.controller.tables.current_tables[zone, 0]]
         return lines.get(index, 0.0) / sum(lines.values())
 
 
 def endpoint_list(states="rrrr", kind=ListKind.REPLACE, start=0):
-    """Endpoints 0, 1 in zone 0 and 2, 3 in zone 1, each with a letter for its state; '-' is left out."""
-    words = {"r": EndpointState.READY, "d": EndpointState.DRAINING, "g": EndpointState.GONE}
+    """Return a list of endpoints 0 and 1 in zone 0, and 2 and 3 in zone 1.
+
+    Each endpoint has a letter for its state; an endpoint with "-" is left out.
+    """
+    states_by_letter = {"r": EndpointState.READY, "d": EndpointState.DRAINING, "g": EndpointState.GONE}
     return EndpointsListed(
         kind,
         tuple(
-            ListedEndpoint(i, i // 2, 0, 0, words[s], 4.0, start) for i, s in enumerate(states) if s != "-"
+            ListedEndpoint(index, index // 2, 0, 0, states_by_letter[letter], 4.0, start)
+            for index, letter in enumerate(states)
+            if letter != "-"
         ),
     )
 
 
-def load_report(zone, index, attempts=20, failed=0, latency=200_000, load=()):
-    return LoadReport(zone, index, attempts, failed, latency, SECOND, load)
+def load_report(zone, index, attempts=20, failures=0, latency=200_000, load=()):
+    return LoadReport(zone, index, attempts, failures, latency, SECOND, load)
 
 
 def busy_fleet(second, latency=900_000, load=(30,), requests=200):
     return [
         load_report(
-            z,
-            2 * z + i,
+            zone,
+            2 * zone + number,
             attempts=100,
-            failed=30,
+            failures=30,
             latency=latency if second > 4 else 200_000,
             load=load if second > 4 else (2,),
         )
         if second > 4
-        else load_report(z, 2 * z + i, load=(2,))
-        for z in (0, 1)
-        for i in (0, 1)
-    ] + [DemandReport(p, g, requests if second > 4 else 10, 0, SECOND) for p in range(4) for g in (0, 1)]
+        else load_report(zone, 2 * zone + number, load=(2,))
+        for zone in (0, 1)
+        for number in (0, 1)
+    ] + [
+        DemandReport(proxy, group, requests if second > 4 else 10, 0, SECOND)
+        for proxy in range(4)
+        for group in (0, 1)
+    ]
 
 
 @pytest.fixture
@@ -188,7 +203,7 @@
     def make(states="rrrr", proxies=4, **changes):
         driver = ControllerDriver(**changes)
         driver.send(endpoint_list(states, kind=ListKind.RESTORED))
-        driver.send(*[ProxyJoined(i, i // 2, 10.0, True) for i in range(proxies)])
+        driver.send(*[ProxyJoined(index, index // 2, 10.0, True) for index in range(proxies)])
         return driver
 
     return make
@@ -243,7 +258,7 @@
 
 
 class RecordingTransport:
-    """A transport that records what is written and how it was ended."""
+    """A transport that records the sent data and the method that closed it."""
 
     def __init__(self, unsent=0):
         self.sent_data, self.closing_method, self.unsent, self.paused = b"", None, unsent, False
@@ -277,7 +292,7 @@
 
 
 def feed(connection, data):
-    """Bytes come in, as a loop would bring them."""
+    """Deliver bytes to a connection in pieces, as an event loop does."""
     for start in range(0, len(data), 16384):
         piece = data[start : start + 16384]
         connection.get_buffer(-1)[: len(piece)] = piece
@@ -299,14 +314,14 @@
             self.counters,
             lambda: self.now,
             self.published_events.append,
-            lambda call: call(),
+            lambda callback: callback(),
         )
         self.buffers = BufferPool()
 
-    def connect(self, *said, unsent=0):
+    def connect(self, *lines, unsent=0):
         connection = AcceptedConnection(self.buffers, self.acceptor)
         connection.connection_made(RecordingTransport(unsent))
-        for line in said:
+        for line in lines:
             feed(connection, line.encode() + b"\r\n")
         return connection
 
--- a/tests/distribution/test_distributed_controller.py
+++ b/tests/distribution/test_distributed_controller.py
@@ -141,8 +141,8 @@
         writer,
     )
     events = [
-        load_report(0, 0, failed=18),
-        load_report(0, 1, failed=18),
+        load_report(0, 0, failures=18),
+        load_report(0, 1, failures=18),
         load_report(1, 2),
         load_report(1, 3),
     ]
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -1,4 +1,4 @@
-"""The controller over all its parts."""
+"""The controller with all its components."""
 
 import pytest
 from conftest import busy_fleet, endpoint_list, load_report
@@ -27,7 +27,7 @@
         load_report(0, 99),
         load_report(0, 0, attempts=0),
         load_report(0, 0, latency=0),
-        load_report(0, 0, attempts=2, failed=9),
+        load_report(0, 0, attempts=2, failures=9),
         load_report(1, 0, load=()),
         DemandReport(77, 0, 1, 0, SECOND),
         DemandReport(0, 9, 1, 0, SECOND),
@@ -46,10 +46,12 @@
     ],
     ids=lambda event: type(event).__name__,
 )
-def test_odd_but_legal_events(drive, event):
+def test_unusual_valid_events_leave_every_proxy_bound(drive, event):
     driver = drive()
     driver.send(event, event)
-    driver.run(12, lambda second: [load_report(z, 2 * z + i) for z in (0, 1) for i in (0, 1)])
+    driver.run(
+        12, lambda second: [load_report(zone, 2 * zone + number) for zone in (0, 1) for number in (0, 1)]
+    )
     driver.send(endpoint_list())
     assert (
         sorted(driver.writer.bound) == [0, 1, 2, 3]
@@ -70,13 +72,13 @@
         {"telemetry": TelemetrySettings()},
     ],
 )
-def test_other_deployments(drive, changes):
+def test_other_settings_leave_every_proxy_bound(drive, changes):
     driver = drive(**changes)
     driver.run(30, busy_fleet)
     assert sorted(driver.writer.bound) == [0, 1, 2, 3] and not driver.writer.emptied_tables
 
 
-def test_same_events_same_commands(drive):
+def test_the_same_events_lead_to_the_same_commands(drive):
     runs = []
     for _ in range(2):
         driver = drive()
--- a/tests/policy/test_flow_control.py
+++ b/tests/policy/test_flow_control.py
@@ -1,4 +1,4 @@
-"""Flow control of the control channel, alone and under a controller."""
+"""Flow control of the control channel, by itself and in a controller."""
 
 from conftest import endpoint_list
 
@@ -7,7 +7,7 @@
 from ravenshelf.settings import SECOND, ServiceSettings
 
 
-def test_channel_keeps_to_its_lines_and_messages():
+def test_the_channel_keeps_its_limits_of_lines_and_messages():
     channel = ChannelFlowControl(
         ServiceSettings(
             lines_per_second=100.0,
@@ -18,39 +18,42 @@
             longest_delivery_us=SECOND,
         )
     )
-    kept = type("Marks", (), {"request_acknowledgement": lambda self, number: None})()
+    writer = type("Writer", (), {"request_acknowledgement": lambda self, marker: None})()
     assert (
         not channel.has_capacity(60, [1], False)
         and channel.has_capacity(60, [1], True)
         and not channel.has_capacity(90, [1], True)
     )
-    for n in range(4):
+    for second in range(4):
         assert channel.has_capacity(1, [1], True)
         channel.charge([1], 1)
-        channel.commit_cycle(n * SECOND, kept)
-        channel.advance((n + 1) * SECOND)
-    assert not channel.has_capacity(1, [1], True)  # what is left of the six is for withdrawals
+        channel.commit_cycle(second * SECOND, writer)
+        channel.advance((second + 1) * SECOND)
+    # The rest of the six messages is reserved for more urgent changes.
+    assert not channel.has_capacity(1, [1], True)
     assert channel.has_capacity(1, [1], 2)
     channel.advance(30 * SECOND)
     assert channel.has_capacity(1, [1], True)
 
 
-def test_withdrawals_keep_to_the_messages_of_a_proxy_too(drive):
+def test_withdrawals_keep_the_message_limit_of_a_proxy(drive):
+    """Each change of a list that flaps would otherwise be a message of its own."""
     driver = drive("rrrr", service={"messages_per_proxy_limit": 6, "message_count_window_us": 10 * SECOND})
     times = []
-    for n in range(40):  # a flapping list: each change would be a message of its own
+    for change in range(40):
         driver.now += SECOND // 4
         before = list(driver.controller.channel.sent_times.get(0, ()))
-        driver.send(endpoint_list("drrr" if n % 2 else "rrrr", kind=ListKind.UPDATE))
+        driver.send(endpoint_list("drrr" if change % 2 else "rrrr", kind=ListKind.UPDATE))
         times += [driver.now] * (list(driver.controller.channel.sent_times[0])[-1:] != before[-1:])
     assert 3 <= len(times) <= 6
     driver.run(12)
     assert driver.writer.ejected == {0}
 
 
-def test_acknowledgements_are_booked_to_their_own_batch_however_many_are_queued():
-    """A mass join makes a round a tick; at full size 258 of them waited, and numbers that came again hid
-    250.
+def test_acknowledgements_are_assigned_to_their_own_batch_however_many_are_queued():
+    """When many proxies join at once, each control cycle writes a batch.
+
+    In a large deployment 258 batches were queued, and reused markers hid 250 of them.
     """
     channel = ChannelFlowControl(
         ServiceSettings(
@@ -60,19 +63,19 @@
             longest_delivery_us=SECOND,
         )
     )
-    marks = []
-    orders = type("Marks", (), {"request_acknowledgement": lambda self, number: marks.append(number)})()
-    for n in range(600):
-        channel.advance(n * 6000)
-        channel.charge([n], 20)
-        channel.commit_cycle(n * 6000, orders)
-    assert len(set(marks)) == 600
+    markers = []
+    writer = type("Writer", (), {"request_acknowledgement": lambda self, marker: markers.append(marker)})()
+    for cycle in range(600):
+        channel.advance(cycle * 6000)
+        channel.charge([cycle], 20)
+        channel.commit_cycle(cycle * 6000, writer)
+    assert len(set(markers)) == 600
     before = channel.unconfirmed_lines()
-    channel.record_acknowledgement(10, marks[10], 900_000)
+    channel.record_acknowledgement(10, markers[10], 900_000)
     assert before - channel.unconfirmed_lines() == 11 * 24 and channel.queued_lines > 400 * 24
 
 
-def test_channel_learns_a_slow_pace_from_its_acknowledgements():
+def test_the_channel_learns_a_low_rate_from_its_acknowledgements():
     channel = ChannelFlowControl(
         ServiceSettings(
             lines_per_second=1000.0,
@@ -82,14 +85,14 @@
         )
     )
     channel.charge(range(20), 46)
-    channel.commit_cycle(0, type("Marks", (), {"request_acknowledgement": lambda self, number: None})())
+    channel.commit_cycle(0, type("Writer", (), {"request_acknowledgement": lambda self, marker: None})())
     channel.advance(SECOND)
     channel.record_acknowledgement(0, 1, 10 * SECOND)
     assert channel.rate < 150
 
 
-def test_what_is_not_acknowledged_is_still_queued_whatever_the_pace():
-    marks = type("Marks", (), {"request_acknowledgement": lambda self, number: None})()
+def test_overdue_lines_count_as_queued_until_they_are_confirmed_or_time_out():
+    writer = type("Writer", (), {"request_acknowledgement": lambda self, marker: None})()
     channel = ChannelFlowControl(
         ServiceSettings(
             lines_per_second=1000.0,
@@ -100,17 +103,21 @@
     )
     for _ in (1, 2):
         channel.charge(range(10), 46)
-        channel.commit_cycle(0, marks)
+        channel.commit_cycle(0, writer)
     assert channel.queued_lines == 1000
     channel.advance(SECOND // 4)
-    assert channel.queued_lines == 750  # not answered for yet, and need not be
+    # No acknowledgement is due yet.
+    assert channel.queued_lines == 750
     channel.advance(10 * SECOND)
-    assert channel.queued_lines == 1000  # the channel stands still, or nearly
+    # The acknowledgements are overdue, so the channel hardly sends anything.
+    assert channel.queued_lines == 1000
     channel.record_acknowledgement(3, 2, 10 * SECOND)
     channel.advance(10 * SECOND)
-    assert channel.queued_lines == 450  # what was ordered before it has passed, answered for or not
+    # Everything written before the acknowledged batch has left, whether it was acknowledged or not.
+    assert channel.queued_lines == 450
     channel.advance(21 * SECOND)
-    assert channel.queued_lines == 0  # answers that are lost don't hold the queue for ever
+    # Lost acknowledgements do not keep lines in the queue forever.
+    assert channel.queued_lines == 0
 
 
 def test_unbound_proxies_are_charged_for_a_withdrawal(drive):
@@ -123,19 +130,19 @@
     )
 
 
-def test_withdrawals_cost_only_the_proxies_that_hold_the_endpoint(drive):
+def test_a_withdrawal_is_charged_only_for_proxies_whose_table_contains_the_endpoint(drive):
     driver = drive(proxies=8)
     before = driver.controller.channel.queued_lines
     driver.send(endpoint_list("drrr"))
-    spent = driver.controller.channel.queued_lines - before
-    assert (
-        driver.writer.ejected == {0} and 0 < spent < 4 * (3 + 1 + 3) + 4
-    )  # four of eight: a head, a mark, few lines
+    charged_lines = driver.controller.channel.queued_lines - before
+    # Four of the eight proxies get a message: 3 lines of overhead, a marker and a few lines.
+    assert driver.writer.ejected == {0} and 0 < charged_lines < 4 * (3 + 1 + 3) + 4
 
 
-def test_what_can_wait_is_not_ordered_behind_a_long_queue():
-    """Where the settings let 17 s of lines wait, what would be stale by its turn is decided when its turn
-    comes.
+def test_less_urgent_changes_are_not_written_behind_a_long_queue():
+    """The settings may permit a queue of 17 s, in which a change would be outdated when it is sent.
+
+    Such a change is decided later instead.
     """
     channel = ChannelFlowControl(
         ServiceSettings(
@@ -145,29 +152,33 @@
             longest_delivery_us=SECOND,
         )
     )
-    for waiting, free in ((900, (0, 1, 3, 4)), (1200, (1, 3, 4)), (3000, (3, 4)), (7000, (4,))):
-        channel.record_uncharged_lines(waiting - channel.queued_lines)
-        assert tuple(u for u in (0, 1, 3, 4) if channel.has_capacity(10, [1], u)) == free
+    for queue_length, urgencies in ((900, (0, 1, 3, 4)), (1200, (1, 3, 4)), (3000, (3, 4)), (7000, (4,))):
+        channel.record_uncharged_lines(queue_length - channel.queued_lines)
+        assert (
+            tuple(urgency for urgency in (0, 1, 3, 4) if channel.has_capacity(10, [1], urgency)) == urgencies
+        )
 
 
-def test_what_is_queued_for_a_connection_that_the_server_ended_stays_counted_when_the_next_one_breaks(drive):
-    """The page: what waits for a stream that the server ends goes on counting; for one that breaks it does
-    not.
-    """
+def test_lines_for_a_connection_ended_by_the_server_stay_queued_when_the_next_connection_breaks(drive):
+    """Lines queued for a stream that the server ends still count; those for a stream that breaks do not."""
     driver = drive(proxies=3)
     channel = driver.controller.channel
-    driver.send(ProxyJoined(3, 1, 10.0, True))  # in the same instant: its bind waits behind the others'
-    waited = channel.unconfirmed_lines()
+    # The proxy joins at the same time, so its bind is queued behind those of the others.
+    driver.send(ProxyJoined(3, 1, 10.0, True))
+    lines_before = channel.unconfirmed_lines()
     assert channel.batches[-1].lines[3] and channel.batches[-1].earliest_start > driver.now
     driver.send(ProxyLeft(3, True), ProxyJoined(3, 1, 10.0, True))
-    assert channel.unconfirmed_lines() > waited  # bound on the next stream
+    # The proxy is bound on its next stream as well.
+    assert channel.unconfirmed_lines() > lines_before
     driver.send(ProxyLeft(3))
-    assert channel.unconfirmed_lines() >= waited
+    assert channel.unconfirmed_lines() >= lines_before
 
 
-def test_a_connection_that_breaks_twice_between_two_cycles_frees_its_lines_once(drive):
-    once, twice = drive(), drive()
-    once.send(ProxyLeft(0), ProxyJoined(0, 0, 10.0, True))
-    twice.send(*[ProxyLeft(0), ProxyJoined(0, 0, 10.0, True)] * 2)
+def test_a_connection_that_breaks_twice_between_two_cycles_releases_its_lines_once(drive):
+    broken_once, broken_twice = drive(), drive()
+    broken_once.send(ProxyLeft(0), ProxyJoined(0, 0, 10.0, True))
+    broken_twice.send(*[ProxyLeft(0), ProxyJoined(0, 0, 10.0, True)] * 2)
     for name in ("queued_lines", "unconfirmed_total", "next_position", "earliest_idle"):
-        assert getattr(once.controller.channel, name) == getattr(twice.controller.channel, name), name
+        assert getattr(broken_once.controller.channel, name) == getattr(
+            broken_twice.controller.channel, name
+        ), name
--- a/tests/policy/test_latency_bounds.py
+++ b/tests/policy/test_latency_bounds.py
@@ -1,4 +1,4 @@
-"""The latency beyond which an attempt counts as missed."""
+"""The miss bound: the latency from which an attempt counts as missed."""
 
 import random
 
@@ -7,16 +7,14 @@
 from ravenshelf.settings import SECOND
 
 
-def test_the_bound_of_a_miss_costs_no_sort_for_each_report(drive, monkeypatch):
-    """1,000 endpoints heard of in 10 s took rounds of 3 s: all that was heard was sorted anew for each
-    report.
-    """
-    driver, chance = drive(), random.Random(3)
+def test_the_miss_bound_is_updated_without_sorting_all_latencies_for_each_report(drive, monkeypatch):
+    """Sorting for each report made control cycles take 3 s with 1,000 endpoints reporting within 10 s."""
+    driver, random_source = drive(), random.Random(3)
     for module in (latency_bounds, decayed_totals):
         monkeypatch.setattr(module, "sorted", lambda *_: 1 / 0, raising=False)
-    heard = [chance.randrange(50_000, 300_000) for _ in range(301)]
-    for latency in heard:
+    latencies = [random_source.randrange(50_000, 300_000) for _ in range(301)]
+    for latency in latencies:
         driver.controller.on_load_report(LoadReport(0, 0, 5, 0, latency, SECOND, ()))
     assert driver.controller.miss_bound.value == min(
-        latency_bounds.MEDIAN_MULTIPLE * sorted(heard)[150], driver.controller.latency_objective
+        latency_bounds.MEDIAN_MULTIPLE * sorted(latencies)[150], driver.controller.latency_objective
     )
--- a/tests/policy/test_miss_curves.py
+++ b/tests/policy/test_miss_curves.py
@@ -10,33 +10,32 @@
 
 
 @pytest.mark.parametrize(
-    "heard, least, most",
+    "observations, least, most",
     [
-        (
-            [(5, 0), (10, 0.4), (20, 0.5)],
-            0.45,
-            3.0,
-        ),  # flat where the zone is jammed: more load still costs more
-        ([(5, 0.3), (10, 0.0), (20, 0.5)], 0.3, 3.0),  # falls: a long tail at little load
+        # The observations are flat where the zone is saturated, but more load must still cost more.
+        ([(5, 0), (10, 0.4), (20, 0.5)], 0.45, 3.0),
+        # The observations fall, because latency has a long tail at low load.
+        ([(5, 0.3), (10, 0.0), (20, 0.5)], 0.3, 3.0),
     ],
 )
-def test_curves_rise_and_are_convex(heard, least, most):
+def test_curves_are_increasing_and_convex(observations, least, most):
     curve = MissCurve()
-    for x, share in heard:
-        curve.add(SECOND, x, 100, 100 * share)
+    for load, share in observations:
+        curve.add(SECOND, load, 100, 100 * share)
     points = curve.fit(SECOND, [])
-    at = [read_curve(points, x) for x in range(1, 40)]
-    steps = [b - a for a, b in pairwise(at)]
+    miss_shares = [read_curve(points, load) for load in range(1, 40)]
+    steps = [upper - lower for lower, upper in pairwise(miss_shares)]
     assert min(steps) > -1e-9 and least <= read_curve(points, 20) < read_curve(points, 39) < most
 
 
-def test_a_zone_that_fails_completely_is_short_of_capacity_and_teaches_its_curve_little(drive):
+def test_a_zone_that_fails_completely_loses_its_requests_and_hardly_changes_its_miss_curve(drive):
     driver = drive(proxies=2)
-    answers = [load_report(0, i) for i in (0, 1)]
-    driver.run(10, lambda second: answers)
-    driver.run(8, lambda second: [load_report(0, i, attempts=20, failed=20) for i in (0, 1)])
-    assert driver.line_share(2) + driver.line_share(3) > 0.4  # its flows go where no failure was heard of
-    at = driver.controller.spill_planner.curves[0].buckets
-    assert sum(d.read(driver.now)[1] for d in at.values()) < 0.5 * sum(
-        d.read(driver.now)[0] for d in at.values()
+    reports = [load_report(0, endpoint) for endpoint in (0, 1)]
+    driver.run(10, lambda second: reports)
+    driver.run(8, lambda second: [load_report(0, endpoint, attempts=20, failures=20) for endpoint in (0, 1)])
+    # The requests move to the zone without reported failures.
+    assert driver.line_share(2) + driver.line_share(3) > 0.4
+    curve_buckets = driver.controller.spill_planner.curves[0].buckets
+    assert sum(totals.read(driver.now)[1] for totals in curve_buckets.values()) < 0.5 * sum(
+        totals.read(driver.now)[0] for totals in curve_buckets.values()
     )
--- a/tests/policy/test_partitions.py
+++ b/tests/policy/test_partitions.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    "needs, strengths, elsewhere",
+    "table_demands, partition_weights, borrowed_share",
     [
         ([1, 1], [1, 1], 0),
         ([1, 1.1], [1, 1], 0),
@@ -18,21 +18,39 @@
         ([0, 0], [1, 1], 0),
         ([1, 0, 0], [1, 1, 1], 0.6),
     ],
-    ids=["even", "nearly", "failed", "cold", "heavy proxy", "nothing asked", "all in one"],
+    ids=[
+        "even",
+        "nearly even",
+        "failed partition",
+        "cold partition",
+        "heavy proxy",
+        "no demand",
+        "all demand at one table",
+    ],
 )
-def test_what_a_partition_of_a_zone_lacks_lies_elsewhere(needs, strengths, elsewhere):
-    rows = partition_shares(needs, strengths)
-    asked = sum(needs) or 1
+def test_a_table_borrows_from_other_partitions_what_its_own_cannot_carry(
+    table_demands, partition_weights, borrowed_share
+):
+    rows = partition_shares(table_demands, partition_weights)
+    total_demand = sum(table_demands) or 1
     assert all(sum(row) == pytest.approx(1) for row in rows)
-    assert all(not row[b] for row in rows for b, s in enumerate(strengths) if not s)
-    out = sum(d / asked * (1 - row[i]) for i, (d, row) in enumerate(zip(needs, rows, strict=True)))
-    assert out == pytest.approx(elsewhere, abs=0.06)
+    assert all(
+        not row[partition] for row in rows for partition, weight in enumerate(partition_weights) if not weight
+    )
+    borrowed = sum(
+        demand / total_demand * (1 - row[table])
+        for table, (demand, row) in enumerate(zip(table_demands, rows, strict=True))
+    )
+    assert borrowed == pytest.approx(borrowed_share, abs=0.06)
 
 
-def test_full_size_keeps_tables_short_few_and_shared(drive):
-    zones, many = (
+def test_tables_of_a_large_deployment_are_short_few_and_shared(drive):
+    zones, entries = (
         ["a", "b", "c"],
-        tuple(ListedEndpoint(i, i % 3, i % 2, 0, EndpointState.READY, 4.0, 0) for i in range(120)),
+        tuple(
+            ListedEndpoint(index, index % 3, index % 2, 0, EndpointState.READY, 4.0, 0)
+            for index in range(120)
+        ),
     )
     driver = drive(
         "",
@@ -46,35 +64,42 @@
             "lines_per_second": 6000.0,
         },
     )
-    driver.send(EndpointsListed(ListKind.REPLACE, many))
-    driver.send(*[ProxyJoined(i, i % 3, 1.0 + i % 7, True) for i in range(220)])
-    driver.run(6, lambda second: [load_report(i % 3, i) for i in range(120)])
-    tables = [set(driver.writer.tables[t]) for t in driver.writer.bound.values()]
+    driver.send(EndpointsListed(ListKind.REPLACE, entries))
+    driver.send(*[ProxyJoined(proxy, proxy % 3, 1.0 + proxy % 7, True) for proxy in range(220)])
+    driver.run(6, lambda second: [load_report(index % 3, index) for index in range(120)])
+    tables = [set(driver.writer.tables[table]) for table in driver.writer.bound.values()]
     assert len(tables) == 220 and 3 <= min(map(len, tables)) <= max(map(len, tables)) <= 8
     assert len(set(driver.writer.bound.values())) < 220 / 5 and len(set.union(*tables)) == 120
-    part = [
-        e for e in many if e.endpoint in tables[0]
-    ]  # all that one table holds restarts: its flows go elsewhere
-    driver.send(EndpointsListed(ListKind.UPDATE, tuple(e._replace(started_at=driver.now) for e in part)))
+    # All endpoints of one table restart, so its requests move to endpoints of other partitions.
+    restarted_entries = [entry for entry in entries if entry.endpoint in tables[0]]
+    driver.send(
+        EndpointsListed(
+            ListKind.UPDATE, tuple(entry._replace(started_at=driver.now) for entry in restarted_entries)
+        )
+    )
     lines = driver.writer.tables[driver.writer.bound[0]]
     assert (
-        sum(lines.get(e.endpoint, 0) for e in part) < 0.35 * sum(lines.values())
+        sum(lines.get(entry.endpoint, 0) for entry in restarted_entries) < 0.35 * sum(lines.values())
         and not driver.writer.emptied_tables
     )
 
 
-def test_the_first_proxies_of_many_find_tables_of_their_partition_only(drive):
-    """At full size the first to join had all the flows known of: its table borrowed of every part, 50 lines
-    a bind.
+def test_the_first_of_many_proxies_get_tables_of_their_own_partition_only(drive):
+    """At first the whole known demand is that of the first proxies.
+
+    Their tables borrowed from every partition, and each bind took 50 lines.
     """
     driver = drive("", proxies=0, service={"proxy_count": 400})
     driver.send(
         EndpointsListed(
             ListKind.REPLACE,
-            tuple(ListedEndpoint(i, i % 2, 0, 0, EndpointState.READY, 4.0, 0) for i in range(48)),
+            tuple(
+                ListedEndpoint(endpoint, endpoint % 2, 0, 0, EndpointState.READY, 4.0, 0)
+                for endpoint in range(48)
+            ),
         )
     )
-    for i in range(40):
-        driver.send(ProxyJoined(i, i % 2, 1.0 + i % 7, False))
-    sizes = [len(driver.writer.tables[driver.writer.bound[i]]) for i in range(40)]
+    for proxy in range(40):
+        driver.send(ProxyJoined(proxy, proxy % 2, 1.0 + proxy % 7, False))
+    sizes = [len(driver.writer.tables[driver.writer.bound[proxy]]) for proxy in range(40)]
     assert max(sizes) <= 12 and sum(sizes) < 40 * 6
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings' JSON object as typed values."""
+"""Decoding the JSON object of the settings to typed values."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 )
 
 
-def test_an_empty_object_gives_the_defaults():
+def test_an_empty_object_decodes_to_the_defaults():
     assert decode_settings({}) == Settings()
 
 
@@ -105,15 +105,15 @@
     ],
     ids=lambda value: value if isinstance(value, str) else "",
 )
-def test_a_bad_value_is_refused_with_its_path(raw, path):
-    with pytest.raises(SettingsError) as raised:
+def test_an_invalid_value_is_rejected_with_its_path(raw, path):
+    with pytest.raises(SettingsError) as error_info:
         decode_settings(raw)
-    assert raised.value.path == path
-    assert path in str(raised.value)
+    assert error_info.value.path == path
+    assert path in str(error_info.value)
 
 
 @pytest.mark.parametrize("word", ["unheard-of", ""])
-def test_an_unknown_idempotency_is_taken_for_the_most_careful(word):
+def test_an_unknown_idempotency_counts_as_non_idempotent(word):
     assert decode_settings({"classes": [{"idempotency": word}]}).traffic_groups[0].idempotency is (
         Idempotency.NON_IDEMPOTENT
     )
