--- a/ravenshelf/policy/admission.py
+++ b/ravenshelf/policy/admission.py
@@ -32,8 +32,8 @@
 # An overload does not lower the estimate below a multiple of the load that was carried in calm. The multiple
 # is this value less half of the miss share, and at most 1.
 MINIMUM_CARRIED_FACTOR = 1.1
-# Where no calm was observed before the first overload, the carried load is the load at that time divided by
-# this.
+# Where no calm was observed before the first overload, the carried load is the load at that time, or the
+# estimate if that is lower, divided by this.
 FIRST_CARRIED_DIVISOR = 2
 # In each calm solve interval, the load carried in calm is multiplied by this before it is compared with the
 # present load.
@@ -67,8 +67,9 @@
     Attributes:
         capacity_estimate: The load per weight that endpoints can carry.
         carried_load: The load per weight that endpoints carried in calm; it decays slowly.
-        idle_health_factor: While endpoints are idle, a factor below 1 on the load for failures that are
-            common to all endpoints; otherwise 1.
+        idle_health_factor: A factor on the load; it is 1 unless endpoints are idle. If all endpoints fail,
+            their effective weights fall and so the load rises, although idle endpoints have capacity left.
+            The factor corrects part of this.
     """
 
     def __init__(self, settings: Settings, service_time: ServiceTimeEstimator):
--- a/ravenshelf/policy/controller.py
+++ b/ravenshelf/policy/controller.py
@@ -394,8 +394,8 @@
     ) -> None:
         """Bring all tables to their planned lines, starting with the table that was written longest ago.
 
-        The channel may have capacity for a few tables only, plan after plan. The order prevents the same
-        tables from being deferred each time.
+        The channel may have capacity for only a few tables in each of several plans. The order prevents the
+        same tables from being deferred each time.
         """
         partition_demand = self.partitions.partition_demand(self.now, self.proxies)
         plans = [
--- a/ravenshelf/policy/demand.py
+++ b/ravenshelf/policy/demand.py
@@ -1,4 +1,4 @@
-"""Demand by zone, of the proxies that joined this server and of those that joined other servers."""
+"""Demand by zone: that of the proxies of this server, and an estimate for all proxies of the deployment."""
 
 from collections import Counter
 from collections.abc import Mapping
--- a/ravenshelf/policy/effective_weights.py
+++ b/ravenshelf/policy/effective_weights.py
@@ -28,7 +28,7 @@
 MAXIMUM_BUSY_DISCOUNT = 0.5
 # A zone with at least this many warm endpoints can do without those that are warming up.
 MINIMUM_WARM_ENDPOINTS = 3
-# In a failing zone, endpoints are withheld up to this capacity share.
+# In a failing zone, an endpoint that is warming up is withheld while its capacity share is at most this.
 HALF_WARM_SHARE = 0.5
 # A zone is failing if the median weight factor of its warm endpoints is at most this.
 FAILING_HEALTH = 0.6
--- a/ravenshelf/policy/endpoints.py
+++ b/ravenshelf/policy/endpoints.py
@@ -100,7 +100,8 @@
 
         Args:
             zone_count: The number of zones; endpoints of higher zones are added to the last one.
-            removal_is_not_binding: Whether endpoints that are no longer listed may still be used for a time.
+            removal_is_not_binding: Whether endpoints that are no longer listed may still be used for some
+                time.
         """
         self.by_index: dict[int, Endpoint] = {}
         self._zone_count = zone_count
--- a/ravenshelf/policy/latency_bounds.py
+++ b/ravenshelf/policy/latency_bounds.py
@@ -60,7 +60,7 @@
         self._recent_samples: dict[tuple[int, int], list[tuple[int, int]]] = {}
 
     def add(self, now: int, sender: int, receiver: int, latency: int) -> None:
-        """Add the mean latency of requests from one zone to endpoints of another, or of the same."""
+        """Add the mean latency of requests from one zone to endpoints of another, or of the same zone."""
         self._recent_samples.setdefault((sender, receiver), []).append((now, latency))
 
     def update(self, now: int) -> None:
--- a/ravenshelf/policy/miss_curves.py
+++ b/ravenshelf/policy/miss_curves.py
@@ -6,7 +6,7 @@
 
 A curve is learnt from load reports and then fitted. The fitted curve increases with the load (isotonic
 regression by pooling adjacent violators) and is convex (the lower convex hull). The observed curve of a
-saturated zone is flat, and with it the solver would keep adding load to a zone that is already lost.
+saturated zone is flat, and with it the solver would keep adding load to a zone that is already overloaded.
 """
 
 from collections.abc import Iterable
--- a/ravenshelf/policy/urgency.py
+++ b/ravenshelf/policy/urgency.py
@@ -3,7 +3,7 @@
 Urgencies are small integers that index the limits of `flow_control`.
 """
 
-# Weights drift; a later control cycle may decide them anew.
+# Weights have changed gradually; the change may wait for a later control cycle, which computes it again.
 ORDINARY = 0
 # An endpoint has been added or is readmitted, or an admission level has changed.
 URGENT = 1
