--- a/standins/distribution/__init__.py
+++ b/standins/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""A distribution on a virtual clock and network: the real decision modules, without sockets."""
+"""Simulated distribution: the real decision modules on a virtual clock and network, without sockets."""
--- a/standins/distribution/interfaces.py
+++ b/standins/distribution/interfaces.py
@@ -1,4 +1,4 @@
-"""What nodes, leases and the network need of the simulated distribution, so that none of them imports it."""
+"""Interfaces of the simulated distribution, so that its nodes need not import it."""
 
 from collections.abc import Iterable, Mapping
 from typing import Protocol
@@ -11,13 +11,13 @@
 
 
 class NamedProcess(Protocol):
-    """Has a name."""
+    """Process that is identified by its name."""
 
     name: str
 
 
 class Distribution(Protocol):
-    """The simulated distribution as its nodes see it."""
+    """Interface of the simulated distribution, as its nodes use it."""
 
     events: EventQueue
     network: Network
@@ -25,13 +25,13 @@
 
     @property
     def nodes(self) -> Mapping[str, Process]:
-        """All processes by name."""
+        """Return all processes by name."""
 
     def content(self, topic: str) -> Mapping[str, Entry]:
-        """Return the intended state of a topic."""
+        """Return the intended entries of a topic."""
 
     def record_publications(self, owner: ServiceOwner, topics: Iterable[str]) -> None:
-        """Record what an owner has just published."""
+        """Record the topics that an owner has just published."""
 
     def update_applied(self, server: NamedProcess, topic: str, state: Topic) -> None:
-        """A server has applied an update."""
+        """Record that a server has applied an update to a topic."""
--- a/standins/distribution/node.py
+++ b/standins/distribution/node.py
@@ -1,4 +1,4 @@
-"""A simulated process: its connections, timer, suspensions and end. Subclasses add the decisions."""
+"""Simulated process with its connections, timer, suspensions and end; subclasses add the decisions."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -9,21 +9,24 @@
 from standins.distribution.network import Connection
 from standins.fleet.clock import SECOND
 
-WRITE_BUFFER_BYTES = 65_536  # bytes pulled for a subscriber at once
-MAX_TICK_INTERVAL = SECOND
+WRITE_BUFFER_BYTES = 65_536  # pulled for a subscriber at once
+MAX_TICK_INTERVAL = SECOND  # microseconds
 UNLIMITED = float("inf")
 
 
 class Node:
-    """A process with connections to parents, and perhaps to subscribers. Times are microseconds."""
+    """Process with connections to parents, and to subscribers if it has a distributor.
+
+    Times are in microseconds. An upstream is the name under which the process addresses one of its parents.
+    """
 
     def __init__(self, world: Distribution, name: str, region: int):
         self.world = world
         self.name = name
         self.region = region
-        self.bytes_per_second = UNLIMITED  # that it reads
+        self.bytes_per_second = UNLIMITED  # read from one connection
         self.alive = True
-        self.generation = 0  # incremented when the process ends
+        self.generation = 0  # Incremented when the process ends, so that earlier callbacks are ignored.
         self.paused_until = 0
         self.clients: Mapping[str, SubscriptionClient] = {}  # by upstream
         self.distributor: Distributor | None = None
@@ -37,42 +40,42 @@
 
     @property
     def now(self) -> int:
-        """The present time."""
+        """Return the current time."""
         return self.world.events.now
 
-    # --- overridden by subclasses ---
+    # Overridden by subclasses
 
     def due_at(self) -> int | None:
-        """Return the time at which `tick` has something to do."""
+        """Return the next time at which `tick` has something to do, None if there is none."""
         return min((client.due_at() for client in self.clients.values()), default=None)
 
-    def soon_due_at(self) -> int | None:
-        """Return what a message may have made due within MAX_TICK_INTERVAL, as `due_at`."""
+    def early_due_at(self) -> int | None:
+        """Return the next due time that a message can bring forward, None if there is none."""
         return None
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Perform all actions that are due."""
 
     def on_connected(self, upstream: str) -> None:
-        """A dial has succeeded."""
+        """Handle the success of a dial."""
 
     def on_message(self, upstream: str, message: Message) -> None:
-        """An upstream has sent a message."""
+        """Handle a message from an upstream."""
 
     def on_subscriber_message(self, name: str, message: Message) -> None:
-        """A subscriber has sent a message."""
+        """Handle a message from a subscriber."""
 
     def on_subscriber_lost(self, name: str) -> None:
-        """A subscriber's connection has ended."""
+        """Handle the end of a subscriber's connection."""
 
-    # --- running ---
+    # Execution
 
     def is_paused(self) -> bool:
         """Return whether the process is suspended."""
         return self.paused_until > self.now
 
     def run(self, callback: Callable[[], None]) -> None:
-        """Call now, or at the end of a suspension unless the process has ended by then."""
+        """Run a callback now, or at the end of a suspension unless the process has ended by then."""
         if not self.alive:
             return
         if self.is_paused():
@@ -85,10 +88,10 @@
         self.schedule_timer()
 
     def schedule_timer(self) -> None:
-        """Set the timer to the next deadline, at most MAX_TICK_INTERVAL from now.
+        """Set the timer to the next due time, at most MAX_TICK_INTERVAL from now.
 
-        Deadlines are computed again only when the timer fires: messages postpone most of them, and a node
-        with many connections receives many messages.
+        Due times are computed again only when the timer fires, because messages postpone most of them and a
+        node with many connections receives many messages.
         """
         if self._timer_at is None or self._timer_at <= self.now:
             due = self.due_at()
@@ -96,18 +99,18 @@
                 MAX_TICK_INTERVAL + self.now if due is None else min(due, self.now + MAX_TICK_INTERVAL)
             )
             return
-        soon = self.soon_due_at()
-        if soon is not None and soon < self._timer_at:
-            self._set_timer(soon)
+        early_due = self.early_due_at()
+        if early_due is not None and early_due < self._timer_at:
+            self._set_timer(early_due)
 
-    def _set_timer(self, at: int) -> None:
-        at = self._timer_at = max(at, self.now + 1)
+    def _set_timer(self, time: int) -> None:
+        time = self._timer_at = max(time, self.now + 1)
         generation = self.generation
         self.world.network.at(
-            at, lambda: generation == self.generation and at == self._timer_at and self._timer()
+            time, lambda: generation == self.generation and time == self._timer_at and self._handle_timer()
         )
 
-    def _timer(self) -> None:
+    def _handle_timer(self) -> None:
         self._timer_at = None
         due = self.due_at()
         if due is not None and due <= self.now:
@@ -116,7 +119,11 @@
             self.schedule_timer()
 
     def stop(self, silently: bool = False) -> None:
-        """End the process; `silently`: its machine fails, so nobody is notified."""
+        """End the process.
+
+        Args:
+            silently: Whether its machine fails, so that no other process is notified.
+        """
         self.alive = False
         self.generation += 1
         if self.distributor is not None:
@@ -127,10 +134,10 @@
         self.connections.clear()
         self.subscriber_connections.clear()
 
-    # --- upstream ---
+    # Connections to parents
 
     def perform(self, actions: Iterable[tuple[str, Action]]) -> None:
-        """Perform clients' actions, each given with its upstream."""
+        """Perform the actions of subscription clients, each of which is given with its upstream."""
         for upstream, action in actions:
             if isinstance(action, Send):
                 if upstream in self.connections:
@@ -141,7 +148,7 @@
                 self.connections.pop(upstream).close(self)
 
     def dial_accepted(self, generation: int, connection: Connection) -> None:
-        """A parent has accepted a dial."""
+        """Use an accepted connection, or close it if the client no longer waits for it."""
         client = self.clients.get(connection.upstream)
         is_stale = generation != self.generation or not self.alive or client is None
         if is_stale or client.parent != connection.parent.name or not connection.is_open:
@@ -151,23 +158,27 @@
         self.run(lambda: self.on_connected(connection.upstream))
 
     def dial_refused(self, generation: int, upstream: str) -> None:
-        """The parent is not running, or has reached its limit."""
+        """Handle a refused dial: the parent is not running, or has reached its limit of subscribers."""
         if generation == self.generation:
             self.run(lambda: self._upstream_lost(upstream))
 
     def _upstream_lost(self, upstream: str) -> None:
         self.perform((upstream, action) for action in self.clients[upstream].connection_lost(self.now))
-        self._timer_at = None  # so that the next dial is scheduled
+        self._timer_at = None  # The timer is computed anew, so that the next dial is scheduled.
 
     def upstream_message_arrived(self, connection: Connection, message: Message) -> None:
-        """Handle a message of a parent, unless its connection was replaced."""
+        """Handle a message from a parent, unless its connection was replaced."""
         if self.connections.get(connection.upstream) is connection:
             self.run(lambda: self.on_message(connection.upstream, message))
 
-    # --- subscribers ---
+    # Connections to subscribers
 
     def accept_subscriber(self, connection: Connection) -> bool:
-        """Accept a subscriber, or return False if the limit is reached."""
+        """Accept a subscriber, whose earlier connection is replaced.
+
+        Returns:
+            False if the process has no distributor or its limit of subscribers is reached.
+        """
         if self.distributor is None:
             return False
         name = f"{connection.child.name}/{connection.upstream}"
@@ -181,7 +192,7 @@
         return True
 
     def subscriber_message_arrived(self, connection: Connection, message: Message) -> None:
-        """Handle a message of a subscriber, unless its connection was replaced."""
+        """Handle a message from a subscriber, unless its connection was replaced."""
         name = f"{connection.child.name}/{connection.upstream}"
         if self.subscriber_connections.get(name) is connection:
             self.run(lambda: self._handle_subscriber_message(name, message))
@@ -192,7 +203,7 @@
             self.send_pending(name)
 
     def connection_lost(self, connection: Connection) -> None:
-        """The other end has ended a connection."""
+        """Drop a connection that the other process has closed."""
         name = f"{connection.child.name}/{connection.upstream}"
         if connection.parent is self and self.subscriber_connections.get(name) is connection:
             del self.subscriber_connections[name]
@@ -201,22 +212,22 @@
             del self.connections[connection.upstream]
             self.run(lambda: self._upstream_lost(connection.upstream))
 
-    def schedule_send(self, name: str, at: int) -> None:
-        """Schedule a pull for a subscriber, unless an earlier one is scheduled."""
+    def schedule_send(self, name: str, time: int) -> None:
+        """Schedule `send_pending` for a subscriber, unless an earlier call is scheduled."""
         connection = self.subscriber_connections[name]
-        if connection.next_send_at is not None and connection.next_send_at <= at:
+        if connection.next_send_at is not None and connection.next_send_at <= time:
             return
-        connection.next_send_at = at
-        self.world.network.at(at, lambda: self._send_due(name, connection, at))
+        connection.next_send_at = time
+        self.world.network.at(time, lambda: self._send_if_due(name, connection, time))
 
-    def _send_due(self, name: str, connection: Connection, at: int) -> None:
-        if connection.next_send_at != at or not connection.is_open:
+    def _send_if_due(self, name: str, connection: Connection, time: int) -> None:
+        if connection.next_send_at != time or not connection.is_open:
             return
         connection.next_send_at = None
         self.run(lambda: self.send_pending(name))
 
     def send_pending(self, name: str) -> None:
-        """Send a subscriber its pending messages, as far as its connection has capacity."""
+        """Send a subscriber its pending messages once its connection has sent the previous ones."""
         connection = self.subscriber_connections.get(name)
         if connection is None or not connection.is_open:
             return
@@ -228,6 +239,6 @@
         self.schedule_send(name, max(connection.free_at, self.distributor.due_at(self.now, name)))
 
     def send_all_pending(self, names: Iterable[str]) -> None:
-        """Send several subscribers their pending messages."""
+        """Send each of several subscribers its pending messages."""
         for name in dict.fromkeys(names):
             self.send_pending(name)
--- a/standins/distribution/nodes.py
+++ b/standins/distribution/nodes.py
@@ -1,4 +1,4 @@
-"""Simulated servers, relays and service owners: the decision modules, driven by the simulated network."""
+"""Simulated servers, relays and service owners, which drive the decision modules on the simulated network."""
 
 import random
 from collections.abc import Iterable
@@ -17,7 +17,7 @@
 
 
 class ServerNode(Node):
-    """A control-plane server, as far as it takes part in the distribution."""
+    """Control-plane server, reduced to its subscriptions."""
 
     def __init__(
         self,
@@ -35,8 +35,8 @@
         self.topic_liveness: dict[str, bool] = {}
         self._start(subscribed_topics, started_at)
 
-    def _start(self, subscribed_topics: Iterable[str], at: int) -> None:
-        client = SubscriptionClient(self.parents, self.topics, self.random_source, at)
+    def _start(self, subscribed_topics: Iterable[str], started_at: int) -> None:
+        client = SubscriptionClient(self.parents, self.topics, self.random_source, started_at)
         self.clients = {TREE: client}
         for topic in subscribed_topics:
             client.subscribe(topic)
@@ -44,11 +44,16 @@
 
     @property
     def client(self) -> SubscriptionClient:
-        """The only client."""
+        """Return the client of the only upstream."""
         return self.clients[TREE]
 
     def stop_for(self, seconds: float, loses_topics: bool) -> None:
-        """Stop for a while; `forget`: restart without the topics that were held."""
+        """Stop, and restart with the same subscriptions.
+
+        Args:
+            seconds: Time until the restart.
+            loses_topics: Whether the server restarts without the topics that it held.
+        """
         subscribed_topics = list(self.client.held_versions.versions())
         self.stop()
         if loses_topics:
@@ -73,15 +78,15 @@
         self.topic_liveness.pop(topic, None)
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Perform all actions that are due."""
         self.perform((TREE, action) for action in self.client.tick(self.now))
 
     def on_connected(self, upstream: str) -> None:
-        """A dial has succeeded."""
+        """Handle the success of a dial."""
         self.perform((upstream, action) for action in self.client.connection_opened(self.now))
 
     def on_message(self, upstream: str, message: Message) -> None:
-        """An upstream has sent a message."""
+        """Handle a message from an upstream."""
         for action in self.client.receive(self.now, message):
             if isinstance(action, TopicChanged):
                 self.world.update_applied(self, action.topic, self.topics[action.topic])
@@ -91,19 +96,24 @@
                 self.perform([(upstream, action)])
 
     def version(self, topic: str) -> Version | None:
-        """Return the version held of a topic; None if it is not subscribed."""
+        """Return the version of a topic that the server holds, None if it has not subscribed to it."""
         return self.client.held_versions.get(topic)
 
 
 class ServingNode(Node):
-    """A process without stored state: after a restart it begins anew."""
+    """Process that serves subscribers and stores no state, so that a restart loses all of it."""
 
     def create_decision_object(self) -> None:
-        """Create the decision object."""
+        """Create the decision object, and connect the process to its clients and distributor."""
         raise NotImplementedError
 
     def stop_for(self, seconds: float, silently: bool = False) -> None:
-        """Stop, and restart after so many seconds."""
+        """Stop, and restart without state.
+
+        Args:
+            seconds: Time until the restart.
+            silently: Whether the machine fails, so that no other process is notified.
+        """
         self.stop(silently)
         self.world.network.call_later(round(seconds * SECOND), self._restart)
 
@@ -113,7 +123,7 @@
 
 
 class RelayNode(ServingNode):
-    """A relay of any level."""
+    """Relay of any level."""
 
     def __init__(
         self,
@@ -123,17 +133,17 @@
         upstreams: dict[str, list[str]],
         random_source: random.Random,
         limits: DistributorLimits,
-        owners: bool,
+        upstreams_are_owners: bool,
     ):
         super().__init__(world, name, region)
         self.upstreams = upstreams
         self.random_source = random_source
         self.limits = limits
-        self.upstreams_are_owners = owners
+        self.upstreams_are_owners = upstreams_are_owners
         self.create_decision_object()
 
     def create_decision_object(self) -> None:
-        """Create the decision object."""
+        """Create the relay."""
         self.relay = Relay(
             self.name, self.upstreams, self.random_source, self.now, self.limits, self.upstreams_are_owners
         )
@@ -141,7 +151,7 @@
         self.schedule_timer()
 
     def due_at(self) -> int:
-        """Return the time at which `tick` has something to do."""
+        """Return the next time at which `tick` has something to do."""
         return self.relay.due_at()
 
     def _apply(self, actions: NodeActions) -> None:
@@ -149,41 +159,41 @@
         self.send_all_pending(actions.pending_subscribers)
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Perform all actions that are due."""
         self._apply(self.relay.tick(self.now))
 
     def on_connected(self, upstream: str) -> None:
-        """A dial has succeeded."""
+        """Handle the success of a dial."""
         self._apply(self.relay.upstream_connected(self.now, upstream))
 
     def on_message(self, upstream: str, message: Message) -> None:
-        """An upstream has sent a message."""
+        """Handle a message from an upstream."""
         self._apply(self.relay.upstream_message_received(self.now, upstream, message))
 
     def on_subscriber_message(self, name: str, message: Message) -> None:
-        """A subscriber has changed its subscriptions."""
+        """Handle a message from a subscriber, which changes its subscriptions."""
         self._apply(self.relay.subscriber_message_received(self.now, name, message))
 
     def on_subscriber_lost(self, name: str) -> None:
-        """A subscriber's connection has ended."""
+        """Handle the end of a subscriber's connection."""
         self._apply(self.relay.subscriber_lost(self.now, name))
 
 
 class OwnerNode(ServingNode):
-    """A controller that owns services."""
+    """Controller that owns services."""
 
     def __init__(
         self,
         world: Distribution,
         name: str,
         region: int,
-        others: list[str],
+        peers: list[str],
         random_source: random.Random,
         limits: DistributorLimits,
         shards: int,
     ):
         super().__init__(world, name, region)
-        self.others = others
+        self.peers = peers
         self.random_source = random_source
         self.limits = limits
         self.shards = shards
@@ -191,14 +201,14 @@
         self.create_decision_object()
 
     def create_decision_object(self) -> None:
-        """Create the decision object."""
+        """Create the service owner, in a new incarnation."""
         self.incarnation += 1
         self.owner = ServiceOwner(
             self.name,
             self.incarnation,
             self.shards,
             self.world.content,
-            self.others,
+            self.peers,
             self.random_source,
             self.now,
             self.limits,
@@ -207,40 +217,40 @@
         self.schedule_timer()
 
     def due_at(self) -> int | None:
-        """Return the time at which `tick` has something to do."""
+        """Return the next time at which `tick` has something to do."""
         deadlines = [due for due in (super().due_at(), self.owner.due_at(self.now)) if due is not None]
         return min(deadlines, default=None)
 
-    def soon_due_at(self) -> int | None:
+    def early_due_at(self) -> int | None:
         """Return the time of the next publication."""
         return self.owner.due_at(self.now)
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Perform all actions that are due."""
         for name, client in self.clients.items():
             self.perform((name, action) for action in client.tick(self.now))
         self.publish()
 
     def publish(self) -> None:
-        """Publish what is due, and record it for the checks."""
+        """Publish the topics that are due, and record them for the checks."""
         topics, pending_subscribers = self.owner.publish(self.now)
         self.world.record_publications(self.owner, topics)
         self.send_all_pending(pending_subscribers)
 
     def on_connected(self, upstream: str) -> None:
-        """A dial has succeeded."""
+        """Handle the success of a dial."""
         self.perform((upstream, action) for action in self.clients[upstream].connection_opened(self.now))
 
     def on_message(self, upstream: str, message: Message) -> None:
-        """An upstream has sent a message."""
+        """Handle a message from an upstream."""
         actions = self.owner.upstream_message_received(self.now, upstream, message)
         self.perform(actions.upstream_actions)
         self.send_all_pending(actions.pending_subscribers)
 
     def on_subscriber_message(self, name: str, message: Message) -> None:
-        """A subscriber has changed its subscriptions."""
+        """Handle a message from a subscriber, which changes its subscriptions."""
         self.owner.subscriber_message_received(self.now, name, message)
 
     def on_subscriber_lost(self, name: str) -> None:
-        """A subscriber's connection has ended."""
+        """Handle the end of a subscriber's connection."""
         self.owner.subscriber_lost(name)
--- a/standins/distribution/schedules.py
+++ b/standins/distribution/schedules.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of faults over a small distribution, and the deliberate breaks that they must find."""
+"""Seeded schedules of faults in a small distribution, and deliberate breaks that they must detect."""
 
 import random
 from collections.abc import Callable, Iterator
@@ -19,18 +19,23 @@
 from standins.fleet.clock import SECOND
 
 FAULT_SECONDS = 60  # time in which faults occur
-SETTLE_SECONDS = 45  # time after the last fault: a keepalive, and several backoffs
+
+# After the last fault there is time for a keepalive and several backoffs.
+SETTLE_SECONDS = 45
+
+# Dials of one parent within the window are a stampede if they are at least MIN_STAMPEDE_DIALS and at least
+# STAMPEDE_SHARE of the fan-out.
 STAMPEDE_WINDOW = 50 * MILLISECOND
-MIN_STAMPEDE_DIALS = 12  # fewer dials within the window are no stampede
-STAMPEDE_SHARE = 0.5  # of the fan-out: so many dials within the window are a stampede
+MIN_STAMPEDE_DIALS = 12
+STAMPEDE_SHARE = 0.5
 
 
 @dataclass(frozen=True)
 class Schedule:
-    """A seeded schedule, perhaps with a deliberate break."""
+    """Seed of a schedule, and the deliberate break that is applied during it."""
 
     seed: int
-    break_name: str = ""  # the name of a deliberate break
+    break_name: str = ""  # a key of BREAKS; empty: no break
 
 
 def draw_size(random_source: random.Random) -> DistributionSize:
@@ -50,7 +55,7 @@
 
 
 class FaultScript:
-    """Draws faults, each of which ends before the time for faults is over."""
+    """Random faults and changes; each fault ends within FAULT_SECONDS of the start."""
 
     def __init__(self, world: SimulatedDistribution, random_source: random.Random):
         self.world, self.random_source = world, random_source
@@ -73,15 +78,17 @@
             self.stop_relay_during_change,
         ]
         for _ in range(self.random_source.randint(4, 14)):
-            self._after(self.random_source.uniform(5, FAULT_SECONDS - 10), self.random_source.choice(faults))
+            self._call_after(
+                self.random_source.uniform(5, FAULT_SECONDS - 10), self.random_source.choice(faults)
+            )
         for _ in range(self.random_source.randint(5, 60)):
-            self._after(self.random_source.uniform(3, FAULT_SECONDS), self.change)
+            self._call_after(self.random_source.uniform(3, FAULT_SECONDS), self.change)
 
-    def _after(self, seconds: float, callback: Callable[[], object]) -> None:
+    def _call_after(self, seconds: float, callback: Callable[[], object]) -> None:
         self.world.network.call_later(round(seconds * SECOND), callback)
 
-    def _fault_duration(self, max_seconds: float) -> float:
-        """Draw the seconds of a fault, which ends in time."""
+    def _draw_fault_duration(self, max_seconds: float) -> float:
+        """Draw the seconds that a fault lasts, so that it ends before the time for faults is over."""
         remaining_seconds = (self.faults_end_at - self.world.events.now) / SECOND
         return min(self.random_source.uniform(0.5, max_seconds), max(0.1, remaining_seconds))
 
@@ -100,35 +107,35 @@
         """Change a service 300 times within a second."""
         service = self.random_source.choice(self.world.services)
         for number in range(300):
-            self._after(number / 300, partial(self.world.change, service, f"burst-{number % 7}"))
+            self._call_after(number / 300, partial(self.world.change, service, f"burst-{number % 7}"))
 
-    def _relay(self) -> RelayNode:
+    def _choose_relay(self) -> RelayNode:
         return self.random_source.choice(self.random_source.choice(self.world.relay_levels))
 
     def stop_relay(self) -> None:
         """Stop a relay for a while."""
-        relay = self._relay()
+        relay = self._choose_relay()
         if relay.alive:
-            relay.stop_for(self._fault_duration(20), silently=self.random_source.random() < 0.5)
+            relay.stop_for(self._draw_fault_duration(20), silently=self.random_source.random() < 0.5)
 
     def stop_relay_during_change(self) -> None:
-        """Stop a relay while changes are in transit to it."""
+        """Change all services, and stop a relay while the changes are in transit."""
         for service in self.world.services:
             self.world.change(service)
-        self._after(self.random_source.uniform(0.0, 0.3), self.stop_relay)
+        self._call_after(self.random_source.uniform(0.0, 0.3), self.stop_relay)
 
     def slow_relay(self) -> None:
-        """Slow all connections of a relay to its parents."""
-        self._slow(self._relay())
+        """Reduce the bandwidth of a relay's connections to its parents for a while."""
+        self._slow_connections(self._choose_relay())
 
     def slow_server(self) -> None:
-        """Slow the connection of a server."""
-        self._slow(self.random_source.choice(self.world.servers))
+        """Reduce the bandwidth of a server's connection to its parent for a while."""
+        self._slow_connections(self.random_source.choice(self.world.servers))
 
-    def _slow(self, node: Node) -> None:
+    def _slow_connections(self, node: Node) -> None:
         for connection in node.connections.values():
             connection.bytes_per_second = 300.0
-        self._after(self._fault_duration(15), lambda: self._restore_speed(node))
+        self._call_after(self._draw_fault_duration(15), lambda: self._restore_speed(node))
 
     @staticmethod
     def _restore_speed(node: Node) -> None:
@@ -136,22 +143,22 @@
             connection.bytes_per_second = connection.network.rules.bytes_per_second
 
     def stop_owner(self) -> None:
-        """Stop a controller, unless it is the last one."""
+        """Stop a controller for a while, unless it is the only one that runs."""
         owner = self.random_source.choice(self.world.owners)
         if owner.alive and sum(node.alive for node in self.world.owners) > 1:
-            owner.stop_for(self._fault_duration(25), silently=self.random_source.random() < 0.5)
+            owner.stop_for(self._draw_fault_duration(25), silently=self.random_source.random() < 0.5)
 
     def suspend_owner(self) -> None:
         """Suspend a controller for a while."""
         owner = self.random_source.choice(self.world.owners)
         if owner.alive and not owner.is_paused():
-            owner.paused_until = self.world.events.now + round(self._fault_duration(60) * SECOND)
+            owner.paused_until = self.world.events.now + round(self._draw_fault_duration(60) * SECOND)
 
     def partition_region(self) -> None:
         """Partition a region for a while."""
         region = self.random_source.randrange(self.world.size.regions)
         self.world.network.isolate_region(region)
-        self._after(self._fault_duration(30), lambda: self.world.network.reconnect_region(region))
+        self._call_after(self._draw_fault_duration(30), lambda: self.world.network.reconnect_region(region))
 
     def disturb_transport(self) -> None:
         """Drop, repeat and reorder messages for a while."""
@@ -159,7 +166,7 @@
         rules.dropped_share, rules.repeated_share, rules.reordered_share = (
             self.random_source.uniform(0, 0.2) for _ in range(3)
         )
-        self._after(self._fault_duration(20), self._restore_transport)
+        self._call_after(self._draw_fault_duration(20), self._restore_transport)
 
     def _restore_transport(self) -> None:
         rules = self.world.network.rules
@@ -169,10 +176,10 @@
         """Stop a server for a while."""
         server = self.random_source.choice(self.world.servers)
         if server.alive:
-            server.stop_for(self._fault_duration(40), loses_topics=self.random_source.random() < 0.3)
+            server.stop_for(self._draw_fault_duration(40), loses_topics=self.random_source.random() < 0.3)
 
     def change_subscriptions(self) -> None:
-        """Subscribe or unsubscribe a server to or from a service."""
+        """Subscribe a server to the topics of a service, or unsubscribe it from those that it holds."""
         server, service = (
             self.random_source.choice(self.world.servers),
             self.random_source.choice(self.world.services),
@@ -189,7 +196,7 @@
 
 
 def run_schedule(schedule: Schedule) -> list[Violation]:
-    """Play a schedule; return the violations of invariants."""
+    """Simulate a schedule, and return the violations of invariants."""
     random_source = random.Random(f"{schedule.seed}/schedule")
     with deliberate_break(schedule.break_name):
         world = SimulatedDistribution(
@@ -205,40 +212,49 @@
 
 
 def check_dials(world: SimulatedDistribution) -> None:
-    """Check that of the children of a lost parent no large share dials the same parent at the same time."""
+    """Record a violation for each parent that a large share of children dialled at almost the same time.
+
+    Dials before the first possible fault are not checked, as all processes connect at the start.
+    """
     dials = sorted(world.network.dials)
-    first_loss_at = (
-        world.events.now - (FAULT_SECONDS + SETTLE_SECONDS) * SECOND + 2 * SECOND
-    )  # dials of the start are no stampede
+    first_loss_at = world.events.now - (FAULT_SECONDS + SETTLE_SECONDS) * SECOND + 2 * SECOND
     by_parent: dict[str, list[int]] = {}
-    for at, _, parent in dials:
-        if at > first_loss_at:
-            by_parent.setdefault(parent, []).append(at)
+    for time, _, parent in dials:
+        if time > first_loss_at:
+            by_parent.setdefault(parent, []).append(time)
     for parent, times in by_parent.items():
-        most = max(sum(at <= other < at + STAMPEDE_WINDOW for other in times) for at in times)
-        if most >= max(MIN_STAMPEDE_DIALS, STAMPEDE_SHARE * world.size.fan_out):
-            world.violations.append(Violation("no stampede", 0, f"{most} dials of {parent} within 50 ms"))
+        dial_count = max(
+            sum(start <= dial_time < start + STAMPEDE_WINDOW for dial_time in times) for start in times
+        )
+        if dial_count >= max(MIN_STAMPEDE_DIALS, STAMPEDE_SHARE * world.size.fan_out):
+            world.violations.append(
+                Violation("no dial stampede", 0, f"{dial_count} dials of {parent} within 50 ms")
+            )
 
 
-# --- deliberate breaks ---
+# Deliberate breaks
 
 
 def _receive_by_sequence(self: Topic, message: Snapshot | Delta) -> UpdateOutcome:
-    """Compare versions without their epochs."""
+    """Apply an update if its sequence is higher, regardless of its epoch."""
     if message.version.sequence <= self.version.sequence:
         return UpdateOutcome.DUPLICATE
     return _receive(self, message)
 
 
-def _updates_by_sequence(self: Topic, held: Version) -> list[Snapshot | Delta]:
-    return [] if held.sequence >= self.version.sequence else _updates_since(self, held)
+def _updates_by_sequence(self: Topic, subscriber_version: Version) -> list[Snapshot | Delta]:
+    return (
+        []
+        if subscriber_version.sequence >= self.version.sequence
+        else _updates_since(self, subscriber_version)
+    )
 
 
 _receive = Topic.receive
 _updates_since = Topic.updates_since
 
 
-def _covers_any(_topic: Topic, _delta: Delta) -> bool:
+def _covers_every_gap(_topic: Topic, _delta: Delta) -> bool:
     return True
 
 
@@ -255,7 +271,7 @@
         (Topic, "receive", _receive_by_sequence),
         (Topic, "updates_since", _updates_by_sequence),
     ],
-    "delta over a gap": [(Topic, "_covers", _covers_any)],
+    "delta over a gap": [(Topic, "_covers", _covers_every_gap)],
     "resync without jitter": [(Backoff, "next_delay", _first_delay)],
     "lease not asked": [(PublicationLease, "may_publish", _always_valid)],
 }
@@ -263,8 +279,8 @@
 
 @contextmanager
 def deliberate_break(name: str) -> Iterator[None]:
-    """Patch the named fault into the decisions; an empty name patches nothing."""
+    """Replace methods of the decisions by those of a break; an empty name replaces nothing."""
     with ExitStack() as patches:
-        for target, attribute, broken in BREAKS[name] if name else ():
-            patches.enter_context(mock.patch.object(target, attribute, broken))
+        for target, attribute, replacement in BREAKS[name] if name else ():
+            patches.enter_context(mock.patch.object(target, attribute, replacement))
         yield
--- a/standins/distribution/world.py
+++ b/standins/distribution/world.py
@@ -1,4 +1,4 @@
-"""A simulated distribution: controllers, a tree of relays, servers, and services that change."""
+"""Simulated distribution with controllers, a tree of relays, servers, and services that change."""
 
 import random
 from collections.abc import Iterable, Mapping
@@ -27,14 +27,22 @@
 from standins.fleet.clock import SECOND, EventQueue
 
 OWNER_PREFIX = "owner-"
-TABLE_LINES = 10  # of a zone's table
+TABLE_LINES = 10  # at most, in the table of a zone
 
 AnyNode = TypeVar("AnyNode", bound=Node)
 
 
 @dataclass(frozen=True)
 class DistributionSize:
-    """Counts of processes, services and regions. `endpoints` is the count of each service."""
+    """Counts of the processes and services of a simulated distribution, and its limits.
+
+    Attributes:
+        endpoints: Endpoints of each service.
+        services_per_server: Services to which each server subscribes.
+        fan_out: Greatest number of children of a relay.
+        limits: Limits of the snapshots that a distributor sends; its `max_subscribers` is not used.
+        start_spread: Microseconds over which the starts of the servers are spread.
+    """
 
     controllers: int = 3
     servers: int = 18
@@ -46,21 +54,23 @@
     fan_out: int = 8
     shards: int = 8
     limits: DistributorLimits = DistributorLimits()
-    start_spread: int = 0  # microseconds over which the servers start
+    start_spread: int = 0
 
 
 @dataclass
 class Violation:
-    """A violated invariant."""
+    """Violation of an invariant, at a time in microseconds."""
 
     rule: str
-    at: int
+    time: int
     description: str
 
 
 class SimulatedDistribution:
-    """All processes on one clock and one network. With `checked`, each update is checked against the
-    invariants."""
+    """All processes of a distribution, on one clock and one network.
+
+    With `checked`, each publication and each applied update is checked against the invariants.
+    """
 
     def __init__(
         self, size: DistributionSize, seed: int, rules: NetworkRules | None = None, checked: bool = True
@@ -77,21 +87,20 @@
         self.services = [f"service-{number}" for number in range(size.services)]
         self.configuration = {service: self._initial_configuration(service) for service in self.services}
         self.tables = {service: self._initial_table(service) for service in self.services}
-        self.published_fingerprints: dict[
-            tuple[str, Version], int
-        ] = {}  # fingerprints of all states ever published
-        self.applied_versions: dict[tuple[str, str], Version] = {}  # by server and topic
+        # fingerprint of each state that was ever published, by (topic, version)
+        self.published_fingerprints: dict[tuple[str, Version], int] = {}
+        self.applied_versions: dict[tuple[str, str], Version] = {}  # by (server, topic)
         self.violations: list[Violation] = []
-        self.change_applied_at: dict[str, dict[str, int]] = {}  # by marked service and server: time
-        self.marked_values: dict[str, str] = {}  # by marked service: the value of its change
-        self.ended_snapshot_bytes = 0  # sent by processes that have ended
+        self.change_applied_at: dict[str, dict[str, int]] = {}  # time by marked service and server
+        self.marked_values: dict[str, str] = {}  # value of the change by marked service
+        self.ended_snapshot_bytes = 0  # snapshot bytes sent by processes that have ended
         self._zone_topics: dict[str, list[str]] = {service: [] for service in self.services}
         self.owners = self._make_owners()
         self.relay_levels = self._make_relays()
         self.servers = self._make_servers()
         self.leases = Leases(self, size.shards)
 
-    # --- processes and services ---
+    # Processes and services
 
     def _initial_configuration(self, service: str) -> dict[str, Entry]:
         entries: dict[str, Entry] = {SETTING_PREFIX + "change": Setting("0")}
@@ -172,7 +181,7 @@
                 upstreams,
                 self._make_random_source(name),
                 limits,
-                owners=parent_level is None,
+                upstreams_are_owners=parent_level is None,
             )
         )
 
@@ -200,22 +209,31 @@
             self._zone_topics[service].append(table)
         return service_topic(service), table
 
-    # --- changes and publications ---
+    # Changes and publications
 
     def content(self, topic: str) -> Mapping[str, Entry]:
-        """Return the intended state of a topic."""
+        """Return the intended entries of a topic."""
         service = service_of_topic(topic)
         return (self.configuration if topic == service_topic(service) else self.tables)[service]
 
     def change(self, service: str, key: str = "change", value: str | None = None) -> str:
-        """Change a setting of a service, and notify its owner; return the new value."""
+        """Change a setting of a service, and notify its owner.
+
+        Args:
+            service: The service.
+            key: Name of the setting.
+            value: New value; the current time if it is None.
+
+        Returns:
+            The new value.
+        """
         value = value if value is not None else str(self.events.now)
         self.configuration[service] = {**self.configuration[service], SETTING_PREFIX + key: Setting(value)}
         self._refresh(service, [service_topic(service)])
         return value
 
     def write_table(self, service: str, lines: Mapping[str, Entry]) -> None:
-        """Change lines in the tables of all zones of a service."""
+        """Change lines in the tables of all zones of a service, and notify its owner."""
         self.tables[service] = {**self.tables[service], **lines}
         self._refresh(service, self._zone_topics[service])
 
@@ -229,22 +247,24 @@
             node.owner.refresh(self.events.now, topic)
 
     def record_publications(self, owner: ServiceOwner, topics: Iterable[str]) -> None:
-        """Check and record what an owner has just published."""
+        """Check and record the topics that an owner has just published."""
         for topic in topics if self.checked else ():
             publication = owner.publications[topic]
             state = publication.topic
             if (topic, state.version) in self.published_fingerprints:
-                self._record_violation("one state a version", f"{topic} {state.version} of {owner.name}")
+                self._record_violation(
+                    "one state for each version", f"{topic} {state.version} of {owner.name}"
+                )
             self.published_fingerprints[topic, state.version] = _fingerprint(state)
             if (
                 service_of_topic(topic) in self.configuration
                 and self.leases.epoch_of(service_of_topic(topic)) > publication.epoch
             ):
                 self._record_violation(
-                    "no order of a deposed owner", f"{topic} {state.version} of {owner.name}"
+                    "no publication by a deposed owner", f"{topic} {state.version} of {owner.name}"
                 )
 
-    # --- state of servers ---
+    # State of servers
 
     def update_applied(self, server: NamedProcess, topic: str, state: Topic) -> None:
         """Check and record an update that a server has applied."""
@@ -257,10 +277,14 @@
             return
         before = self.applied_versions.get((server.name, topic))
         if before is not None and state.version < before:
-            self._record_violation("never back", f"{server.name} {topic} from {before} to {state.version}")
+            self._record_violation(
+                "versions never decrease", f"{server.name} {topic} from {before} to {state.version}"
+            )
         self.applied_versions[server.name, topic] = state.version
         if self.published_fingerprints.get((topic, state.version)) != _fingerprint(state):
-            self._record_violation("the owner's state", f"{server.name} {topic} {state.version}")
+            self._record_violation(
+                "state as published by the owner", f"{server.name} {topic} {state.version}"
+            )
 
     def mark_change(self, service: str) -> None:
         """Change a service, and record when each of its servers has applied the change."""
@@ -268,7 +292,7 @@
         self.marked_values[service] = self.change(service)
 
     def subscribers(self, service: str) -> list[ServerNode]:
-        """Return the living servers that call a service."""
+        """Return the running servers that subscribe to a service."""
         return [
             server
             for server in self.servers
@@ -277,7 +301,7 @@
         ]
 
     def snapshot_bytes(self) -> int:
-        """Return the bytes of all snapshots ever sent."""
+        """Return the bytes of all snapshots that were sent since the start."""
         serving = [node.distributor for node in self.nodes.values() if node.distributor is not None]
         return self.ended_snapshot_bytes + sum(distributor.snapshot_bytes for distributor in serving)
 
@@ -285,7 +309,7 @@
         self.violations.append(Violation(rule, self.events.now, description))
 
     def check_converged(self) -> None:
-        """Check that every living server holds the intended state of its topics."""
+        """Check that every running server holds the intended entries of its topics."""
         for server in self.servers:
             for topic in server.client.held_versions.versions() if server.alive else ():
                 if server.topics[topic].entries != self.content(topic):
@@ -293,10 +317,10 @@
                         "converged", f"{server.name} {topic} holds {server.topics[topic].version}"
                     )
 
-    # --- time ---
+    # Time
 
     def run(self, seconds: float) -> "SimulatedDistribution":
-        """Advance the clock by so many seconds."""
+        """Advance the clock by `seconds`, and return this object."""
         self.events.advance(self.events.now + round(seconds * SECOND))
         return self
 
