--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -20,7 +20,7 @@
     PILOTS,
     REGIONS,
     SERVICES,
-    SERVICES_CALLED,
+    SERVICES_PER_SERVER,
     ZONES,
     Fleet,
 )
@@ -72,7 +72,7 @@
     Assumption(
         f"{FAILURES_A_DAY} machines fail and {RESTARTS_A_DAY:,} are restarted or replaced a day", "operators"
     ),
-    Assumption(f"a pilot's proxies call {SERVICES_CALLED} services", "ours"),
+    Assumption(f"a pilot's proxies call {SERVICES_PER_SERVER} services", "ours"),
     Assumption(
         f"a service has endpoints and subscribers in {ZONES_A_SERVICE} of {ZONES} zones; a zone's table "
         f"holds {LINES_A_DELTA} lines",
@@ -233,20 +233,20 @@
 
 def _pilot_row(book: Book) -> list[str]:
     """A pilot's own day: heartbeats, tables of its services, its sums on the way up."""
-    tables = SERVICES_CALLED * max(
+    tables = SERVICES_PER_SERVER * max(
         0.0, _mean([_mean(point.values) for point in book.by_name["table bytes of a topic"].points])
     )
     received = book.fleet("calm_bytes", "calm") + tables
-    reported = SERVICES_CALLED * book.at("report bytes", 10)
-    deltas = SERVICES_CALLED / BEAT_S
+    reported = SERVICES_PER_SERVER * book.at("report bytes", 10)
+    deltas = SERVICES_PER_SERVER / BEAT_S
     core = deltas * book.at("subscriber CPU of a delta", LINES_A_DELTA) + book.at(
-        "subscriber CPU of a heartbeat", SERVICES_CALLED
+        "subscriber CPU of a heartbeat", SERVICES_PER_SERVER
     )
-    memory = BASE_MB + book.marginal("subscriber memory", SERVICES_CALLED) / 1e6
+    memory = BASE_MB + book.marginal("subscriber memory", SERVICES_PER_SERVER) / 1e6
     worst = max(core / CORE_BUDGET, memory / MEMORY_BUDGET_MB, (received + reported) / BYTES_BUDGET)
     return [
         "pilot",
-        f"{2 * SERVICES_CALLED} topics of {SERVICES_CALLED} services: {memory:.0f} MB",
+        f"{2 * SERVICES_PER_SERVER} topics of {SERVICES_PER_SERVER} services: {memory:.0f} MB",
         f"in: {received:.0f} bytes a second (heartbeats, tables); out: {reported:.0f} of sums",
         f"{core:.5f} of a core",
         f"{_range(book.largest('zone_returns'), 'zone_bytes', 0)} bytes a second in (a zone returns)",
@@ -282,13 +282,13 @@
     tree = plan_relay_levels(PILOTS, FAN_OUT)
     relays = sum(len(level.names) for level in tree)
     children, on_machine = PILOTS / len(tree[-1].names), relays / CONTROLLERS
-    deltas = children * SERVICES_CALLED / BEAT_S
+    deltas = children * SERVICES_PER_SERVER / BEAT_S
     core = book.at("relay on sockets, CPU of heartbeats", children) + deltas * book.near(
         "relay on sockets, CPU of a delivered delta", children
     )
     memory = (
         book.near("relay on sockets, memory", children)
-        + book.marginal("relay memory", children * SERVICES_CALLED) / 1e6
+        + book.marginal("relay memory", children * SERVICES_PER_SERVER) / 1e6
     )
     return [
         "relay (a process, measured on sockets)",
@@ -305,7 +305,7 @@
 def _collector_row(book: Book) -> list[str]:
     """Sums are added up at each relay."""
     tree = plan_relay_levels(PILOTS, FAN_OUT)
-    reports = PILOTS / len(tree[-1].names) * SERVICES_CALLED
+    reports = PILOTS / len(tree[-1].names) * SERVICES_PER_SERVER
     on_machine = sum(len(level.names) for level in tree) / CONTROLLERS
     core = book.at("aggregation CPU", reports)
     return [
@@ -552,13 +552,13 @@
         "endpoints listed": ENDPOINTS,
         "proxies": PROXIES_A_PILOT,
         "zones": ZONES,
-        "services called": SERVICES_CALLED,
+        "services called": SERVICES_PER_SERVER,
         "lines changed": LINES_A_DELTA,
         "zones with subscribers": ZONES_A_SERVICE,
         "endpoints of the service": ENDPOINTS_A_SERVICE,
         "endpoints met": 10,
         "services": SERVICES / CONTROLLERS,
-        "reports": PILOTS / 282 * SERVICES_CALLED,
+        "reports": PILOTS / 282 * SERVICES_PER_SERVER,
     }
     rows = [
         _slope(measurement, target.get(measurement.count, measurement.points[-1].size))
--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,4 +1,1 @@
-"""What each role costs as the fleet grows.
-
-Slopes over sizes, from the real modules and from simulated fleets of them.
-"""
+"""Cost of each role by size of the fleet: slopes over sizes, of the real modules and of simulated fleets."""
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,7 +1,7 @@
-"""Slopes of what each role costs, and hollow fleets: `python -m benchmarks.scale [--short] [--role NAME]`.
+"""Slopes of what each role costs, and simulated fleets: `python -m benchmarks.scale [--short] [--role NAME]`.
 
-The long form keeps its output in `benchmarks/results/`, of which `python -m benchmarks.capacity` makes
-docs/CAPACITY.md.
+Without `--short` the output is saved in `benchmarks/results/`, from which `python -m benchmarks.capacity`
+writes docs/CAPACITY.md.
 """
 
 import argparse
@@ -23,31 +23,41 @@
 
 RESULTS = Path(__file__).resolve().parent.parent / "results"
 SCALE_FILE, SOCKETS_FILE = RESULTS / "scale.json", RESULTS / "sockets.json"
-FLEET, SOCKETS = "fleet", "sockets"  # roles that are more than a choice of measurements
-FLEETS, SHORT_FLEETS = (563, 1_125, 2_250, 4_500), (30, 60, 120, 240)
-LARGEST_FLEET, LARGEST_PARTS = (
-    18_000,
-    (3, 4),
-)  # parts of the day: up to single changes, and up to a change for all
-BASELINES, BASELINE_SERVICES = (15, 30, 60, 120), 1_200
-SHORT_BASELINES, SHORT_BASELINE_SERVICES = (8, 16, 32, 64), 60
-SCHEDULES, SHORT_SCHEDULES, BREAK_SCHEDULES = 2_000, 60, 200
-PROCESSES = 4  # of each kind of play in the short form
-FLEETS_AT_ONCE, BASELINES_AT_ONCE, SCHEDULES_AT_ONCE = 5, 2, 3  # in the long form, side by side on ten cores
-CHANGE_AIM, BYTES_AIM = 4.0, 7_000.0  # seconds; bytes a second and pilot
+FLEET, SOCKETS = "fleet", "sockets"  # roles with simulations or measurements of their own
+FLEET_SIZES, SHORT_FLEET_SIZES = (563, 1_125, 2_250, 4_500), (30, 60, 120, 240)
+
+# The parts of the day end with single changes, or with a change of all services.
+LARGEST_FLEET_SIZE, LARGEST_FLEET_PART_COUNTS = 18_000, (3, 4)
+
+BASELINE_SIZES, BASELINE_SERVICES = (15, 30, 60, 120), 1_200
+SHORT_BASELINE_SIZES, SHORT_BASELINE_SERVICES = (8, 16, 32, 64), 60
+SCHEDULE_COUNT, SHORT_SCHEDULE_COUNT, BREAK_SCHEDULE_COUNT = 2_000, 60, 200
+SHORT_PROCESSES = 4  # of each kind of simulation with --short
+
+# Without --short the processes of all three kinds run at the same time on ten cores.
+FLEET_PROCESSES, BASELINE_PROCESSES, SCHEDULE_PROCESSES = 5, 2, 3
+
+CHANGE_AIM_SECONDS, BYTES_PER_SECOND_AIM = 4.0, 7_000.0  # seconds; bytes a second for each server
 
 
 class Schedules(msgspec.Struct):
-    """What the checker saw."""
+    """Results of the seeded schedules of faults.
+
+    Attributes:
+        played: Schedules without a deliberate break.
+        broken: First violated rule by seed, of those schedules.
+        breaks_played: Schedules with each deliberate break.
+        found: Schedules with a violation, by deliberate break.
+    """
 
     played: int
     broken: dict[int, str]
     breaks_played: int
-    found: dict[str, int]  # by deliberate break, in how many schedules it was seen
+    found: dict[str, int]
 
 
 class Results(msgspec.Struct):
-    """One run of the benchmark."""
+    """Results of one run of the benchmark."""
 
     commit: str
     short: bool
@@ -57,58 +67,68 @@
     baselines: list[fleet.Baseline]
     schedules: Schedules | None
     agreement: Agreement | None
-    peak_mb: float = 0.0  # of this process and of its largest child
+    peak_mb: float = 0.0  # resident memory of this process and of its largest child
     wall_seconds: float = 0.0
 
 
-def commit() -> str:
-    """The commit that is measured; marked where the text differs from it."""
+def measured_commit() -> str:
+    """Return the commit that is measured, followed by "+" if the checkout differs from it."""
 
-    def git(*words: str) -> str:
-        return subprocess.run(["git", *words], capture_output=True, text=True, check=False).stdout.strip()
+    def git(*arguments: str) -> str:
+        return subprocess.run(["git", *arguments], capture_output=True, text=True, check=False).stdout.strip()
 
     changed = git("status", "--porcelain", "--untracked-files=no", "ravenshelf", "standins", "benchmarks")
     return git("rev-parse", "--short", "HEAD") + ("+" if changed else "")
 
 
-_spawn = multiprocessing.get_context("spawn")  # threads run beside
+_spawn_context = multiprocessing.get_context(
+    "spawn"
+)  # Processes are spawned, as a fork copies locks that other threads hold.
 
 
 def fleet_jobs(short: bool) -> list[tuple[int, int, tuple[str, ...]]]:
-    """Size, seed and parts of the day of each fleet to play, the longest first.
+    """Return the size, seed and parts of the day of each fleet to simulate, the longest first.
 
-    A whole day of the largest takes over half an hour, so of that the first parts are played, once.
+    A whole day of the largest fleet takes over half an hour, so only its first parts are simulated, once.
     """
     if short:
-        return [(size, 1, fleet.DAY) for size in sorted(SHORT_FLEETS, reverse=True)]
-    whole = [(size, seed, fleet.DAY) for size in sorted(FLEETS, reverse=True) for seed in range(1, RUNS + 1)]
-    return [(LARGEST_FLEET, 1, fleet.DAY[:parts]) for parts in LARGEST_PARTS] + whole
+        return [(size, 1, fleet.DAY) for size in sorted(SHORT_FLEET_SIZES, reverse=True)]
+    whole_days = [
+        (size, seed, fleet.DAY) for size in sorted(FLEET_SIZES, reverse=True) for seed in range(1, RUNS + 1)
+    ]
+    return [(LARGEST_FLEET_SIZE, 1, fleet.DAY[:parts]) for parts in LARGEST_FLEET_PART_COUNTS] + whole_days
 
 
 def run_fleets(results: Results) -> None:
-    """Fleets of all sizes; each is kept as it comes."""
-    with ProcessPoolExecutor(PROCESSES if results.short else FLEETS_AT_ONCE, _spawn) as pool:
-        playing = [pool.submit(fleet.play, *job) for job in fleet_jobs(results.short)]
-        for played in as_completed(playing):
-            results.fleets.append(played.result())
-            keep(results)
+    """Simulate fleets of all sizes, and save the results after each fleet."""
+    with ProcessPoolExecutor(SHORT_PROCESSES if results.short else FLEET_PROCESSES, _spawn_context) as pool:
+        futures = [pool.submit(fleet.run_day, *job) for job in fleet_jobs(results.short)]
+        for future in as_completed(futures):
+            results.fleets.append(future.result())
+            save_results(results)
 
 
 def run_baselines(short: bool) -> list[fleet.Baseline]:
-    """Subscriptions against servers that watch all services, at each size."""
-    sizes, services = (SHORT_BASELINES, SHORT_BASELINE_SERVICES) if short else (BASELINES, BASELINE_SERVICES)
+    """Compare subscriptions with servers that watch all services, at each size."""
+    sizes, services = (
+        (SHORT_BASELINE_SIZES, SHORT_BASELINE_SERVICES) if short else (BASELINE_SIZES, BASELINE_SERVICES)
+    )
     jobs = [(size, seed, services) for size in sizes for seed in range(1, (1 if short else RUNS) + 1)]
-    with ProcessPoolExecutor(PROCESSES if short else BASELINES_AT_ONCE, _spawn) as pool:
+    with ProcessPoolExecutor(SHORT_PROCESSES if short else BASELINE_PROCESSES, _spawn_context) as pool:
         return list(pool.map(fleet.baseline, *zip(*jobs, strict=True)))
 
 
 def run_schedules(short: bool) -> Schedules:
-    """Seeded schedules of faults, and schedules with each deliberate break."""
-    count, breaks = (SHORT_SCHEDULES, SHORT_SCHEDULES) if short else (SCHEDULES, BREAK_SCHEDULES)
-    with ProcessPoolExecutor(PROCESSES if short else SCHEDULES_AT_ONCE, _spawn) as pool:
-        played = pool.map(run_schedule, [Schedule(seed) for seed in range(count)], chunksize=8)
-        broken = {seed: violations[0].rule for seed, violations in enumerate(played) if violations}
-        found = {
+    """Simulate seeded schedules of faults, and schedules with each deliberate break."""
+    count, breaks = (
+        (SHORT_SCHEDULE_COUNT, SHORT_SCHEDULE_COUNT) if short else (SCHEDULE_COUNT, BREAK_SCHEDULE_COUNT)
+    )
+    with ProcessPoolExecutor(SHORT_PROCESSES if short else SCHEDULE_PROCESSES, _spawn_context) as pool:
+        violations_by_seed = pool.map(run_schedule, [Schedule(seed) for seed in range(count)], chunksize=8)
+        broken = {
+            seed: violations[0].rule for seed, violations in enumerate(violations_by_seed) if violations
+        }
+        detections = {
             name: sum(
                 map(
                     bool,
@@ -117,55 +137,58 @@
             )
             for name in BREAKS
         }
-    return Schedules(count, broken, breaks, found)
+    return Schedules(count, broken, breaks, detections)
 
 
-def measured(
+def run_measurements(
     kinds: Iterable[Callable[[bool], Iterable[Measurement]]], short: bool, role: str
 ) -> list[Measurement]:
-    """The measurements of a role, or of all roles where none is named."""
+    """Return the measurements of a role, or of all roles if `role` is empty."""
     return [
         measurement for kind in kinds for measurement in kind(short) if not role or role in measurement.role
     ]
 
 
-def held(results: Results) -> bool:
-    """Whether the aims are met.
+def meets_aims(results: Results) -> bool:
+    """Return whether the aims are met.
 
-    In every fleet a change is everywhere in time, a server's bytes are in budget and nobody is behind; the
-    checker saw no violation, and each deliberate break; simulated and real servers agree.
+    In every fleet a change reaches all servers in time, the bytes of a server are within the budget and no
+    server lacks an update. The schedules have no violation, except that each deliberate break causes one.
+    Simulated and real servers agree.
     """
-    fleets_hold = all(
-        played.change_p99 < CHANGE_AIM
-        and played.all_p99 < CHANGE_AIM
-        and played.zone_p99 < CHANGE_AIM
-        and played.behind == 0
-        and max(played.calm_bytes, played.all_bytes, played.zone_bytes) < BYTES_AIM
-        for played in results.fleets
+    fleets_meet_aims = all(
+        result.change_p99 < CHANGE_AIM_SECONDS
+        and result.all_p99 < CHANGE_AIM_SECONDS
+        and result.zone_p99 < CHANGE_AIM_SECONDS
+        and result.behind == 0
+        and max(result.calm_bytes, result.all_bytes, result.zone_bytes) < BYTES_PER_SECOND_AIM
+        for result in results.fleets
     )
-    baseline_holds = all(baseline.subscribed_bytes < baseline.watched_bytes for baseline in results.baselines)
-    checked = results.schedules is None or (
+    baselines_meet_aim = all(
+        baseline.subscribed_bytes < baseline.watched_bytes for baseline in results.baselines
+    )
+    invariants_hold = results.schedules is None or (
         not results.schedules.broken and all(results.schedules.found.values())
     )
-    agreed = results.agreement is None or results.agreement.agrees
-    return fleets_hold and baseline_holds and checked and agreed
+    servers_agree = results.agreement is None or results.agreement.agrees
+    return fleets_meet_aims and baselines_meet_aim and invariants_hold and servers_agree
 
 
-def play_fleets(results: Results) -> None:
-    """Fleets, baselines, schedules and agreement, side by side."""
-    with ThreadPoolExecutor(4) as side_by_side:
-        fleets = side_by_side.submit(run_fleets, results)
-        baselines = side_by_side.submit(run_baselines, results.short)
-        schedules = side_by_side.submit(run_schedules, results.short)
-        agreement = side_by_side.submit(compare, (4, 12) if results.short else (4, 12, 40))
+def run_simulations(results: Results) -> None:
+    """Run the fleets, baselines, schedules and the comparison with real servers, concurrently."""
+    with ThreadPoolExecutor(4) as executor:
+        fleets = executor.submit(run_fleets, results)
+        baselines = executor.submit(run_baselines, results.short)
+        schedules = executor.submit(run_schedules, results.short)
+        agreement = executor.submit(compare, (4, 12) if results.short else (4, 12, 40))
         results.agreement, results.baselines = agreement.result(), baselines.result()
         results.schedules = schedules.result()
-        keep(results)
+        save_results(results)
         fleets.result()
 
 
-def keep(results: Results) -> None:
-    """Writes what a long run has so far where the capacity page is made from."""
+def save_results(results: Results) -> None:
+    """Write the results so far to the file that the capacity page is made from, unless the run is short."""
     file = {"": SCALE_FILE, SOCKETS: SOCKETS_FILE}.get(results.role)
     if results.short or file is None:
         return
@@ -174,32 +197,36 @@
 
 
 def main(short: bool, role: str) -> None:
-    """Runs the benchmark, keeps its output in the long form and prints it as one line."""
-    began = time.perf_counter()
+    """Run the benchmark, save its results unless it is short, and print them as one line."""
+    started_at = time.perf_counter()
     kinds = [sockets.measurements] if role == SOCKETS else [servers.measurements, distribution.measurements]
-    results = Results(commit(), short, role, measured(kinds, short, role), [], [], None, None)
-    keep(results)
+    results = Results(
+        measured_commit(), short, role, run_measurements(kinds, short, role), [], [], None, None
+    )
+    save_results(results)
     if role in ("", FLEET):
-        play_fleets(results)
-    results.wall_seconds = round(time.perf_counter() - began, 1)
-    peaks = [resource.getrusage(who).ru_maxrss for who in (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN)]
-    results.peak_mb = sum(peaks) / 1024
-    keep(results)
+        run_simulations(results)
+    results.wall_seconds = round(time.perf_counter() - started_at, 1)
+    peaks_kb = [
+        resource.getrusage(scope).ru_maxrss for scope in (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN)
+    ]
+    results.peak_mb = sum(peaks_kb) / 1024
+    save_results(results)
     aim = (
-        f"change everywhere in {CHANGE_AIM:g} s for 99 in 100 subscriptions, "
-        f"{BYTES_AIM:g} bytes a second and pilot, "
-        "no invariant broken, each deliberate break found, simulated and real servers agree"
+        f"a change reaches 99 of 100 subscriptions within {CHANGE_AIM_SECONDS:g} s, "
+        f"{BYTES_PER_SECOND_AIM:g} bytes a second for each server, "
+        "no invariant is violated, each deliberate break is detected, simulated and real servers agree"
     )
-    close("scale", msgspec.to_builtins(results), aim, held(results))
+    close("scale", msgspec.to_builtins(results), aim, meets_aims(results))
 
 
 if __name__ == "__main__":
-    options = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    options.add_argument("--short", action="store_true", help="smaller sizes, one run, under a minute")
-    options.add_argument(
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--short", action="store_true", help="smaller sizes and one run, less than a minute")
+    parser.add_argument(
         "--role",
         default="",
-        help="only this role; fleet: simulated fleets and the checker; sockets: a relay as a process",
+        help="measure only this role; fleet: simulated fleets and schedules; sockets: a relay process",
     )
-    arguments = options.parse_args()
+    arguments = parser.parse_args()
     main(arguments.short, arguments.role)
--- a/benchmarks/scale/agreement.py
+++ b/benchmarks/scale/agreement.py
@@ -1,5 +1,4 @@
-"""Whether a simulated server does what a real process does: the same messages, byte by byte, for the same
-events."""
+"""Comparison of a simulated server with a real process: both must send the same bytes for the same events."""
 
 import asyncio
 import json
@@ -18,9 +17,9 @@
 from standins.server_process import running_server
 
 ZONE = "north"
-USUAL = 40.0
-WAIT = 10.0  # seconds
-QUIET = 0.6  # seconds without a message after which none is expected
+NOMINAL_RATE = 40.0
+TIMEOUT = 10.0  # seconds
+QUIET_SECONDS = 0.6  # After this time without a message no more are expected.
 
 STATES = {
     "SERVING": EndpointState.READY,
@@ -30,107 +29,120 @@
 
 
 class Case(msgspec.Struct):
-    """One size: what the proxy was sent, by the real process and by the simulated server."""
+    """Comparison at one size.
+
+    Attributes:
+        endpoints: Endpoints in the list.
+        messages: Messages that the proxy received from the real process and from the simulated server.
+        bytes: Bytes of those messages.
+        same: Whether both sent the same messages, byte by byte.
+    """
 
     endpoints: int
-    messages: list[int]  # real, simulated
+    messages: list[int]
     bytes: list[int]
-    same: bool  # byte by byte
+    same: bool
 
 
 class Agreement(msgspec.Struct):
-    """The comparison at all sizes."""
+    """Comparison at all sizes."""
 
     cases: list[Case]
     agrees: bool
 
 
 class Script:
-    """A list of so many endpoints, of which one drains and then another goes."""
+    """Endpoint list of a given length and two changes: one endpoint drains, then another is deleted."""
 
     def __init__(self, endpoints: int):
         self.entries = [registry_entry(f"s-{n}", ZONE) for n in range(endpoints)]
         self.changes = [("s-1", "DRAINING"), ("s-2", "DELETED")]
 
     def configuration(self, registry: str, listen: str) -> dict:
-        """Return the configuration of the server."""
+        """Return the configuration file of the real process."""
         document = server_configuration(registry, [ZONE], 1, listen)
         document["settings"]["limits"]["probing"] = False
         return document
 
 
-async def _real(script: Script) -> list[bytes]:
-    """Return what one proxy is sent by a real process on loopback."""
+async def _run_process(script: Script) -> list[bytes]:
+    """Return the messages that one proxy receives from a real process on loopback."""
     registry = await LoopbackRegistry(script.entries).start()
     messages: list[bytes] = []
     with tempfile.TemporaryDirectory() as folder:
-        file = Path(folder) / "pilot.json"
+        configuration_file = Path(folder) / "pilot.json"
         address = f"127.0.0.1:{find_free_ports(1)[0]}"
-        file.write_text(json.dumps(script.configuration(registry.address, address)))
-        async with running_server(file):
-            await _until(lambda: registry.watch_count > 0)
-            await asyncio.sleep(QUIET)  # the list is known before the proxy joins, as in the simulated server
+        configuration_file.write_text(json.dumps(script.configuration(registry.address, address)))
+        async with running_server(configuration_file):
+            await _wait_until(lambda: registry.watch_count > 0)
+            await asyncio.sleep(
+                QUIET_SECONDS
+            )  # The server has the list before the proxy joins, as the simulated one.
             proxy = LoopbackProxy(
-                lambda: address, 0, ZONE, USUAL, lambda _, line: messages.append(line.rstrip("\r\n").encode())
+                lambda: address,
+                0,
+                ZONE,
+                NOMINAL_RATE,
+                lambda _, line: messages.append(line.rstrip("\r\n").encode()),
             )
-            running = asyncio.create_task(proxy.run())
-            await _quiet(messages, 1)
+            proxy_task = asyncio.create_task(proxy.run())
+            await _wait_until_quiet(messages, 1)
             for uid, state in script.changes:
                 before = len(messages)
                 await registry.change_endpoint(uid, state)
-                await _quiet(messages, before + 1)
-            running.cancel()
+                await _wait_until_quiet(messages, before + 1)
+            proxy_task.cancel()
     return messages
 
 
-async def _until(condition: Callable[[], bool]) -> None:
-    async with asyncio.timeout(WAIT):
+async def _wait_until(condition: Callable[[], bool]) -> None:
+    async with asyncio.timeout(TIMEOUT):
         while not condition():
             await asyncio.sleep(0.02)
 
 
-async def _quiet(messages: list[bytes], least: int) -> None:
-    """Wait for so many messages, and until no more arrive."""
-    await _until(lambda: len(messages) >= least)
+async def _wait_until_quiet(messages: list[bytes], min_count: int) -> None:
+    """Wait until there are `min_count` messages and no more arrive for QUIET_SECONDS."""
+    await _wait_until(lambda: len(messages) >= min_count)
     count = -1
     while count != len(messages):
         count = len(messages)
-        await asyncio.sleep(QUIET)
+        await asyncio.sleep(QUIET_SECONDS)
 
 
-def _simulated(script: Script) -> list[bytes]:
-    """Return what a simulated server sends for the same events."""
+def _run_simulation(script: Script) -> list[bytes]:
+    """Return the messages that a simulated server sends for the same events."""
     server = SimulatedServer(
         0, 0, 1, decode_settings(script.configuration("127.0.0.1:1", "127.0.0.1:0")["settings"])
     )
     registry: EndpointRegistry = server.registry
-    first = [_listed(registry, entry["uid"], entry["state"]) for entry in script.entries]
-    server.cycle.deliver(registry.update(ListKind.REPLACE, 2, first, {}))
+    first_entries = [_make_entry(registry, entry["uid"], entry["state"]) for entry in script.entries]
+    server.cycle.deliver(registry.update(ListKind.REPLACE, 2, first_entries, {}))
     server.run_cycle()
-    server.cycle.deliver(ProxyJoined(0, 0, USUAL, True))
-    _settle(server)
+    server.cycle.deliver(ProxyJoined(0, 0, NOMINAL_RATE, True))
+    _run_cycles(server)
     for revision, (uid, state) in enumerate(script.changes, 3):
-        change = _listed(registry, uid, state)
+        change = _make_entry(registry, uid, state)
         server.cycle.deliver(registry.update(ListKind.UPDATE, revision, [change], {}))
-        _settle(server)
+        _run_cycles(server)
     return [message.rstrip(b"\r\n") for _, message in server.written]
 
 
-def _listed(registry: EndpointRegistry, uid: str, state: str) -> ListedEndpoint:
+def _make_entry(registry: EndpointRegistry, uid: str, state: str) -> ListedEndpoint:
     return ListedEndpoint(registry.index_of(uid), 0, 0, 0, STATES[state], 1.0, 0)
 
 
-def _settle(server: SimulatedServer) -> None:
+def _run_cycles(server: SimulatedServer) -> None:
     for _ in range(4):
         server.run_cycle()
 
 
 def compare(sizes: tuple[int, ...]) -> Agreement:
-    """Play the script on both, at each size."""
+    """Run the script with a real process and a simulated server, for each number of endpoints."""
     cases = []
     for endpoints in sizes:
-        real = asyncio.run(_real(Script(endpoints)))
-        simulated = _simulated(Script(endpoints))
+        real = asyncio.run(_run_process(Script(endpoints)))
+        simulated = _run_simulation(Script(endpoints))
         cases.append(
             Case(
                 endpoints,
--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -1,4 +1,4 @@
-"""The roles of the distribution, one at a time: subscriber, relay, controller, collector of sums, store."""
+"""Cost of each role of the distribution: subscriber, relay, controller, collector of reports, store."""
 
 import random
 import tempfile
@@ -40,13 +40,13 @@
 from ravenshelf.settings import SECOND, decode_settings
 
 START = 1000 * SECOND
-SERVICE_ENDPOINTS = 30  # 36,000 endpoints over 1,200 services
-REPEATS = 2000
+SERVICE_ENDPOINTS = 30  # 36,000 endpoints of 1,200 services
+REPETITIONS = 2000
 TABLE_LINES = 10
 
 
 def listed_entries(service: str) -> dict[str, Entry]:
-    """A service's list."""
+    """Return the entries of a service's endpoint list."""
     return {
         f"{ENDPOINT_PREFIX}{service}-{n:03d}": EndpointEntry(n % 64, True, 4.0, 1_700_000_000_000_000 + n)
         for n in range(SERVICE_ENDPOINTS)
@@ -54,12 +54,12 @@
 
 
 def table_entries(service: str) -> dict[str, Entry]:
-    """The table of a zone: its own endpoints, and some of others that it spills to."""
+    """Return the entries of a zone's table: its own endpoints, and some of the zones that it spills to."""
     return {f"{LINE_PREFIX}{service}-{n:03d}": TableLine(100.0 + n, 1.0) for n in range(TABLE_LINES)}
 
 
 def snapshots(number: int) -> list[bytes]:
-    """Both topics of a service for one zone, as a subscriber is sent them."""
+    """Return the encoded snapshots of both topics that a subscriber of one zone has for a service."""
     service, version = f"service-{number}", Version(1, 1)
     return [
         encode(Snapshot(service_topic(service), version, 0, 1, listed_entries(service))),
@@ -67,16 +67,16 @@
     ]
 
 
-def _client(parents: int = 1) -> SubscriptionClient:
+def _make_client(parents: int = 1) -> SubscriptionClient:
     client = SubscriptionClient([f"relay-{n}" for n in range(parents)], {}, random.Random(1), START)
     client.tick(START)
     client.connection_opened(START)
     return client
 
 
-def subscriber(services: int) -> SubscriptionClient:
-    """A server's side of the distribution, brought up from bytes."""
-    client = _client()
+def make_subscriber(services: int) -> SubscriptionClient:
+    """Return the subscription client of a server that has received the snapshots of its services."""
+    client = _make_client()
     for number in range(services):
         for payload in snapshots(number):
             message = decode(payload)
@@ -86,8 +86,8 @@
 
 
 def delta_cpu(changes: int) -> float:
-    """Seconds for a subscriber to decode and apply a delta of so many changed lines."""
-    client = subscriber(12)
+    """Return the processor seconds for a subscriber to decode and apply a delta of `changes` lines."""
+    client = make_subscriber(12)
     topic = zone_topic("service-3", 3)
     payloads = [
         encode(
@@ -101,26 +101,26 @@
                 },
             )
         )
-        for number in range(REPEATS)
+        for number in range(REPETITIONS)
     ]
-    began = time.process_time()
+    started_at = time.process_time()
     for payload in payloads:
         client.receive(START, decode(payload))
-    return (time.process_time() - began) / REPEATS
+    return (time.process_time() - started_at) / REPETITIONS
 
 
 def heartbeat_cpu(services: int) -> float:
-    """Seconds for a subscriber to read a heartbeat."""
-    client = subscriber(services)
+    """Return the processor seconds for a subscriber to decode and apply a heartbeat."""
+    client = make_subscriber(services)
     payload = encode(Heartbeat(client.held_versions.value))
-    began = time.process_time()
-    for _ in range(REPEATS):
+    started_at = time.process_time()
+    for _ in range(REPETITIONS):
         client.receive(START, decode(payload))
-    return (time.process_time() - began) / REPEATS
+    return (time.process_time() - started_at) / REPETITIONS
 
 
 def relay_cpu(children: int) -> float:
-    """Seconds for a relay to take one delta and to make what each of its children is sent."""
+    """Return the processor seconds for a relay to apply one delta and to encode it for each child."""
     topic = Topic("service-1@1")
     topic.replace(Version(1, 1), table_entries("service-1"))
     distributor = Distributor({topic.name: topic}, DistributorLimits(children))
@@ -129,7 +129,7 @@
         distributor.add_subscriber(START, name)
         distributor.receive(name, Subscribe(topic.name, topic.version))
         distributor.pull(START, name, 65_536)
-    rounds = 200
+    repetitions = 200
     payloads = [
         encode(
             Delta(
@@ -142,37 +142,37 @@
                 },
             )
         )
-        for number in range(rounds)
+        for number in range(repetitions)
     ]
-    began = time.process_time()
+    started_at = time.process_time()
     for payload in payloads:
         topic.receive(decode(payload))
         for name in distributor.topic_changed(topic.name):
             distributor.pull(START, name, 65_536)
-    return (time.process_time() - began) / rounds
+    return (time.process_time() - started_at) / repetitions
 
 
-def relay_state(services: int) -> Distributor:
-    """A relay that serves so many services to 64 subscribers, 12 services each."""
+def make_serving_relay(services: int) -> Distributor:
+    """Return the distributor of a relay that serves `services` to 64 subscribers of 12 services each."""
     topics: dict[str, Topic] = {}
-    by_service: list[list[str]] = []
+    topics_by_service: list[list[str]] = []
     for number in range(services):
         messages = [decode(payload) for payload in snapshots(number)]
         for message in messages:
             topic = topics[message.topic] = Topic(message.topic)
             topic.receive(message)
-        by_service.append([message.topic for message in messages])
+        topics_by_service.append([message.topic for message in messages])
     distributor = Distributor(topics)
     for child in range(64):
         distributor.add_subscriber(START, f"pilot-{child}")
-        for called in range(12):
-            for topic in by_service[(child * 12 + called) % services]:
+        for call in range(12):
+            for topic in topics_by_service[(child * 12 + call) % services]:
                 distributor.receive(f"pilot-{child}", Subscribe(topic, NEVER))
     return distributor
 
 
-def planner(zones: int, endpoints: int = SERVICE_ENDPOINTS, seed: int = 1) -> ServicePlanner:
-    """A service's planner with subscribers in every zone."""
+def make_planner(zones: int, endpoints: int = SERVICE_ENDPOINTS, seed: int = 1) -> ServicePlanner:
+    """Return the planner of a service that has subscribers in every zone."""
     service_planner = ServicePlanner("service-1", decode_settings(settings(zones, zones)), seed)
     service_planner.configure(
         {f"service-1-{n:03d}": EndpointEntry(n % zones, True, 4.0) for n in range(endpoints)}
@@ -182,19 +182,33 @@
     return service_planner
 
 
-def play(
-    service_planner: ServicePlanner, zones: int, seconds: int, random_source: random.Random, begin: int = 0
+def run_planner(
+    service_planner: ServicePlanner,
+    zones: int,
+    seconds: int,
+    random_source: random.Random,
+    first_second: int = 0,
 ) -> None:
-    """So many seconds of sums and rounds."""
+    """Run a planner for some seconds, with a report of each zone and four cycles in each second.
+
+    Args:
+        service_planner: The planner.
+        zones: Number of zones that report.
+        seconds: How many seconds to run.
+        random_source: Source of the loads and latencies.
+        first_second: Number of the first second.
+    """
     names = list(service_planner.endpoints)
-    for second in range(begin, begin + seconds):
+    for second in range(first_second, first_second + seconds):
         for zone in range(zones):
-            local = [name for name in names if service_planner.endpoints[name].zone == zone] or names[:2]
-            sums = {
+            zone_endpoints = [
+                name for name in names if service_planner.endpoints[name].zone == zone
+            ] or names[:2]
+            loads = {
                 name: EndpointLoad(
                     100, random_source.randint(0, 2), 100 * random_source.randint(150_000, 250_000)
                 )
-                for name in local
+                for name in zone_endpoints
             }
             service_planner.add_report(
                 ZoneLoadReport(
@@ -203,8 +217,8 @@
                     second,
                     "relay",
                     second + 1,
-                    sums,
-                    {0: GroupDemand(random_source.randint(90, 110) * len(local))},
+                    loads,
+                    {0: GroupDemand(random_source.randint(90, 110) * len(zone_endpoints))},
                 ),
                 SECOND,
             )
@@ -213,77 +227,77 @@
 
 
 def planner_cpu(zones: int, endpoints: int, seconds: int = 10) -> float:
-    """Seconds of a core a second that one service costs its owner, its topics included."""
-    service_planner, random_source = planner(zones, endpoints), random.Random(2)
+    """Return the processor seconds per second that a service and its topics cost their owner."""
+    service_planner, random_source = make_planner(zones, endpoints), random.Random(2)
     publications = {zone: Publication(Topic(zone_topic("service-1", zone)), 1) for zone in range(zones)}
-    play(service_planner, zones, 4, random_source)
-    began = time.process_time()
+    run_planner(service_planner, zones, 4, random_source)
+    started_at = time.process_time()
     for second in range(4, 4 + seconds):
-        play(service_planner, zones, 1, random_source, second)
+        run_planner(service_planner, zones, 1, random_source, second)
         for zone, publication in publications.items():
             publication.replace_entries(START + second * SECOND, service_planner.zone_entries(zone))
             publication.flush()
-    return (time.process_time() - began) / seconds
+    return (time.process_time() - started_at) / seconds
 
 
 def table_bytes(zones: int, seconds: int = 40) -> float:
-    """Bytes a second of one topic in ordinary traffic.
+    """Return the bytes per second of one table topic under ordinary traffic.
 
-    It is what the planner's own changes of a table cost a subscriber.
+    These are the bytes of the changes that the planner makes without a change of the service.
     """
-    service_planner, random_source = planner(zones), random.Random(3)
+    service_planner, random_source = make_planner(zones), random.Random(3)
     publication = Publication(Topic(zone_topic("service-1", 0)), 1)
-    play(service_planner, zones, 10, random_source)
+    run_planner(service_planner, zones, 10, random_source)
     publication.replace_entries(START, service_planner.zone_entries(0))
     publication.flush()
-    sent = 0
+    sent_bytes = 0
     for second in range(10, 10 + seconds):
-        play(service_planner, zones, 1, random_source, second)
+        run_planner(service_planner, zones, 1, random_source, second)
         publication.replace_entries(START + second * SECOND, service_planner.zone_entries(0))
         if publication.due_at is not None:
-            sent += len(encode(publication.flush()))
-    return sent / seconds
+            sent_bytes += len(encode(publication.flush()))
+    return sent_bytes / seconds
 
 
 def report_bytes(endpoints: int) -> float:
-    """Bytes of one service's report from a server."""
-    return float(len(encode(_report("pilot-12345", 100, endpoints))))
+    """Return the bytes of a server's report for one service."""
+    return float(len(encode(_make_report("pilot-12345", 100, endpoints))))
 
 
-def _report(reporter: str, sequence: int, endpoints: int) -> ZoneLoadReport:
-    sums = {f"service-1-{n:03d}": EndpointLoad(17, 1, 3_200_000) for n in range(endpoints)}
-    return ZoneLoadReport("service-1", 7, 1_700_000, reporter, sequence, sums, {0: GroupDemand(170, 2)})
+def _make_report(reporter: str, sequence: int, endpoints: int) -> ZoneLoadReport:
+    loads = {f"service-1-{n:03d}": EndpointLoad(17, 1, 3_200_000) for n in range(endpoints)}
+    return ZoneLoadReport("service-1", 7, 1_700_000, reporter, sequence, loads, {0: GroupDemand(170, 2)})
 
 
 def aggregation_cpu(reporters: int) -> float:
-    """Seconds for one hop to take a report each from so many servers and to pass the sum on."""
-    payloads = [encode(_report(f"pilot-{n}", 1, 10)) for n in range(reporters)]
-    hop = Aggregator("relay")
-    began = time.process_time()
+    """Return the processor seconds for a relay to merge a report of each reporter and to encode the sum."""
+    payloads = [encode(_make_report(f"pilot-{n}", 1, 10)) for n in range(reporters)]
+    aggregator = Aggregator("relay")
+    started_at = time.process_time()
     for payload in payloads:
-        hop.add(decode(payload))
-    for summed in hop.flush(1):
-        encode(summed)
-    return time.process_time() - began
+        aggregator.add(decode(payload))
+    for merged_report in aggregator.flush(1):
+        encode(merged_report)
+    return time.process_time() - started_at
 
 
 def record_seconds(group: int) -> float:
-    """Seconds for a group of records to be on disk."""
+    """Return the seconds until a group of records is on disk."""
     from ravenshelf.store.journal import Journal
 
     with tempfile.TemporaryDirectory() as folder:
         journal = Journal(Path(folder) / "state", {"cluster": "b", "member": "b"})
-        began = time.perf_counter()
-        rounds = 40
-        for number in range(rounds):
+        started_at = time.perf_counter()
+        repetitions = 40
+        for number in range(repetitions):
             journal.append([(number * group + record, b"x" * 400) for record in range(group)])
-        seconds = (time.perf_counter() - began) / rounds
+        seconds = (time.perf_counter() - started_at) / repetitions
         journal.close()
     return seconds
 
 
 def measurements(short: bool) -> Iterator[Measurement]:
-    """All of these roles."""
+    """Yield all measurements of these roles; with `short` in one run, some of them of smaller sizes."""
     runs, seconds = (1, 4) if short else (3, 10)
     yield measure(
         "subscriber memory",
@@ -291,7 +305,7 @@
         "bytes",
         "services called",
         (96, 384, 1536, 3072),
-        lambda n: resident_bytes(subscriber, n),
+        lambda n: resident_bytes(make_subscriber, n),
         f"{SERVICE_ENDPOINTS} endpoints, {TABLE_LINES} table lines",
         runs,
     )
@@ -331,7 +345,7 @@
         "bytes",
         "services",
         (96, 192, 384, 768),
-        lambda n: resident_bytes(relay_state, n),
+        lambda n: resident_bytes(make_serving_relay, n),
         "64 subscribers of 12 services",
         runs,
     )
@@ -361,7 +375,7 @@
         "bytes",
         "services",
         (4, 8, 16, 32),
-        lambda n: resident_bytes(planners, n),
+        lambda n: resident_bytes(make_planners, n),
         "30 endpoints in 16 zones, ten seconds of sums",
         runs,
     )
@@ -400,9 +414,9 @@
     )
 
 
-def planners(services: int) -> list[ServicePlanner]:
-    """So many services, each after some seconds of sums."""
-    service_planners = [planner(16, seed=seed) for seed in range(services)]
+def make_planners(services: int) -> list[ServicePlanner]:
+    """Return the planners of `services`, each of which has run for ten seconds."""
+    service_planners = [make_planner(16, seed=seed) for seed in range(services)]
     for service_planner in service_planners:
-        play(service_planner, 16, 10, random.Random(4))
+        run_planner(service_planner, 16, 10, random.Random(4))
     return service_planners
--- a/benchmarks/scale/fits.py
+++ b/benchmarks/scale/fits.py
@@ -1,4 +1,4 @@
-"""Slopes and exponents of measured points, with their range over runs."""
+"""Lines and power laws through measured points, with the range of the slopes over several runs."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -17,11 +17,20 @@
 
 
 class Measurement(msgspec.Struct):
-    """How one value grows with one count.
-
-    The slope is that of a line through the points by least squares; `slope_low` and `slope_high` are the
-    minimum and the maximum of the runs' own slopes. `exponent`: of a power law through the same points; 1 is
-    proportional growth.
+    """Growth of one value with one count.
+
+    Attributes:
+        name: What was measured.
+        role: The role of the program to which the value belongs.
+        unit: Unit of the value.
+        count: Name of the count.
+        points: The measured values by count.
+        slope: Slope of the least-squares line through the means of the runs.
+        slope_low: Least slope of a single run.
+        slope_high: Greatest slope of a single run.
+        intercept: Intercept of the line.
+        exponent: Exponent of a power law through the same points; 1 is proportional growth.
+        fixed: What was constant while the count grew.
     """
 
     name: str
@@ -34,19 +43,19 @@
     slope_high: float
     intercept: float
     exponent: float
-    fixed: str = ""  # what stayed the same while the count grew
+    fixed: str = ""
 
 
 @dataclass(frozen=True)
 class Line:
-    """A straight line."""
+    """Straight line: `slope * size + intercept`."""
 
     slope: float
     intercept: float
 
 
 def fit_line(sizes: Sequence[float], values: Sequence[float]) -> Line:
-    """Return the line through the points by least squares."""
+    """Return the least-squares line through the points; at least two sizes must differ."""
     mean_size = sum(sizes) / len(sizes)
     mean_value = sum(values) / len(values)
     spread = sum((size - mean_size) ** 2 for size in sizes)
@@ -58,14 +67,14 @@
 
 
 def fit_exponent(sizes: Sequence[float], values: Sequence[float]) -> float:
-    """Return the exponent of a power law through the points; sizes and values are positive."""
-    tiny = 1e-12
-    return fit_line([log(size) for size in sizes], [log(max(value, tiny)) for value in values]).slope
+    """Return the exponent of a power law through the points; sizes and values must be positive."""
+    min_value = 1e-12
+    return fit_line([log(size) for size in sizes], [log(max(value, min_value)) for value in values]).slope
 
 
 def power_law(sizes: Sequence[float], values: Sequence[float], size: float) -> float:
-    """Return the value of that power law at a size."""
-    line = fit_line([log(one) for one in sizes], [log(max(value, 1e-12)) for value in values])
+    """Return the value at `size` of the power law through the points, fitted as in `fit_exponent`."""
+    line = fit_line([log(known_size) for known_size in sizes], [log(max(value, 1e-12)) for value in values])
     return exp(line.intercept + line.slope * log(size))
 
 
@@ -79,8 +88,20 @@
     fixed: str = "",
     runs: int = RUNS,
 ) -> Measurement:
-    """Call `run` at each size, all sizes in each of the runs in turn, so that a slow minute affects all of
-    them."""
+    """Measure a value at each size, and return its growth.
+
+    Each run measures all sizes in turn, so that a slow minute of the machine affects all of them.
+
+    Args:
+        name: What is measured.
+        role: The role of the program to which the value belongs.
+        unit: Unit of the value.
+        count: Name of the count that the sizes are values of.
+        sizes: The counts at which to measure.
+        run: Returns the value at a size.
+        fixed: What is constant while the count grows.
+        runs: How often each size is measured.
+    """
     points = [Point(size, []) for size in sizes]
     for _ in range(runs):
         for point in points:
@@ -91,7 +112,7 @@
 def summarize(
     name: str, role: str, unit: str, count: str, points: list[Point], fixed: str = ""
 ) -> Measurement:
-    """Return the fits of measured points."""
+    """Return the growth of a value of which the points are given, each with the values of all runs."""
     sizes = [point.size for point in points]
     means = [sum(point.values) / len(point.values) for point in points]
     by_run = [
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -1,9 +1,10 @@
-"""Simulated fleets on a virtual network, by fleet size.
+"""Simulated fleets of several sizes on a virtual network.
 
-They show the time from a change until the last server has it, and the worst minutes. Everything but sockets
-is the real code: relays, owners, subscribers, their messages and bytes. Delays are 0.3 to 1.5 ms within a
-region and 10 to 120 ms between two, one way; one message in a thousand comes a retransmission (250 ms) late;
-100 Mbit/s for each connection. Processor time is not played: it is measured by itself and multiplied.
+They measure the time from a change until the last server has it, in ordinary and in the worst minutes.
+Relays, owners, subscribers, their messages and bytes are those of the real code; only sockets are simulated.
+One-way delays are 0.3 to 1.5 ms within a region and 10 to 120 ms between two; one message in a thousand
+arrives a retransmission (250 ms) late; each connection carries 100 Mbit/s. Processor time is not simulated:
+it is measured for each role and multiplied.
 """
 
 import random
@@ -22,7 +23,7 @@
 PILOTS, SERVICES, ENDPOINTS = 18_000, 1_200, 36_000
 ZONES, REGIONS, CONTROLLERS = 64, 23, 30
 FAN_OUT = 128
-SERVICES_CALLED = 12
+SERVICES_PER_SERVER = 12
 SHARDS = 256
 DAY = (
     "start",
@@ -34,21 +35,23 @@
     "mass_restart",
     "region_parted",
 )
-HOUR_OF_CHANGES = 13_000 // 24
-RESTARTS_A_MINUTE = 2_800 / 60
+CHANGES_PER_HOUR = 13_000 // 24
+RESTARTS_PER_MINUTE = 2_800 / 60
 LINES_REWRITTEN = 10
 
 
 class Fleet(msgspec.Struct):
-    """What one fleet of a size showed.
+    """Results of one simulated fleet.
 
-    Latencies are in seconds; bytes are a second and for one server unless said otherwise.
+    Latencies are in seconds from a change to its application by a server; bytes are per second and server
+    unless noted otherwise. Prefixes stand for parts of the day: `all` for `change_for_all`, `zone` for
+    `zone_returns`, `killed` for `level_killed`, `restart` for `mass_restart`, `parted` for `region_parted`.
     """
 
     pilots: int
     relays: int
     seed: int
-    parts: list[str]  # of the day that were played, in turn
+    parts: list[str]  # of the day that were simulated, in order
     calm_bytes: float = 0.0
     change_p50: float = 0.0
     change_p99: float = 0.0
@@ -67,21 +70,21 @@
     restart_bytes: float = 0.0
     parted_last: float = 0.0
     parted_bytes: float = 0.0
-    behind: int = 0  # servers that lacked something at the end of a part
+    behind: int = 0  # subscriptions that lacked an update at the end of a part
     relay_bytes_out: float = 0.0  # of the busiest relay in the worst part
     owner_bytes_out: float = 0.0  # of the busiest controller in the worst part
     wall_seconds: float = 0.0
     resident_mb: float = 0.0
 
 
-def size(pilots: int) -> DistributionSize:
-    """A fleet of so many servers, with the plan's share of services, each of 30 endpoints."""
+def fleet_size(pilots: int) -> DistributionSize:
+    """Return the size of a fleet of `pilots` servers, with services in proportion and 30 endpoints each."""
     return DistributionSize(
         controllers=CONTROLLERS,
         servers=pilots,
         services=max(24, SERVICES * pilots // PILOTS),
         endpoints=ENDPOINTS // SERVICES,
-        services_per_server=SERVICES_CALLED,
+        services_per_server=SERVICES_PER_SERVER,
         regions=REGIONS,
         zones=ZONES,
         fan_out=FAN_OUT,
@@ -90,130 +93,142 @@
     )
 
 
-class Player:
-    """Plays the parts of a day on one world, and keeps what each showed."""
+class DayRunner:
+    """Simulation of the parts of a day, in one simulated distribution.
+
+    The methods that are named in DAY simulate one part each.
+    """
 
     def __init__(self, pilots: int, seed: int, parts: Sequence[str]):
-        self.world = SimulatedDistribution(size(pilots), seed, checked=False)
+        self.world = SimulatedDistribution(fleet_size(pilots), seed, checked=False)
         self.random_source = random.Random(f"{seed}/player")
         self.fleet = Fleet(pilots, sum(len(level) for level in self.world.relay_levels), seed, list(parts))
 
-    def play(self) -> Fleet:
-        """Plays the parts in turn and returns what they showed."""
-        began = time.perf_counter()
+    def run(self) -> Fleet:
+        """Simulate the parts in order, and return their results."""
+        started_at = time.perf_counter()
         for part in self.fleet.parts:
             getattr(self, part)()
-        self.fleet.wall_seconds = round(time.perf_counter() - began, 1)
+        self.fleet.wall_seconds = round(time.perf_counter() - started_at, 1)
         self.fleet.resident_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
         return self.fleet
 
-    # --- helpers ---
+    # Measurements
 
     def server_bytes(self) -> int:
-        """Bytes that all servers have received."""
+        """Return the bytes that all servers have received."""
         return sum(server.bytes_in for server in self.world.servers)
 
-    def a_second(self, seconds: float, play: Callable[[], None]) -> float:
-        """Bytes a second and server while `play` runs for so many seconds.
+    def bytes_per_second(self, seconds: float, run_part: Callable[[], None]) -> float:
+        """Simulate a part, and record the bytes of the busiest relay and of the busiest controller.
 
-        The busiest relay and controller are recorded.
+        Args:
+            seconds: How long the part lasts.
+            run_part: Simulates the part.
+
+        Returns:
+            The bytes per second that a server received on average.
         """
         relays = [relay for level in self.world.relay_levels for relay in level]
-        before = self.server_bytes()
-        out = [node.bytes_out for node in relays], [node.bytes_out for node in self.world.owners]
-        play()
-        busiest = [
-            max(node.bytes_out - had for node, had in zip(nodes, known, strict=True)) / seconds
-            for nodes, known in zip((relays, self.world.owners), out, strict=True)
+        received_before = self.server_bytes()
+        sent_before = [node.bytes_out for node in relays], [node.bytes_out for node in self.world.owners]
+        run_part()
+        max_rates = [
+            max(
+                node.bytes_out - previous_bytes
+                for node, previous_bytes in zip(nodes, bytes_before, strict=True)
+            )
+            / seconds
+            for nodes, bytes_before in zip((relays, self.world.owners), sent_before, strict=True)
         ]
-        self.fleet.relay_bytes_out = max(self.fleet.relay_bytes_out, busiest[0])
-        self.fleet.owner_bytes_out = max(self.fleet.owner_bytes_out, busiest[1])
-        return (self.server_bytes() - before) / seconds / self.fleet.pilots
+        self.fleet.relay_bytes_out = max(self.fleet.relay_bytes_out, max_rates[0])
+        self.fleet.owner_bytes_out = max(self.fleet.owner_bytes_out, max_rates[1])
+        return (self.server_bytes() - received_before) / seconds / self.fleet.pilots
 
-    def latencies(self, services: list[str], marked_at: dict[str, int]) -> list[float]:
-        """Seconds from each service's change until each of its servers had it.
+    def measure_latencies(self, services: list[str], marked_at: dict[str, int]) -> list[float]:
+        """Return the seconds from the change of each service until each of its servers applied it.
 
-        Servers that lack it are counted.
+        Servers that have not applied it are counted in `Fleet.behind`.
         """
-        found: list[float] = []
+        seconds_until_applied: list[float] = []
         for service in services:
-            had = self.world.change_applied_at[service]
-            self.fleet.behind += len(self.world.subscribers(service)) - len(had)
-            found += [(at - marked_at[service]) / SECOND for at in had.values()]
-        return found
+            applied_at = self.world.change_applied_at[service]
+            self.fleet.behind += len(self.world.subscribers(service)) - len(applied_at)
+            seconds_until_applied += [(time - marked_at[service]) / SECOND for time in applied_at.values()]
+        return seconds_until_applied
 
     def mark(self, services: list[str]) -> dict[str, int]:
-        """Changes the services, and returns when each was changed."""
+        """Change the services, and return the time of the change of each."""
         for service in services:
             self.world.mark_change(service)
         return dict.fromkeys(services, self.world.events.now)
 
-    def unstarted(self) -> int:
-        """Subscriptions that have received no version yet."""
+    def count_missing_topics(self) -> int:
+        """Return the number of subscriptions that have received no version yet."""
         return sum(
             version == NEVER
             for server in self.world.servers
             for version in server.client.held_versions.versions().values()
         )
 
-    # --- parts ---
+    # Parts of the day
 
     def start(self) -> None:
-        """All servers start within 20 s."""
+        """Start all servers within 20 s, and wait at most a minute for their topics."""
         for _ in range(12):
             self.world.run(5)
-            if self.world.events.now > 1025 * SECOND and not self.unstarted():
+            if self.world.events.now > 1025 * SECOND and not self.count_missing_topics():
                 break
-        self.fleet.behind += self.unstarted()
+        self.fleet.behind += self.count_missing_topics()
 
     def calm(self) -> None:
-        """Five seconds in which nothing changes."""
-        self.fleet.calm_bytes = self.a_second(5, lambda: self.world.run(5))
+        """Measure five seconds without a change."""
+        self.fleet.calm_bytes = self.bytes_per_second(5, lambda: self.world.run(5))
 
     def changes(self) -> None:
-        """Ten changes of single services, one each half second."""
+        """Change ten single services, one each half second."""
         services = self.random_source.sample(self.world.services, 10)
-        marked: dict[str, int] = {}
+        marked_at: dict[str, int] = {}
         before = sum(owner.messages_out for owner in self.world.owners)
         for service in services:
-            marked |= self.mark([service])
+            marked_at |= self.mark([service])
             self.world.run(0.5)
         self.world.run(4)
         heartbeats = sum(len(owner.subscriber_connections) for owner in self.world.owners) * 9
-        sent = sum(owner.messages_out for owner in self.world.owners) - before
-        found = self.latencies(services, marked)
-        self.fleet.owner_messages_a_change = max(0.0, (sent - heartbeats) / len(services))
-        self.fleet.change_p50, self.fleet.change_p99 = quantile(found, 0.5), quantile(found, 0.99)
-        self.fleet.change_last = max(found)
+        sent_messages = sum(owner.messages_out for owner in self.world.owners) - before
+        latencies = self.measure_latencies(services, marked_at)
+        self.fleet.owner_messages_a_change = max(0.0, (sent_messages - heartbeats) / len(services))
+        self.fleet.change_p50, self.fleet.change_p99 = quantile(latencies, 0.5), quantile(latencies, 0.99)
+        self.fleet.change_last = max(latencies)
 
     def change_for_all(self) -> None:
-        """Every service's configuration changes at once."""
-        marked: dict[str, int] = {}
+        """Change the configuration of all services at once."""
+        marked_at: dict[str, int] = {}
 
         def change() -> None:
-            marked.update(self.mark(self.world.services))
+            marked_at.update(self.mark(self.world.services))
             self.world.run(10)
 
-        self.fleet.all_bytes = self.a_second(10, change)
-        found = self.latencies(self.world.services, marked)
-        self.fleet.all_p99, self.fleet.all_last = quantile(found, 0.99), max(found)
+        self.fleet.all_bytes = self.bytes_per_second(10, change)
+        latencies = self.measure_latencies(self.world.services, marked_at)
+        self.fleet.all_p99, self.fleet.all_last = quantile(latencies, 0.99), max(latencies)
 
     def zone_returns(self) -> None:
-        """A zone's endpoints restart, and each service's tables are rewritten in three solve intervals."""
-        marked: dict[str, int] = {}
+        """Restart the endpoints of a zone, so that all tables are rewritten in three solve intervals."""
+        marked_at: dict[str, int] = {}
 
         def rewrite_tables() -> None:
             for cycle in range(3):
                 for service in self.world.services:
-                    self._rewrite(service, cycle)
-                marked.update(self.mark(self.world.services))
+                    self._rewrite_table(service, cycle)
+                marked_at.update(self.mark(self.world.services))
                 self.world.run(2.5)
             self.world.run(2.5)
 
-        self.fleet.zone_bytes = self.a_second(10, rewrite_tables)
-        self.fleet.zone_p99 = quantile(self.latencies(self.world.services, marked), 0.99)
+        self.fleet.zone_bytes = self.bytes_per_second(10, rewrite_tables)
+        self.fleet.zone_p99 = quantile(self.measure_latencies(self.world.services, marked_at), 0.99)
 
-    def _rewrite(self, service: str, cycle: int) -> None:
+    def _rewrite_table(self, service: str, cycle: int) -> None:
         names = [f"{service}-{n}" for n in range(self.world.size.endpoints)]
         restarted = EndpointEntry(0, True, 1.0, self.world.events.now)
         self.world.configuration[service] = {
@@ -229,24 +244,24 @@
         )
 
     def level_killed(self) -> None:
-        """All relays next to the owners die and come back after 5 s; services change in the middle of it."""
+        """Stop all relays next to the owners for 5 s, and change five services meanwhile."""
         services = self.random_source.sample(self.world.services, 5)
         snapshots = self.world.snapshot_bytes()
         dials = len(self.world.network.dials)
         for relay in self.world.relay_levels[0]:
             relay.stop_for(5)
         self.world.run(0.2)
-        marked = self.mark(services)
+        marked_at = self.mark(services)
         self.world.run(15)
-        found = self.latencies(services, marked)
-        self.fleet.killed_p50, self.fleet.killed_p99 = quantile(found, 0.5), quantile(found, 0.99)
-        self.fleet.killed_last = max(found)
+        latencies = self.measure_latencies(services, marked_at)
+        self.fleet.killed_p50, self.fleet.killed_p99 = quantile(latencies, 0.5), quantile(latencies, 0.99)
+        self.fleet.killed_last = max(latencies)
         self.fleet.killed_dials = len(self.world.network.dials) - dials
         self.fleet.killed_snapshot_bytes = float(self.world.snapshot_bytes() - snapshots)
 
     def mass_restart(self) -> None:
-        """Servers are replaced as in the hour of 2,800 restarts: each comes back with nothing after 2 s."""
-        count = max(1, round(RESTARTS_A_MINUTE / 6 * self.fleet.pilots / PILOTS))
+        """Replace servers at the rate of 2,800 an hour; each returns without topics after 2 s."""
+        count = max(1, round(RESTARTS_PER_MINUTE / 6 * self.fleet.pilots / PILOTS))
 
         def restart() -> None:
             for server in self.random_source.sample(self.world.servers, count):
@@ -254,42 +269,44 @@
                 self.world.run(10 / count)
             self.world.run(5)
 
-        self.fleet.restart_bytes = self.a_second(15, restart)
-        self.fleet.behind += self.unstarted()
+        self.fleet.restart_bytes = self.bytes_per_second(15, restart)
+        self.fleet.behind += self.count_missing_topics()
 
     def region_parted(self) -> None:
-        """A region is cut off while an hour's changes pile up, then the cut heals."""
+        """Partition a region, make the changes of an hour, and end the partition."""
         region = REGIONS // 2
         self.world.network.isolate_region(region)
         self.world.run(8)
         services = [
             self.random_source.choice(self.world.services)
-            for _ in range(max(5, HOUR_OF_CHANGES * self.fleet.pilots // PILOTS))
+            for _ in range(max(5, CHANGES_PER_HOUR * self.fleet.pilots // PILOTS))
         ]
         for service in services:
             self.world.change(service, "hourly", str(self.random_source.random()))
-        marked = self.mark(sorted(set(services)))
+        marked_at = self.mark(sorted(set(services)))
         self.world.run(4)
-        healed = self.world.events.now
+        healed_at = self.world.events.now
 
         def heal() -> None:
             self.world.network.reconnect_region(region)
             self.world.run(15)
 
-        self.fleet.parted_bytes = self.a_second(15, heal) * self.fleet.pilots * 15
-        found = self.latencies(list(marked), marked)
-        self.fleet.parted_last = max(0.0, max(found) - (healed - next(iter(marked.values()))) / SECOND)
+        self.fleet.parted_bytes = self.bytes_per_second(15, heal) * self.fleet.pilots * 15
+        latencies = self.measure_latencies(list(marked_at), marked_at)
+        self.fleet.parted_last = max(
+            0.0, max(latencies) - (healed_at - next(iter(marked_at.values()))) / SECOND
+        )
 
 
-def play(pilots: int, seed: int, parts: Sequence[str]) -> Fleet:
-    """Plays these parts of the day on a fleet of so many servers."""
-    return Player(pilots, seed, parts).play()
+def run_day(pilots: int, seed: int, parts: Sequence[str]) -> Fleet:
+    """Simulate the given parts of the day in a fleet of `pilots` servers."""
+    return DayRunner(pilots, seed, parts).run()
 
 
 class Baseline(msgspec.Struct):
-    """Bytes a second for one server and of its source, under the same changes.
+    """Bytes per second of one server and of all its sources together, under the same changes.
 
-    `watched` is where every server watches all services, `subscribed` where it subscribes to some.
+    `watched` is for servers that watch all services, `subscribed` for servers that subscribe to some.
     """
 
     pilots: int
@@ -301,19 +318,22 @@
 
 
 def baseline(pilots: int, seed: int, services: int) -> Baseline:
-    """Every server watching all services against subscriptions, under the same changes.
+    """Compare servers that watch all services with servers that subscribe to some.
 
-    All services change once in ten seconds.
+    In both cases all services change once within ten seconds.
     """
-    found = []
-    for called, fan_out in ((services, 4 * pilots), (min(SERVICES_CALLED, services), FAN_OUT)):
+    rates = []
+    for subscribed_services, fan_out in (
+        (services, 4 * pilots),
+        (min(SERVICES_PER_SERVER, services), FAN_OUT),
+    ):
         world = SimulatedDistribution(
             DistributionSize(
                 controllers=3,
                 servers=pilots,
                 services=services,
                 endpoints=30,
-                services_per_server=called,
+                services_per_server=subscribed_services,
                 regions=3,
                 zones=3,
                 fan_out=fan_out,
@@ -324,7 +344,7 @@
             checked=False,
         )
         world.run(20)
-        before = (
+        bytes_before = (
             sum(server.bytes_in for server in world.servers),
             sum(relay.bytes_out for relay in world.relay_levels[-1]),
         )
@@ -332,8 +352,8 @@
             world.change(service)
             world.run(10 / services)
         world.run(2)
-        found += [
-            (sum(server.bytes_in for server in world.servers) - before[0]) / pilots / 12,
-            (sum(relay.bytes_out for relay in world.relay_levels[-1]) - before[1]) / 12,
+        rates += [
+            (sum(server.bytes_in for server in world.servers) - bytes_before[0]) / pilots / 12,
+            (sum(relay.bytes_out for relay in world.relay_levels[-1]) - bytes_before[1]) / 12,
         ]
-    return Baseline(pilots, seed, *found)
+    return Baseline(pilots, seed, *rates)
--- a/benchmarks/scale/isolated.py
+++ b/benchmarks/scale/isolated.py
@@ -1,4 +1,4 @@
-"""Memory of what a call builds, measured in a process of its own."""
+"""Memory of the result of a call, measured in a separate process."""
 
 import gc
 import multiprocessing
@@ -7,30 +7,30 @@
 from pathlib import Path
 from typing import Any
 
-PAGE = resource.getpagesize()
+PAGE_BYTES = resource.getpagesize()
 TIMEOUT = 300  # seconds
 _context = multiprocessing.get_context("spawn")
 
 
-def _resident() -> int:
-    return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE
+def _read_resident_bytes() -> int:
+    return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_BYTES
 
 
-def _grown(build: Callable[[int], object], size: int, results: Any) -> None:
-    build(1)  # so that imports and caches are not counted
+def _measure_growth(build: Callable[[int], object], size: int, results: Any) -> None:
+    build(1)  # Imports and caches are loaded here, so that they are not counted.
     gc.collect()
-    before = _resident()
-    built = build(size)
+    before = _read_resident_bytes()
+    result = build(size)
     gc.collect()
-    results.put(_resident() - before)
-    del built
+    results.put(_read_resident_bytes() - before)
+    del result
 
 
 def resident_bytes(build: Callable[[int], object], size: int) -> float:
-    """Return the bytes of resident memory that `build(size)` needs for what it returns."""
+    """Return the bytes by which `build(size)` and its result increase the resident memory of a process."""
     results = _context.Queue()
-    process = _context.Process(target=_grown, args=(build, size, results))
+    process = _context.Process(target=_measure_growth, args=(build, size, results))
     process.start()
-    grown = results.get(timeout=TIMEOUT)
+    growth = results.get(timeout=TIMEOUT)
     process.join()
-    return float(grown)
+    return float(growth)
--- a/benchmarks/scale/servers.py
+++ b/benchmarks/scale/servers.py
@@ -1,4 +1,4 @@
-"""A server without distribution: it lists all endpoints, receives all reports, solves for all zones."""
+"""Cost of a server without distribution, which has all endpoints and reports and solves for all zones."""
 
 import json
 import random
@@ -26,11 +26,11 @@
 
 START = 1000 * SECOND
 CYCLES_PER_SECOND = 4
-REPORTED_SHARE = 0.5  # of the endpoints, each second
+REPORTED_SHARE = 0.5  # of the endpoints have a load report each second
 
 
 def settings(zones: int, proxies: int, servers: int = 1) -> dict:
-    """Return a deployment's settings as a server is given them."""
+    """Return the settings of a deployment, as they stand in its configuration file."""
     return {
         "azs": [f"z{n}" for n in range(zones)],
         "balancers": servers,
@@ -59,10 +59,20 @@
 
 
 class SimulatedServer:
-    """The decisions, registry and tables of one server with its own control cycle, on a simulated clock."""
+    """Decisions, registry and tables of one server, which runs control cycles on a simulated clock.
+
+    `written` has the messages that were sent since the last second, each with its proxy.
+    """
 
     def __init__(self, endpoints: int, proxies: int, zones: int, deployment: Settings | None = None):
-        """`deployment`: other settings than those of such a size."""
+        """Start a server whose proxies have joined.
+
+        Args:
+            endpoints: Endpoints in the first list.
+            proxies: Proxies that join.
+            zones: Zones, over which endpoints and proxies are spread evenly.
+            deployment: Settings; None for those of `settings` for this size.
+        """
         self.now = START
         self.zones = zones
         self.proxies = proxies
@@ -95,20 +105,24 @@
         self.written: list[tuple[int, bytes]] = []
 
     def run_cycle(self) -> None:
-        """Advance the clock by a control cycle, and run it."""
+        """Advance the clock by one control cycle, run it, and acknowledge the batches that it sent."""
         self.now += SECOND // CYCLES_PER_SECOND
-        answered: list[tuple[int, int]] = []
-        self.cycle.run(self.now, lambda proxy, message, marker: self._write(proxy, message, marker, answered))
-        for proxy, marker in answered:
+        acknowledged: list[tuple[int, int]] = []
+        self.cycle.run(
+            self.now, lambda proxy, message, marker: self._write(proxy, message, marker, acknowledged)
+        )
+        for proxy, marker in acknowledged:
             self.cycle.deliver(BatchAcknowledged(proxy, marker, 1000))
 
-    def _write(self, proxy: int, message: bytes, marker: int | None, answered: list[tuple[int, int]]) -> None:
+    def _write(
+        self, proxy: int, message: bytes, marker: int | None, acknowledged: list[tuple[int, int]]
+    ) -> None:
         self.written.append((proxy, message))
         if marker is not None:
-            answered.append((proxy, marker))
+            acknowledged.append((proxy, marker))
 
     def receive_reports(self) -> None:
-        """Receive a second's reports: of a share of the endpoints, and of every proxy."""
+        """Deliver the reports of one second: of REPORTED_SHARE of the endpoints, and of every proxy."""
         for index in self.random_source.sample(self.endpoints, round(REPORTED_SHARE * len(self.endpoints))):
             self.cycle.deliver(
                 LoadReport(
@@ -125,7 +139,7 @@
             self.cycle.deliver(DemandReport(number, 0, self.random_source.randint(30, 50), 0, SECOND))
 
     def run(self, seconds: int) -> "SimulatedServer":
-        """Run for so many seconds, with their reports."""
+        """Run for `seconds`, with the reports of each second, and return this object."""
         for _ in range(seconds):
             self.receive_reports()
             for _ in range(CYCLES_PER_SECOND):
@@ -134,7 +148,7 @@
         return self
 
     def change_list(self, count: int) -> None:
-        """Restart so many endpoints, by an update of the list."""
+        """Deliver an update of the list in which `count` random endpoints have restarted."""
         entries = [
             ListedEndpoint(index, index % self.zones, 0, 0, EndpointState.READY, 4.0, self.now)
             for index in self.random_source.sample(self.endpoints, count)
@@ -142,16 +156,16 @@
         self.cycle.deliver(self.registry.update(ListKind.UPDATE, self.registry.version + 1, entries, {}))
 
 
-def cpu_a_second(endpoints: int, proxies: int, zones: int, seconds: int = 10) -> float:
-    """Return the seconds of a core a second, once the server has settled."""
+def cpu_per_second(endpoints: int, proxies: int, zones: int, seconds: int = 10) -> float:
+    """Return the processor seconds per second of a server that has run for four seconds."""
     server = SimulatedServer(endpoints, proxies, zones).run(4)
     started_at = time.process_time()
     server.run(seconds)
     return (time.process_time() - started_at) / seconds
 
 
-def cpu_of_changes(changes: int) -> float:
-    """Return the seconds of a core a second while so many endpoints a second restart."""
+def cpu_of_list_changes(changes: int) -> float:
+    """Return the processor seconds per second while `changes` endpoints restart each second."""
     server = SimulatedServer(400, 100, 4).run(4)
     started_at = time.process_time()
     seconds = 5
@@ -161,7 +175,7 @@
     return (time.process_time() - started_at) / seconds
 
 
-def _holds_nothing(_index: int) -> bool:
+def _has_no_endpoint(_index: int) -> bool:
     return False
 
 
@@ -182,14 +196,14 @@
 
 
 def list_bytes(endpoints: int) -> float:
-    """Return the bytes of a complete list of the registry."""
+    """Return the bytes of a complete endpoint list."""
     return float(len(json.dumps({"rev": 1, "all": True, "targets": _listed_endpoints(endpoints)})))
 
 
 def list_cpu(endpoints: int) -> float:
-    """Return the seconds to decode a complete list and to update the registry with it, as a server does."""
+    """Return the processor seconds to decode a complete list and to update the registry with it."""
     body = json.dumps({"rev": 1, "all": True, "targets": _listed_endpoints(endpoints)}).encode()
-    registry = EndpointRegistry(lambda: START, _holds_nothing)
+    registry = EndpointRegistry(lambda: START, _has_no_endpoint)
     decoder = EndpointListDecoder(
         decode_settings(settings(64, 1)), registry.index_of, registry.index_by_name.get
     )
@@ -201,29 +215,35 @@
 
 
 def spill_cpu(zones: int, feasible: bool) -> float:
-    """Return the seconds of one search of spill. Half of the zones lack capacity; if not feasible, all of
-    them do."""
+    """Return the processor seconds of one search for spill shares.
+
+    Args:
+        zones: Number of zones.
+        feasible: Whether only half of the zones lack capacity; if False, all of them do.
+    """
     random_source = random.Random(zones)
     demand = [random_source.uniform(80, 120) * (1.0 if feasible and n % 2 else 1.4) for n in range(zones)]
     capacity = [100.0] * zones
     curve = [(0.6, 0.0), (0.9, 0.01), (1.1, 0.08), (1.5, 0.5)]
-    stretch = [[1.0 if i == j else 1.1 for j in range(zones)] for i in range(zones)]
-    scale = 0.7 if feasible else 1.3
+    load_factors = [[1.0 if i == j else 1.1 for j in range(zones)] for i in range(zones)]
+    demand_factor = 0.7 if feasible else 1.3
     started_at = time.process_time()
-    solve_spill([d * scale for d in demand], capacity, [curve] * zones, stretch)
+    solve_spill(
+        [zone_demand * demand_factor for zone_demand in demand], capacity, [curve] * zones, load_factors
+    )
     return time.process_time() - started_at
 
 
-def _state(endpoints: int) -> SimulatedServer:
+def _run_server_of_size(endpoints: int) -> SimulatedServer:
     return SimulatedServer(endpoints, 64, 64).run(1)
 
 
-def _few_proxies(proxies: int) -> SimulatedServer:
+def _run_server_of_proxies(proxies: int) -> SimulatedServer:
     return SimulatedServer(200, proxies, 4).run(3)
 
 
 def measurements(short: bool) -> Iterator[Measurement]:
-    """Yield all measurements of this role; short ones take the smaller sizes, in one run."""
+    """Yield all measurements of this role; with `short` of smaller sizes and in one run."""
     runs = 1 if short else 3
     sizes = (250, 500, 1000, 2000) if short else (1000, 2000, 4000, 8000)
     yield measure(
@@ -232,7 +252,7 @@
         "bytes",
         "endpoints listed",
         sizes,
-        lambda n: resident_bytes(_state, n),
+        lambda n: resident_bytes(_run_server_of_size, n),
         "64 proxies, 64 zones, one second of sums",
         runs,
     )
@@ -242,7 +262,7 @@
         "bytes",
         "proxies",
         (100, 200, 400, 800),
-        lambda n: resident_bytes(_few_proxies, n),
+        lambda n: resident_bytes(_run_server_of_proxies, n),
         "200 endpoints, 4 zones",
         runs,
     )
@@ -254,7 +274,7 @@
         "core",
         "endpoints listed",
         cpu_sizes,
-        lambda n: cpu_a_second(n, 64, 4, seconds),
+        lambda n: cpu_per_second(n, 64, 4, seconds),
         "64 proxies, 4 zones, sums of half of them a second",
         runs,
     )
@@ -264,7 +284,7 @@
         "core",
         "proxies",
         (50, 100, 200, 400),
-        lambda n: cpu_a_second(200, n, 4, seconds),
+        lambda n: cpu_per_second(200, n, 4, seconds),
         "200 endpoints, 4 zones",
         runs,
     )
@@ -274,7 +294,7 @@
         "core",
         "zones",
         (4, 8, 16, 32) if short else (4, 8, 16, 32, 64),
-        lambda n: cpu_a_second(512, 64, n, seconds),
+        lambda n: cpu_per_second(512, 64, n, seconds),
         "512 endpoints, 64 proxies",
         runs,
     )
@@ -284,7 +304,7 @@
         "core",
         "changes a second",
         (1, 2, 4, 8),
-        cpu_of_changes,
+        cpu_of_list_changes,
         "400 endpoints, 100 proxies, 4 zones",
         runs,
     )
--- a/benchmarks/scale/sockets.py
+++ b/benchmarks/scale/sockets.py
@@ -1,6 +1,6 @@
-"""A relay as a real process on loopback: processor time, memory and delay by its number of subscribers.
+"""Processor time, memory and delay of a relay process on loopback, by its number of subscribers.
 
-The owner and the subscribers run in this process, so that the relay's process is measured alone.
+The owner and the subscribers run in the process of the benchmark, so that the relay is measured alone.
 """
 
 import asyncio
@@ -31,34 +31,37 @@
 SECOND = 1_000_000
 SERVICES = 12
 CHANGES = 200
-CHANGE_INTERVAL = 0.03  # seconds: faster than any fleet's, so that the process's clock ticks tell
-IDLE = 5.0  # seconds of heartbeats alone
-WAIT = 30.0
+
+# Seconds between two changes, fewer than in any fleet, so that the processor time is many clock ticks.
+CHANGE_INTERVAL = 0.03
+
+IDLE_SECONDS = 5.0  # in which only heartbeats are sent
+START_TIMEOUT = 30.0  # seconds
 SIZES = (8, 16, 32, 64, 128)
 SHORT_SIZES = (4, 8, 16, 32)
 
 
 def clock() -> int:
-    """Return microseconds of a monotonic clock."""
+    """Return the microseconds of a monotonic clock."""
     return time.monotonic_ns() // 1000
 
 
 def processor_seconds(pid: int) -> float:
-    """Return the processor time of a process, as the system counts it."""
+    """Return the processor seconds of a process, in steps of the system's clock ticks."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
-class Stage:
-    """An owner of a dozen services, one relay process, and its subscribers."""
+class RelayInstallation:
+    """Owner of twelve services, one relay process, and the subscribers of the relay."""
 
     def __init__(self, subscribers: int, folder: Path):
         self.count = subscribers
         self.folder = folder
         self.loop = asyncio.get_running_loop()
         self.services = [f"service-{n}" for n in range(SERVICES)]
-        self.tables = {zone_topic(service, 0): self._table(service, 100.0) for service in self.services}
-        self.changed_at: dict[str, int] = {}  # by topic: time of its last change
+        self.tables = {zone_topic(service, 0): self._make_table(service, 100.0) for service in self.services}
+        self.changed_at: dict[str, int] = {}  # time of the last change by topic
         self.delays: list[float] = []  # milliseconds from a change to a subscriber
         limits = DistributorLimits(64)
         self.owner = OwnerService(
@@ -67,11 +70,11 @@
         self.subscribers: list[SubscriptionService] = []
 
     @staticmethod
-    def _table(service: str, weight: float) -> dict[str, Entry]:
+    def _make_table(service: str, weight: float) -> dict[str, Entry]:
         return {f"{LINE_PREFIX}{service}-{n:03d}": TableLine(weight + n) for n in range(TABLE_LINES)}
 
     def content(self, topic: str) -> dict[str, Entry]:
-        """Return the state of a topic."""
+        """Return the entries of a topic."""
         if topic in self.tables:
             return self.tables[topic]
         return {
@@ -80,86 +83,101 @@
 
     async def start(self) -> None:
         """Start the owner, the relay and the subscribers, and wait for all topics."""
-        owner_at = await self.owner.start("127.0.0.1:0")
+        owner_address = await self.owner.start("127.0.0.1:0")
         for service in self.services:
             self.owner.acquire(service, PublicationLease(1, clock() + 3600 * SECOND))
-        relay_at = f"127.0.0.1:{find_free_ports(1)[0]}"
-        file = self.folder / "relay.toml"
-        file.write_text(
-            f'[distribution]\nname = "relay-0"\ncluster = "bench"\nlisten = "{relay_at}"\nowners = true\n'
-            f'subscribers = {2 * self.count}\n[distribution.parents]\nowner-0 = "{owner_at}"\n'
+        relay_address = f"127.0.0.1:{find_free_ports(1)[0]}"
+        operator_file = self.folder / "relay.toml"
+        operator_file.write_text(
+            f'[distribution]\nname = "relay-0"\ncluster = "bench"\nlisten = "{relay_address}"\n'
+            f'owners = true\nsubscribers = {2 * self.count}\n[distribution.parents]\nowner-0 = "{owner_address}"\n'
         )
-        arguments = ("-m", "ravenshelf", "distribution", "relay", "--operator", str(file))
+        arguments = ("-m", "ravenshelf", "distribution", "relay", "--operator", str(operator_file))
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, *arguments, cwd=ROOT, stderr=asyncio.subprocess.DEVNULL
         )
         for number in range(self.count):
-            self.subscribers.append(self._subscriber(number, relay_at))
+            self.subscribers.append(self._make_subscriber(number, relay_address))
         topics = [
             topic for service in self.services for topic in (service_topic(service), zone_topic(service, 0))
         ]
         for subscriber in self.subscribers:
             subscriber.start(topics)
-        async with asyncio.timeout(WAIT):
-            while not all(one.topics[topic].entries for one in self.subscribers for topic in topics):
+        async with asyncio.timeout(START_TIMEOUT):
+            while not all(
+                receiver.topics[topic].entries for receiver in self.subscribers for topic in topics
+            ):
                 await asyncio.sleep(0.05)
 
-    def _subscriber(self, number: int, relay_at: str) -> SubscriptionService:
-        def changed(topic: Topic) -> None:
+    def _make_subscriber(self, number: int, relay_address: str) -> SubscriptionService:
+        def record_delay(topic: Topic) -> None:
             if topic.name in self.changed_at:
                 self.delays.append((clock() - self.changed_at[topic.name]) / 1000)
 
         return SubscriptionService(
-            Node(self.loop, clock, "bench", f"pilot-{number}", {"relay-0": relay_at}),
+            Node(self.loop, clock, "bench", f"pilot-{number}", {"relay-0": relay_address}),
             random.Random(number),
-            changed,
+            record_delay,
         )
 
-    async def play(self) -> tuple[float, float, float, float]:
-        """Return seconds for each delivered delta, share of a core while idle, MB, and the 99th delay in
-        milliseconds."""
-        before = processor_seconds(self.process.pid)
-        await asyncio.sleep(IDLE)
-        idle = (processor_seconds(self.process.pid) - before) / IDLE
-        before = processor_seconds(self.process.pid)
-        began = time.monotonic()
+    async def measure(self) -> tuple[float, float, float, float]:
+        """Measure an idle time and a series of changes.
+
+        Returns:
+            The processor seconds for each delivered delta, the share of a core while idle, the memory in MB,
+            and the 99th percentile of the delays in milliseconds.
+        """
+        seconds_before = processor_seconds(self.process.pid)
+        await asyncio.sleep(IDLE_SECONDS)
+        idle_core_share = (processor_seconds(self.process.pid) - seconds_before) / IDLE_SECONDS
+        seconds_before = processor_seconds(self.process.pid)
+        started_at = time.monotonic()
         for number in range(CHANGES):
             service = self.services[number % SERVICES]
             topic = zone_topic(service, 0)
-            self.tables[topic] = self._table(service, 101.0 + number)
+            self.tables[topic] = self._make_table(service, 101.0 + number)
             self.changed_at[topic] = clock()
             self.owner.refresh(topic)
             await asyncio.sleep(CHANGE_INTERVAL)
         await asyncio.sleep(0.5)
-        spent = processor_seconds(self.process.pid) - before - idle * (time.monotonic() - began)
+        change_seconds = (
+            processor_seconds(self.process.pid)
+            - seconds_before
+            - idle_core_share * (time.monotonic() - started_at)
+        )
         memory = memory_mb(self.process.pid)
-        return max(0.0, spent) / max(1, len(self.delays)), idle, memory, quantile(self.delays, 0.99)
+        return (
+            max(0.0, change_seconds) / max(1, len(self.delays)),
+            idle_core_share,
+            memory,
+            quantile(self.delays, 0.99),
+        )
 
     async def stop(self) -> None:
-        """End all parts."""
-        for part in (*self.subscribers, self.owner):
-            part.stop()
+        """Stop the subscribers, the owner and the relay process."""
+        for service in (*self.subscribers, self.owner):
+            service.stop()
         self.process.terminate()
         await self.process.wait()
 
 
-async def _stage(subscribers: int) -> tuple[float, float, float, float]:
+async def _measure_installation(subscribers: int) -> tuple[float, float, float, float]:
     with tempfile.TemporaryDirectory() as folder:
-        stage = Stage(subscribers, Path(folder))
+        installation = RelayInstallation(subscribers, Path(folder))
         try:
-            await stage.start()
-            return await stage.play()
+            await installation.start()
+            return await installation.measure()
         finally:
-            await stage.stop()
+            await installation.stop()
 
 
 def measurements(short: bool) -> list[Measurement]:
-    """Return four measurements of the same runs, by subscribers."""
+    """Return four measurements by number of subscribers, all of the same runs."""
     sizes, runs = (SHORT_SIZES, 1) if short else (SIZES, 3)
-    played = [[uvloop.run(_stage(size)) for size in sizes] for _ in range(runs)]
+    results = [[uvloop.run(_measure_installation(size)) for size in sizes] for _ in range(runs)]
     interval_ms = CHANGE_INTERVAL * 1000
-    fixed = f"{SERVICES} services each, tables of {TABLE_LINES} lines, a change each {interval_ms:.0f} ms"
-    named = (
+    constants = f"{SERVICES} services each, tables of {TABLE_LINES} lines, a change each {interval_ms:.0f} ms"
+    names_and_units = (
         ("relay on sockets, CPU of a delivered delta", "seconds"),
         ("relay on sockets, CPU of heartbeats", "core"),
         ("relay on sockets, memory", "MB"),
@@ -171,8 +189,11 @@
             "sockets",
             unit,
             "subscribers",
-            [Point(size, [run[place][figure] for run in played]) for place, size in enumerate(sizes)],
-            fixed,
+            [
+                Point(size, [run[size_index][figure] for run in results])
+                for size_index, size in enumerate(sizes)
+            ],
+            constants,
         )
-        for figure, (name, unit) in enumerate(named)
+        for figure, (name, unit) in enumerate(names_and_units)
     ]
--- a/standins/distribution/nodes.py
+++ b/standins/distribution/nodes.py
@@ -133,13 +133,13 @@
         upstreams: dict[str, list[str]],
         random_source: random.Random,
         limits: DistributorLimits,
-        upstreams_are_owners: bool,
+        has_owner_upstreams: bool,
     ):
         super().__init__(world, name, region)
         self.upstreams = upstreams
         self.random_source = random_source
         self.limits = limits
-        self.upstreams_are_owners = upstreams_are_owners
+        self.upstreams_are_owners = has_owner_upstreams
         self.create_decision_object()
 
     def create_decision_object(self) -> None:
--- a/standins/distribution/world.py
+++ b/standins/distribution/world.py
@@ -181,7 +181,7 @@
                 upstreams,
                 self._make_random_source(name),
                 limits,
-                upstreams_are_owners=parent_level is None,
+                has_owner_upstreams=parent_level is None,
             )
         )
 
