--- a/benchmarks/scale/sockets.py
+++ b/benchmarks/scale/sockets.py
@@ -90,7 +90,8 @@
         operator_file = self.folder / "relay.toml"
         operator_file.write_text(
             f'[distribution]\nname = "relay-0"\ncluster = "bench"\nlisten = "{relay_address}"\n'
-            f'owners = true\nsubscribers = {2 * self.count}\n[distribution.parents]\nowner-0 = "{owner_address}"\n'
+            f"owners = true\nsubscribers = {2 * self.count}\n[distribution.parents]\n"
+            f'owner-0 = "{owner_address}"\n'
         )
         arguments = ("-m", "ravenshelf", "distribution", "relay", "--operator", str(operator_file))
         self.process = await asyncio.create_subprocess_exec(
