--- a/benchmarks/graphite.py
+++ b/benchmarks/graphite.py
@@ -1,9 +1,10 @@
-"""Table updates while a Graphite receiver hangs, against one that is absent; the cost of points and packets.
+"""Latency of table updates while a Graphite receiver hangs, and the cost of points and packets.
 
-Two servers of this program, each with a discovery and proxies of its own, get changes of the endpoint list
-alternately: one's receiver accepts the connection and never reads, the other's does not exist. Timed is from
-the change at discovery to the line at each proxy. A naive sender (a task for each receiver, drain awaited,
-everything formatted at once) is the baseline.
+Two servers of this program, each with its own registry and proxies, receive changes of the endpoint list
+alternately. The receiver of one accepts the connection and never reads; the receiver of the other does not
+exist. The latency is the time from the change at the registry to the line at each proxy. The baseline of the
+exporter is a naive sender, which formats all points at once and has a task for each receiver that awaits
+`drain`.
 """
 
 import argparse
@@ -36,34 +37,38 @@
 PROXIES = 20
 ENDPOINTS = 40
 CHANGE_INTERVAL_S = 0.014
-MEMORY_SAMPLE_CHANGES = 25  # changes between two samples
-MAX_P99_RATIO = 1.05
+MEMORY_SAMPLE_CHANGES = 25  # between two samples of the memory
+MAX_P99_RATIO = 1.05  # of the hanging receiver to the absent one
 MAX_LATE_MS = 20.0
 MAX_GROWTH_MB = 2.0
 MIN_CHANGES = 500
-START_S = 1_700_000_000
+START_S = 1_700_000_000  # Unix time of the first measurement, in seconds
 SECOND = 1_000_000  # microseconds
 HOSTS = 20
 MEASUREMENT_INTERVAL_S = 0.1
 Points = list[tuple[str, float]]
 
 
-class Side:
-    """One server with its world; `latencies_ms` are from a change to its line at a proxy."""
+class ServerUnderTest:
+    """Server with its own registry and proxies.
+
+    `latencies_ms` has the time from each change at the registry to its line at a proxy. `awaited` has the
+    time of each change that has not reached a proxy yet, by proxy number and endpoint.
+    """
 
     def __init__(self) -> None:
         self.latencies_ms: list[float] = []
         self.address = ""
-        self.awaited: dict[tuple[int, str], float] = {}  # time of the change by (proxy, endpoint)
+        self.awaited: dict[tuple[int, str], float] = {}
         self.proxies = [
-            LoopbackProxy(lambda: self.address, number, "north", line_callback=self.on_line)
+            LoopbackProxy(lambda: self.address, number, "north", line_callback=self.record_latency)
             for number in range(PROXIES)
         ]
 
     async def start(self, stack: contextlib.AsyncExitStack, operator_file: str) -> None:
         """Start the server and wait until every proxy has a table."""
-        listed = [registry_entry(f"s-{number}", "north") for number in range(ENDPOINTS)]
-        self.discovery = await LoopbackRegistry(listed).start()
+        entries = [registry_entry(f"s-{number}", "north") for number in range(ENDPOINTS)]
+        self.discovery = await LoopbackRegistry(entries).start()
         limits = {"lines-per-s": 100_000, "most-waiting": 100_000}
         configuration = server_configuration("", ["north"], PROXIES, **limits)
         self.address = await stack.enter_async_context(
@@ -73,26 +78,26 @@
         while not all(proxy.active_weights() for proxy in self.proxies):
             await asyncio.sleep(0.05)
 
-    def on_line(self, proxy: LoopbackProxy, line: str) -> None:
-        """Note the latency of a drained endpoint.
+    def record_latency(self, proxy: LoopbackProxy, line: str) -> None:
+        """Record the latency of each drained endpoint that a line removes.
 
-        It is out by a withdrawal, by a line of weight 0, or by a complete table without it.
+        A line removes an endpoint by a withdrawal, by weight 0, or by a complete table without the endpoint.
         """
         now = time.monotonic()
         fields = dict(word.partition("=")[::2] for word in line.split()[1:])
         weights = dict(pair.split(":") for pair in fields.get("lines", "").split(",") if pair)
-        out = set(fields.get("out", "").split(","))
-        out |= {endpoint for endpoint, weight in weights.items() if weight == "0"}
+        removed_endpoints = set(fields.get("out", "").split(","))
+        removed_endpoints |= {endpoint for endpoint, weight in weights.items() if weight == "0"}
         if "whole" in fields:
-            awaited_here = {endpoint for number, endpoint in self.awaited if number == proxy.number}
-            out |= awaited_here - set(weights)
-        for endpoint in out:
+            awaited_by_proxy = {endpoint for number, endpoint in self.awaited if number == proxy.number}
+            removed_endpoints |= awaited_by_proxy - set(weights)
+        for endpoint in removed_endpoints:
             changed_at = self.awaited.pop((proxy.number, endpoint), None)
             if changed_at is not None:
                 self.latencies_ms.append((now - changed_at) * 1000)
 
     async def drain(self, endpoint: str) -> None:
-        """Drain an endpoint; every proxy that holds it awaits a line. Its return is not timed."""
+        """Drain an endpoint, and await a line at every proxy that has it in its table."""
         now = time.monotonic()
         self.awaited |= {
             (proxy.number, endpoint): now for proxy in self.proxies if endpoint in proxy.active_weights()
@@ -100,30 +105,30 @@
         await self.discovery.change_endpoint(endpoint, "DRAINING")
 
     def result(self) -> dict[str, float]:
-        """Return the quantiles, and the lines that never came."""
+        """Return the quantiles of the latencies, and the number of lines that did not arrive."""
         return quantiles(self.latencies_ms) | {"unanswered": len(self.awaited)}
 
 
-async def table_updates(seconds: float) -> dict[str, Any]:
-    """Change both servers' lists alternately."""
+async def measure_table_updates(seconds: float) -> dict[str, Any]:
+    """Change the lists of both servers alternately for `seconds`, and return the figures."""
     receiver = await CarbonReceiver([StopReading()], buffer_bytes=2048).start()
-    sides = {"hanging": Side(), "absent": Side()}
+    servers = {"hanging": ServerUnderTest(), "absent": ServerUnderTest()}
     receivers = {"hanging": receiver.address, "absent": "127.0.0.1:1"}
     async with contextlib.AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
-        for name, side in sides.items():
+        for name, server in servers.items():
             file = folder / f"{name}.toml"
             file.write_text(
                 f'[graphite]\nreceivers = ["{receivers[name]}"]\nevery_s = 1\nbuffer_points = 5000\n'
             )
-            await side.start(stack, str(file))
-        memory = await change_alternately(list(sides.values()), seconds)
-        for side in sides.values():
-            for task in side.tasks:
+            await server.start(stack, str(file))
+        memory_samples_mb = await change_alternately(list(servers.values()), seconds)
+        for server in servers.values():
+            for task in server.tasks:
                 task.cancel()
-        results = {name: side.result() for name, side in sides.items()}
+        results = {name: server.result() for name, server in servers.items()}
     await receiver.stop()
-    second_half = memory[len(memory) // 2 :]
+    second_half = memory_samples_mb[len(memory_samples_mb) // 2 :]
     return {
         **results,
         "p99_ratio": round(results["hanging"]["p99"] / max(1e-9, results["absent"]["p99"]), 3),
@@ -134,45 +139,45 @@
     }
 
 
-async def change_alternately(sides: list[Side], seconds: float) -> list[float]:
-    """Drain and restore endpoints on all sides; return samples of the servers' memory in MB."""
+async def change_alternately(servers: list[ServerUnderTest], seconds: float) -> list[float]:
+    """Drain and restore endpoints on all servers, and return samples of the servers' memory in MB."""
     random_source = random.Random(7)
     started_at = time.monotonic()
-    memory: list[float] = []
+    memory_samples_mb: list[float] = []
     changes = 0
     while time.monotonic() - started_at < seconds:
-        order = list(sides)
-        random_source.shuffle(order)  # which is first must not matter
+        shuffled_servers = list(servers)
+        random_source.shuffle(shuffled_servers)  # A fixed order would favour one server.
         endpoint = f"s-{changes % ENDPOINTS}"
-        for side in order:
-            await side.drain(endpoint)
-            # not in step with the intervals of anything
+        for server in shuffled_servers:
+            await server.drain(endpoint)
+            # The interval is random, so that changes do not coincide with timers of the servers.
             await asyncio.sleep(CHANGE_INTERVAL_S * random_source.uniform(0.5, 1.5))
-        for side in order:
-            await side.discovery.change_endpoint(endpoint, "SERVING")
+        for server in shuffled_servers:
+            await server.discovery.change_endpoint(endpoint, "SERVING")
         await asyncio.sleep(CHANGE_INTERVAL_S)
         changes += 1
         if changes % MEMORY_SAMPLE_CHANGES == 0:
-            memory.append(children_memory_mb())
-    return memory
+            memory_samples_mb.append(children_memory_mb())
+    return memory_samples_mb
 
 
 def children_memory_mb() -> float:
-    """Return the resident memory of this process's children."""
+    """Return the resident memory of this process's children in MB."""
     children = Path(f"/proc/self/task/{os.getpid()}/children").read_text().split()
     return sum(memory_mb(int(pid)) for pid in children)
 
 
-# --- the cost of points and packets on one core ---
+# Cost of points and packets on one core
 
 
 def sample_points(count: int) -> Points:
-    """Return points as long as those of endpoints."""
+    """Return points whose paths are as long as those of endpoints."""
     return [(f"ravenshelf.toy.endpoint.s-{number}.tries_per_s", number * 1.1) for number in range(count)]
 
 
-def formatting(count: int) -> dict[str, Any]:
-    """Encode points in each protocol."""
+def measure_formatting(count: int) -> dict[str, Any]:
+    """Encode points in each protocol, and return the rate and the longest slice of each."""
     points = sample_points(count)
     results = {}
     for protocol_name in PROTOCOLS:
@@ -190,7 +195,7 @@
     return results
 
 
-def _protected(packet: bytes, level: str) -> bytes:
+def _protect(packet: bytes, level: str) -> bytes:
     if level == "sign":
         return sender.sign(packet, "u", "pw")
     if level == "encrypt":
@@ -198,21 +203,21 @@
     return packet
 
 
-def packets(count: int) -> dict[str, Any]:
-    """Decode packets at each security level."""
+def measure_packets(count: int) -> dict[str, Any]:
+    """Decode packets at each security level, and return the rate of each."""
     results = {}
     for level in security.SECURITY_LEVELS:
         hosts = [sender.SimulatedHost(f"h-{number}") for number in range(HOSTS)]
         sent_at = [START_S + 10 * (number // HOSTS) for number in range(count)]
         encoded = [
-            _protected(hosts[number % HOSTS].packet(second), level) for number, second in enumerate(sent_at)
+            _protect(hosts[number % HOSTS].packet(second), level) for number, second in enumerate(sent_at)
         ]
         built_in_types = types.parse(types.BUILT_IN_TYPES)
         host_loads = HostLoads(lambda host: (int(host[2:]),), built_in_types, Counter())
         started_at = time.perf_counter()
         for second, packet in zip(sent_at, encoded, strict=True):
-            plain = security.open_packet(packet, lambda _: [b"pw"], level)
-            host_loads.add(second * SECOND, protocol.decode_value_lists(plain.parts), False)
+            opened_packet = security.open_packet(packet, lambda _: [b"pw"], level)
+            host_loads.add(second * SECOND, protocol.decode_value_lists(opened_packet.parts), False)
         elapsed = time.perf_counter() - started_at
         results[level] = {
             "packets_a_second": round(count / elapsed),
@@ -221,11 +226,11 @@
     return results
 
 
-# --- how long the event loop is blocked, against the naive sender ---
+# Time for which the event loop is blocked, compared with the naive sender
 
 
 class NaiveSender:
-    """Formats a measurement at once and has an unlimited queue for each receiver."""
+    """Sender that formats a measurement at once and has an unlimited queue for each receiver."""
 
     def __init__(self, receivers: list[str]) -> None:
         self.queues: list[asyncio.Queue[bytes]] = [asyncio.Queue() for _ in receivers]
@@ -248,8 +253,8 @@
             except OSError:
                 await asyncio.sleep(1)
 
-    def take(self, points: Points, time_s: int) -> None:
-        """Format a measurement and queue it."""
+    def enqueue(self, points: Points, time_s: int) -> None:
+        """Format a measurement, and queue it for each receiver."""
         text = "".join(f"{path} {value:.10g} {time_s}\n" for path, value in points).encode()
         for queue in self.queues:
             queue.put_nowait(text)
@@ -257,12 +262,12 @@
 
 
 async def longest_step_ms(take_measurement: Callable[[int], None], measurements: int) -> float:
-    """Return the longest step of the event loop while measurements are taken."""
+    """Take measurements, and return the longest step of the event loop meanwhile in milliseconds."""
     longest = 0.0
     for number in range(measurements):
         take_measurement(number)
-        until = time.monotonic() + MEASUREMENT_INTERVAL_S
-        while time.monotonic() < until:
+        ends_at = time.monotonic() + MEASUREMENT_INTERVAL_S
+        while time.monotonic() < ends_at:
             started_at = time.perf_counter()
             await asyncio.sleep(0)
             longest = max(longest, time.perf_counter() - started_at)
@@ -270,33 +275,33 @@
     return longest * 1000
 
 
-async def blocked_by_naive_sender(points: Points, measurements: int, receiver: str) -> dict[str, float]:
-    """Measure the baseline."""
-    naive = NaiveSender([receiver])
+async def measure_naive_sender(points: Points, measurements: int, receiver: str) -> dict[str, float]:
+    """Return how long the naive sender blocks the event loop, and the bytes that wait in its queues."""
+    naive_sender = NaiveSender([receiver])
     durations_ms = []
 
-    def take(number: int) -> None:
+    def take_measurement(number: int) -> None:
         started_at = time.perf_counter()
-        naive.take(points, START_S + number)
+        naive_sender.enqueue(points, START_S + number)
         durations_ms.append((time.perf_counter() - started_at) * 1000)
 
-    longest_ms = await longest_step_ms(take, measurements)
-    for task in naive.tasks:
+    longest_ms = await longest_step_ms(take_measurement, measurements)
+    for task in naive_sender.tasks:
         task.cancel()
     return {
         "longest_hold_ms": round(max(longest_ms, *durations_ms), 2),
-        "waiting_mb": round(naive.queued_bytes / 1e6, 2),
+        "waiting_mb": round(naive_sender.queued_bytes / 1e6, 2),
     }
 
 
-async def blocked_by_exporter(points: Points, measurements: int, receiver: str) -> dict[str, float]:
-    """Measure the exporter of this program."""
+async def measure_exporter(points: Points, measurements: int, receiver: str) -> dict[str, float]:
+    """Return how long the exporter of this program blocks the event loop, and its queued points."""
     loop = asyncio.get_running_loop()
     clock = Clock()
     counters = Counters()
 
-    def call_at(time_us: int, call: Callable[[], None]) -> None:
-        loop.call_later(max(0, time_us - clock()) / SECOND, call)
+    def call_at(time_us: int, callback: Callable[[], None]) -> None:
+        loop.call_later(max(0, time_us - clock()) / SECOND, callback)
 
     queue = JobQueue(max_jobs=256, turn_duration=2000, time_per_second=200_000, ageing_interval=5 * SECOND)
     background = BackgroundScheduler(
@@ -316,10 +321,10 @@
         yield
         service.export(START_S + number, 1, points)
 
-    def take(number: int) -> None:
+    def take_measurement(number: int) -> None:
         background.offer("metrics", Priority.PRESENT, SECOND, export(number))
 
-    longest_ms = await longest_step_ms(take, measurements)
+    longest_ms = await longest_step_ms(take_measurement, measurements)
     exporter_queue = service.exporters[receiver].queue
     service.close()
     return {
@@ -330,27 +335,27 @@
     }
 
 
-async def blocked(count: int, measurements: int) -> dict[str, Any]:
-    """Compare both senders with a receiver that hangs."""
+async def compare_blocking(count: int, measurements: int) -> dict[str, Any]:
+    """Compare both senders while the receiver hangs."""
     receiver = await CarbonReceiver([StopReading()], buffer_bytes=2048).start()
     points = sample_points(count)
-    naive = await blocked_by_naive_sender(points, measurements, receiver.address)
-    ours = await blocked_by_exporter(points, measurements, receiver.address)
+    naive_figures = await measure_naive_sender(points, measurements, receiver.address)
+    exporter_figures = await measure_exporter(points, measurements, receiver.address)
     await receiver.stop()
-    ratio = round(ours["longest_hold_ms"] / naive["longest_hold_ms"], 3)
-    return {"naive": naive, "ours": ours, "hold_ratio": ratio}
+    ratio = round(exporter_figures["longest_hold_ms"] / naive_figures["longest_hold_ms"], 3)
+    return {"naive": naive_figures, "ours": exporter_figures, "hold_ratio": ratio}
 
 
 async def main(short: bool) -> None:
-    """Run everything and print the closing line."""
-    updates = await table_updates(36 if short else 600)
+    """Run all measurements and print the closing line."""
+    updates = await measure_table_updates(36 if short else 600)
     figures = {
         "lines": updates,
-        "formatting": formatting(20_000 if short else 200_000),
-        "packets": packets(2_000 if short else 20_000),
-        "held": await blocked(20_000, 8 if short else 30),
+        "formatting": measure_formatting(20_000 if short else 200_000),
+        "packets": measure_packets(2_000 if short else 20_000),
+        "held": await compare_blocking(20_000, 8 if short else 30),
     }
-    is_held = (
+    is_met = (
         updates["hanging"]["n"] > MIN_CHANGES
         and updates["p99_ratio"] <= MAX_P99_RATIO
         and updates["late_ms"] <= MAX_LATE_MS
@@ -362,7 +367,7 @@
         figures,
         f"p99 ratio <= {MAX_P99_RATIO}, worst line <= {MAX_LATE_MS} ms later, memory growth in the "
         f"second half <= {MAX_GROWTH_MB} MB, no line missing",
-        is_held,
+        is_met,
     )
 
 
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -1,8 +1,8 @@
-"""The lease rules proved within bounds, and whole members compared with the checker.
+"""Proof of the lease rules within bounds, and checks of simulated members in seeded schedules of faults.
 
-`find_counterexample`: two candidates X and Y for one shard, three voters, real time, clocks that run apart;
-z3 looks for times at which X still relies on its lease after Y's first order. The schedules are seeded days
-of faults in simulated time.
+The model of `find_counterexample` has two candidates X and Y for one shard, three voters, and clocks that
+drift apart. The solver z3 looks for times at which X still relies on its lease after the first command of Y.
+The schedules are days of faults in simulated time.
 """
 
 import argparse
@@ -20,15 +20,15 @@
 VOTERS = 3
 MODEL_DEFECTS = (None, Defect.DRIFT_IGNORED, Defect.NO_QUIET_PERIOD, Defect.QUORUM_OF_ONE)
 CLOCK_DRIFT = "1/20"
-EXTREME_DRIFT = 0.2  # with which an ignored drift shows
+EXTREME_DRIFT = 0.2  # enough for an ignored drift to violate a rule
 TAKEOVER_LIMIT_S = 6.0
-DEFECT_DAYS = 600  # on one of which the checker must see a defect
+DEFECT_DAYS = 600  # On one of them the checker must detect a defect.
 SHORT_DAYS = ((3, 300), (5, 80), (7, 20))  # members, days
 FULL_DAYS = ((3, 7000), (5, 2400), (7, 600))
 
 
 class VoterModel:
-    """What one voter may do, each at most once: grant X, renew for X, restart, grant Y."""
+    """Model of one voter, which may grant X, renew for X, restart, and grant Y, each at most once."""
 
     def __init__(self, number: int) -> None:
         self.clock_rate = z3.Real(f"rate_{number}")
@@ -45,96 +45,108 @@
         self,
         request_x: z3.ArithRef,
         renewal_x: z3.ArithRef,
-        order_y: z3.ArithRef,
+        command_y: z3.ArithRef,
         lease: z3.ArithRef,
-        quiet: z3.ArithRef,
+        quiet_period: z3.ArithRef,
     ) -> list[z3.BoolRef]:
-        """What the voter's code guarantees."""
+        """Return the conditions that the code of a voter guarantees."""
         return [
             self.granted_x_at >= request_x,
             self.renewed_x_at >= renewal_x,
             self.renewed_x_at >= self.granted_x_at,
             z3.Implies(self.renewed_x, self.granted_x),
-            *self._rules_of_memory(lease, quiet),
-            # once it has promised Y's later term it neither grants nor renews for X
+            *self._waiting_rules(lease, quiet_period),
+            # After a voter has promised Y's later term, it neither grants nor renews for X.
             z3.Implies(z3.And(self.granted_y, self.granted_x), self.granted_x_at <= self.granted_y_at),
             z3.Implies(z3.And(self.granted_y, self.renewed_x), self.renewed_x_at <= self.granted_y_at),
-            z3.Implies(self.granted_y, order_y >= self.granted_y_at),
+            z3.Implies(self.granted_y, command_y >= self.granted_y_at),
         ]
 
-    def _rules_of_memory(self, lease: z3.ArithRef, quiet: z3.ArithRef) -> list[z3.BoolRef]:
-        """It grants Y only when, by its own clock, its grant to X is over, or its quiet period after a
-        start.
+    def _waiting_rules(self, lease: z3.ArithRef, quiet_period: z3.ArithRef) -> list[z3.BoolRef]:
+        """Return the conditions on the time of a grant to Y.
+
+        By the clock of the voter, its grant to X must have expired, and its quiet period after a restart must
+        be over.
         """
-        has_forgotten = z3.And(self.restarted, self.restarted_at <= self.granted_y_at)
+        has_lost_memory = z3.And(self.restarted, self.restarted_at <= self.granted_y_at)
 
-        def remembers(happened: z3.BoolRef, at: z3.ArithRef) -> z3.BoolRef:
-            is_forgotten = z3.And(has_forgotten, self.restarted_at > at)
-            return z3.And(happened, at <= self.granted_y_at, z3.Not(is_forgotten))
+        def is_remembered(has_happened: z3.BoolRef, happened_at: z3.ArithRef) -> z3.BoolRef:
+            is_lost = z3.And(has_lost_memory, self.restarted_at > happened_at)
+            return z3.And(has_happened, happened_at <= self.granted_y_at, z3.Not(is_lost))
 
-        def waits(cause: z3.BoolRef, since: z3.ArithRef, duration: z3.ArithRef) -> z3.BoolRef:
+        def must_wait(cause: z3.BoolRef, since: z3.ArithRef, duration: z3.ArithRef) -> z3.BoolRef:
             elapsed = self.clock_rate * (self.granted_y_at - since)
             return z3.Implies(z3.And(self.granted_y, cause), elapsed >= duration)
 
         return [
-            waits(remembers(self.granted_x, self.granted_x_at), self.granted_x_at, lease),
-            waits(remembers(self.renewed_x, self.renewed_x_at), self.renewed_x_at, lease),
-            waits(has_forgotten, self.restarted_at, quiet),
+            must_wait(is_remembered(self.granted_x, self.granted_x_at), self.granted_x_at, lease),
+            must_wait(is_remembered(self.renewed_x, self.renewed_x_at), self.renewed_x_at, lease),
+            must_wait(has_lost_memory, self.restarted_at, quiet_period),
         ]
 
 
-def count(conditions: Iterable[z3.BoolRef]) -> z3.ArithRef:
-    """How many hold."""
+def count_true(conditions: Iterable[z3.BoolRef]) -> z3.ArithRef:
+    """Return how many of the conditions are true."""
     return z3.Sum([z3.If(condition, 1, 0) for condition in conditions])
 
 
 def find_counterexample(defect: Defect | None = None, clock_drift: str = CLOCK_DRIFT) -> dict[str, Any]:
-    """Whether X can order after Y: `found` is unsat or sat, `example` has the times of a counterexample.
+    """Search for times at which X writes a command after the first command of Y.
+
+    X relies on the grants or renewals of a quorum, by its own clock. The lease is the unit of time.
 
-    X's order relies on a quorum's grants or renewals, by its own clock. The lease is the unit of time.
+    Args:
+        defect: Defect of the rules; None for the rules without a defect.
+        clock_drift: Greatest drift of a clock, as a share of its rate.
+
+    Returns:
+        "found" is "sat" if there are such times and "unsat" if there are none, "example" has the times, and
+        "seconds" is how long the search took.
     """
-    one = z3.RealVal(1)
+    unit = z3.RealVal(1)
     drift = z3.RealVal(clock_drift)
-    lease = one
-    usable = lease if defect is Defect.DRIFT_IGNORED else lease * (one - drift) / (one + drift)
-    quiet = z3.RealVal(0) if defect is Defect.NO_QUIET_PERIOD else lease * (one + drift) / (one - drift)
+    lease = unit
+    usable_lease = lease if defect is Defect.DRIFT_IGNORED else lease * (unit - drift) / (unit + drift)
+    quiet_period = (
+        z3.RealVal(0) if defect is Defect.NO_QUIET_PERIOD else lease * (unit + drift) / (unit - drift)
+    )
     quorum = 1 if defect is Defect.QUORUM_OF_ONE else VOTERS // 2 + 1
-    rate_x, request_x, renewal_x, order_x, order_y = z3.Reals("rate_x ask renewal order_x order_y")
+    rate_x, request_x, renewal_x, command_x, command_y = z3.Reals("rate_x ask renewal order_x order_y")
     voters = [VoterModel(number) for number in range(VOTERS)]
     solver = z3.Solver()
     for rate in (rate_x, *(voter.clock_rate for voter in voters)):
-        solver.add(rate >= one - drift, rate <= one + drift)
+        solver.add(rate >= unit - drift, rate <= unit + drift)
     solver.add(request_x >= 0, renewal_x >= request_x)
     for voter in voters:
-        solver.add(voter.rules(request_x, renewal_x, order_y, lease, quiet))
-    granted = count(z3.And(v.granted_x, v.granted_x_at <= order_x) for v in voters)
-    renewed = count(z3.And(v.renewed_x, v.renewed_x_at <= order_x) for v in voters)
-    by_grant = z3.And(granted >= quorum, rate_x * (order_x - request_x) < usable)
-    by_renewal = z3.And(renewed >= quorum, rate_x * (order_x - renewal_x) < usable)
+        solver.add(voter.rules(request_x, renewal_x, command_y, lease, quiet_period))
+    granted = count_true(z3.And(v.granted_x, v.granted_x_at <= command_x) for v in voters)
+    renewed = count_true(z3.And(v.renewed_x, v.renewed_x_at <= command_x) for v in voters)
+    by_grant = z3.And(granted >= quorum, rate_x * (command_x - request_x) < usable_lease)
+    by_renewal = z3.And(renewed >= quorum, rate_x * (command_x - renewal_x) < usable_lease)
     solver.add(z3.Or(by_grant, by_renewal))
-    solver.add(count(voter.granted_y for voter in voters) >= quorum, order_x > order_y)
+    solver.add(count_true(voter.granted_y for voter in voters) >= quorum, command_x > command_y)
     return _solve(solver)
 
 
 def _solve(solver: z3.Solver) -> dict[str, Any]:
-    began = time.perf_counter()
-    found = solver.check()
+    started_at = time.perf_counter()
+    result = solver.check()
     example = {}
-    if found == z3.sat:
+    if result == z3.sat:
         times = solver.model()
         example = {str(name): str(times[name]) for name in sorted(times.decls(), key=str)}
-    return {"found": str(found), "seconds": round(time.perf_counter() - began, 2), "example": example}
+    return {"found": str(result), "seconds": round(time.perf_counter() - started_at, 2), "example": example}
 
 
 class Day(NamedTuple):
-    """A seeded day of a cluster."""
+    """Seeded day of a cluster."""
 
     seed: int
     members: int
     defect: Defect | None = None
 
-    def cluster(self) -> SimulatedCluster:
-        """The cluster; on every fourth day clocks run apart as far as they may."""
+    def make_cluster(self) -> SimulatedCluster:
+        """Return the cluster; on every fourth day its clocks drift as far as the rules allow."""
         defects = [] if self.defect is None else [self.defect]
         if self.defect is Defect.DRIFT_IGNORED:
             return SimulatedCluster(
@@ -150,47 +162,47 @@
 
 
 class DayResult(NamedTuple):
-    """What a day has shown."""
+    """Violated rules and durations of takeovers in one day."""
 
     seed: int
-    broken: list[Rule]
+    violated_rules: list[Rule]
     takeover_s: list[float]
 
 
-def play(day: Day) -> DayResult:
-    """Plays a day and checks its history."""
-    events = day.cluster().run()
-    broken = [violation.rule for violation in check(events, TAKEOVER_LIMIT_S)]
-    return DayResult(day.seed, broken, takeover_times(events))
+def run_day(day: Day) -> DayResult:
+    """Simulate a day and check its history."""
+    events = day.make_cluster().run()
+    violated_rules = [violation.rule for violation in check(events, TAKEOVER_LIMIT_S)]
+    return DayResult(day.seed, violated_rules, takeover_times(events))
 
 
-def days_of(pool: Any, members: int, count_of_days: int) -> dict[str, Any]:
-    """Days without a defect."""
-    began = time.perf_counter()
-    broken = {}
+def run_days(pool: Any, members: int, day_count: int) -> dict[str, Any]:
+    """Simulate days without a defect, and return their figures."""
+    started_at = time.perf_counter()
+    violated_rules = {}
     takeover_s: list[float] = []
-    days = [Day(seed, members) for seed in range(count_of_days)]
-    for result in pool.imap_unordered(play, days, 16):
+    days = [Day(seed, members) for seed in range(day_count)]
+    for result in pool.imap_unordered(run_day, days, 16):
         takeover_s += result.takeover_s
-        if result.broken:
-            broken[result.seed] = result.broken[0].value
+        if result.violated_rules:
+            violated_rules[result.seed] = result.violated_rules[0].value
     return {
-        "days": count_of_days,
-        "broken": broken,
-        "seconds": round(time.perf_counter() - began, 1),
+        "days": day_count,
+        "broken": violated_rules,
+        "seconds": round(time.perf_counter() - started_at, 1),
         "takeovers": len(takeover_s),
         "takeover_s_p50": round(quantile(takeover_s, 0.5), 2),
     }
 
 
-def first_day_of(pool: Any, defect: Defect) -> int | None:
-    """The first seed with which the checker sees a defect."""
-    results = pool.imap(play, [Day(seed, 3, defect) for seed in range(DEFECT_DAYS)], 8)
-    return next((result.seed for result in results if result.broken), None)
+def find_first_day(pool: Any, defect: Defect) -> int | None:
+    """Return the first seed with which the checker detects a defect, None if there is none."""
+    results = pool.imap(run_day, [Day(seed, 3, defect) for seed in range(DEFECT_DAYS)], 8)
+    return next((result.seed for result in results if result.violated_rules), None)
 
 
 def main(short: bool) -> None:
-    """Prints the figures and whether the rules hold."""
+    """Print the figures and whether the rules hold."""
     models = {
         "none" if defect is None else defect.value: find_counterexample(defect) for defect in MODEL_DEFECTS
     }
@@ -198,17 +210,17 @@
     sizes = SHORT_DAYS if short else FULL_DAYS
     with Pool() as pool:
         for members, days in sizes:
-            figures[f"of_{members}"] = days_of(pool, members, days)
-        first = {defect.value: first_day_of(pool, defect) for defect in Defect}
-        figures["first_day_of_each_break"] = first
-    is_sound = all(found["found"] == ("unsat" if name == "none" else "sat") for name, found in models.items())
+            figures[f"of_{members}"] = run_days(pool, members, days)
+        first_days = {defect.value: find_first_day(pool, defect) for defect in Defect}
+        figures["first_day_of_each_break"] = first_days
+    is_sound = all(model["found"] == ("unsat" if name == "none" else "sat") for name, model in models.items())
     is_unbroken = not any(figures[f"of_{members}"]["broken"] for members, _ in sizes)
     close(
         "leases",
         figures,
-        "no schedule breaks a rule; the model has no counterexample, and one for each break; the "
-        "checker sees each break",
-        is_sound and is_unbroken and None not in first.values(),
+        "no schedule violates a rule; the model has no counterexample, but one for each defect; the "
+        "checker detects each defect",
+        is_sound and is_unbroken and None not in first_days.values(),
     )
 
 
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -154,7 +154,9 @@
         for service in services:
             applied_at = self.world.change_applied_at[service]
             self.fleet.behind += len(self.world.subscribers(service)) - len(applied_at)
-            seconds_until_applied += [(time - marked_at[service]) / SECOND for time in applied_at.values()]
+            seconds_until_applied += [
+                (server_time - marked_at[service]) / SECOND for server_time in applied_at.values()
+            ]
         return seconds_until_applied
 
     def mark(self, services: list[str]) -> dict[str, int]:
--- a/tests/leadership/test_lease_schedules.py
+++ b/tests/leadership/test_lease_schedules.py
@@ -33,7 +33,7 @@
 
 
 def check_day(day):
-    return day.seed, check(day.cluster().run(), TAKEOVER_LIMIT_S)
+    return day.seed, check(day.make_cluster().run(), TAKEOVER_LIMIT_S)
 
 
 def test_no_schedule_of_faults_violates_a_rule():
