--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,7 +1,7 @@
-"""Makes docs/CAPACITY.md from benchmarks/results/: every figure there is a measured slope times a count.
+"""Writer of docs/CAPACITY.md from benchmarks/results/: each figure is a measured slope times a count.
 
-`python -m benchmarks.capacity [--check]`; with --check it ends with 1 where the page is not what the results
-say.
+`python -m benchmarks.capacity [--check]`: with --check nothing is written, and the exit code is 1 if the page
+differs from the results.
 """
 
 import argparse
@@ -27,30 +27,33 @@
 from ravenshelf.distribution.decisions.tree import plan_relay_levels
 
 PAGE = Path(__file__).resolve().parent.parent / "docs" / "CAPACITY.md"
-CORE_BUDGET, MEMORY_BUDGET_MB, BYTES_BUDGET = 0.035, 64.0, 7_000.0
-STEEP = 1.15  # exponents from here on are extrapolated by the power law, not by the line
-ENDPOINTS_A_SERVICE = ENDPOINTS // SERVICES
-ZONES_A_SERVICE = 16
-LINES_A_DELTA = 10
-DAY = 86_400.0
-CHANGES_A_DAY, RESTARTS_A_DAY, FAILURES_A_DAY = 13_000, 2_800, 75
-PROXIES_A_PILOT = 64
-BEAT_S = 2.5  # seconds between two tables of a service
-CORES_A_MACHINE = 10.0
-BASE_MB = 30.0  # of a process of the program that serves nothing, from docs/results.md
+CORE_BUDGET, MEMORY_BUDGET_MB, BYTES_BUDGET = 0.035, 64.0, 7_000.0  # of each server; bytes per second
+
+# From this exponent on, values are extrapolated by the power law instead of the line.
+POWER_LAW_EXPONENT = 1.15
+
+ENDPOINTS_PER_SERVICE = ENDPOINTS // SERVICES
+ZONES_PER_SERVICE = 16
+LINES_PER_DELTA = 10
+SECONDS_PER_DAY = 86_400.0
+CHANGES_PER_DAY, RESTARTS_PER_DAY, FAILURES_PER_DAY = 13_000, 2_800, 75
+PROXIES_PER_SERVER = 64
+SOLVE_INTERVAL_S = 2.5  # between two tables of a service
+CORES_PER_MACHINE = 10.0
+IDLE_PROCESS_MB = 30.0  # of an idle process of the program, from docs/results.md
 
 
 @dataclass(frozen=True)
 class Assumption:
-    """What the page takes as given, and whose word it is."""
+    """Assumption of the page, and who stated it."""
 
     text: str
-    whose: str
+    source: str
 
 
 ASSUMPTIONS = [
     Assumption(
-        f"{PILOTS:,} pilots, {ENDPOINTS:,} endpoints, {SERVICES:,} services, so {ENDPOINTS_A_SERVICE} "
+        f"{PILOTS:,} pilots, {ENDPOINTS:,} endpoints, {SERVICES:,} services, so {ENDPOINTS_PER_SERVICE} "
         "endpoints a service",
         "operators",
     ),
@@ -60,7 +63,7 @@
         "ours",
     ),
     Assumption(
-        f"{CHANGES_A_DAY:,} changes of configuration a day, each of one service, in force everywhere "
+        f"{CHANGES_PER_DAY:,} changes of configuration a day, each of one service, in force everywhere "
         "within 4 s",
         "operators",
     ),
@@ -70,60 +73,64 @@
         "operators",
     ),
     Assumption(
-        f"{FAILURES_A_DAY} machines fail and {RESTARTS_A_DAY:,} are restarted or replaced a day", "operators"
+        f"{FAILURES_PER_DAY} machines fail and {RESTARTS_PER_DAY:,} are restarted or replaced a day",
+        "operators",
     ),
     Assumption(f"a pilot's proxies call {SERVICES_PER_SERVER} services", "ours"),
     Assumption(
-        f"a service has endpoints and subscribers in {ZONES_A_SERVICE} of {ZONES} zones; a zone's table "
-        f"holds {LINES_A_DELTA} lines",
+        f"a service has endpoints and subscribers in {ZONES_PER_SERVICE} of {ZONES} zones; a zone's table "
+        f"holds {LINES_PER_DELTA} lines",
         "ours",
     ),
-    Assumption(f"{PROXIES_A_PILOT} proxies a pilot where it decides for itself", "ours"),
+    Assumption(f"{PROXIES_PER_SERVER} proxies a pilot where it decides for itself", "ours"),
     Assumption("a pilot reports each service it calls once a second, with ten endpoints met", "ours"),
     Assumption("a machine for control has 10 cores and 24 GB, as the one measured on", "ours"),
-    Assumption(f"a process that serves nothing takes {BASE_MB:.0f} MB (`docs/results.md`)", "ours"),
+    Assumption(f"a process that serves nothing takes {IDLE_PROCESS_MB:.0f} MB (`docs/results.md`)", "ours"),
 ]
 
 
-class Book:
-    """The measurements by name: those of the scale benchmark, and of a relay on sockets."""
+class MeasurementIndex:
+    """Measurements by name, of the scale benchmark and of its role `sockets`."""
 
     def __init__(self, results: Results, on_sockets: Results):
         self.results, self.on_sockets = results, on_sockets
         self.measurements = [*results.measurements, *on_sockets.measurements]
         self.by_name = {measurement.name: measurement for measurement in self.measurements}
 
-    def at(self, name: str, count: float) -> float:
-        """The figure at a count: the line, or the power law where growth is steeper than the count."""
+    def value_at(self, name: str, count: float) -> float:
+        """Return the value at a count.
+
+        It is on the line, or on the power law if the value grows faster than the count.
+        """
         measurement = self.by_name[name]
-        if measurement.exponent < STEEP:
+        if measurement.exponent < POWER_LAW_EXPONENT:
             return max(0.0, measurement.intercept) + measurement.slope * count
         sizes = [point.size for point in measurement.points]
         means = [_mean(point.values) for point in measurement.points]
         return power_law(sizes, means, count)
 
-    def marginal(self, name: str, count: float) -> float:
-        """The slope times a count alone."""
+    def increase(self, name: str, count: float) -> float:
+        """Return the slope times the count, without the intercept."""
         return self.by_name[name].slope * count
 
-    def near(self, name: str, count: float) -> float:
-        """The figure at the measured size that is nearest to a count: for what does not grow with it."""
+    def nearest_value(self, name: str, count: float) -> float:
+        """Return the value at the measured size nearest to a count, for values that do not grow with it."""
         points = self.by_name[name].points
         return _mean(min(points, key=lambda point: abs(point.size - count)).values)
 
     def fleets(self, pilots: int) -> list[Fleet]:
-        """The runs of the fleets of a size."""
+        """Return the runs of the fleets of a size."""
         return [fleet for fleet in self.results.fleets if fleet.pilots == pilots]
 
-    def largest(self, part: str) -> list[Fleet]:
-        """The runs of the largest fleet that played a part of the day."""
-        played = [fleet for fleet in self.results.fleets if part in fleet.parts]
-        largest_size = max(fleet.pilots for fleet in played)
-        return [fleet for fleet in played if fleet.pilots == largest_size]
+    def largest_fleets(self, part: str) -> list[Fleet]:
+        """Return the runs of the largest fleet that simulated a part of the day."""
+        simulated_fleets = [fleet for fleet in self.results.fleets if part in fleet.parts]
+        largest_size = max(fleet.pilots for fleet in simulated_fleets)
+        return [fleet for fleet in simulated_fleets if fleet.pilots == largest_size]
 
-    def fleet(self, figure: str, part: str) -> float:
-        """The worst run's figure of a part at the largest size."""
-        return max(getattr(fleet, figure) for fleet in self.largest(part))
+    def worst_value(self, figure: str, part: str) -> float:
+        """Return the greatest value of a figure in the runs of `largest_fleets`."""
+        return max(getattr(fleet, figure) for fleet in self.largest_fleets(part))
 
 
 def _mean(values: list[float]) -> float:
@@ -151,12 +158,12 @@
     return "within" if value <= budget else f"**{value / budget:.1f} times the budget**"
 
 
-# --- the parts of the page ---
+# Sections of the page
 
 
-def head(book: Book) -> list[str]:
-    """The title, where the figures come from, and the assumptions."""
-    results = book.results
+def introduction(index: MeasurementIndex) -> list[str]:
+    """Return the title, the sources of the figures, and the assumptions."""
+    results = index.results
     duration = (
         f"{results.wall_seconds / 60:.0f} minutes"
         if results.wall_seconds
@@ -167,31 +174,33 @@
         "",
         "Made by `python -m benchmarks.capacity` from `benchmarks/results/scale.json` "
         f"(`python -m benchmarks.scale`, commit {results.commit}, {duration}; a relay's process by "
-        f"`--role sockets`, commit {book.on_sockets.commit}). Each figure is a measured slope times a count; "
+        f"`--role sockets`, commit {index.on_sockets.commit}). Each figure is a measured slope times a count; "
         "slopes, their range over three runs and how far they are extrapolated stand below. Fleets are "
         "hollow: the real modules on a virtual clock and network, nothing but sockets left out; their "
         "processor time is not played but measured by itself. What was not measured says so.",
         "",
         "## Assumptions",
         "",
-        *_table(["assumption", "whose"], [[assumption.text, assumption.whose] for assumption in ASSUMPTIONS]),
+        *_table(
+            ["assumption", "whose"], [[assumption.text, assumption.source] for assumption in ASSUMPTIONS]
+        ),
     ]
 
 
-def pilot_today(book: Book) -> list[str]:
-    """What a pilot that lists, hears and solves all would cost."""
+def server_without_distribution(index: MeasurementIndex) -> list[str]:
+    """Return the cost of a server with all endpoints and reports that solves for all zones."""
     memory = (
-        BASE_MB
+        IDLE_PROCESS_MB
         + (
-            book.marginal("pilot memory by endpoints", ENDPOINTS)
-            + book.marginal("pilot memory by proxies", PROXIES_A_PILOT)
+            index.increase("pilot memory by endpoints", ENDPOINTS)
+            + index.increase("pilot memory by proxies", PROXIES_PER_SERVER)
         )
         / 1e6
     )
-    core = book.at("pilot CPU by endpoints", ENDPOINTS)
-    solve = book.at("spill search, all short", ZONES) / 2.5
-    listed = book.at("list bytes", ENDPOINTS)
-    changes = (CHANGES_A_DAY + RESTARTS_A_DAY + FAILURES_A_DAY) / DAY
+    core = index.value_at("pilot CPU by endpoints", ENDPOINTS)
+    solve = index.value_at("spill search, all short", ZONES) / 2.5
+    list_bytes = index.value_at("list bytes", ENDPOINTS)
+    changes = (CHANGES_PER_DAY + RESTARTS_PER_DAY + FAILURES_PER_DAY) / SECONDS_PER_DAY
     rows = [
         ["memory", f"{memory:.0f} MB", f"{MEMORY_BUDGET_MB:.0f} MB", _verdict(memory, MEMORY_BUDGET_MB)],
         ["processor, calm", f"{core:.2f} of a core", f"{CORE_BUDGET:.3f}", _verdict(core, CORE_BUDGET)],
@@ -203,21 +212,21 @@
         ],
         [
             "one whole list",
-            f"{listed / 1e6:.1f} MB, {book.at('list CPU', ENDPOINTS):.2f} s of a core",
+            f"{list_bytes / 1e6:.1f} MB, {index.value_at('list CPU', ENDPOINTS):.2f} s of a core",
             "-",
             "at each start, and after each gap",
         ],
         [
             "the list's changes",
-            f"{changes:.2f} a second, {changes * listed / ENDPOINTS:.0f} bytes a second",
+            f"{changes:.2f} a second, {changes * list_bytes / ENDPOINTS:.0f} bytes a second",
             f"{BYTES_BUDGET:.0f}",
-            _verdict(changes * listed / ENDPOINTS, BYTES_BUDGET),
+            _verdict(changes * list_bytes / ENDPOINTS, BYTES_BUDGET),
         ],
         [
             "sums of all endpoints",
-            f"{ENDPOINTS * book.by_name['report bytes'].slope:,.0f} bytes a second",
+            f"{ENDPOINTS * index.by_name['report bytes'].slope:,.0f} bytes a second",
             f"{BYTES_BUDGET:.0f}",
-            _verdict(ENDPOINTS * book.by_name["report bytes"].slope, BYTES_BUDGET),
+            _verdict(ENDPOINTS * index.by_name["report bytes"].slope, BYTES_BUDGET),
         ],
     ]
     return [
@@ -231,110 +240,114 @@
     ]
 
 
-def _pilot_row(book: Book) -> list[str]:
-    """A pilot's own day: heartbeats, tables of its services, its sums on the way up."""
-    tables = SERVICES_PER_SERVER * max(
-        0.0, _mean([_mean(point.values) for point in book.by_name["table bytes of a topic"].points])
+def _server_row(index: MeasurementIndex) -> list[str]:
+    """Return the row of a server: heartbeats, tables of its services, and its own reports."""
+    table_bytes = SERVICES_PER_SERVER * max(
+        0.0, _mean([_mean(point.values) for point in index.by_name["table bytes of a topic"].points])
     )
-    received = book.fleet("calm_bytes", "calm") + tables
-    reported = SERVICES_PER_SERVER * book.at("report bytes", 10)
-    deltas = SERVICES_PER_SERVER / BEAT_S
-    core = deltas * book.at("subscriber CPU of a delta", LINES_A_DELTA) + book.at(
+    received_bytes = index.worst_value("calm_bytes", "calm") + table_bytes
+    reported_bytes = SERVICES_PER_SERVER * index.value_at("report bytes", 10)
+    deltas = SERVICES_PER_SERVER / SOLVE_INTERVAL_S
+    core = deltas * index.value_at("subscriber CPU of a delta", LINES_PER_DELTA) + index.value_at(
         "subscriber CPU of a heartbeat", SERVICES_PER_SERVER
     )
-    memory = BASE_MB + book.marginal("subscriber memory", SERVICES_PER_SERVER) / 1e6
-    worst = max(core / CORE_BUDGET, memory / MEMORY_BUDGET_MB, (received + reported) / BYTES_BUDGET)
+    memory = IDLE_PROCESS_MB + index.increase("subscriber memory", SERVICES_PER_SERVER) / 1e6
+    worst_ratio = max(
+        core / CORE_BUDGET, memory / MEMORY_BUDGET_MB, (received_bytes + reported_bytes) / BYTES_BUDGET
+    )
     return [
         "pilot",
         f"{2 * SERVICES_PER_SERVER} topics of {SERVICES_PER_SERVER} services: {memory:.0f} MB",
-        f"in: {received:.0f} bytes a second (heartbeats, tables); out: {reported:.0f} of sums",
+        f"in: {received_bytes:.0f} bytes a second (heartbeats, tables); out: {reported_bytes:.0f} of sums",
         f"{core:.5f} of a core",
-        f"{_range(book.largest('zone_returns'), 'zone_bytes', 0)} bytes a second in (a zone returns)",
-        _verdict(worst, 1.0),
+        f"{_range(index.largest_fleets('zone_returns'), 'zone_bytes', 0)} bytes a second in (a zone returns)",
+        _verdict(worst_ratio, 1.0),
         "subscriptions, deltas",
     ]
 
 
-def _controller_row(book: Book) -> list[str]:
-    """A controller decides its share of the services, and publishes them."""
+def _controller_row(index: MeasurementIndex) -> list[str]:
+    """Return the row of a controller, which decides and publishes its share of the services."""
     services = SERVICES / CONTROLLERS
     planner = services * max(
-        book.at("planner CPU by zones", ZONES_A_SERVICE),
-        book.at("planner CPU by endpoints", ENDPOINTS_A_SERVICE),
+        index.value_at("planner CPU by zones", ZONES_PER_SERVICE),
+        index.value_at("planner CPU by endpoints", ENDPOINTS_PER_SERVICE),
     )
-    memory = BASE_MB + services * book.by_name["planner memory"].slope / 1e6
+    memory = IDLE_PROCESS_MB + services * index.by_name["planner memory"].slope / 1e6
     return [
         "controller that decides",
         f"{services:.0f} services each of {CONTROLLERS}: {memory:.0f} MB",
-        f"out: {_range(book.largest('changes'), 'owner_messages_a_change', 0)} messages a change",
+        f"out: {_range(index.largest_fleets('changes'), 'owner_messages_a_change', 0)} messages a change",
         f"{planner:.2f} of a core",
-        f"{_range(book.largest('zone_returns'), 'owner_bytes_out', 0)} bytes a second out, the busiest",
-        _verdict(planner, CORES_A_MACHINE),
+        f"{_range(index.largest_fleets('zone_returns'), 'owner_bytes_out', 0)} bytes a second out, "
+        "the busiest",
+        _verdict(planner, CORES_PER_MACHINE),
         "one planner a service (KurmaCost)",
     ]
 
 
-def _relay_row(book: Book) -> list[str]:
-    """The relays of the last level, several on each machine for control.
+def _relay_row(index: MeasurementIndex) -> list[str]:
+    """Return the row of the relays of the last level, of which each machine for control has several.
 
-    What a process costs is measured on sockets.
+    The cost of a process is measured on sockets.
     """
     tree = plan_relay_levels(PILOTS, FAN_OUT)
     relays = sum(len(level.names) for level in tree)
-    children, on_machine = PILOTS / len(tree[-1].names), relays / CONTROLLERS
-    deltas = children * SERVICES_PER_SERVER / BEAT_S
-    core = book.at("relay on sockets, CPU of heartbeats", children) + deltas * book.near(
+    children, relays_per_machine = PILOTS / len(tree[-1].names), relays / CONTROLLERS
+    deltas = children * SERVICES_PER_SERVER / SOLVE_INTERVAL_S
+    core = index.value_at("relay on sockets, CPU of heartbeats", children) + deltas * index.nearest_value(
         "relay on sockets, CPU of a delivered delta", children
     )
     memory = (
-        book.near("relay on sockets, memory", children)
-        + book.marginal("relay memory", children * SERVICES_PER_SERVER) / 1e6
+        index.nearest_value("relay on sockets, memory", children)
+        + index.increase("relay memory", children * SERVICES_PER_SERVER) / 1e6
     )
     return [
         "relay (a process, measured on sockets)",
-        f"{children:.0f} pilots each, {relays} in all, {on_machine:.0f} a machine: {memory:.0f} MB each at "
-        "the most",
+        f"{children:.0f} pilots each, {relays} in all, {relays_per_machine:.0f} a machine: "
+        f"{memory:.0f} MB each at the most",
         f"out: {deltas:.0f} deltas and {children:.0f} heartbeats a second",
-        f"{core:.3f} of a core each, {core * on_machine:.2f} a machine",
-        f"{_range(book.largest('zone_returns'), 'relay_bytes_out', 0)} bytes a second out, the busiest",
-        _verdict(core * on_machine, CORES_A_MACHINE),
+        f"{core:.3f} of a core each, {core * relays_per_machine:.2f} a machine",
+        f"{_range(index.largest_fleets('zone_returns'), 'relay_bytes_out', 0)} bytes a second out, "
+        "the busiest",
+        _verdict(core * relays_per_machine, CORES_PER_MACHINE),
         "tree with bounded fan-out",
     ]
 
 
-def _collector_row(book: Book) -> list[str]:
-    """Sums are added up at each relay."""
+def _collector_row(index: MeasurementIndex) -> list[str]:
+    """Return the row of the aggregation of reports, which each relay does."""
     tree = plan_relay_levels(PILOTS, FAN_OUT)
     reports = PILOTS / len(tree[-1].names) * SERVICES_PER_SERVER
-    on_machine = sum(len(level.names) for level in tree) / CONTROLLERS
-    core = book.at("aggregation CPU", reports)
+    relays_per_machine = sum(len(level.names) for level in tree) / CONTROLLERS
+    core = index.value_at("aggregation CPU", reports)
     return [
         "collector of sums (in the relays)",
         "a window of a second",
         f"in: {reports:.0f} reports a second at each relay",
-        f"{core:.3f} of a core each, {core * on_machine:.2f} a machine",
+        f"{core:.3f} of a core each, {core * relays_per_machine:.2f} a machine",
         "as on any day: sums come by time",
-        _verdict(core * on_machine, CORES_A_MACHINE),
+        _verdict(core * relays_per_machine, CORES_PER_MACHINE),
         "aggregation at each hop",
     ]
 
 
-def _other_rows(book: Book) -> list[list[str]]:
-    listed = book.at("list bytes", ENDPOINTS) / 1e6
+def _other_rows(index: MeasurementIndex) -> list[list[str]]:
+    list_bytes = index.value_at("list bytes", ENDPOINTS) / 1e6
     return [
         [
             "discovery",
             f"{ENDPOINTS:,} endpoints",
-            f"{CONTROLLERS} readers in place of {PILOTS:,}; a whole list is {listed:.1f} MB",
+            f"{CONTROLLERS} readers in place of {PILOTS:,}; a whole list is {list_bytes:.1f} MB",
             "not measured: it is not ours",
-            f"{CONTROLLERS * listed:.0f} MB where all read it again",
+            f"{CONTROLLERS * list_bytes:.0f} MB where all read it again",
             "-",
             "*missing*: owners reading their services' part alone (the registry client)",
         ],
         [
             "store",
             "records of leases and epochs",
-            f"a group of 64 records: {1000 * book.at('record time', 64):.1f} ms on this disk",
+            f"a group of 64 records: {1000 * index.value_at('record time', 64):.1f} ms on this disk",
             "not measured apart",
             "not measured",
             "-",
@@ -343,8 +356,8 @@
     ]
 
 
-def roles(book: Book) -> list[str]:
-    """Each role with the distribution."""
+def roles(index: MeasurementIndex) -> list[str]:
+    """Return the cost of each role with the distribution."""
     headings = [
         "role",
         "state",
@@ -355,25 +368,28 @@
         "mechanism",
     ]
     rows = [
-        _pilot_row(book),
-        _controller_row(book),
-        _relay_row(book),
-        _collector_row(book),
-        *_other_rows(book),
+        _server_row(index),
+        _controller_row(index),
+        _relay_row(index),
+        _collector_row(index),
+        *_other_rows(index),
     ]
     return [
         "## Each role with the distribution",
         "",
         *_table(headings, rows),
         "An ordinary day, and the worst of the minutes below. A machine for control is taken to have "
-        f"{CORES_A_MACHINE:.0f} cores.",
+        f"{CORES_PER_MACHINE:.0f} cores.",
         "",
     ]
 
 
 @dataclass(frozen=True)
-class Minute:
-    """A row of the worst minutes: the part of the day, and the names of its figures where it has them."""
+class DayPart:
+    """Row of the worst minutes.
+
+    `part` is the part of the day; `p99`, `last` and `sent` are its figures in `Fleet`, empty if it has none.
+    """
 
     text: str
     part: str
@@ -382,46 +398,46 @@
     sent: str = ""
 
 
-MINUTES = [
-    Minute(
+DAY_PARTS = [
+    DayPart(
         "a zone returns: each service's list and tables change in three beats",
         "zone_returns",
         "zone_p99",
         "",
         "zone_bytes",
     ),
-    Minute(
+    DayPart(
         "a configuration change for all: every service at once",
         "change_for_all",
         "all_p99",
         "all_last",
         "all_bytes",
     ),
-    Minute("mass restart: 2,800 pilots an hour", "mass_restart", "", "", "restart_bytes"),
-    Minute(
+    DayPart("mass restart: 2,800 pilots an hour", "mass_restart", "", "", "restart_bytes"),
+    DayPart(
         "a region parted, an hour's changes, healed (from the heal)", "region_parted", "", "parted_last", ""
     ),
-    Minute(
+    DayPart(
         "all relays next to the owners dead for 5 s, services changing (from the change)",
         "level_killed",
         "killed_p99",
         "killed_last",
         "",
     ),
-    Minute("one change of one service", "changes", "change_p99", "change_last", ""),
-    Minute("nothing", "calm", "", "", "calm_bytes"),
+    DayPart("one change of one service", "changes", "change_p99", "change_last", ""),
+    DayPart("nothing", "calm", "", "", "calm_bytes"),
 ]
 
 
-def worst_minutes(book: Book) -> list[str]:
-    """The worst minutes of a day, each at the largest fleet that played it."""
+def worst_minutes(index: MeasurementIndex) -> list[str]:
+    """Return the worst minutes of a day, each at the largest fleet that simulated it."""
     rows = []
-    for minute in MINUTES:
-        fleets = book.largest(minute.part)
-        seconds = [_range(fleets, name, 2) + " s" if name else "-" for name in (minute.p99, minute.last)]
-        sent = _range(fleets, minute.sent, 0) if minute.sent else "-"
-        rows.append([minute.text, f"{fleets[0].pilots:,}", str(len(fleets)), *seconds, sent])
-    behind = max(fleet.behind for fleet in book.results.fleets)
+    for day_part in DAY_PARTS:
+        fleets = index.largest_fleets(day_part.part)
+        seconds = [_range(fleets, name, 2) + " s" if name else "-" for name in (day_part.p99, day_part.last)]
+        sent = _range(fleets, day_part.sent, 0) if day_part.sent else "-"
+        rows.append([day_part.text, f"{fleets[0].pilots:,}", str(len(fleets)), *seconds, sent])
+    behind = max(fleet.behind for fleet in index.results.fleets)
     return [
         "## The worst minutes",
         "",
@@ -445,22 +461,22 @@
 
 
 def _range(fleets: list[Fleet], name: str, digits: int) -> str:
-    """Least and most of a figure over some fleets; a dash where none played its part."""
+    """Return the least and the greatest value of a figure over some fleets, a dash without fleets."""
     values = [getattr(fleet, name) for fleet in fleets]
     if not values:
         return "-"
-    low, high = (f"{value:,.{digits}f}" for value in (min(values), max(values)))
-    return low if low == high else f"{low} to {high}"
+    least, greatest = (f"{value:,.{digits}f}" for value in (min(values), max(values)))
+    return least if least == greatest else f"{least} to {greatest}"
 
 
-def growth(book: Book) -> list[str]:
-    """What simulated fleets showed by size, and against watching everything."""
-    sizes = sorted({fleet.pilots for fleet in book.results.fleets})
+def growth(index: MeasurementIndex) -> list[str]:
+    """Return the results of the simulated fleets by size, and the comparison with watching all services."""
+    sizes = sorted({fleet.pilots for fleet in index.results.fleets})
     rows = [
         [
             f"{size:,}",
             *(
-                _range([fleet for fleet in book.fleets(size) if getattr(fleet, name)], name, digits)
+                _range([fleet for fleet in index.fleets(size) if getattr(fleet, name)], name, digits)
                 for name, digits in (
                     ("relays", 0),
                     ("change_p99", 2),
@@ -477,8 +493,8 @@
         ]
         for size in sizes
     ]
-    baselines = sorted(book.results.baselines, key=lambda baseline: (baseline.pilots, baseline.seed))
-    compared = [
+    baselines = sorted(index.results.baselines, key=lambda baseline: (baseline.pilots, baseline.seed))
+    baseline_rows = [
         [
             f"{baseline.pilots}",
             f"{baseline.seed}",
@@ -520,17 +536,17 @@
                 "a pilot that subscribes",
                 "its relays",
             ],
-            compared,
+            baseline_rows,
         ),
     ]
 
 
-def checked(book: Book) -> list[str]:
-    """What the schedules of faults and the comparison with a real process showed."""
-    schedules, agreement = book.results.schedules, book.results.agreement
+def check_results(index: MeasurementIndex) -> list[str]:
+    """Return the results of the schedules of faults and of the comparison with a real process."""
+    schedules, agreement = index.results.schedules, index.results.agreement
     if schedules is None or agreement is None:
         return []
-    found = "; ".join(
+    detections = "; ".join(
         f"{name} in {count} of {schedules.breaks_played}" for name, count in schedules.found.items()
     )
     cases = ", ".join(
@@ -540,42 +556,42 @@
         "## Checked",
         "",
         f"{schedules.played:,} seeded schedules of faults, {len(schedules.broken)} with a violation. "
-        f"Deliberate breaks seen: {found}. "
+        f"Deliberate breaks seen: {detections}. "
         f"A hollow pilot against a real process, the same bytes: {agreement.agrees} ({cases}).",
         "",
     ]
 
 
-def slopes(book: Book) -> list[str]:
-    """Every measurement with its slope, and how far it is extrapolated."""
-    target = {
+def slopes(index: MeasurementIndex) -> list[str]:
+    """Return every measurement with its slope, and how far it is extrapolated."""
+    used_counts = {
         "endpoints listed": ENDPOINTS,
-        "proxies": PROXIES_A_PILOT,
+        "proxies": PROXIES_PER_SERVER,
         "zones": ZONES,
         "services called": SERVICES_PER_SERVER,
-        "lines changed": LINES_A_DELTA,
-        "zones with subscribers": ZONES_A_SERVICE,
-        "endpoints of the service": ENDPOINTS_A_SERVICE,
+        "lines changed": LINES_PER_DELTA,
+        "zones with subscribers": ZONES_PER_SERVICE,
+        "endpoints of the service": ENDPOINTS_PER_SERVICE,
         "endpoints met": 10,
         "services": SERVICES / CONTROLLERS,
         "reports": PILOTS / 282 * SERVICES_PER_SERVER,
     }
     rows = [
-        _slope(measurement, target.get(measurement.count, measurement.points[-1].size))
-        for measurement in book.measurements
+        _slope(measurement, used_counts.get(measurement.count, measurement.points[-1].size))
+        for measurement in index.measurements
     ]
     return [
         "## Slopes",
         "",
         "Line by least squares over the mean of the runs; range: least and most of the runs' own slopes. "
-        f"From an exponent of {STEEP} on the page extrapolates by the power law. "
+        f"From an exponent of {POWER_LAW_EXPONENT} on the page extrapolates by the power law. "
         "Far: the count used over the largest measured; under 1 it lies within.",
         "",
         *_table(["measurement", "unit for each", "sizes", "slope", "range", "exponent", "far", "held"], rows),
     ]
 
 
-def _slope(measurement: Measurement, used: float) -> list[str]:
+def _slope(measurement: Measurement, used_count: float) -> list[str]:
     smallest, largest = measurement.points[0].size, measurement.points[-1].size
     return [
         measurement.name,
@@ -584,13 +600,13 @@
         _number(measurement.slope),
         f"{_number(measurement.slope_low)} to {_number(measurement.slope_high)}",
         f"{measurement.exponent:.2f}",
-        f"{used / largest:.2g}",
+        f"{used_count / largest:.2g}",
         measurement.fixed or "-",
     ]
 
 
-def tail() -> list[str]:
-    """What was not measured, and what is missing."""
+def missing_measurements() -> list[str]:
+    """Return the parts of the system that were not measured or do not exist yet."""
     return [
         "## Not measured, and missing",
         "",
@@ -608,23 +624,27 @@
 
 
 def page(results: Results, on_sockets: Results) -> str:
-    """The whole page."""
-    book = Book(results, on_sockets)
+    """Return the text of the whole page."""
+    index = MeasurementIndex(results, on_sockets)
     parts = [
-        head(book),
-        pilot_today(book),
-        roles(book),
-        worst_minutes(book),
-        growth(book),
-        checked(book),
-        slopes(book),
-        tail(),
+        introduction(index),
+        server_without_distribution(index),
+        roles(index),
+        worst_minutes(index),
+        growth(index),
+        check_results(index),
+        slopes(index),
+        missing_measurements(),
     ]
     return "\n".join(line for part in parts for line in part).rstrip("\n") + "\n"
 
 
 def main(check: bool) -> int:
-    """Writes the page, or compares it with the results; returns the exit code."""
+    """Write the page, or with `check` compare it with the results.
+
+    Returns:
+        The exit code: 1 if `check` is set and the page differs from the results, otherwise 0.
+    """
     results, on_sockets = (
         msgspec.json.decode(file.read_bytes(), type=Results) for file in (SCALE_FILE, SOCKETS_FILE)
     )
@@ -638,7 +658,9 @@
 if __name__ == "__main__":
     options = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     options.add_argument(
-        "--check", action="store_true", help="end with 1 where the page is not what the results say"
+        "--check",
+        action="store_true",
+        help="write nothing, and end with exit code 1 if the page differs from the results",
     )
     arguments = options.parse_args()
     sys.exit(main(arguments.check))
