--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -174,8 +174,8 @@
         "",
         "Made by `python -m benchmarks.capacity` from `benchmarks/results/scale.json` "
         f"(`python -m benchmarks.scale`, commit {results.commit}, {duration}; a relay's process by "
-        f"`--role sockets`, commit {index.on_sockets.commit}). Each figure is a measured slope times a count; "
-        "slopes, their range over three runs and how far they are extrapolated stand below. Fleets are "
+        f"`--role sockets`, commit {index.on_sockets.commit}). Each figure is a measured slope times a "
+        "count; slopes, their range over three runs and how far they are extrapolated stand below. Fleets are "
         "hollow: the real modules on a virtual clock and network, nothing but sockets left out; their "
         "processor time is not played but measured by itself. What was not measured says so.",
         "",
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,11 +1,11 @@
-"""A toy installation for one server on loopback: registry, four endpoints, one proxy and a collector.
+"""Example installation for one server on loopback: a registry, four endpoints, a proxy and a collector.
 
-    python -m examples.toy --with-pilot      # starts a server too, at ports of the system (`make try`)
-    python -m examples.toy                   # alone; then in another terminal:
+    python -m examples.toy --with-pilot      # also starts a server; the system chooses all ports (`make try`)
+    python -m examples.toy                   # without a server, which is started in another terminal by:
     python -m ravenshelf serve --config examples/config.json
 
-Every 20 s one endpoint is drained, removed, and comes back; one endpoint is slow. Ctrl-C ends it,
-and the server.
+Every 20 s one endpoint is drained, removed and restarted; one endpoint is always slow. Ctrl-C ends the
+installation and the server that it started.
 """
 
 import argparse
@@ -39,7 +39,7 @@
 
 @dataclass
 class EndpointLoad:
-    """Attempts at an endpoint since the last report; `latency_ms` is the sum over those that succeeded."""
+    """Attempts at an endpoint since the last report; `latency_ms` is the sum of those that succeeded."""
 
     attempts: int = 0
     failed: int = 0
@@ -55,14 +55,19 @@
 
 
 class ToyInstallation:
-    """All that the server talks to."""
+    """Registry, endpoints, proxy and collector with which a server communicates."""
 
-    def __init__(self, server: str, first_port: int, faults_every: float):
-        """`server`: host:port; `first_port`: of the endpoints, 0: chosen by the system; `faults_every`:
-        seconds."""
+    def __init__(self, server: str, first_port: int, fault_interval: float):
+        """Create the proxy and the collector.
+
+        Args:
+            server: Address of the server, as host:port.
+            first_port: Port of the first endpoint; the others follow. 0: the system chooses the ports.
+            fault_interval: Seconds between two faults.
+        """
         self.server = server
         self.first_port = first_port
-        self.faults_every = faults_every
+        self.fault_interval = fault_interval
         self.loads: dict[str, EndpointLoad] = {}
         self.requests = 0
         self.proxy = LoopbackProxy(lambda: self.server, 0, "north", line_callback=_print_message)
@@ -79,20 +84,20 @@
         self.registry = await LoopbackRegistry(entries).start(registry_port)
 
     async def run(self) -> None:
-        """Run the proxy, the collector, the requests and the faults until cancelled."""
+        """Run the proxy, the collector, the requests and the faults until the task is cancelled."""
         await asyncio.gather(
             self.cause_faults(), self.proxy.run(), self.send_requests(), self.collector.run()
         )
 
     async def cause_faults(self) -> None:
-        """Drain, remove and restart a random endpoint every `faults_every` seconds."""
+        """Drain, remove and restart a random endpoint every `fault_interval` seconds."""
         while True:
-            await asyncio.sleep(self.faults_every)
+            await asyncio.sleep(self.fault_interval)
             uid = random.choice(NAMES)
             for state, boot_ms in (("DRAINING", 0), ("DELETED", 0), ("SERVING", time.time() * 1000)):
                 await self.registry.change_endpoint(uid, state, boot_ms)
                 print(f"-- {uid} is now {state}")
-                await asyncio.sleep(self.faults_every / 5)
+                await asyncio.sleep(self.fault_interval / 5)
 
     async def send_request(self, uid: str) -> None:
         """Send a request to an endpoint and count its outcome."""
@@ -111,7 +116,7 @@
             load.failed += 1
 
     async def send_requests(self) -> None:
-        """Send requests as the proxy's table distributes them."""
+        """Send requests to the endpoints in proportion to the weights of the proxy's table."""
         tasks = set()
         while True:
             if lines := self.proxy.active_weights():
@@ -123,7 +128,10 @@
             await asyncio.sleep(1 / REQUESTS_PER_SECOND)
 
     def collect_loads(self) -> dict[str, tuple[int, int, float]]:
-        """Return the load of each endpoint since the last call, and report the proxy's demand."""
+        """Report the proxy's demand, and return the load of each endpoint since the last call.
+
+        The load is (attempts, failed attempts, mean latency in milliseconds).
+        """
         loads = self.loads
         requests = self.requests
         self.loads = {}
@@ -137,69 +145,88 @@
     return load.latency_ms / max(1, load.attempts - load.failed) or 1.0
 
 
-async def _print_log(process: asyncio.subprocess.Process, address: asyncio.Future[str], quiet: bool) -> None:
-    """Print a server's log, and resolve `address` once the server listens."""
+async def _print_log(
+    process: asyncio.subprocess.Process, address: asyncio.Future[str], logs_to_stderr: bool
+) -> None:
+    """Print a server's log, and set the result of `address` once the server listens."""
     assert process.stderr is not None, "the process was started with a pipe"
     while line := (await process.stderr.readline()).decode():
-        print("server:", line.rstrip()[:PRINTED_LOG_LINE], file=sys.stderr if quiet else sys.stdout)
+        print("server:", line.rstrip()[:PRINTED_LOG_LINE], file=sys.stderr if logs_to_stderr else sys.stdout)
         if " serves at " in line and not address.done():
             address.set_result(line.split()[-1])
     if not address.done():
-        address.set_exception(RuntimeError("the server ended before it served"))
+        address.set_exception(RuntimeError("the server ended before it logged its address"))
 
 
 @contextlib.asynccontextmanager
 async def server_process(
-    registry: str, extra: list[str], configuration: dict[str, Any] | None = None, quiet: bool = False
+    registry: str,
+    server_arguments: list[str],
+    configuration: dict[str, Any] | None = None,
+    logs_to_stderr: bool = False,
 ) -> AsyncIterator[str]:
-    """Run a server at a port that the system chooses; gives its address, and ends it at the end of the block.
+    """Run a server during a `with` block, at a port that the system chooses.
+
+    Args:
+        registry: Address of the registry, as host:port.
+        server_arguments: Further arguments of the command `serve`.
+        configuration: Content of the configuration file; None for examples/config.json.
+        logs_to_stderr: Whether the server's log is printed to the standard error, not the standard output.
+
+    Yields:
+        The address of the server.
 
-    `configuration`: instead of the example's; `quiet`: its log goes to the standard error.
+    Raises:
+        RuntimeError: If the server ends before it logs its address.
     """
     document = configuration or json.loads((ROOT / "examples" / "config.json").read_text())
     document = document | {"listen": "127.0.0.1:0", "discovery": registry}
-    with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-        json.dump(document, file)
-        file.flush()
-        # a session of its own, so that Ctrl-C reaches this process alone, which ends the server in good order
+    with tempfile.NamedTemporaryFile("w", suffix=".json") as configuration_file:
+        json.dump(document, configuration_file)
+        configuration_file.flush()
+        # In a session of its own the server does not receive Ctrl-C; this process stops it with SIGTERM.
         process = await start_server(
-            Path(file.name), *extra, output=None, errors=asyncio.subprocess.PIPE, new_session=True
+            Path(configuration_file.name),
+            *server_arguments,
+            output=None,
+            errors=asyncio.subprocess.PIPE,
+            new_session=True,
         )
         address: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-        reading = asyncio.create_task(_print_log(process, address, quiet))
+        log_task = asyncio.create_task(_print_log(process, address, logs_to_stderr))
         try:
             yield await address
         finally:
             if process.returncode is None:
                 process.send_signal(signal.SIGTERM)
             await process.wait()
-            await reading
+            await log_task
 
 
-async def main(with_server: bool, seconds: float, faults_every: float, extra: list[str]) -> None:
-    """Run the toy installation for so many seconds (0: until a signal)."""
-    installation = ToyInstallation(SERVER_ADDRESS, 0 if with_server else FIRST_ENDPOINT_PORT, faults_every)
+async def main(with_server: bool, seconds: float, fault_interval: float, server_arguments: list[str]) -> None:
+    """Run the installation for `seconds`, or until a signal if they are 0."""
+    installation = ToyInstallation(SERVER_ADDRESS, 0 if with_server else FIRST_ENDPOINT_PORT, fault_interval)
     await installation.start(0 if with_server else REGISTRY_PORT)
-    stopped = asyncio.Event()
+    stop_event = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
-        asyncio.get_running_loop().add_signal_handler(number, stopped.set)
+        asyncio.get_running_loop().add_signal_handler(number, stop_event.set)
     async with contextlib.AsyncExitStack() as stack:
         if with_server:
             installation.server = await stack.enter_async_context(
-                server_process(installation.registry.address, extra)
+                server_process(installation.registry.address, server_arguments)
             )
-        running = asyncio.create_task(installation.run())
+        installation_task = asyncio.create_task(installation.run())
         with contextlib.suppress(asyncio.TimeoutError):
-            await asyncio.wait_for(stopped.wait(), seconds or None)
-        running.cancel()
-        await asyncio.gather(running, return_exceptions=True)
-    print("over: the proxy's table was", installation.proxy.active_weights())
+            await asyncio.wait_for(stop_event.wait(), seconds or None)
+        installation_task.cancel()
+        await asyncio.gather(installation_task, return_exceptions=True)
+    print("ended: the proxy's table was", installation.proxy.active_weights())
 
 
 if __name__ == "__main__":
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--with-pilot", action="store_true", help="start a server too")
-    parser.add_argument("--seconds", type=float, default=0, help="end after so long; 0: on Ctrl-C")
+    parser.add_argument("--with-pilot", action="store_true", help="also start a server")
+    parser.add_argument("--seconds", type=float, default=0, help="time until the end; 0: end on Ctrl-C")
     parser.add_argument("--troubles-every", type=float, default=20, help="seconds between drains")
     parser.add_argument("--operator", help="the server's operator file")
     options = parser.parse_args()
--- a/tests/operations/test_server_operations.py
+++ b/tests/operations/test_server_operations.py
@@ -195,4 +195,4 @@
         assert line
     process.send_signal(signal.SIGINT)
     remaining_output = process.stdout.read()
-    assert process.wait(20) == 0 and "over: the proxy's table was {'s-" in remaining_output
+    assert process.wait(20) == 0 and "ended: the proxy's table was {'s-" in remaining_output
--- a/tests/tools/test_check_words.py
+++ b/tests/tools/test_check_words.py
@@ -1,4 +1,4 @@
-"""The check against words of the former house style."""
+"""Test of the check for words of the former house style."""
 
 import pytest
 
@@ -12,7 +12,7 @@
         ("class PilotService: ...", ["pilot"]),
         ('"""Reads octets."""', ["octets"]),
         ("# a stranger", ["stranger"]),
-        ('"""What a pilot does."""', []),  # the operators' word may stand in a sentence
+        ('"""What a pilot does."""', []),  # The operators use this word, so it is allowed in sentences.
         ("co_pilots_chance = heard", ["pilots", "chance", "heard"]),
         ("copilot = 1", []),
         ("class ChannelFlowControl: ...", []),
--- a/tests/tools/test_outer_forms.py
+++ b/tests/tools/test_outer_forms.py
@@ -1,4 +1,4 @@
-"""The sessions that compare two commits: they are repeatable, and they reach what they are meant to reach."""
+"""Tests of the sessions that compare two commits: repeatability, and the behaviour that they cover."""
 
 from pathlib import Path
 
@@ -11,20 +11,20 @@
 
 
 @pytest.mark.parametrize("seed", [0, 3])
-def test_a_simulator_session_of_one_seed_is_the_same_twice(seed):
-    first = SimulatorSession(ROOT, seed).play()
-    assert first == SimulatorSession(ROOT, seed).play()
-    assert first.exit_code == 1
+def test_simulator_sessions_of_the_same_seed_are_equal(seed):
+    first_transcript = SimulatorSession(ROOT, seed).run()
+    assert first_transcript == SimulatorSession(ROOT, seed).run()
+    assert first_transcript.exit_code == 1
 
 
 def test_simulator_sessions_of_different_seeds_differ():
-    assert SimulatorSession(ROOT, 1).play().digest != SimulatorSession(ROOT, 2).play().digest
+    assert SimulatorSession(ROOT, 1).run().digest != SimulatorSession(ROOT, 2).run().digest
 
 
-def test_a_server_session_reaches_tables_changes_and_the_end():
-    transcript = server_session.play(ROOT)
+def test_a_server_session_covers_tables_list_changes_and_the_shutdown():
+    transcript = server_session.run_session(ROOT)
     assert transcript.exit_code == 0
-    assert transcript.stray_stream in (["(end)"], ["(reset)"])
+    assert transcript.unreadable_lines in (["(end)"], ["(reset)"])
     assert all(any("whole=1" in line for line in lines) for lines in transcript.streams.values())
     assert all(lines[0] == "PONG" for lines in transcript.streams.values())
     assert any(" back=s-0" in line for line in transcript.streams[0])
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools for those who work on ravenshelf."""
+"""Tools for the development of ravenshelf."""
--- a/tools/outer_forms/__init__.py
+++ b/tools/outer_forms/__init__.py
@@ -1,1 +1,1 @@
-"""Seeded sessions that speak to ravenshelf only in its outer forms, to compare two commits."""
+"""Comparison of two commits by seeded sessions that use only the external interfaces of ravenshelf."""
--- a/tools/outer_forms/__main__.py
+++ b/tools/outer_forms/__main__.py
@@ -1,8 +1,9 @@
-"""Compare two commits by their outer forms: the simulator's wire and a server on sockets.
+"""Compare two commits by their external interfaces: the simulator's wire and a server on sockets.
 
     python -m tools.outer_forms BASE [HEAD] [--seeds N]
 
-Both commits are played from clean clones with this interpreter. Exit code 0: equal; 1: they differ.
+Both commits run from clean clones with this interpreter. The exit code is 0 if they are equal and 1 if they
+differ.
 """
 
 import argparse
@@ -15,53 +16,56 @@
 from tools.outer_forms.simulator_session import SimulatorSession
 
 
-def clone(commit: str, folder: Path) -> Path:
-    """A clean clone of a commit of the repository in the present folder."""
+def clone_commit(commit: str, folder: Path) -> Path:
+    """Clone the repository in the current folder into `folder`, check out a commit, and return `folder`."""
     subprocess.run(["git", "clone", "-q", ".", str(folder)], check=True)
     subprocess.run(["git", "-C", str(folder), "checkout", "-q", commit], check=True)
     return folder
 
 
 def differing_seeds(base: Path, head: Path, seeds: int) -> list[int]:
-    """The seeds of simulator sessions in which the two checkouts reply differently."""
+    """Return the seeds of the simulator sessions in which the two checkouts reply differently."""
     return [
         seed
         for seed in range(seeds)
-        if SimulatorSession(base, seed).play() != SimulatorSession(head, seed).play()
+        if SimulatorSession(base, seed).run() != SimulatorSession(head, seed).run()
     ]
 
 
 def differences(base: server_session.ServerTranscript, head: server_session.ServerTranscript) -> list[str]:
-    """What differs between two sessions with a server, a line each."""
-    found = []
+    """Return a text for each field in which two sessions with a server differ."""
+    lines = []
     for name in base._fields:
         before = getattr(base, name)
         after = getattr(head, name)
         if before != after:
-            found.append(f"{name}: {before!r}\n    became {after!r}")
-    return found
+            lines.append(f"{name}: {before!r}\n    became {after!r}")
+    return lines
 
 
 def main() -> int:
-    """Play, compare, print; gives the exit code."""
+    """Run the sessions of both commits, print the comparison, and return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("base")
     parser.add_argument("head", nargs="?", default="HEAD")
-    parser.add_argument("--seeds", type=int, default=20, help="sessions on the simulator's wire")
+    parser.add_argument("--seeds", type=int, default=20, help="number of sessions on the simulator's wire")
     options = parser.parse_args()
     commits = [
         subprocess.run(["git", "rev-parse", name], check=True, capture_output=True, text=True).stdout.strip()
         for name in (options.base, options.head)
     ]
     with tempfile.TemporaryDirectory() as folder:
-        base = clone(commits[0], Path(folder) / "base")
-        head = clone(commits[1], Path(folder) / "head")
+        base = clone_commit(commits[0], Path(folder) / "base")
+        head = clone_commit(commits[1], Path(folder) / "head")
         seeds = differing_seeds(base, head, options.seeds)
-        equal = options.seeds - len(seeds)
-        print(f"simulator's wire: {equal} of {options.seeds} sessions equal, differ: {seeds}")
-        sockets = differences(server_session.play(base), server_session.play(head))
-        print("server on sockets: " + ("equal" if not sockets else "\n  ".join(["differs", *sockets])))
-    return 1 if seeds or sockets else 0
+        equal_sessions = options.seeds - len(seeds)
+        print(f"simulator's wire: {equal_sessions} of {options.seeds} sessions equal, differ: {seeds}")
+        server_differences = differences(server_session.run_session(base), server_session.run_session(head))
+        print(
+            "server on sockets: "
+            + ("equal" if not server_differences else "\n  ".join(["differs", *server_differences]))
+        )
+    return 1 if seeds or server_differences else 0
 
 
 if __name__ == "__main__":
--- a/tools/outer_forms/server_session.py
+++ b/tools/outer_forms/server_session.py
@@ -1,7 +1,7 @@
-"""A session with one control-plane server on loopback sockets: a registry, proxies, signals.
+"""Session with one control-plane server on loopback sockets, with a registry, proxies and signals.
 
-Steps wait until the server has nothing more to say, so that what it writes does not depend on how busy the
-machine is: the transcript holds each proxy's lines in order, the requests to the registry, and the exit code.
+Each step waits until the server sends no more, so that the transcript does not depend on the load of the
+machine. It has the lines of each proxy in order, the requests to the registry, and the exit code.
 """
 
 import asyncio
@@ -12,24 +12,24 @@
 from pathlib import Path
 from typing import NamedTuple
 
-QUIET_SECONDS = 0.7  # without a line for so long, the server has said all
-STEP_SECONDS = 20.0  # a step that takes longer has failed
+QUIET_SECONDS = 0.7  # After this time without a line the server is taken to send no more.
+STEP_SECONDS = 20.0  # A step that takes longer has failed.
 ENDPOINTS = 9
 PROXIES = 4
 ZONES = ("north", "south")
 
 
 class ServerTranscript(NamedTuple):
-    """What a server did in the session."""
+    """Lines, requests and exit code of a server in the session."""
 
-    streams: dict[int, list[str]]  # by proxy, in order
-    requests: list[str]  # to the registry: method and path
-    stray_stream: list[str]  # what an unreadable connection was answered, and its end
+    streams: dict[int, list[str]]  # received lines by proxy, in order
+    requests: list[str]  # method and path of each request to the registry, in order
+    unreadable_lines: list[str]  # reply to an unreadable line, and the end of its connection
     exit_code: int
 
 
 class Registry:
-    """Answers list requests, and holds watches open to which it writes changes."""
+    """Endpoint registry that answers list requests and writes changes to open watches."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -39,13 +39,13 @@
         self.address = ""
 
     async def start(self) -> asyncio.Server:
-        """Listen on a free port."""
+        """Listen on a free port of loopback, and set `address` to it."""
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
         return server
 
-    def _target(self, name: str) -> dict:
+    def _make_entry(self, name: str) -> dict:
         number = int(name[2:])
         return {
             "uid": name,
@@ -58,16 +58,16 @@
             "boot_ms": 0,
         }
 
-    def _list(self, names: list[str], complete: bool) -> bytes:
-        targets = [self._target(name) for name in names]
-        return json.dumps({"rev": self.version, "all": complete, "targets": targets}).encode() + b"\n"
+    def _encode_list(self, names: list[str], complete: bool) -> bytes:
+        entries = [self._make_entry(name) for name in names]
+        return json.dumps({"rev": self.version, "all": complete, "targets": entries}).encode() + b"\n"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
         method, path, _ = head.split(b"\r\n")[0].decode().split(" ")
         self.requests.append(f"{method} {path}")
-        present = [name for name, state in self.states.items() if state != "DELETED"]
-        body = self._list(present, complete=True)
+        listed_names = [name for name, state in self.states.items() if state != "DELETED"]
+        body = self._encode_list(listed_names, complete=True)
         if "watch=1" not in path:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
             await writer.drain()
@@ -82,14 +82,14 @@
         writer.write(b"%x\r\n" % len(body) + body + b"\r\n")
 
     def change(self, name: str, state: str) -> None:
-        """Change one endpoint and write it to the watches."""
+        """Change the state of an endpoint, and write the change to all watches."""
         self.version += 1
         self.states[name] = state
         for writer in self.watches:
-            self._write_chunk(writer, self._list([name], complete=False))
+            self._write_chunk(writer, self._encode_list([name], complete=False))
 
     async def keep_watches_alive(self) -> None:
-        """An open watch says something every second."""
+        """Write an empty line to all watches every second, so that the server does not end them."""
         while True:
             await asyncio.sleep(1.0)
             for writer in self.watches:
@@ -97,7 +97,7 @@
 
 
 class Stream:
-    """A proxy's stream: sends lines, keeps what it is sent, and acknowledges marks."""
+    """Connection of a proxy, which records the received lines and acknowledges marks."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -105,7 +105,7 @@
         self.writer: asyncio.StreamWriter | None = None
 
     async def open(self, port: int, *lines: str) -> None:
-        """Connect, trying again until the server listens, and send the first lines."""
+        """Connect, with retries until the server listens, and send the first lines."""
         async with asyncio.timeout(STEP_SECONDS):
             while self.writer is None:
                 try:
@@ -116,16 +116,20 @@
             self.send(line)
 
     def send(self, line: str) -> None:
-        """Write one line."""
+        """Send one line."""
         assert self.writer is not None
         self.writer.write(f"{line}\r\n".encode())
 
     async def read(self, proxy: int | None = None) -> None:
-        """Read until the end of the stream; acknowledge the marks of `proxy`."""
+        """Record lines until the connection ends.
+
+        Args:
+            proxy: Number of the proxy for which marks are acknowledged; None acknowledges none.
+        """
         assert self.reader is not None
         try:
-            while raw := await self.reader.readline():
-                line = raw.decode().rstrip("\r\n")
+            while encoded_line := await self.reader.readline():
+                line = encoded_line.decode().rstrip("\r\n")
                 self.lines.append(line)
                 fields = dict(word.partition("=")[::2] for word in line.split()[1:])
                 if proxy is not None and "ticket" in fields:
@@ -136,7 +140,7 @@
 
 
 def configuration(registry: str, port: int) -> dict:
-    """The configuration file of the server."""
+    """Return the content of the server's configuration file."""
     return {
         "name": "outer-forms",
         "listen": f"127.0.0.1:{port}",
@@ -171,7 +175,7 @@
 
 
 def free_port() -> int:
-    """A port of loopback that nobody listens at now."""
+    """Return a port of loopback on which no process listens now."""
     import socket
 
     with socket.socket() as probe:
@@ -180,50 +184,52 @@
 
 
 class ServerSession:
-    """Plays one session with the program of a checkout."""
+    """Session with the program of a checkout."""
 
     def __init__(self, checkout: Path):
         self.checkout = checkout
         self.port = free_port()
         self.registry = Registry()
         self.streams = [Stream() for _ in range(PROXIES)]
-        self.stray = Stream()
+        self.unreadable_stream = Stream()
         self.tasks: list[asyncio.Task] = []
 
-    async def _quiet(self) -> None:
-        """Wait until no stream has got a line for a while."""
-        before = -1
+    async def _wait_until_quiet(self) -> None:
+        """Wait until no stream receives a line for QUIET_SECONDS."""
+        line_count = -1
         async with asyncio.timeout(STEP_SECONDS):
-            while before != (before := sum(len(stream.lines) for stream in self.streams)):
+            while line_count != (line_count := sum(len(stream.lines) for stream in self.streams)):
                 await asyncio.sleep(QUIET_SECONDS)
 
-    async def play(self) -> ServerTranscript:
-        """Start the server, play all steps, end it with SIGTERM."""
+    async def execute(self) -> ServerTranscript:
+        """Start the server, run all steps, stop it with SIGTERM, and return the transcript."""
         listener = await self.registry.start()
         self.tasks.append(asyncio.create_task(self.registry.keep_watches_alive()))
         with tempfile.TemporaryDirectory() as folder:
-            file = Path(folder) / "server.json"
-            file.write_text(json.dumps(configuration(self.registry.address, self.port)), encoding="utf-8")
+            configuration_file = Path(folder) / "server.json"
+            configuration_file.write_text(
+                json.dumps(configuration(self.registry.address, self.port)), encoding="utf-8"
+            )
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
-                *("-m", "ravenshelf", "serve", "--config", str(file)),
+                *("-m", "ravenshelf", "serve", "--config", str(configuration_file)),
                 cwd=self.checkout,
                 stdout=asyncio.subprocess.DEVNULL,
                 stderr=asyncio.subprocess.DEVNULL,
             )
             try:
-                await self._steps(process)
+                await self._run_steps(process)
             finally:
                 exit_code = await self._stop(process)
         listener.close()
         return ServerTranscript(
             {number: stream.lines for number, stream in enumerate(self.streams)},
             self.registry.requests,
-            self.stray.lines,
+            self.unreadable_stream.lines,
             exit_code,
         )
 
-    async def _steps(self, process: asyncio.subprocess.Process) -> None:
+    async def _run_steps(self, process: asyncio.subprocess.Process) -> None:
         async with asyncio.timeout(STEP_SECONDS):
             while not self.registry.watches:
                 await asyncio.sleep(0.05)
@@ -234,16 +240,18 @@
                 self.port, "PING", f"SUBSCRIBE proxy={number} zone={zone} weight=20 fresh={number % 2}"
             )
             self.tasks.append(asyncio.create_task(stream.read(number)))
-            await self._quiet()
+            await self._wait_until_quiet()
         for name, state in (("s-1", "DRAINING"), ("s-2", "DELETED"), ("s-1", "SERVING"), ("s-4", "DRAINING")):
             self.registry.change(name, state)
-            await self._quiet()
-        self.streams[0].send("RATE proxy=0 class=read tries=x failed=0 span_ms=1000")  # malformed: skipped
+            await self._wait_until_quiet()
+        # The server ignores a malformed line.
+        self.streams[0].send("RATE proxy=0 class=read tries=x failed=0 span_ms=1000")
         self.streams[0].send("PING")
-        await self.stray.open(self.port, "HELLO world")  # unreadable: its connection ends
-        await self.stray.read()
+        # After an unreadable line the server closes the connection.
+        await self.unreadable_stream.open(self.port, "HELLO world")
+        await self.unreadable_stream.read()
         process.send_signal(signal.SIGHUP)
-        await self._quiet()
+        await self._wait_until_quiet()
 
     async def _stop(self, process: asyncio.subprocess.Process) -> int:
         if process.returncode is None:
@@ -256,6 +264,6 @@
         return exit_code
 
 
-def play(checkout: Path) -> ServerTranscript:
-    """Play one session with the program of a checkout."""
-    return asyncio.run(ServerSession(checkout).play())
+def run_session(checkout: Path) -> ServerTranscript:
+    """Run one session with the program of a checkout."""
+    return asyncio.run(ServerSession(checkout).execute())
--- a/tools/readability.py
+++ b/tools/readability.py
@@ -1,6 +1,6 @@
-"""Figures of how the code reads: sizes, names, docstrings, types, and exceptions from the linter.
+"""Counts that show how readable the package is: sizes, names, docstrings, types, and linter exceptions.
 
-python -m tools.readability [FOLDER]    # the root of a checkout; this one where none is given
+python -m tools.readability [FOLDER]    # the root of a checkout; by default this one
 """
 
 import ast
@@ -16,7 +16,7 @@
 
 
 class Figures(NamedTuple):
-    """The counted figures of a checkout's package."""
+    """Counts of the package in a checkout."""
 
     largest_module: str
     longest_function: str
@@ -29,72 +29,77 @@
     modules_not_type_checked: int
 
 
-def trees(root: Path) -> Iterator[tuple[Path, str, ast.Module]]:
-    """Path, text and syntax tree of every module of the package."""
+def syntax_trees(root: Path) -> Iterator[tuple[Path, str, ast.Module]]:
+    """Yield the path, text and syntax tree of each module of the package."""
     for path in sorted((root / "ravenshelf").rglob("*.py")):
         text = path.read_text(encoding="utf-8")
         yield path.relative_to(root), text, ast.parse(text)
 
 
-def untyped(function: Function) -> int:
-    """How many arguments of a function have no annotation."""
+def count_untyped_arguments(function: Function) -> int:
+    """Return the number of a function's arguments without an annotation, except self and cls."""
     arguments = function.args
-    named = [*arguments.posonlyargs, *arguments.args, *arguments.kwonlyargs]
-    return sum(one.annotation is None and one.arg not in ("self", "cls") for one in named)
+    all_arguments = [*arguments.posonlyargs, *arguments.args, *arguments.kwonlyargs]
+    return sum(
+        argument.annotation is None and argument.arg not in ("self", "cls") for argument in all_arguments
+    )
 
 
-def one_letter_targets(node: ast.AST) -> int:
-    """How many one-letter names an assignment or loop outside comprehensions binds."""
+def count_one_letter_targets(node: ast.AST) -> int:
+    """Return the number of one-letter names that an assignment or a loop binds, except comprehensions."""
     targets = []
     if isinstance(node, ast.Assign):
         targets = node.targets
     elif isinstance(node, ast.For | ast.AsyncFor | ast.NamedExpr):
         targets = [node.target]
-    names = [one for target in targets for one in ast.walk(target) if isinstance(one, ast.Name)]
-    return sum(len(one.id) == 1 and one.id != "_" for one in names)
+    names = [child for target in targets for child in ast.walk(target) if isinstance(child, ast.Name)]
+    return sum(len(name.id) == 1 and name.id != "_" for name in names)
+
 
+def count_linter_exceptions(root: Path) -> tuple[int, int]:
+    """Return the number of rules excepted for files, and of modules that are not type-checked.
 
-def linter_exceptions(root: Path) -> tuple[int, int]:
-    """Rules excepted by file in pyproject.toml, and modules that the type checker passes over."""
+    Both are read from pyproject.toml; rules excepted for the tests are not counted.
+    """
     project = tomllib.loads((root / "pyproject.toml").read_text(encoding="utf-8"))["tool"]
     ignores = project.get("ruff", {}).get("lint", {}).get("per-file-ignores", {})
     rules = sum(len(codes) for file, codes in ignores.items() if file != "tests/**")
     overrides = project.get("mypy", {}).get("overrides", [])
-    modules = sum(len(one["module"]) for one in overrides if one.get("ignore_errors"))
+    modules = sum(len(override["module"]) for override in overrides if override.get("ignore_errors"))
     return rules, modules
 
 
 def measure(root: Path) -> Figures:
-    """Count a checkout."""
+    """Count the package of a checkout."""
     modules: list[tuple[int, str]] = []
     functions: list[tuple[int, str]] = []
-    letters = public = undocumented = arguments = 0
-    for path, text, tree in trees(root):
+    one_letter_names = public_count = without_docstring = arguments = 0
+    for path, text, tree in syntax_trees(root):
         modules.append((len(text.splitlines()), str(path)))
         for node in ast.walk(tree):
-            letters += one_letter_targets(node)
+            one_letter_names += count_one_letter_targets(node)
             if isinstance(node, Function):
                 functions.append(((node.end_lineno or 0) - node.lineno + 1, f"{path}:{node.name}"))
-                arguments += untyped(node)
+                arguments += count_untyped_arguments(node)
             if isinstance(node, Function | ast.ClassDef) and not node.name.startswith("_"):
-                public += 1
-                undocumented += ast.get_docstring(node) is None
-    rules, unchecked = linter_exceptions(root)
+                public_count += 1
+                without_docstring += ast.get_docstring(node) is None
+    rules, unchecked_modules = count_linter_exceptions(root)
     return Figures(
         largest_module="{1}, {0} lines".format(*max(modules)),
         longest_function="{1}, {0} lines".format(*max(functions)),
         functions_over_40_lines=sum(lines > LONG_FUNCTION for lines, _ in functions),
-        one_letter_assignments=letters,
-        public_items=public,
-        public_items_without_docstring=undocumented,
+        one_letter_assignments=one_letter_names,
+        public_items=public_count,
+        public_items_without_docstring=without_docstring,
         untyped_arguments=arguments,
         linter_exceptions=rules,
-        modules_not_type_checked=unchecked,
+        modules_not_type_checked=unchecked_modules,
     )
 
 
 def main(arguments: list[str]) -> int:
-    """Print the figures, one a line."""
+    """Print the counts, one on each line, and return the exit code 0."""
     root = Path(arguments[0]) if arguments else Path(__file__).resolve().parent.parent
     for name, value in measure(root)._asdict().items():
         print(f"{re.sub('_', ' ', name)}: {value}")
--- a/tools/write_distribution_fixtures.py
+++ b/tools/write_distribution_fixtures.py
@@ -1,8 +1,8 @@
-"""Writes tests/fixtures/distribution/messages.json: encoded samples of every distribution message.
+"""Writer of tests/fixtures/distribution/messages.json, with encoded samples of all distribution messages.
 
-The samples are built with positional arguments, so that renamed fields do not change them. Run it only when a
-new message type is added; the bytes of existing samples must never change, for other versions of the program
-read them.
+The samples are built with positional arguments, so that renamed fields do not change them. The script is run
+only when a message type is added. The bytes of existing samples must never change, because other versions of
+the program read them.
 
     python tools/write_distribution_fixtures.py
 """
@@ -20,8 +20,8 @@
 
 
 def samples() -> dict[str, m.Message]:
-    """One or more samples of each message type, by name."""
-    version, later = m.Version(3, 17), m.Version(4, 1)
+    """Return one or more samples of each message type, by name."""
+    version, later_version = m.Version(3, 17), m.Version(4, 1)
     annotations = m.ZoneLoadReport.__annotations__
     endpoint_load = annotations["endpoints"].__args__[1]
     group_load = annotations["groups"].__args__[1]
@@ -30,7 +30,7 @@
         "subscribe_new": m.Subscribe("checkout@0", m.NEVER),
         "subscribe_known": m.Subscribe("checkout@", version),
         "unsubscribe": m.Unsubscribe("checkout@2"),
-        "snapshot_empty": m.Snapshot("checkout@1", later, 0, 1, {}),
+        "snapshot_empty": m.Snapshot("checkout@1", later_version, 0, 1, {}),
         "snapshot_entries": m.Snapshot(
             "checkout@",
             version,
@@ -45,8 +45,10 @@
                 "c:limit": m.Setting("30"),
             },
         ),
-        "delta": m.Delta("checkout@0", version, later, {"t:s-17": m.TableLine(500.0), "t:s-18": None}),
-        "delta_empty": m.Delta("published/7", m.NEVER, later, {}),
+        "delta": m.Delta(
+            "checkout@0", version, later_version, {"t:s-17": m.TableLine(500.0), "t:s-18": None}
+        ),
+        "delta_empty": m.Delta("published/7", m.NEVER, later_version, {}),
         "heartbeat_zero": m.Heartbeat(0),
         "heartbeat_largest": m.Heartbeat(2**64 - 1),
         "resync": m.Resync({"checkout@": version, "checkout@0": m.NEVER}),
@@ -66,7 +68,7 @@
 
 
 def main() -> None:
-    """Writes the fixtures."""
+    """Write the samples to FIXTURES, encoded as hexadecimal text."""
     FIXTURES.parent.mkdir(parents=True, exist_ok=True)
     encoded = {name: m.encode(message).hex() for name, message in samples().items()}
     FIXTURES.write_text(json.dumps(encoded, indent=1) + "\n", encoding="utf-8")
