--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -58,12 +58,12 @@
         "operators",
     ),
     Assumption(
-        f"{REGIONS} regions; 64 zones in all, so two to three a region (their sentence may also mean 64 a "
-        "region: asked)",
+        f"{REGIONS} regions; 64 zones in all, so two to three a region (the operators may also mean 64 a "
+        "region; they have been asked)",
         "ours",
     ),
     Assumption(
-        f"{CHANGES_PER_DAY:,} changes of configuration a day, each of one service, in force everywhere "
+        f"{CHANGES_PER_DAY:,} changes of configuration a day, each of one service, applied by all pilots "
         "within 4 s",
         "operators",
     ),
@@ -82,10 +82,12 @@
         f"holds {LINES_PER_DELTA} lines",
         "ours",
     ),
-    Assumption(f"{PROXIES_PER_SERVER} proxies a pilot where it decides for itself", "ours"),
-    Assumption("a pilot reports each service it calls once a second, with ten endpoints met", "ours"),
-    Assumption("a machine for control has 10 cores and 24 GB, as the one measured on", "ours"),
-    Assumption(f"a process that serves nothing takes {IDLE_PROCESS_MB:.0f} MB (`docs/results.md`)", "ours"),
+    Assumption(f"{PROXIES_PER_SERVER} proxies of a pilot that decides without the distribution", "ours"),
+    Assumption(
+        "a pilot reports each service that it calls once a second, with the load of ten endpoints", "ours"
+    ),
+    Assumption("a machine for control has 10 cores and 24 GB, like the machine of the measurements", "ours"),
+    Assumption(f"an idle process uses {IDLE_PROCESS_MB:.0f} MB (`docs/results.md`)", "ours"),
 ]
 
 
@@ -167,22 +169,23 @@
     duration = (
         f"{results.wall_seconds / 60:.0f} minutes"
         if results.wall_seconds
-        else "ended before it was through: what it has is here"
+        else "ended before it was complete; this page has the results until then"
     )
     return [
-        "# Capacity at the size that is coming",
+        "# Capacity at the planned size",
         "",
-        "Made by `python -m benchmarks.capacity` from `benchmarks/results/scale.json` "
-        f"(`python -m benchmarks.scale`, commit {results.commit}, {duration}; a relay's process by "
-        f"`--role sockets`, commit {index.on_sockets.commit}). Each figure is a measured slope times a "
-        "count; slopes, their range over three runs and how far they are extrapolated stand below. Fleets are "
-        "hollow: the real modules on a virtual clock and network, nothing but sockets left out; their "
-        "processor time is not played but measured by itself. What was not measured says so.",
+        "Written by `python -m benchmarks.capacity` from `benchmarks/results/scale.json` "
+        f"(`python -m benchmarks.scale`, commit {results.commit}, {duration}; the process of a relay by "
+        f"`--role sockets`, commit {index.on_sockets.commit}). A pilot is a control-plane server. Each "
+        "figure is a measured slope times a count; the section on slopes has the slopes, their range over "
+        "three runs and how far they are extrapolated. Fleets are simulated: the real modules run on a "
+        "virtual clock and network, without sockets; their processor time is not simulated but measured for "
+        "each role. Where something was not measured, the page says so.",
         "",
         "## Assumptions",
         "",
         *_table(
-            ["assumption", "whose"], [[assumption.text, assumption.source] for assumption in ASSUMPTIONS]
+            ["assumption", "stated by"], [[assumption.text, assumption.source] for assumption in ASSUMPTIONS]
         ),
     ]
 
@@ -203,38 +206,43 @@
     changes = (CHANGES_PER_DAY + RESTARTS_PER_DAY + FAILURES_PER_DAY) / SECONDS_PER_DAY
     rows = [
         ["memory", f"{memory:.0f} MB", f"{MEMORY_BUDGET_MB:.0f} MB", _verdict(memory, MEMORY_BUDGET_MB)],
-        ["processor, calm", f"{core:.2f} of a core", f"{CORE_BUDGET:.3f}", _verdict(core, CORE_BUDGET)],
         [
-            f"search of spill over {ZONES} zones that lack capacity, each 2.5 s",
+            "processor, without changes",
+            f"{core:.2f} of a core",
+            f"{CORE_BUDGET:.3f}",
+            _verdict(core, CORE_BUDGET),
+        ],
+        [
+            f"search for spill shares over {ZONES} zones that lack capacity, every 2.5 s",
             f"{solve:.2f} of a core",
             f"{CORE_BUDGET:.3f}",
             _verdict(solve, CORE_BUDGET),
         ],
         [
-            "one whole list",
+            "one complete list",
             f"{list_bytes / 1e6:.1f} MB, {index.value_at('list CPU', ENDPOINTS):.2f} s of a core",
             "-",
             "at each start, and after each gap",
         ],
         [
-            "the list's changes",
+            "changes of the list",
             f"{changes:.2f} a second, {changes * list_bytes / ENDPOINTS:.0f} bytes a second",
             f"{BYTES_BUDGET:.0f}",
             _verdict(changes * list_bytes / ENDPOINTS, BYTES_BUDGET),
         ],
         [
-            "sums of all endpoints",
+            "reports of all endpoints",
             f"{ENDPOINTS * index.by_name['report bytes'].slope:,.0f} bytes a second",
             f"{BYTES_BUDGET:.0f}",
             _verdict(ENDPOINTS * index.by_name["report bytes"].slope, BYTES_BUDGET),
         ],
     ]
     return [
-        "## A pilot as it is: it lists all, hears of all, solves for all",
+        "## A pilot without the distribution, with all endpoints, reports and zones",
         "",
         *_table(["what", f"at {ENDPOINTS:,} endpoints", "budget", "verdict"], rows),
-        "So the first thing that is missing is that a pilot need know only what its proxies call, and that "
-        "a service is decided once. The mechanism is "
+        "So a pilot must receive only what its proxies call, and each service must be decided once. The "
+        "mechanism for that is "
         "`ravenshelf/distribution` (`design/distribution.md`); the figures below are with it.",
         "",
     ]
@@ -258,9 +266,10 @@
     return [
         "pilot",
         f"{2 * SERVICES_PER_SERVER} topics of {SERVICES_PER_SERVER} services: {memory:.0f} MB",
-        f"in: {received_bytes:.0f} bytes a second (heartbeats, tables); out: {reported_bytes:.0f} of sums",
+        f"in: {received_bytes:.0f} bytes a second (heartbeats, tables); out: {reported_bytes:.0f} of reports",
         f"{core:.5f} of a core",
-        f"{_range(index.largest_fleets('zone_returns'), 'zone_bytes', 0)} bytes a second in (a zone returns)",
+        f"{_range(index.largest_fleets('zone_returns'), 'zone_bytes', 0)} bytes a second in "
+        "(the endpoints of a zone restart)",
         _verdict(worst_ratio, 1.0),
         "subscriptions, deltas",
     ]
@@ -276,13 +285,13 @@
     memory = IDLE_PROCESS_MB + services * index.by_name["planner memory"].slope / 1e6
     return [
         "controller that decides",
-        f"{services:.0f} services each of {CONTROLLERS}: {memory:.0f} MB",
+        f"{services:.0f} services for each of {CONTROLLERS}: {memory:.0f} MB",
         f"out: {_range(index.largest_fleets('changes'), 'owner_messages_a_change', 0)} messages a change",
         f"{planner:.2f} of a core",
         f"{_range(index.largest_fleets('zone_returns'), 'owner_bytes_out', 0)} bytes a second out, "
-        "the busiest",
+        "of the busiest",
         _verdict(planner, CORES_PER_MACHINE),
-        "one planner a service (KurmaCost)",
+        "one planner for each service (KurmaCost)",
     ]
 
 
@@ -305,11 +314,11 @@
     return [
         "relay (a process, measured on sockets)",
         f"{children:.0f} pilots each, {relays} in all, {relays_per_machine:.0f} a machine: "
-        f"{memory:.0f} MB each at the most",
+        f"{memory:.0f} MB each at most",
         f"out: {deltas:.0f} deltas and {children:.0f} heartbeats a second",
         f"{core:.3f} of a core each, {core * relays_per_machine:.2f} a machine",
         f"{_range(index.largest_fleets('zone_returns'), 'relay_bytes_out', 0)} bytes a second out, "
-        "the busiest",
+        "of the busiest",
         _verdict(core * relays_per_machine, CORES_PER_MACHINE),
         "tree with bounded fan-out",
     ]
@@ -322,11 +331,11 @@
     relays_per_machine = sum(len(level.names) for level in tree) / CONTROLLERS
     core = index.value_at("aggregation CPU", reports)
     return [
-        "collector of sums (in the relays)",
+        "collector of reports (in the relays)",
         "a window of a second",
         f"in: {reports:.0f} reports a second at each relay",
         f"{core:.3f} of a core each, {core * relays_per_machine:.2f} a machine",
-        "as on any day: sums come by time",
+        "as on an ordinary day, as reports are sent at intervals",
         _verdict(core * relays_per_machine, CORES_PER_MACHINE),
         "aggregation at each hop",
     ]
@@ -338,17 +347,17 @@
         [
             "discovery",
             f"{ENDPOINTS:,} endpoints",
-            f"{CONTROLLERS} readers in place of {PILOTS:,}; a whole list is {list_bytes:.1f} MB",
-            "not measured: it is not ours",
-            f"{CONTROLLERS * list_bytes:.0f} MB where all read it again",
+            f"{CONTROLLERS} readers instead of {PILOTS:,}; a complete list is {list_bytes:.1f} MB",
+            "not measured, as it is no part of this program",
+            f"{CONTROLLERS * list_bytes:.0f} MB if all controllers read it again",
             "-",
-            "*missing*: owners reading their services' part alone (the registry client)",
+            "*missing*: owners that read only the endpoints of their services (the registry client)",
         ],
         [
             "store",
             "records of leases and epochs",
             f"a group of 64 records: {1000 * index.value_at('record time', 64):.1f} ms on this disk",
-            "not measured apart",
+            "not measured separately",
             "not measured",
             "-",
             "`leadership/`, `store/`",
@@ -378,7 +387,8 @@
         "## Each role with the distribution",
         "",
         *_table(headings, rows),
-        "An ordinary day, and the worst of the minutes below. A machine for control is taken to have "
+        "The figures are those of an ordinary day, and of the worst of the minutes below. A machine for "
+        "control is assumed to have "
         f"{CORES_PER_MACHINE:.0f} cores.",
         "",
     ]
@@ -400,14 +410,15 @@
 
 DAY_PARTS = [
     DayPart(
-        "a zone returns: each service's list and tables change in three beats",
+        "the endpoints of a zone restart: the list and tables of each service change in three solve "
+        "intervals",
         "zone_returns",
         "zone_p99",
         "",
         "zone_bytes",
     ),
     DayPart(
-        "a configuration change for all: every service at once",
+        "a configuration change of all services at once",
         "change_for_all",
         "all_p99",
         "all_last",
@@ -415,17 +426,21 @@
     ),
     DayPart("mass restart: 2,800 pilots an hour", "mass_restart", "", "", "restart_bytes"),
     DayPart(
-        "a region parted, an hour's changes, healed (from the heal)", "region_parted", "", "parted_last", ""
+        "a region partitioned during the changes of an hour (from the end of the partition)",
+        "region_parted",
+        "",
+        "parted_last",
+        "",
     ),
     DayPart(
-        "all relays next to the owners dead for 5 s, services changing (from the change)",
+        "all relays next to the owners stopped for 5 s, with changes of services (from the change)",
         "level_killed",
         "killed_p99",
         "killed_last",
         "",
     ),
     DayPart("one change of one service", "changes", "change_p99", "change_last", ""),
-    DayPart("nothing", "calm", "", "", "calm_bytes"),
+    DayPart("no change", "calm", "", "", "calm_bytes"),
 ]
 
 
@@ -444,18 +459,18 @@
         *_table(
             [
                 "what",
-                "hollow pilots",
+                "simulated pilots",
                 "runs",
-                "99 in 100 subscriptions",
-                "the last one",
+                "99 of 100 subscriptions",
+                "the last subscription",
                 "bytes a second and pilot",
             ],
             rows,
         ),
-        "Each at the largest fleet that played it; least and most of the runs. The aim is 4 s, the budget "
-        "7,000 bytes. In the part with the dead relays a pilot has no way round them: the five seconds until "
-        "they are back count in full. "
-        f"Subscriptions that lacked something at the end of a part: {behind} at the most.",
+        "Each row is of the largest fleet that simulated it, with the least and the greatest value of the "
+        "runs. The aim is 4 s, the budget 7,000 bytes. While all relays of a level are stopped, a pilot has "
+        "no other path: the five seconds until they run again count in full. "
+        f"Subscriptions that lacked an update at the end of a part: {behind} at most.",
         "",
     ]
 
@@ -506,7 +521,7 @@
         for baseline in baselines
     ]
     return [
-        "## Growth of hollow fleets",
+        "## Growth of simulated fleets",
         "",
         *_table(
             [
@@ -517,15 +532,15 @@
                 "all p99 s",
                 "zone p99 s",
                 "zone bytes",
-                "calm bytes",
-                "owner's messages a change",
-                "MB of the play",
-                "seconds of the play",
+                "bytes without changes",
+                "owner's messages for a change",
+                "MB of the simulation",
+                "seconds of the simulation",
             ],
             rows,
         ),
-        "Against everybody watching all, the same run and changes (every service once in ten seconds); "
-        "bytes a second:",
+        "Pilots that watch all services compared with subscriptions, with the same changes (each service "
+        "once in ten seconds), in bytes a second:",
         "",
         *_table(
             [
@@ -556,8 +571,8 @@
         "## Checked",
         "",
         f"{schedules.played:,} seeded schedules of faults, {len(schedules.broken)} with a violation. "
-        f"Deliberate breaks seen: {detections}. "
-        f"A hollow pilot against a real process, the same bytes: {agreement.agrees} ({cases}).",
+        f"Deliberate breaks that were detected: {detections}. "
+        f"A simulated pilot and a real process send the same bytes: {agreement.agrees} ({cases}).",
         "",
     ]
 
@@ -583,11 +598,24 @@
     return [
         "## Slopes",
         "",
-        "Line by least squares over the mean of the runs; range: least and most of the runs' own slopes. "
-        f"From an exponent of {POWER_LAW_EXPONENT} on the page extrapolates by the power law. "
-        "Far: the count used over the largest measured; under 1 it lies within.",
+        "The slope is that of the least-squares line through the means of the runs, the range that of the "
+        "slopes of single runs. "
+        f"From an exponent of {POWER_LAW_EXPONENT} on, the page extrapolates by the power law. "
+        'The column "used / measured" has the count that the page uses divided by the largest measured one.',
         "",
-        *_table(["measurement", "unit for each", "sizes", "slope", "range", "exponent", "far", "held"], rows),
+        *_table(
+            [
+                "measurement",
+                "unit for each",
+                "sizes",
+                "slope",
+                "range",
+                "exponent",
+                "used / measured",
+                "constant",
+            ],
+            rows,
+        ),
     ]
 
 
@@ -610,15 +638,15 @@
     return [
         "## Not measured, and missing",
         "",
-        "- Sockets of controllers, and the network's own framing: not in these figures; a relay's process "
-        "is measured on loopback.",
-        "- Memory of a pilot's process with `[distribution]` on: taken as that of an idle one and its "
-        "topics; a relay's process, with the same modules, takes 42 MB.",
-        "- 20,000 routes, 900,000 tenants and 2 ms added to a request: belong to the forwarder, which is "
-        "not built.",
-        "- 3.4 million requests a second: sums carry counts, so nothing here grows with them.",
-        "- *Missing*: services' endpoints from discovery or a registry (the registry client); several "
-        "services at one pilot; a way round a whole level of dead relays.",
+        "- Sockets of controllers and the framing of the network are not in these figures; the process of a "
+        "relay is measured on loopback.",
+        "- The memory of a pilot's process with `[distribution]` is calculated from that of an idle process "
+        "and of its topics; the process of a relay, with the same modules, uses 42 MB.",
+        "- 20,000 routes, 900,000 tenants and 2 ms added to a request concern the forwarder, which does not "
+        "exist yet.",
+        "- No figure grows with the 3.4 million requests a second, as reports have counts of requests.",
+        "- *Missing*: endpoints by service from discovery or a registry (the registry client); several "
+        "services at one pilot; a path around a whole level of stopped relays.",
         "",
     ]
 
