--- a/ravenshelf/graphite/spool.py
+++ b/ravenshelf/graphite/spool.py
@@ -109,6 +109,7 @@
 
     def _run(self, operation: Callable[[], Outcome], on_done: Callable[[Outcome | Exception], None]) -> None:
         def run() -> None:
+            """Run the operation on the worker thread and pass its result to the event loop."""
             outcome = _result_or_error(operation)
             self.call_on_loop(lambda: on_done(outcome))
 
--- a/ravenshelf/leadership/admin.py
+++ b/ravenshelf/leadership/admin.py
@@ -94,6 +94,7 @@
     """
 
     async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Read one JSON request, write the reply as one line and close the connection."""
         try:
             line = await asyncio.wait_for(reader.readline(), REQUEST_TIMEOUT_S)
             request = json.loads(line)
--- a/ravenshelf/leadership/lease_filter.py
+++ b/ravenshelf/leadership/lease_filter.py
@@ -266,6 +266,7 @@
         now = self.clock()
 
         def is_permitted(command: WaitingCommand) -> bool:
+            """Return whether the member's lease permits a command now; some commands only as repeats."""
             permission = self.member.permission(now, shard, command.seq)
             if permission is Permission.REPEAT_ONLY:
                 return command.requirements.is_met_by(held_shard.gate.record)
--- a/ravenshelf/output.py
+++ b/ravenshelf/output.py
@@ -43,6 +43,7 @@
     """Return the lines of a Markdown table; a pipe character in a cell is escaped."""
 
     def table_row(cells: Sequence[object]) -> str:
+        """Return one line of the table with its pipe characters escaped."""
         return "| " + " | ".join(str(cell).replace("|", "\\|") for cell in cells) + " |"
 
     return [table_row(headings), table_row(["---"] * len(headings)), *map(table_row, rows)]
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -379,6 +379,7 @@
     server.optional_features = operations
 
     def apply_operator(new_operator: "OperatorConfiguration") -> None:
+        """Apply a reloaded operator file to the log format and the optional features."""
         if log is not None:
             log.line_format = new_operator.log.format
         operations.reload(
--- a/ravenshelf/process/operations/metrics_export.py
+++ b/ravenshelf/process/operations/metrics_export.py
@@ -124,6 +124,7 @@
         time = interval_boundary(now, self.table.every_s)
 
         def export(importance: int, points: list[Point]) -> None:
+            """Export points of one importance at the boundary of the interval that has ended."""
             if self.service is not None:
                 self.service.export(time, importance, points)
 
--- a/ravenshelf/process/outgoing_calls.py
+++ b/ravenshelf/process/outgoing_calls.py
@@ -62,6 +62,7 @@
         """
 
         def handle_end(call: HttpCall) -> None:
+            """Cancel the timeout and release the slot before the caller learns that the call has ended."""
             self.timers.cancel(CallTimeout(call))
             self.slots.release(call.slot)
             on_end(call)
--- a/ravenshelf/process/relay.py
+++ b/ravenshelf/process/relay.py
@@ -117,6 +117,7 @@
     printed_versions: list[Version] = []
 
     def print_topic(topic: Topic) -> None:
+        """Print a topic as one JSON line and set the event after `count` topics."""
         print(topic_as_json(topic), flush=True)
         printed_versions.append(topic.version)
         if count and len(printed_versions) >= count:
--- a/ravenshelf/process/serving.py
+++ b/ravenshelf/process/serving.py
@@ -61,6 +61,7 @@
             return report_error(error)
 
         def read_operator_file() -> reading.OperatorConfiguration:
+            """Read the operator file again at a reload."""
             return reading.read(file)
 
         read_operator = read_operator_file
--- a/ravenshelf/store/committer.py
+++ b/ravenshelf/store/committer.py
@@ -82,6 +82,7 @@
 
     def _report_result(self, batch: list[Commit], error: Exception | None) -> None:
         def call_callbacks() -> None:
+            """Report the result of the batch to each commit, on the event loop."""
             for commit in batch:
                 commit.callback(error)
 
--- a/tools/check_words.py
+++ b/tools/check_words.py
@@ -97,7 +97,7 @@
 
 
 def words_of_name(name: str) -> list[str]:
-    """The words of an identifier in snake case or camel case."""
+    """Return the words of an identifier in snake case or camel case."""
     words = [word.lower() for word in re.findall(r"[A-Z]?[a-z]+|[A-Z]+(?![a-z])", name)]
     return [
         word
