--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -306,9 +306,10 @@
 
 
 class Baseline(msgspec.Struct):
-    """Bytes per second of one server and of all its sources together, under the same changes.
+    """Bytes per second that one server receives, and that all relays to which servers connect send together.
 
-    `watched` is for servers that watch all services, `subscribed` for servers that subscribe to some.
+    The `watched` values are those of servers that watch all services, the `subscribed` values those of
+    servers that subscribe to some.
     """
 
     pilots: int
--- a/ravenshelf/collectd/protocol.py
+++ b/ravenshelf/collectd/protocol.py
@@ -28,7 +28,7 @@
 
 MAX_PACKET_BYTES = 65535
 MAX_TEXT_BYTES = 128  # including the terminating zero byte
-MAX_VALUES = 64  # per value list
+MAX_VALUES = 64  # A list with more values is malformed.
 NUMBER_BYTES = 8
 VALUE_BYTES = 9  # one byte for the kind, eight for the number
 COUNT_BYTES = 2
--- a/ravenshelf/distribution/decisions/client.py
+++ b/ravenshelf/distribution/decisions/client.py
@@ -125,7 +125,7 @@
         return self.parents[self.parent_index]
 
     def subscribe(self, topic: str) -> list[Action]:
-        """Subscribe to a topic, from its present version on; ignored if already subscribed."""
+        """Subscribe to the updates of a topic that follow the local version, unless already subscribed."""
         if topic in self.held_versions:
             return []
         state = self.topics.setdefault(topic, Topic(topic))
--- a/ravenshelf/distribution/decisions/distributor.py
+++ b/ravenshelf/distribution/decisions/distributor.py
@@ -52,7 +52,7 @@
 
 @dataclass
 class _EncodedUpdates:
-    """Updates that lead to `version` of a topic, by the version that a subscriber holds."""
+    """Encoded updates of a topic to `version`; the key is the version that a subscriber has at present."""
 
     version: Version
     updates: dict[Version, list[EncodedMessage]] = field(default_factory=dict)
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -1,8 +1,9 @@
 """The tables of one service, decided once for all servers.
 
-The controller that each server runs without the distribution (`policy.Controller`, KurmaCost) runs here with
-one proxy for each zone, which represents all proxies of that zone; the load reports of these proxies come up
-the tree. The controller's commands are recorded as entries of the zone's topic.
+A server that doesn't use the distribution runs `policy.Controller`, with KurmaCost as its spill solver, for
+its own proxies. Here the same controller runs for all servers. It has one proxy for each zone, which
+represents all proxies of that zone; their load reports arrive as sums through the tree of relays. The
+controller's commands are recorded as entries of the zone's topic.
 """
 
 from collections.abc import Mapping
--- a/ravenshelf/distribution/decisions/topics.py
+++ b/ravenshelf/distribution/decisions/topics.py
@@ -6,7 +6,8 @@
 
 from ravenshelf.distribution.messages import NEVER, Changes, Delta, Entry, Snapshot, Version
 
-# These are some 5 KB, so that a subscriber that reads 7 KB/s still receives a message each second.
+# Number of entries in one message of a snapshot. They take about 5 KB, so a subscriber that reads only 7 KB/s
+# still receives a message each second.
 SNAPSHOT_PART_ENTRIES = 128
 MIN_HISTORY_CHANGES = 16  # The history of a topic with few entries may be larger than its snapshot.
 
--- a/ravenshelf/graphite/points.py
+++ b/ravenshelf/graphite/points.py
@@ -19,7 +19,8 @@
 from ravenshelf.settings import TrafficGroup
 
 ENDPOINTS_PER_SLICE = 64
-SHORTEST_INTERVAL_S = 1e-3  # lower bound of the divisor of rates
+# Rates are counts divided by the length of the interval; a shorter interval counts as this long.
+SHORTEST_INTERVAL_S = 1e-3
 MILLISECOND = 1000  # microseconds
 
 Point = tuple[str, float]
--- a/ravenshelf/leadership/decisions/balancer.py
+++ b/ravenshelf/leadership/decisions/balancer.py
@@ -34,7 +34,7 @@
         self.local_member = local_member
         self.configuration = configuration
         self.successors: dict[int, Successor] = {}
-        # by shard: since when this member has seen no holder, microseconds
+        # For each shard without a holder: since when this member has seen none, in microseconds.
         self.unheld_since: dict[int, int] = {}
         self._voter = voter
         self._leases = leases
--- a/ravenshelf/leadership/decisions/lease_holder.py
+++ b/ravenshelf/leadership/decisions/lease_holder.py
@@ -301,11 +301,11 @@
         return claim.valid_until if claim.state is LeaseState.HELD else None
 
     def _on_superseded_terms(self, now: int, rejected_terms: Iterable[SupersededTerm]) -> None:
-        """Schedule a request in a later term for leases that a voter rejected.
+        """Schedule new lease requests after a voter has rejected the terms of held leases.
 
-        The voter has promised a later term than that of the lease. One voter alone doesn't end the lease,
-        since a quorum decides, but this voter no longer renews it. The request in a still later term, sent
-        after one to two lease lengths, lets the voter grant and renew the lease again.
+        The voter has promised a later term, so it no longer renews the lease. This doesn't end the lease,
+        because a quorum of the other voters can still renew it. After one to two lease lengths, the lease is
+        requested in a term later than the promised one, so that this voter grants and renews it again.
         """
         for shard, term, promised_term in rejected_terms:
             claim = self.claims[shard]
--- a/ravenshelf/leadership/decisions/voter.py
+++ b/ravenshelf/leadership/decisions/voter.py
@@ -22,7 +22,7 @@
 )
 from ravenshelf.leadership.decisions.output import LeaseOutput, PackedRecord
 
-# by shard: the promised term, the term and the number of the accepted record, and the record itself
+# For each shard: the promised term, the term and the number of the accepted record, and the record itself.
 StoredVotes: TypeAlias = Mapping[int, tuple[int, int, int, PackedRecord]]
 
 
--- a/ravenshelf/leadership/persistence.py
+++ b/ravenshelf/leadership/persistence.py
@@ -57,7 +57,7 @@
         self._committer = committer
         self._deliver = deliver
         self._commit_ended = commit_ended
-        # by key, because only the last of several values of a shard has to be stored
+        # The values are kept by key, because only the last of several values of a shard has to be stored.
         self._changes: dict[int | str, Any] = {}
         self._messages: list[OutgoingMessage] = []
         self._commits_in_flight = 0
--- a/ravenshelf/leadership/service.py
+++ b/ravenshelf/leadership/service.py
@@ -147,7 +147,7 @@
         return result
 
     def _deliver(self, messages: list[OutgoingMessage]) -> None:
-        # by id of the message, so that a message to several members is encoded once
+        # The keys are ids of message objects, so that a message to several members is encoded once.
         frames: dict[int, bytes] = {}
         for member, message in messages:
             if member == self.membership.local_member:
--- a/ravenshelf/net/http.py
+++ b/ravenshelf/net/http.py
@@ -172,5 +172,5 @@
         return b"".join(self.chunks)
 
     def handle_end(self) -> None:
-        """Report the end to the call's owner."""
+        """Tell the call's owner that the call has ended."""
         self.on_end(self)
--- a/ravenshelf/operator_config/tables.py
+++ b/ravenshelf/operator_config/tables.py
@@ -142,11 +142,12 @@
 
 
 class Distribution(Struct, forbid_unknown_fields=True, frozen=True):
-    """Distribution of tables that a service owner decides for all servers; off without a name.
+    """Settings of the distribution, by which a service owner decides a service's tables for all servers.
 
-    With `service`, a server subscribes to the tables of that service. With `listen`, the file configures a
-    relay, and with `listen` and `services` a service owner. These are separate processes, which
-    `ravenshelf distribution relay` and `ravenshelf distribution controller` run.
+    The distribution is off if `name` is empty. With `service`, a server subscribes to the tables of that
+    service. With `listen`, the file configures a relay, and with `listen` and `services` a service owner.
+    These are separate processes, which `ravenshelf distribution relay` and `ravenshelf distribution
+    controller` run.
 
     Attributes:
         name: The name of this process.
--- a/ravenshelf/policy/controller.py
+++ b/ravenshelf/policy/controller.py
@@ -195,8 +195,8 @@
             tables.deferred_tables = {}
             self.plan(writer, urgency)
         pending_endpoints = self.ejections.pending_endpoints()
-        # While ejections are pending, proxies are bound at the highest urgency: a proxy without a table is
-        # charged for the ejection of each endpoint, and these together take more lines than one table.
+        # While ejections are pending, proxies are bound at the highest urgency. A proxy without a table is
+        # charged one line for each of them, and these lines together cost more than its table.
         urgency = WITHDRAWAL if pending_endpoints else JOINING
         for index in unbound_proxies:
             tables.bind(index, tables.current_table(self.proxies[index]), writer, urgency)
--- a/ravenshelf/policy/latency_bounds.py
+++ b/ravenshelf/policy/latency_bounds.py
@@ -54,7 +54,7 @@
     """The additional latency of requests to another zone, compared by minimum latency."""
 
     def __init__(self, zone_count: int):
-        # The rows are sending zones, the columns receiving zones.
+        # The gaps are in microseconds. The rows are sending zones, the columns receiving zones.
         self._gaps = [[0] * zone_count for _ in range(zone_count)]
         # For each pair of a sending and a receiving zone, these are pairs of a time and a latency.
         self._recent_samples: dict[tuple[int, int], list[tuple[int, int]]] = {}
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -30,7 +30,7 @@
 from ravenshelf.state.proxy_tables import ProxyTables
 from ravenshelf.state.slots import SlotTable
 
-if TYPE_CHECKING:  # not loaded by `ravenshelf serve` without an operator file
+if TYPE_CHECKING:  # Imported for annotations only, so that it is not loaded without an operator file.
     from ravenshelf.operator_config.tables import OperatorConfiguration
     from ravenshelf.process.logs import Sink
 
--- a/ravenshelf/process/deadline_keys.py
+++ b/ravenshelf/process/deadline_keys.py
@@ -15,7 +15,7 @@
 
     CONTROL_CYCLE = "control cycle"  # run the next control cycle
     WATCH = "watch"  # open a watch of the endpoint registry if one is required
-    RELOAD = "reload"  # read a configuration file again that could not be used
+    RELOAD = "reload"  # read the configuration file again after it was not valid
     COUNTERS = "counters"  # log the counters
 
 
--- a/ravenshelf/process/optional_features.py
+++ b/ravenshelf/process/optional_features.py
@@ -6,7 +6,7 @@
 from ravenshelf.policy.events import Event
 from ravenshelf.state.table_update import TableUpdate
 
-if TYPE_CHECKING:  # not loaded by `ravenshelf serve` without an operator file
+if TYPE_CHECKING:  # Imported for annotations only, so that it is not loaded without an operator file.
     from ravenshelf.operator_config.tables import OperatorConfiguration
 
 
@@ -51,7 +51,7 @@
         """First items of the deadline keys that `run_due` handles."""
 
     async def start(self) -> None:
-        """Start the features: listen, connect and measure."""
+        """Start all features; those that use the network open their listeners and connections."""
 
     def reload(self, new_operator: "OperatorConfiguration", on_done: Callable[[str], None]) -> None:
         """Apply a new operator file; `on_done` is called with a text that lists the changed tables."""
--- a/ravenshelf/process/outgoing_calls.py
+++ b/ravenshelf/process/outgoing_calls.py
@@ -81,6 +81,6 @@
             self.timers.deadlines.set(CallTimeout(call), self.clock() + timeout_us)
 
     def close_all(self, end: ConnectionEnd) -> None:
-        """Close every open call with the given end."""
+        """Close every open call; `end` is the reason that each call reports to its owner."""
         for call in list(self.slots.items.values()):
             call.close(end)
--- a/ravenshelf/process/registry_client.py
+++ b/ravenshelf/process/registry_client.py
@@ -115,7 +115,8 @@
     def address_changed(self) -> None:
         """Open a watch at the registry's new address.
 
-        The last watch that answered, at a previous address, is read until the new one answers.
+        Until the new watch answers, changes are still read from the last watch that answered, which is
+        connected to a previous address.
         """
         self.is_new_address = True
         self.address_changes += 1
--- a/ravenshelf/process/reloading.py
+++ b/ravenshelf/process/reloading.py
@@ -9,7 +9,7 @@
 from ravenshelf.process.timers import Timers
 from ravenshelf.state.counters import Counters
 
-if TYPE_CHECKING:  # not loaded by `ravenshelf serve` without an operator file
+if TYPE_CHECKING:  # Imported for annotations only, so that it is not loaded without an operator file.
     from ravenshelf.operator_config.tables import OperatorConfiguration
 
 # A file that is not valid may be only half written yet, so it is read again, up to this many times in all.
--- a/ravenshelf/process/run.py
+++ b/ravenshelf/process/run.py
@@ -12,7 +12,7 @@
 from ravenshelf.process.clock import Clock
 from ravenshelf.process.control_plane import serve
 
-if TYPE_CHECKING:  # not loaded by `ravenshelf serve` without an operator file
+if TYPE_CHECKING:  # Imported for annotations only, so that it is not loaded without an operator file.
     from ravenshelf.operator_config.tables import OperatorConfiguration
 
 
--- a/ravenshelf/simulator/decode.py
+++ b/ravenshelf/simulator/decode.py
@@ -38,7 +38,7 @@
 
 
 class Exit(NamedTuple):
-    """The end of an instance."""
+    """The end of an instance, whose controller is then discarded."""
 
 
 class MalformedLineError(RavenshelfError):
--- a/ravenshelf/state/proxy_tables.py
+++ b/ravenshelf/state/proxy_tables.py
@@ -344,7 +344,7 @@
         return messages
 
     def _add_marker(self, updates: list[TableUpdate]) -> list[TableUpdate]:
-        """Return the updates with the cycle's marker, if it has one, in the last of them."""
+        """Add the cycle's marker, if there is one, to the last of the updates, and return the updates."""
         if self.changes.marker is None or not (updates or self.changes.marker_for_all_proxies):
             return updates
         updates = updates or [TableUpdate()]
--- a/standins/controllers/parameters.py
+++ b/standins/controllers/parameters.py
@@ -52,10 +52,10 @@
 
 
 class FaultMoment(Enum):
-    """A moment of a member for which a fault waits.
+    """A step of a member at which a pending fault begins.
 
-    The moments are a write to disk, the encoding of a command, and the time when a command is in the buffer
-    of a stream.
+    The steps are a write to disk, the encoding of a command, and the time when a sent command is still in the
+    buffer of its stream.
     """
 
     WRITE = "write"
--- a/standins/distribution/schedules.py
+++ b/standins/distribution/schedules.py
@@ -279,7 +279,7 @@
 
 @contextmanager
 def deliberate_break(name: str) -> Iterator[None]:
-    """Replace methods of the decisions by those of a break; an empty name replaces nothing."""
+    """Patch the decision code with the named defect of BREAKS; do nothing if the name is empty."""
     with ExitStack() as patches:
         for target, attribute, replacement in BREAKS[name] if name else ():
             patches.enter_context(mock.patch.object(target, attribute, replacement))
--- a/tests/leadership/three_members.py
+++ b/tests/leadership/three_members.py
@@ -7,7 +7,8 @@
 SECOND = 1_000_000
 TICK_US = 20_000
 MEMBER_COUNT = 3
-NEVER_STABLE_US = 10**9  # so long that no shard is handed over to rebalance
+# With this stability period, no member is ever stable enough to be handed shards of another member.
+NEVER_STABLE_US = 10**9
 
 
 class RecordedOutput:
--- a/tests/state/test_counters.py
+++ b/tests/state/test_counters.py
@@ -1,4 +1,4 @@
-"""Maximum and text of counters."""
+"""Counters record a maximum and print themselves in the order of their names."""
 
 from ravenshelf.state.counters import Counters
 
