--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -173,7 +173,7 @@
             for version in server.client.held_versions.versions().values()
         )
 
-    # Parts of the day
+    # Methods that simulate the parts of a day
 
     def start(self) -> None:
         """Start all servers within 20 s, and wait at most a minute for their topics."""
--- a/ravenshelf/distribution/decisions/distributor.py
+++ b/ravenshelf/distribution/decisions/distributor.py
@@ -1,4 +1,4 @@
-"""Serving side of a controller or relay: subscriptions, and the next messages of each subscriber.
+"""Decisions of a controller or relay about its subscribers: subscriptions, and the next messages of each.
 
 Nothing is queued for a subscriber except the messages of one topic, such as the parts of a snapshot. For each
 topic the distributor keeps the version that the subscriber was sent last; when the subscriber's connection
@@ -76,7 +76,7 @@
 
 
 class Distributor:
-    """Serving side for a set of topics and their subscribers. Times are in microseconds.
+    """Server of a set of topics to their subscribers. Times are in microseconds.
 
     `topics` is shared with the caller, who keeps it up to date and reports each change.
     """
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -30,7 +30,8 @@
 
 DEFAULT_NOMINAL_RATE = 1.0  # A zone without load reports is assumed to receive this many requests a second.
 SHARE_DIGITS = 4  # Published shares are rounded to this number of decimal places.
-# These two stand in for a missing number of a table, and for a missing index of an endpoint.
+# No table and no endpoint has these numbers; they are looked up for a zone without a table, and for a name
+# without an index, so that nothing is found.
 NO_TABLE = -1
 NO_ENDPOINT = -1
 
--- a/ravenshelf/distribution/decisions/service_decisions.py
+++ b/ravenshelf/distribution/decisions/service_decisions.py
@@ -164,7 +164,7 @@
         return self._zone_content(planned_service, topic, int(topic[len(service) + 1 :]))
 
     def _last_content(self, topic: str) -> Mapping[str, Entry] | None:
-        """Return the state that this controller published last, or replicated; None if it is empty."""
+        """Return the topic's entries as this controller last published or replicated them; None if none."""
         state = self.owner.topics.get(topic)
         return dict(state.entries) if state is not None and state.entries else None
 
--- a/ravenshelf/distribution/leased_services.py
+++ b/ravenshelf/distribution/leased_services.py
@@ -115,7 +115,7 @@
             self._attached_publisher.publish()
 
     def proxy_count(self, _shards: Iterable[int]) -> int:
-        """Return the number of proxies with a stream in these shards, which is always 0."""
+        """Return 0: no proxy has a stream to a service owner."""
         return 0
 
     def check_leases(self) -> None:
--- a/ravenshelf/distribution/owner_service.py
+++ b/ravenshelf/distribution/owner_service.py
@@ -1,4 +1,4 @@
-"""Publishing side of a controller on sockets: its subscribers, and the owners whose shards it replicates."""
+"""Connections of a publishing controller: its subscribers, and the owners whose shards it replicates."""
 
 import random
 from collections.abc import Callable
--- a/ravenshelf/distribution/subscribers.py
+++ b/ravenshelf/distribution/subscribers.py
@@ -1,6 +1,6 @@
-"""Serving side on sockets.
+"""Connections of subscribers to a relay or service owner.
 
-It accepts subscribers, and sends each of them the distributor's messages as fast as the subscriber reads.
+The subscribers are accepted, and each is sent the distributor's messages as fast as it reads.
 """
 
 import asyncio
--- a/ravenshelf/distribution/upstreams.py
+++ b/ravenshelf/distribution/upstreams.py
@@ -1,4 +1,4 @@
-"""Dialling side on sockets, which performs the actions of subscription clients and reports the results."""
+"""Connections to parents, which perform the actions of subscription clients and report the results."""
 
 import asyncio
 from collections.abc import Iterable, Mapping
--- a/ravenshelf/graphite/decisions/routing.py
+++ b/ravenshelf/graphite/decisions/routing.py
@@ -11,7 +11,7 @@
 class RendezvousRouter:
     """Rendezvous hashing of metric paths to receivers.
 
-    Each path ranks the receivers by a hash and belongs to the first one in its ranking that has its share.
+    Each path ranks the receivers by a hash and belongs to the first in its ranking that has not failed over.
     When a receiver fails over, only the paths that belong to it move to others, and the same paths return
     when it recovers.
     """
@@ -35,11 +35,11 @@
     def find_owner(self, path: str, has_share: Sequence[bool]) -> int:
         """Return the index of the receiver that gets a path's points.
 
-        If no receiver has its share, this is the most preferred one, and the points wait in its queue.
+        If all receivers have failed over, this is the most preferred one, and the points wait in its queue.
 
         Args:
             path: The metric's path.
-            has_share: Whether each receiver has its share, by the receiver's index.
+            has_share: Whether each receiver gets its share of the paths, by index; False after a failover.
         """
         ranking = self.rank(path)
         return next((index for index in ranking if has_share[index]), ranking[0])
--- a/ravenshelf/leadership/decisions/claims.py
+++ b/ravenshelf/leadership/decisions/claims.py
@@ -32,7 +32,7 @@
 
 PENDING_STATES = (LeaseState.PROBING, LeaseState.REQUESTING, LeaseState.ESTABLISHING)
 GRANTED_STATES = (LeaseState.HELD, LeaseState.ESTABLISHING)
-# in these states the lease was granted in the claim's term, and the local voter has promised no later one
+# In these states the lease was granted in the claim's term, and the local voter has promised no later term.
 TERM_STATES = (LeaseState.HELD, LeaseState.ESTABLISHING, LeaseState.EXPIRED)
 
 
--- a/ravenshelf/leadership/link.py
+++ b/ravenshelf/leadership/link.py
@@ -166,7 +166,9 @@
     context: ssl.SSLContext | None,
     timeout_s: float,
 ) -> None:
-    """Connect to a member; `make_link` is called for the protocol object of the connection.
+    """Connect to a member, with TLS if `context` is not None.
+
+    `make_link` is called once the socket is connected, and returns the connection's protocol object.
 
     Raises:
         OSError: The connection failed.
--- a/ravenshelf/leadership/message_codec.py
+++ b/ravenshelf/leadership/message_codec.py
@@ -46,7 +46,7 @@
 
 
 def decode(message: list[Any]) -> Message:
-    """Return the message of a list that `link.Frames` read.
+    """Convert a list, as `link.Frames` returns it for each frame, into a message.
 
     Raises:
         MalformedMessageError: The kind is unknown, or a field is missing, additional or of another type.
--- a/ravenshelf/policy/flow_control.py
+++ b/ravenshelf/policy/flow_control.py
@@ -378,7 +378,7 @@
         # the queue by the time that as many lines take at that rate.
         self.next_position -= lines * SLOWEST_FACTOR
         self.earliest_idle -= lines * self.slowest_line_time
-        # If the channel may have reached the batch, these lines may have been sent, so they still count.
+        # Lines of a batch that the channel may have reached already may have been sent, so they still count.
         if batch.earliest_start > self.now:
             batch.total_lines -= lines
             self.unconfirmed_total -= lines
--- a/ravenshelf/policy/spill_solver.py
+++ b/ravenshelf/policy/spill_solver.py
@@ -113,7 +113,10 @@
             self._move(sender, receiver)
 
     def _worst_miss_share_after(self, sender: int, receiver: int) -> float:
-        """Return the greater miss share of the two zones' requests at the receiver, after one more move."""
+        """Return the higher of two miss shares at the receiver after one more move.
+
+        One is that of the sender's requests there, the other that of the receiver's own requests.
+        """
         added_requests = self._quantum * self._demand[sender]
         return max(
             self._miss_share(sender, receiver, added_requests),
--- a/standins/controllers/shard_commands.py
+++ b/standins/controllers/shard_commands.py
@@ -24,7 +24,7 @@
 RETRY_MODE = 1
 BIND_INTERVAL_US = SECOND
 LEVEL_INTERVAL_US = 100 * MILLISECOND
-LEARNING_US = 3 * SECOND  # time from a takeover until the decisions know the load
+LEARNING_US = 3 * SECOND  # After a takeover, the load is unknown for this time.
 MAX_ENCODING_US = 3 * MILLISECOND
 LONG_AGO_US = -(10**18)
 
--- a/standins/fleet/budget.py
+++ b/standins/fleet/budget.py
@@ -150,7 +150,7 @@
 
 
 def find_violations(start: ColdStart, sent_work: Iterable[SentWork], rule: BudgetRule) -> list[Excess]:
-    """Return the windows over the budget for which the servers are responsible."""
+    """Return the windows over the budget whose excess is a violation by the servers (`is_violation`)."""
     return [excess for excess in find_excesses(start, sent_work, rule) if excess.is_violation]
 
 
--- a/tests/leadership/test_peer_connections.py
+++ b/tests/leadership/test_peer_connections.py
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def run_with_leadership(tmp_path):
-    """Return a function that runs a test in an event loop with the member c0 of three."""
+    """Return a function that runs a test in an event loop, with the `Leadership` of member c0 of three."""
     table = LeadershipTable(
         name="c0",
         cluster="loopback",
--- a/tests/process/test_schedules.py
+++ b/tests/process/test_schedules.py
@@ -30,7 +30,7 @@
 
 
 class ManualLoopWithFuture(ManualLoop):
-    """A manual loop whose futures store whether they are done."""
+    """A manual loop that can create futures, which record only whether their result was set."""
 
     def create_future(self):
         return type(
--- a/tests/store/test_journal.py
+++ b/tests/store/test_journal.py
@@ -50,7 +50,8 @@
             key: value for key, value in journal.entries.items() if acknowledged.get(key) != value
         }
         assert all(journal.entries.get(key, -1) >= value for key, value in acknowledged.items()), fault_call
-        assert len(unacknowledged) <= 2  # The write that was in progress, of two keys, may have succeeded.
+        # The append that failed changes two keys, and they may be on disk although it was not acknowledged.
+        assert len(unacknowledged) <= 2
         journal.append([("after", 1)])
         journal.close()
 
