--- a/benchmarks/graphite.py
+++ b/benchmarks/graphite.py
@@ -117,11 +117,11 @@
     async with contextlib.AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         for name, server in servers.items():
-            file = folder / f"{name}.toml"
-            file.write_text(
+            operator_file = folder / f"{name}.toml"
+            operator_file.write_text(
                 f'[graphite]\nreceivers = ["{receivers[name]}"]\nevery_s = 1\nbuffer_points = 5000\n'
             )
-            await server.start(stack, str(file))
+            await server.start(stack, str(operator_file))
         memory_samples_mb = await change_alternately(list(servers.values()), seconds)
         for server in servers.values():
             for task in server.tasks:
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -119,8 +119,8 @@
     solver.add(request_x >= 0, renewal_x >= request_x)
     for voter in voters:
         solver.add(voter.rules(request_x, renewal_x, command_y, lease, quiet_period))
-    granted = count_true(z3.And(v.granted_x, v.granted_x_at <= command_x) for v in voters)
-    renewed = count_true(z3.And(v.renewed_x, v.renewed_x_at <= command_x) for v in voters)
+    granted = count_true(z3.And(voter.granted_x, voter.granted_x_at <= command_x) for voter in voters)
+    renewed = count_true(z3.And(voter.renewed_x, voter.renewed_x_at <= command_x) for voter in voters)
     by_grant = z3.And(granted >= quorum, rate_x * (command_x - request_x) < usable_lease)
     by_renewal = z3.And(renewed >= quorum, rate_x * (command_x - renewal_x) < usable_lease)
     solver.add(z3.Or(by_grant, by_renewal))
--- a/benchmarks/scale/agreement.py
+++ b/benchmarks/scale/agreement.py
@@ -75,9 +75,8 @@
         configuration_file.write_text(json.dumps(script.configuration(registry.address, address)))
         async with running_server(configuration_file):
             await _wait_until(lambda: registry.watch_count > 0)
-            await asyncio.sleep(
-                QUIET_SECONDS
-            )  # The server has the list before the proxy joins, as the simulated one.
+            # The server has the list before the proxy joins, as in the simulated server.
+            await asyncio.sleep(QUIET_SECONDS)
             proxy = LoopbackProxy(
                 lambda: address,
                 0,
@@ -88,9 +87,9 @@
             proxy_task = asyncio.create_task(proxy.run())
             await _wait_until_quiet(messages, 1)
             for uid, state in script.changes:
-                before = len(messages)
+                message_count = len(messages)
                 await registry.change_endpoint(uid, state)
-                await _wait_until_quiet(messages, before + 1)
+                await _wait_until_quiet(messages, message_count + 1)
             proxy_task.cancel()
     return messages
 
--- a/benchmarks/scale/distribution.py
+++ b/benchmarks/scale/distribution.py
@@ -376,7 +376,7 @@
         "services",
         (4, 8, 16, 32),
         lambda n: resident_bytes(make_planners, n),
-        "30 endpoints in 16 zones, ten seconds of sums",
+        "30 endpoints in 16 zones, ten seconds of reports",
         runs,
     )
     yield measure(
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -191,13 +191,13 @@
         """Change ten single services, one each half second."""
         services = self.random_source.sample(self.world.services, 10)
         marked_at: dict[str, int] = {}
-        before = sum(owner.messages_out for owner in self.world.owners)
+        sent_before = sum(owner.messages_out for owner in self.world.owners)
         for service in services:
             marked_at |= self.mark([service])
             self.world.run(0.5)
         self.world.run(4)
         heartbeats = sum(len(owner.subscriber_connections) for owner in self.world.owners) * 9
-        sent_messages = sum(owner.messages_out for owner in self.world.owners) - before
+        sent_messages = sum(owner.messages_out for owner in self.world.owners) - sent_before
         latencies = self.measure_latencies(services, marked_at)
         self.fleet.owner_messages_a_change = max(0.0, (sent_messages - heartbeats) / len(services))
         self.fleet.change_p50, self.fleet.change_p99 = quantile(latencies, 0.5), quantile(latencies, 0.99)
--- a/benchmarks/scale/isolated.py
+++ b/benchmarks/scale/isolated.py
@@ -19,10 +19,10 @@
 def _measure_growth(build: Callable[[int], object], size: int, results: Any) -> None:
     build(1)  # Imports and caches are loaded here, so that they are not counted.
     gc.collect()
-    before = _read_resident_bytes()
+    bytes_before = _read_resident_bytes()
     result = build(size)
     gc.collect()
-    results.put(_read_resident_bytes() - before)
+    results.put(_read_resident_bytes() - bytes_before)
     del result
 
 
--- a/benchmarks/scale/servers.py
+++ b/benchmarks/scale/servers.py
@@ -253,7 +253,7 @@
         "endpoints listed",
         sizes,
         lambda n: resident_bytes(_run_server_of_size, n),
-        "64 proxies, 64 zones, one second of sums",
+        "64 proxies, 64 zones, one second of reports",
         runs,
     )
     yield measure(
@@ -275,7 +275,7 @@
         "endpoints listed",
         cpu_sizes,
         lambda n: cpu_per_second(n, 64, 4, seconds),
-        "64 proxies, 4 zones, sums of half of them a second",
+        "64 proxies, 4 zones, load reports of half of them each second",
         runs,
     )
     yield measure(
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -86,7 +86,7 @@
         wait_seconds = []
         started_at = time.perf_counter()
         for start in range(0, count, group):
-            changes = [((start + n) * KEY_STRIDE % KEYS, RECORD_BODY) for n in range(group)]
+            changes = [((start + offset) * KEY_STRIDE % KEYS, RECORD_BODY) for offset in range(group)]
             appended_at = time.perf_counter()
             store.append(changes)
             wait_seconds.append(time.perf_counter() - appended_at)
--- a/standins/distribution/network.py
+++ b/standins/distribution/network.py
@@ -152,7 +152,7 @@
             The delivery time, or `previous_delivery_at` if the message was dropped or reordered.
         """
         network, random_source, rules = self.network, self.network.random_source, self.network.rules
-        at = (
+        delivery_at = (
             network.events.now
             + send_duration
             + self.delay
@@ -164,17 +164,19 @@
         ):
             return previous_delivery_at
         if random_source.random() < rules.reordered_share:
-            network.at(
-                at + random_source.randint(0, RETRANSMISSION_DELAY), lambda: self.is_open and deliver()
+            network.call_at(
+                delivery_at + random_source.randint(0, RETRANSMISSION_DELAY),
+                lambda: self.is_open and deliver(),
             )
             return previous_delivery_at
-        at = max(at, previous_delivery_at)
-        network.at(at, lambda: self.is_open and deliver())
+        delivery_at = max(delivery_at, previous_delivery_at)
+        network.call_at(delivery_at, lambda: self.is_open and deliver())
         if random_source.random() < rules.repeated_share:
-            network.at(
-                at + random_source.randint(0, RETRANSMISSION_DELAY), lambda: self.is_open and deliver()
+            network.call_at(
+                delivery_at + random_source.randint(0, RETRANSMISSION_DELAY),
+                lambda: self.is_open and deliver(),
             )
-        return at
+        return delivery_at
 
     def close(self, closed_by: Process, silently: bool = False) -> None:
         """Close the connection.
@@ -204,9 +206,9 @@
     def __init__(self, events: EventQueue, random_source: random.Random, regions: int, rules: NetworkRules):
         self.events, self.random_source, self.rules = events, random_source, rules
         self._delays = {
-            (first, second): random_source.randint(*rules.between_regions)
-            for first in range(regions)
-            for second in range(first)
+            (region, other_region): random_source.randint(*rules.between_regions)
+            for region in range(regions)
+            for other_region in range(region)
         }
         self._isolated_regions: set[int] = set()
         self.dials: list[tuple[int, str, str]] = []  # (time, child, parent)
@@ -215,9 +217,9 @@
         """Schedule a callback `delay` microseconds from now."""
         self.events.call_later(delay, callback)
 
-    def at(self, at: int, callback: Callable[[], object]) -> None:
+    def call_at(self, time: int, callback: Callable[[], object]) -> None:
         """Schedule a callback at a time in microseconds, or now if the time has passed."""
-        self.events.call_later(max(0, at - self.events.now), callback)
+        self.events.call_later(max(0, time - self.events.now), callback)
 
     def delay(self, first_region: int, second_region: int) -> int:
         """Return the one-way delay between two regions, which is drawn anew within a region."""
--- a/standins/distribution/node.py
+++ b/standins/distribution/node.py
@@ -80,7 +80,7 @@
             return
         if self.is_paused():
             generation = self.generation
-            self.world.network.at(
+            self.world.network.call_at(
                 self.paused_until, lambda: generation == self.generation and self.run(callback)
             )
             return
@@ -94,9 +94,11 @@
         node with many connections receives many messages.
         """
         if self._timer_at is None or self._timer_at <= self.now:
-            due = self.due_at()
+            due_time = self.due_at()
             self._set_timer(
-                MAX_TICK_INTERVAL + self.now if due is None else min(due, self.now + MAX_TICK_INTERVAL)
+                MAX_TICK_INTERVAL + self.now
+                if due_time is None
+                else min(due_time, self.now + MAX_TICK_INTERVAL)
             )
             return
         early_due = self.early_due_at()
@@ -106,14 +108,14 @@
     def _set_timer(self, time: int) -> None:
         time = self._timer_at = max(time, self.now + 1)
         generation = self.generation
-        self.world.network.at(
+        self.world.network.call_at(
             time, lambda: generation == self.generation and time == self._timer_at and self._handle_timer()
         )
 
     def _handle_timer(self) -> None:
         self._timer_at = None
-        due = self.due_at()
-        if due is not None and due <= self.now:
+        due_time = self.due_at()
+        if due_time is not None and due_time <= self.now:
             self.run(self.tick)
         else:
             self.schedule_timer()
@@ -218,7 +220,7 @@
         if connection.next_send_at is not None and connection.next_send_at <= time:
             return
         connection.next_send_at = time
-        self.world.network.at(time, lambda: self._send_if_due(name, connection, time))
+        self.world.network.call_at(time, lambda: self._send_if_due(name, connection, time))
 
     def _send_if_due(self, name: str, connection: Connection, time: int) -> None:
         if connection.next_send_at != time or not connection.is_open:
--- a/standins/distribution/nodes.py
+++ b/standins/distribution/nodes.py
@@ -218,7 +218,9 @@
 
     def due_at(self) -> int | None:
         """Return the next time at which `tick` has something to do."""
-        deadlines = [due for due in (super().due_at(), self.owner.due_at(self.now)) if due is not None]
+        deadlines = [
+            due_time for due_time in (super().due_at(), self.owner.due_at(self.now)) if due_time is not None
+        ]
         return min(deadlines, default=None)
 
     def early_due_at(self) -> int | None:
--- a/standins/distribution/world.py
+++ b/standins/distribution/world.py
@@ -136,7 +136,7 @@
                     self,
                     name,
                     number % self.size.regions,
-                    [other for other in names if other != name],
+                    [peer for peer in names if peer != name],
                     self._make_random_source(name),
                     limits,
                     self.size.shards,
@@ -275,10 +275,10 @@
                 self.change_applied_at[service].setdefault(server.name, self.events.now)
         if not self.checked:
             return
-        before = self.applied_versions.get((server.name, topic))
-        if before is not None and state.version < before:
+        previous_version = self.applied_versions.get((server.name, topic))
+        if previous_version is not None and state.version < previous_version:
             self._record_violation(
-                "versions never decrease", f"{server.name} {topic} from {before} to {state.version}"
+                "versions never decrease", f"{server.name} {topic} from {previous_version} to {state.version}"
             )
         self.applied_versions[server.name, topic] = state.version
         if self.published_fingerprints.get((topic, state.version)) != _fingerprint(state):
--- a/tests/tools/test_check_words.py
+++ b/tests/tools/test_check_words.py
@@ -21,4 +21,4 @@
     ids=lambda value: value if isinstance(value, str) else "",
 )
 def test_words_are_found_in_names_and_the_clearest_ones_in_sentences(text, words):
-    assert [place.word for place in places("module.py", text)] == words
+    assert [occurrence.word for occurrence in places("module.py", text)] == words
