--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -17,8 +17,8 @@
     CONTROLLERS,
     ENDPOINTS,
     FAN_OUT,
-    PILOTS,
     REGIONS,
+    SERVERS,
     SERVICES,
     SERVICES_PER_SERVER,
     ZONES,
@@ -53,7 +53,7 @@
 
 ASSUMPTIONS = [
     Assumption(
-        f"{PILOTS:,} pilots, {ENDPOINTS:,} endpoints, {SERVICES:,} services, so {ENDPOINTS_PER_SERVICE} "
+        f"{SERVERS:,} pilots, {ENDPOINTS:,} endpoints, {SERVICES:,} services, so {ENDPOINTS_PER_SERVICE} "
         "endpoints a service",
         "operators",
     ),
@@ -120,9 +120,9 @@
         points = self.by_name[name].points
         return _mean(min(points, key=lambda point: abs(point.size - count)).values)
 
-    def fleets(self, pilots: int) -> list[Fleet]:
+    def fleets(self, servers: int) -> list[Fleet]:
         """Return the runs of the fleets of a size."""
-        return [fleet for fleet in self.results.fleets if fleet.pilots == pilots]
+        return [fleet for fleet in self.results.fleets if fleet.pilots == servers]
 
     def largest_fleets(self, part: str) -> list[Fleet]:
         """Return the runs of the largest fleet that simulated a part of the day."""
@@ -300,9 +300,9 @@
 
     The cost of a process is measured on sockets.
     """
-    tree = plan_relay_levels(PILOTS, FAN_OUT)
+    tree = plan_relay_levels(SERVERS, FAN_OUT)
     relays = sum(len(level.names) for level in tree)
-    children, relays_per_machine = PILOTS / len(tree[-1].names), relays / CONTROLLERS
+    children, relays_per_machine = SERVERS / len(tree[-1].names), relays / CONTROLLERS
     deltas = children * SERVICES_PER_SERVER / SOLVE_INTERVAL_S
     core = index.value_at("relay on sockets, CPU of heartbeats", children) + deltas * index.nearest_value(
         "relay on sockets, CPU of a delivered delta", children
@@ -326,8 +326,8 @@
 
 def _collector_row(index: MeasurementIndex) -> list[str]:
     """Return the row of the aggregation of reports, which each relay does."""
-    tree = plan_relay_levels(PILOTS, FAN_OUT)
-    reports = PILOTS / len(tree[-1].names) * SERVICES_PER_SERVER
+    tree = plan_relay_levels(SERVERS, FAN_OUT)
+    reports = SERVERS / len(tree[-1].names) * SERVICES_PER_SERVER
     relays_per_machine = sum(len(level.names) for level in tree) / CONTROLLERS
     core = index.value_at("aggregation CPU", reports)
     return [
@@ -347,7 +347,7 @@
         [
             "discovery",
             f"{ENDPOINTS:,} endpoints",
-            f"{CONTROLLERS} readers instead of {PILOTS:,}; a complete list is {list_bytes:.1f} MB",
+            f"{CONTROLLERS} readers instead of {SERVERS:,}; a complete list is {list_bytes:.1f} MB",
             "not measured, as it is no part of this program",
             f"{CONTROLLERS * list_bytes:.0f} MB if all controllers read it again",
             "-",
@@ -589,7 +589,7 @@
         "endpoints of the service": ENDPOINTS_PER_SERVICE,
         "endpoints met": 10,
         "services": SERVICES / CONTROLLERS,
-        "reports": PILOTS / 282 * SERVICES_PER_SERVER,
+        "reports": SERVERS / 282 * SERVICES_PER_SERVER,
     }
     rows = [
         _slope(measurement, used_counts.get(measurement.count, measurement.points[-1].size))
--- a/benchmarks/measuring.py
+++ b/benchmarks/measuring.py
@@ -32,7 +32,7 @@
     return resident_kb / KB_PER_MB
 
 
-def close(name: str, figures: dict[str, Any], aim: str, is_met: bool) -> NoReturn:
-    """Print the closing line and exit, with code 0 if the aim is met and 1 if not."""
-    print(json.dumps({"benchmark": name, "figures": figures, "aim": aim, "held": is_met}))
+def close(name: str, figures: dict[str, Any], objective: str, is_met: bool) -> NoReturn:
+    """Print the closing line and exit, with code 0 if the objective is met and 1 if not."""
+    print(json.dumps({"benchmark": name, "figures": figures, "aim": objective, "held": is_met}))
     sys.exit(0 if is_met else 1)
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -37,7 +37,7 @@
 # Without --short the processes of all three kinds run at the same time on ten cores.
 FLEET_PROCESSES, BASELINE_PROCESSES, SCHEDULE_PROCESSES = 5, 2, 3
 
-CHANGE_AIM_SECONDS, BYTES_PER_SECOND_AIM = 4.0, 7_000.0  # seconds; bytes a second for each server
+MAX_CHANGE_SECONDS, MAX_BYTES_PER_SECOND = 4.0, 7_000.0  # seconds; bytes a second for each server
 
 
 class Schedules(msgspec.Struct):
@@ -89,14 +89,14 @@
 def fleet_jobs(short: bool) -> list[tuple[int, int, tuple[str, ...]]]:
     """Return the size, seed and parts of the day of each fleet to simulate, the longest first.
 
-    A whole day of the largest fleet takes over half an hour, so only its first parts are simulated, once.
+    A full day of the largest fleet takes over half an hour, so only its first parts are simulated, once.
     """
     if short:
         return [(size, 1, fleet.DAY) for size in sorted(SHORT_FLEET_SIZES, reverse=True)]
-    whole_days = [
+    full_days = [
         (size, seed, fleet.DAY) for size in sorted(FLEET_SIZES, reverse=True) for seed in range(1, RUNS + 1)
     ]
-    return [(LARGEST_FLEET_SIZE, 1, fleet.DAY[:parts]) for parts in LARGEST_FLEET_PART_COUNTS] + whole_days
+    return [(LARGEST_FLEET_SIZE, 1, fleet.DAY[:parts]) for parts in LARGEST_FLEET_PART_COUNTS] + full_days
 
 
 def run_fleets(results: Results) -> None:
@@ -149,29 +149,29 @@
     ]
 
 
-def meets_aims(results: Results) -> bool:
-    """Return whether the aims are met.
+def meets_objectives(results: Results) -> bool:
+    """Return whether the objectives are met.
 
     In every fleet a change reaches all servers in time, the bytes of a server are within the budget and no
     server lacks an update. The schedules have no violation, except that each deliberate break causes one.
     Simulated and real servers agree.
     """
-    fleets_meet_aims = all(
-        result.change_p99 < CHANGE_AIM_SECONDS
-        and result.all_p99 < CHANGE_AIM_SECONDS
-        and result.zone_p99 < CHANGE_AIM_SECONDS
+    fleets_meet_objectives = all(
+        result.change_p99 < MAX_CHANGE_SECONDS
+        and result.all_p99 < MAX_CHANGE_SECONDS
+        and result.zone_p99 < MAX_CHANGE_SECONDS
         and result.behind == 0
-        and max(result.calm_bytes, result.all_bytes, result.zone_bytes) < BYTES_PER_SECOND_AIM
+        and max(result.calm_bytes, result.all_bytes, result.zone_bytes) < MAX_BYTES_PER_SECOND
         for result in results.fleets
     )
-    baselines_meet_aim = all(
+    baselines_meet_objective = all(
         baseline.subscribed_bytes < baseline.watched_bytes for baseline in results.baselines
     )
     invariants_hold = results.schedules is None or (
         not results.schedules.broken and all(results.schedules.found.values())
     )
     servers_agree = results.agreement is None or results.agreement.agrees
-    return fleets_meet_aims and baselines_meet_aim and invariants_hold and servers_agree
+    return fleets_meet_objectives and baselines_meet_objective and invariants_hold and servers_agree
 
 
 def run_simulations(results: Results) -> None:
@@ -212,12 +212,12 @@
     ]
     results.peak_mb = sum(peaks_kb) / 1024
     save_results(results)
-    aim = (
-        f"a change reaches 99 of 100 subscriptions within {CHANGE_AIM_SECONDS:g} s, "
-        f"{BYTES_PER_SECOND_AIM:g} bytes a second for each server, "
+    objective = (
+        f"a change reaches 99 of 100 subscriptions within {MAX_CHANGE_SECONDS:g} s, "
+        f"{MAX_BYTES_PER_SECOND:g} bytes a second for each server, "
         "no invariant is violated, each deliberate break is detected, simulated and real servers agree"
     )
-    close("scale", msgspec.to_builtins(results), aim, meets_aims(results))
+    close("scale", msgspec.to_builtins(results), objective, meets_objectives(results))
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -20,7 +20,7 @@
 from standins.distribution.world import DistributionSize, SimulatedDistribution
 from standins.fleet.clock import SECOND
 
-PILOTS, SERVICES, ENDPOINTS = 18_000, 1_200, 36_000
+SERVERS, SERVICES, ENDPOINTS = 18_000, 1_200, 36_000
 ZONES, REGIONS, CONTROLLERS = 64, 23, 30
 FAN_OUT = 128
 SERVICES_PER_SERVER = 12
@@ -77,12 +77,12 @@
     resident_mb: float = 0.0
 
 
-def fleet_size(pilots: int) -> DistributionSize:
-    """Return the size of a fleet of `pilots` servers, with services in proportion and 30 endpoints each."""
+def fleet_size(servers: int) -> DistributionSize:
+    """Return the size of a fleet of `servers` servers, with services in proportion and 30 endpoints each."""
     return DistributionSize(
         controllers=CONTROLLERS,
-        servers=pilots,
-        services=max(24, SERVICES * pilots // PILOTS),
+        servers=servers,
+        services=max(24, SERVICES * servers // SERVERS),
         endpoints=ENDPOINTS // SERVICES,
         services_per_server=SERVICES_PER_SERVER,
         regions=REGIONS,
@@ -99,10 +99,10 @@
     The methods that are named in DAY simulate one part each.
     """
 
-    def __init__(self, pilots: int, seed: int, parts: Sequence[str]):
-        self.world = SimulatedDistribution(fleet_size(pilots), seed, checked=False)
+    def __init__(self, servers: int, seed: int, parts: Sequence[str]):
+        self.world = SimulatedDistribution(fleet_size(servers), seed, checked=False)
         self.random_source = random.Random(f"{seed}/player")
-        self.fleet = Fleet(pilots, sum(len(level) for level in self.world.relay_levels), seed, list(parts))
+        self.fleet = Fleet(servers, sum(len(level) for level in self.world.relay_levels), seed, list(parts))
 
     def run(self) -> Fleet:
         """Simulate the parts in order, and return their results."""
@@ -263,7 +263,7 @@
 
     def mass_restart(self) -> None:
         """Replace servers at the rate of 2,800 an hour; each returns without topics after 2 s."""
-        count = max(1, round(RESTARTS_PER_MINUTE / 6 * self.fleet.pilots / PILOTS))
+        count = max(1, round(RESTARTS_PER_MINUTE / 6 * self.fleet.pilots / SERVERS))
 
         def restart() -> None:
             for server in self.random_source.sample(self.world.servers, count):
@@ -281,7 +281,7 @@
         self.world.run(8)
         services = [
             self.random_source.choice(self.world.services)
-            for _ in range(max(5, CHANGES_PER_HOUR * self.fleet.pilots // PILOTS))
+            for _ in range(max(5, CHANGES_PER_HOUR * self.fleet.pilots // SERVERS))
         ]
         for service in services:
             self.world.change(service, "hourly", str(self.random_source.random()))
@@ -300,9 +300,9 @@
         )
 
 
-def run_day(pilots: int, seed: int, parts: Sequence[str]) -> Fleet:
-    """Simulate the given parts of the day in a fleet of `pilots` servers."""
-    return DayRunner(pilots, seed, parts).run()
+def run_day(servers: int, seed: int, parts: Sequence[str]) -> Fleet:
+    """Simulate the given parts of the day in a fleet of `servers` servers."""
+    return DayRunner(servers, seed, parts).run()
 
 
 class Baseline(msgspec.Struct):
@@ -320,20 +320,20 @@
     subscribed_source_bytes: float
 
 
-def baseline(pilots: int, seed: int, services: int) -> Baseline:
+def baseline(servers: int, seed: int, services: int) -> Baseline:
     """Compare servers that watch all services with servers that subscribe to some.
 
     In both cases all services change once within ten seconds.
     """
     rates = []
     for subscribed_services, fan_out in (
-        (services, 4 * pilots),
+        (services, 4 * servers),
         (min(SERVICES_PER_SERVER, services), FAN_OUT),
     ):
         world = SimulatedDistribution(
             DistributionSize(
                 controllers=3,
-                servers=pilots,
+                servers=servers,
                 services=services,
                 endpoints=30,
                 services_per_server=subscribed_services,
@@ -356,7 +356,7 @@
             world.run(10 / services)
         world.run(2)
         rates += [
-            (sum(server.bytes_in for server in world.servers) - bytes_before[0]) / pilots / 12,
+            (sum(server.bytes_in for server in world.servers) - bytes_before[0]) / servers / 12,
             (sum(relay.bytes_out for relay in world.relay_levels[-1]) - bytes_before[1]) / 12,
         ]
-    return Baseline(pilots, seed, *rates)
+    return Baseline(servers, seed, *rates)
--- a/standins/fleet/budget.py
+++ b/standins/fleet/budget.py
@@ -21,7 +21,7 @@
     Attributes:
         capacity_multiple: The allowed work, relative to the work that the endpoint can do in a window.
         window: The length of a window in microseconds.
-        allowed_deviations: The allowance for chance, in standard deviations of a Poisson count.
+        allowed_deviations: The allowance for random variation, in standard deviations of a Poisson count.
         mean_work: The seconds of work of one attempt, averaged with the work as weight.
     """
 
--- a/standins/fleet/request_simulation.py
+++ b/standins/fleet/request_simulation.py
@@ -21,9 +21,9 @@
 from standins.fleet.streams import RandomStreams
 from standins.fleet.traffic import Request, Traffic, lognormal
 
-# The allowance for chance in the budget, in standard deviations. With this allowance, 3.2 times the present
-# capacity still exceeds a budget of 2.5 times.
-CHANCE_DEVIATIONS = 1.0
+# The allowance for random variation in the budget, in standard deviations. With this allowance, 3.2 times
+# the present capacity still exceeds a budget of 2.5 times.
+ALLOWED_DEVIATIONS = 1.0
 MIN_SPEED = 0.4  # the least speed of an endpoint, relative to the mean
 MAX_SPEED = 2.0  # the greatest speed of an endpoint, relative to the mean
 NOMINAL_RATE_ERROR = 0.1  # the greatest relative error of the nominal rate that a proxy announces
@@ -62,7 +62,7 @@
             BudgetRule(
                 parameters.overload_multiple,
                 parameters.overload_window,
-                CHANCE_DEVIATIONS,
+                ALLOWED_DEVIATIONS,
                 work_weighted_mean_work(parameters.traffic_groups),
             )
         )
--- a/tests/leadership/test_cluster_processes.py
+++ b/tests/leadership/test_cluster_processes.py
@@ -73,7 +73,7 @@
     assert is_ejected_everywhere(installation, "s-3")
 
 
-def test_killed_and_paused_members_are_taken_over_and_no_earlier_term_is_obeyed(tmp_path):
+def test_killed_and_paused_members_are_taken_over_and_commands_of_earlier_terms_are_ignored(tmp_path):
     async def test():
         applied_commands = []
         installation = await Installation(tmp_path, 3, 120, lease_ms=600, shards=24).start()
--- a/tests/leadership/test_shard_records.py
+++ b/tests/leadership/test_shard_records.py
@@ -31,7 +31,7 @@
     assert Record.unpack(packed_record).warming_since == {}
 
 
-def test_a_shard_that_had_no_holder_yet_has_an_empty_record():
+def test_a_shard_without_an_earlier_holder_has_an_empty_record():
     assert Record.unpack(None) == Record()
 
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -16,7 +16,7 @@
     assert water_filling_level(demands, budget) == (None if level is None else pytest.approx(level))
 
 
-def test_load_is_shed_by_priority_weight_and_unproved_attempts_are_not_retried(drive):
+def test_load_is_shed_by_priority_weight_and_attempts_that_may_have_run_are_not_retried(drive):
     driver = drive()
     driver.run(30, busy_fleet)
     levels = {
@@ -25,8 +25,8 @@
         if table == driver.controller.tables.current_tables[0, 0]
     }
     assert levels[1][0] < 200 and levels[1][0] <= levels.get(2, (1e6, 1))[0]
-    # Retry mode 1 allows a retry only if the first attempt is proved never to have run, so that no request
-    # takes effect twice.
+    # Retry mode 1 allows a retry only if it is certain that the first attempt never ran, so that no
+    # request takes effect twice.
     assert all(retry_mode == 1 for _, retry_mode in driver.writer.levels.values())
 
 
--- a/tests/process/test_logs.py
+++ b/tests/process/test_logs.py
@@ -33,7 +33,7 @@
     assert written_lines[-1] == "later\n"
 
 
-def test_the_clock_counts_whole_microseconds_and_never_goes_back():
+def test_the_clock_counts_integer_microseconds_and_never_goes_back():
     clock = Clock()
     times = [clock() for _ in range(1000)]
     assert times == sorted(times) and all(isinstance(time, int) for time in times)
--- a/tests/standins/test_work_budget.py
+++ b/tests/standins/test_work_budget.py
@@ -1,4 +1,4 @@
-"""The budget of work in slow start: windows, capacity, informed senders, and the allowance for chance."""
+"""The budget of work in slow start: windows, capacity, informed senders, and allowed variation."""
 
 import pytest
 
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize(
     "deviations, budget", [(0.0, 15.0), (1.0, 15.0 + 15**0.5), (2.0, 15.0 + 2 * 15**0.5)]
 )
-def test_the_allowance_for_chance_is_a_number_of_standard_deviations(deviations, budget):
+def test_the_allowance_for_random_variation_is_a_number_of_standard_deviations(deviations, budget):
     assert window_budget(BudgetRule(2.5, 3 * SECOND, deviations, 1.0), 2.0) == pytest.approx(budget)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -112,7 +112,7 @@
     assert path in str(error_info.value)
 
 
-@pytest.mark.parametrize("word", ["unheard-of", ""])
+@pytest.mark.parametrize("word", ["unknown-value", ""])
 def test_an_unknown_idempotency_counts_as_non_idempotent(word):
     assert decode_settings({"classes": [{"idempotency": word}]}).traffic_groups[0].idempotency is (
         Idempotency.NON_IDEMPOTENT
--- a/tools/write_distribution_fixtures.py
+++ b/tools/write_distribution_fixtures.py
@@ -14,47 +14,47 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from ravenshelf.distribution import messages as m  # noqa: E402
+from ravenshelf.distribution import messages  # noqa: E402
 
 FIXTURES = ROOT / "tests" / "fixtures" / "distribution" / "messages.json"
 
 
-def samples() -> dict[str, m.Message]:
+def samples() -> dict[str, messages.Message]:
     """Return one or more samples of each message type, by name."""
-    version, later_version = m.Version(3, 17), m.Version(4, 1)
-    annotations = m.ZoneLoadReport.__annotations__
+    version, later_version = messages.Version(3, 17), messages.Version(4, 1)
+    annotations = messages.ZoneLoadReport.__annotations__
     endpoint_load = annotations["endpoints"].__args__[1]
     group_load = annotations["groups"].__args__[1]
     return {
-        "hello": m.Hello(m.PROTOCOL, "lisbon", "relay-1-0"),
-        "subscribe_new": m.Subscribe("checkout@0", m.NEVER),
-        "subscribe_known": m.Subscribe("checkout@", version),
-        "unsubscribe": m.Unsubscribe("checkout@2"),
-        "snapshot_empty": m.Snapshot("checkout@1", later_version, 0, 1, {}),
-        "snapshot_entries": m.Snapshot(
+        "hello": messages.Hello(messages.PROTOCOL, "lisbon", "relay-1-0"),
+        "subscribe_new": messages.Subscribe("checkout@0", messages.NEVER),
+        "subscribe_known": messages.Subscribe("checkout@", version),
+        "unsubscribe": messages.Unsubscribe("checkout@2"),
+        "snapshot_empty": messages.Snapshot("checkout@1", later_version, 0, 1, {}),
+        "snapshot_entries": messages.Snapshot(
             "checkout@",
             version,
             1,
             3,
             {
-                "e:s-17": m.EndpointEntry(0, True, 4.0, 1_764_000_000_000_000),
-                "e:s-18": m.EndpointEntry(2, False, 0.5),
-                "t:s-17": m.TableLine(333.33),
-                "t:s-18": m.TableLine(1.25, 0.0625),
-                "l:0": m.AdmissionLevel(0.75, 2),
-                "c:limit": m.Setting("30"),
+                "e:s-17": messages.EndpointEntry(0, True, 4.0, 1_764_000_000_000_000),
+                "e:s-18": messages.EndpointEntry(2, False, 0.5),
+                "t:s-17": messages.TableLine(333.33),
+                "t:s-18": messages.TableLine(1.25, 0.0625),
+                "l:0": messages.AdmissionLevel(0.75, 2),
+                "c:limit": messages.Setting("30"),
             },
         ),
-        "delta": m.Delta(
-            "checkout@0", version, later_version, {"t:s-17": m.TableLine(500.0), "t:s-18": None}
+        "delta": messages.Delta(
+            "checkout@0", version, later_version, {"t:s-17": messages.TableLine(500.0), "t:s-18": None}
         ),
-        "delta_empty": m.Delta("published/7", m.NEVER, later_version, {}),
-        "heartbeat_zero": m.Heartbeat(0),
-        "heartbeat_largest": m.Heartbeat(2**64 - 1),
-        "resync": m.Resync({"checkout@": version, "checkout@0": m.NEVER}),
-        "topic_live": m.TopicLive("checkout@0", True),
-        "topic_not_live": m.TopicLive("checkout@0", False),
-        "report": m.ZoneLoadReport(
+        "delta_empty": messages.Delta("published/7", messages.NEVER, later_version, {}),
+        "heartbeat_zero": messages.Heartbeat(0),
+        "heartbeat_largest": messages.Heartbeat(2**64 - 1),
+        "resync": messages.Resync({"checkout@": version, "checkout@0": messages.NEVER}),
+        "topic_live": messages.TopicLive("checkout@0", True),
+        "topic_not_live": messages.TopicLive("checkout@0", False),
+        "report": messages.ZoneLoadReport(
             "checkout",
             1,
             1_764_000_000,
@@ -63,14 +63,14 @@
             {"s-17": endpoint_load(100, 3, 1_234_567), "s-18": endpoint_load(1, 1)},
             {0: group_load(90, 2), 3: group_load(11)},
         ),
-        "report_empty": m.ZoneLoadReport("checkout", 0, 0, "own", 1, {}, {}),
+        "report_empty": messages.ZoneLoadReport("checkout", 0, 0, "own", 1, {}, {}),
     }
 
 
 def main() -> None:
     """Write the samples to FIXTURES, encoded as hexadecimal text."""
     FIXTURES.parent.mkdir(parents=True, exist_ok=True)
-    encoded = {name: m.encode(message).hex() for name, message in samples().items()}
+    encoded = {name: messages.encode(message).hex() for name, message in samples().items()}
     FIXTURES.write_text(json.dumps(encoded, indent=1) + "\n", encoding="utf-8")
 
 
