--- a/examples/toy.py
+++ b/examples/toy.py
@@ -29,7 +29,7 @@
 NAMES = [f"s-{n}" for n in range(4)]
 ANSWER_TIMES = {"s-0": 0.02, "s-1": 0.08, "s-2": 0.02, "s-3": 0.02}  # mean seconds
 REQUESTS_PER_SECOND = 40
-SERVER_ADDRESS = "127.0.0.1:8080"  # of examples/config.json
+SERVER_ADDRESS = "127.0.0.1:8080"  # the same as in examples/config.json
 REGISTRY_PORT = 8500
 FIRST_ENDPOINT_PORT = 9001
 PRINTED_MESSAGE = 150  # characters
--- a/ravenshelf/distribution/owner_service.py
+++ b/ravenshelf/distribution/owner_service.py
@@ -16,7 +16,7 @@
 
 
 class OwnerService(DistributionService):
-    """Service that runs a `ServiceOwner` on sockets.
+    """Service that runs the decisions of a `ServiceOwner` with real sockets.
 
     The caller reports changes of leases, and changes of the shards to replicate.
     """
--- a/ravenshelf/distribution/relay_service.py
+++ b/ravenshelf/distribution/relay_service.py
@@ -1,4 +1,4 @@
-"""A relay on sockets: its upstreams, its subscribers, and its status for operators."""
+"""A relay that uses real sockets: its upstreams, its subscribers, and its status for operators."""
 
 import random
 from collections.abc import Mapping, Sequence
@@ -11,7 +11,7 @@
 
 
 class RelayService(DistributionService):
-    """Service that runs a `Relay` on sockets."""
+    """Service that runs the decisions of a `Relay` with real sockets."""
 
     def __init__(
         self,
--- a/ravenshelf/distribution/serving.py
+++ b/ravenshelf/distribution/serving.py
@@ -1,4 +1,4 @@
-"""Common base of relays and service owners on sockets: upstreams, subscribers, and one timer."""
+"""Common base of the socket services of relays and service owners: upstreams, subscribers, and one timer."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Mapping
--- a/ravenshelf/distribution/subscription_service.py
+++ b/ravenshelf/distribution/subscription_service.py
@@ -1,4 +1,4 @@
-"""A subscriber on sockets, which keeps its topics up to date from one of its parents."""
+"""A subscriber that uses real sockets and keeps its topics up to date from one of its parents."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -27,7 +27,7 @@
 
 
 class SubscriptionService:
-    """Service that runs a `SubscriptionClient` on sockets."""
+    """Service that runs the decisions of a `SubscriptionClient` with real sockets."""
 
     def __init__(
         self,
--- a/ravenshelf/leadership/decisions/peers.py
+++ b/ravenshelf/leadership/decisions/peers.py
@@ -6,7 +6,7 @@
 from ravenshelf.leadership.decisions.messages import MemberLoad
 from ravenshelf.leadership.shard_placement import member_weight
 
-NEVER = -1  # stands in for the time of a contact that has not happened
+NEVER = -1  # used as the time of a contact that has not happened
 UNKNOWN_LOAD = MemberLoad(1.0, False, 0)  # assumed until a member has reported its load
 
 
--- a/standins/fleet/channels.py
+++ b/standins/fleet/channels.py
@@ -7,7 +7,8 @@
 from standins.fleet.clock import SECOND, EventQueue
 from standins.fleet.proxies import SimulatedProxy
 
-FIXED_DELAY = SECOND // 5  # in microseconds, for the delivery and again for the acknowledgement
+# Delay in microseconds of each delivery; the acknowledgement is delayed by as much again.
+FIXED_DELAY = SECOND // 5
 
 
 class Receiver(Protocol):
--- a/standins/fleet/endpoints.py
+++ b/standins/fleet/endpoints.py
@@ -7,8 +7,8 @@
 
 WARM_UP_TIME = 10 * SECOND  # in microseconds
 COLD_CAPACITY_SHARE = 0.2
-BASE_LATENCY = 100_000  # in microseconds, of an idle endpoint
-REJECTION_TIME = 2_000  # in microseconds, about a round trip
+BASE_LATENCY = 100_000  # latency of an idle endpoint in microseconds
+REJECTION_TIME = 2_000  # about one round trip, in microseconds
 CONNECT_TIMEOUT = 250_000  # in microseconds; an endpoint that is gone does not answer
 
 
--- a/standins/fleet/scenarios.py
+++ b/standins/fleet/scenarios.py
@@ -9,7 +9,7 @@
 from standins.fleet.parameters import Parameters, UniformRange
 from standins.fleet.request_simulation import RequestSimulation
 
-KILLED_SHARE = 0.7  # of the servers or proxies
+KILLED_SHARE = 0.7  # share of the servers or proxies that are killed
 OUTLIER_SLOWDOWN = (2.0, 9.0)
 OUTLIER_FAILURE_SHARE = (0.4, 1.0)
 
--- a/standins/fleet/traffic.py
+++ b/standins/fleet/traffic.py
@@ -12,7 +12,7 @@
 from standins.fleet.proxies import RequestProxy
 from standins.fleet.streams import RandomStreams
 
-MAX_RETRIES = (0, 1, 1, 2)  # by retry mode
+MAX_RETRIES = (0, 1, 1, 2)  # maximum number of retries of a request, by retry mode
 RETRY_MODE_IF_NOT_BEGUN = 1
 RETRY_MODE_AFTER_ANY_FAILURE = 2
 
