--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -120,9 +120,9 @@
         points = self.by_name[name].points
         return _mean(min(points, key=lambda point: abs(point.size - count)).values)
 
-    def fleets(self, servers: int) -> list[Fleet]:
+    def fleets(self, server_count: int) -> list[Fleet]:
         """Return the runs of the fleets of a size."""
-        return [fleet for fleet in self.results.fleets if fleet.pilots == servers]
+        return [fleet for fleet in self.results.fleets if fleet.pilots == server_count]
 
     def largest_fleets(self, part: str) -> list[Fleet]:
         """Return the runs of the largest fleet that simulated a part of the day."""
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -77,12 +77,12 @@
     resident_mb: float = 0.0
 
 
-def fleet_size(servers: int) -> DistributionSize:
-    """Return the size of a fleet of `servers` servers, with services in proportion and 30 endpoints each."""
+def fleet_size(server_count: int) -> DistributionSize:
+    """Return the size of a fleet, with services in proportion to its servers and 30 endpoints each."""
     return DistributionSize(
         controllers=CONTROLLERS,
-        servers=servers,
-        services=max(24, SERVICES * servers // SERVERS),
+        servers=server_count,
+        services=max(24, SERVICES * server_count // SERVERS),
         endpoints=ENDPOINTS // SERVICES,
         services_per_server=SERVICES_PER_SERVER,
         regions=REGIONS,
@@ -99,10 +99,12 @@
     The methods that are named in DAY simulate one part each.
     """
 
-    def __init__(self, servers: int, seed: int, parts: Sequence[str]):
-        self.world = SimulatedDistribution(fleet_size(servers), seed, checked=False)
+    def __init__(self, server_count: int, seed: int, parts: Sequence[str]):
+        self.world = SimulatedDistribution(fleet_size(server_count), seed, checked=False)
         self.random_source = random.Random(f"{seed}/player")
-        self.fleet = Fleet(servers, sum(len(level) for level in self.world.relay_levels), seed, list(parts))
+        self.fleet = Fleet(
+            server_count, sum(len(level) for level in self.world.relay_levels), seed, list(parts)
+        )
 
     def run(self) -> Fleet:
         """Simulate the parts in order, and return their results."""
@@ -300,9 +302,9 @@
         )
 
 
-def run_day(servers: int, seed: int, parts: Sequence[str]) -> Fleet:
-    """Simulate the given parts of the day in a fleet of `servers` servers."""
-    return DayRunner(servers, seed, parts).run()
+def run_day(server_count: int, seed: int, parts: Sequence[str]) -> Fleet:
+    """Simulate the given parts of the day in a fleet of `server_count` servers."""
+    return DayRunner(server_count, seed, parts).run()
 
 
 class Baseline(msgspec.Struct):
@@ -320,20 +322,20 @@
     subscribed_source_bytes: float
 
 
-def baseline(servers: int, seed: int, services: int) -> Baseline:
+def baseline(server_count: int, seed: int, services: int) -> Baseline:
     """Compare servers that watch all services with servers that subscribe to some.
 
     In both cases all services change once within ten seconds.
     """
     rates = []
     for subscribed_services, fan_out in (
-        (services, 4 * servers),
+        (services, 4 * server_count),
         (min(SERVICES_PER_SERVER, services), FAN_OUT),
     ):
         world = SimulatedDistribution(
             DistributionSize(
                 controllers=3,
-                servers=servers,
+                servers=server_count,
                 services=services,
                 endpoints=30,
                 services_per_server=subscribed_services,
@@ -356,7 +358,7 @@
             world.run(10 / services)
         world.run(2)
         rates += [
-            (sum(server.bytes_in for server in world.servers) - bytes_before[0]) / servers / 12,
+            (sum(server.bytes_in for server in world.servers) - bytes_before[0]) / server_count / 12,
             (sum(relay.bytes_out for relay in world.relay_levels[-1]) - bytes_before[1]) / 12,
         ]
-    return Baseline(servers, seed, *rates)
+    return Baseline(server_count, seed, *rates)
