--- a/ravenshelf/net/accepted.py
+++ b/ravenshelf/net/accepted.py
@@ -27,10 +27,10 @@
         """Handle a received line, which is passed without its line end."""
 
     def on_connection_ended(self, connection: "AcceptedConnection") -> None:
-        """Handle the end of a connection, given in its `end`; called once."""
+        """Handle the end of a connection, after its `end` is set; called once for each connection."""
 
     def on_socket_closed(self, connection: "AcceptedConnection") -> None:
-        """Handle the closing of the connection's socket, which may follow the end of the connection later."""
+        """Handle the closing of the connection's socket, which may happen after the connection's end."""
 
     @property
     def call_soon(self) -> Callable[[Callable[[], None]], object]:
@@ -122,7 +122,10 @@
         return self.end is not None
 
     def write(self, data: bytes) -> None:
-        """Write a message, or close the connection if too much is unsent; do nothing after its end."""
+        """Write a message, or close the connection if more than `UNSENT_LIMIT_BYTES` are unsent.
+
+        After the connection's end, nothing is written.
+        """
         if self.end is not None:
             return
         if self.transport.get_write_buffer_size() > UNSENT_LIMIT_BYTES:
@@ -131,11 +134,11 @@
         self.transport.write(data)
 
     def close_transport(self, end: ConnectionEnd) -> None:
-        """Close the transport; when the server stops, deliver to a stream what was written before.
+        """Close the transport, but if the server stops, first send what was written to a stream.
 
-        Data that the proxy still sends is read and dropped meanwhile. If data were unread when the socket is
-        closed, the operating system would reset the connection and drop what is in flight, possibly in the
-        middle of a message.
+        Until that is sent, data that arrives from the proxy is read and dropped. If data were unread when the
+        socket is closed, the operating system would reset the connection and drop what is in flight, possibly
+        in the middle of a message.
         """
         if end is ConnectionEnd.STOPPING and self.purpose == STREAM and not self.transport.is_closing():
             self.transport.write_eof()
--- a/ravenshelf/net/buffered_connection.py
+++ b/ravenshelf/net/buffered_connection.py
@@ -79,7 +79,7 @@
         self.handle_end()
 
     def close_transport(self, end: ConnectionEnd) -> None:
-        """Close the socket: after sending what was written if the server stops, otherwise at once."""
+        """Close the socket at once or, if the server stops, after the data already written is sent."""
         if end is ConnectionEnd.STOPPING:
             self.transport.close()
         else:
--- a/ravenshelf/net/datagrams.py
+++ b/ravenshelf/net/datagrams.py
@@ -63,8 +63,8 @@
             payload: Content of the datagram.
 
         Returns:
-            Whether the datagram was sent. It is not if the socket is not open yet, the peer has no address or
-            the payload is too long.
+            Whether the datagram was sent. A datagram is not sent if the socket is not open yet, the peer has
+            no address or the payload is too long.
         """
         destination = self._destination(peer)
         if self.transport is None or destination is None or len(payload) > DATAGRAM_LIMIT_BYTES:
--- a/ravenshelf/net/http.py
+++ b/ravenshelf/net/http.py
@@ -113,7 +113,7 @@
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if not self.is_complete:  # data after a complete response does not matter
+            if not self.is_complete:  # errors after a complete response are ignored
                 self.close(ConnectionEnd.UNREADABLE)
         if self.is_complete:
             self._close_complete()
--- a/ravenshelf/net/stream_codec.py
+++ b/ravenshelf/net/stream_codec.py
@@ -27,12 +27,12 @@
 WINDOW_LIMIT_MS = 600_000.0  # longer than any window that a report covers
 # A reported mean latency may exceed the longest possible one by this factor.
 MEAN_LATENCY_TOLERANCE = 4
-# Length of the start of a line that is compared with the message kinds; longer than any of them.
+# The first bytes of a line, up to this number, are compared with the message kinds, all of which are shorter.
 KIND_PREFIX_BYTES = 12
 PING = "PING"
 PONG = b"PONG\r\n"
-SUBSCRIBE = "SUBSCRIBE"  # a proxy joins
-SOURCE = "SOURCE"  # a collector states the zone of its load reports
+SUBSCRIBE = "SUBSCRIBE"  # the message with which a proxy joins
+SOURCE = "SOURCE"  # the message in which a collector states the zone of its load reports
 LOAD = "LOAD"  # a load report
 RATE = "RATE"  # a demand report
 ACK = "ACK"  # an acknowledgement
@@ -86,7 +86,8 @@
 def may_begin_message(data: bytes | bytearray) -> bool:
     """Return whether an incomplete line may become a message of a known kind.
 
-    With this check, a peer that sends other data without a line end is rejected before that fills the memory.
+    With this check, a peer that sends other data without a line end is rejected before the data fills the
+    memory.
     """
     first_bytes, space, _ = bytes(data[:KIND_PREFIX_BYTES]).partition(b" ")
     word = first_bytes.rstrip(b"\r").decode("latin-1")
@@ -266,7 +267,7 @@
         return parse_whole_number(fields, "proxy", self.proxy_limit)
 
     def decode_join(self, fields: dict[str, str]) -> ProxyJoined:
-        """Decode a SUBSCRIBE, in which a proxy without a known nominal rate may omit `weight`."""
+        """Decode a SUBSCRIBE message, in which a proxy without a known nominal rate may omit `weight`."""
         return ProxyJoined(
             self.decode_proxy(fields),
             self.decode_zone(fields),
@@ -275,7 +276,7 @@
         )
 
     def decode_acknowledgement(self, fields: dict[str, str]) -> BatchAcknowledged:
-        """Decode an ACK."""
+        """Decode an ACK message."""
         return BatchAcknowledged(
             self.decode_proxy(fields),
             parse_whole_number(fields, "mark", 65536),
@@ -283,7 +284,7 @@
         )
 
     def decode_demand_report(self, fields: dict[str, str]) -> DemandReport:
-        """Decode a RATE."""
+        """Decode a RATE message."""
         return DemandReport(
             self.decode_proxy(fields),
             self._index_of_name(fields, "class", self.groups),
@@ -291,7 +292,7 @@
         )
 
     def decode_load_report(self, fields: dict[str, str]) -> LoadReport | None:
-        """Decode a LOAD.
+        """Decode a LOAD message.
 
         Returns:
             The event, or None if the endpoint was never listed. The message counts as well-formed in that
--- a/ravenshelf/policy/admission.py
+++ b/ravenshelf/policy/admission.py
@@ -38,10 +38,11 @@
 # In each calm solve interval, the load carried in calm is multiplied by this before it is compared with the
 # present load.
 CARRIED_DECAY = 0.995
-# In each calm solve interval, the load reported in calm is multiplied by this in the same way.
+# In each calm solve interval, the load that endpoints reported in calm is multiplied by this before it is
+# compared with the presently reported load.
 CALM_LOAD_DECAY = 0.99
-# Endpoints are idle if the reported load is at most the load reported in calm times this factor, plus the
-# margin (load per weight).
+# Endpoints are idle if the reported load is at most the load reported in calm times this factor, plus
+# this margin (load per weight).
 IDLE_LOAD_FACTOR = 1.3
 IDLE_LOAD_MARGIN = 0.1
 # The health factor of idle endpoints is their median health score raised to this power.
@@ -57,7 +58,7 @@
 # this share of its demand is admitted.
 FULL_ADMISSION_SHARE = 0.99
 FULL_GROUP_SHARE = 0.999
-# A level is never 0.
+# Lower admission levels are raised to this, so that a level is never 0. It has the unit of the levels.
 MINIMUM_LEVEL = 0.02
 
 
--- a/ravenshelf/policy/commands.py
+++ b/ravenshelf/policy/commands.py
@@ -7,8 +7,8 @@
 
 from typing import NamedTuple, Protocol
 
-# As the table of an admission level, this number stands for all tables, so that the level applies to every
-# joined proxy.
+# An admission level that is set for the table of this number applies to all tables, and so to every joined
+# proxy.
 ALL_TABLES = 65_535
 
 
--- a/ravenshelf/policy/controller.py
+++ b/ravenshelf/policy/controller.py
@@ -196,7 +196,7 @@
             self.plan(writer, urgency)
         pending_endpoints = self.ejections.pending_endpoints()
         # While ejections are pending, proxies are bound at the highest urgency. A proxy without a table is
-        # charged one line for each of them, and these lines together cost more than its table.
+        # charged one line for each pending ejection, and these lines together cost more than its table.
         urgency = WITHDRAWAL if pending_endpoints else JOINING
         for index in unbound_proxies:
             tables.bind(index, tables.current_table(self.proxies[index]), writer, urgency)
@@ -330,7 +330,7 @@
             writer: The receiver of the commands.
             urgency: `ORDINARY` for the periodic solve, which also adapts the capacity estimate and sends
                 changes by staged rollout. With any other urgency, tables that are in use change in place.
-            selected_tables: The only tables that may change in place, unless it is empty.
+            selected_tables: The tables that may change in place; empty: all tables.
         """
         now = self.now
         zones = {proxy.zone for proxy in self.proxies.values()}
--- a/ravenshelf/policy/demand.py
+++ b/ravenshelf/policy/demand.py
@@ -1,4 +1,4 @@
-"""Demand by zone: that of the proxies of this server, and an estimate for all proxies of the deployment."""
+"""Demand by zone, for the proxies of this server and, as an estimate, for all proxies of the deployment."""
 
 from collections import Counter
 from collections.abc import Mapping
--- a/ravenshelf/policy/effective_weights.py
+++ b/ravenshelf/policy/effective_weights.py
@@ -50,7 +50,7 @@
         Args:
             directory: All endpoints.
             slow_start: The capacity shares of endpoints that are warming up.
-            miss_bound: The miss bound, for the time of the first load report.
+            miss_bound: The miss bound, which records the time of the first load report.
             zone_count: The number of zones.
             outlier_after_failures: The consecutive failures after which a proxy ejects an endpoint as an
                 outlier by itself; 0: proxies never do.
--- a/ravenshelf/policy/ejections.py
+++ b/ravenshelf/policy/ejections.py
@@ -1,4 +1,4 @@
-"""Ejections: single endpoints that tables may not contain any more are withdrawn, and readmitted later."""
+"""Ejections: the withdrawal of endpoints that tables must not contain any more, and their readmission."""
 
 from __future__ import annotations
 
--- a/ravenshelf/policy/endpoint_watch.py
+++ b/ravenshelf/policy/endpoint_watch.py
@@ -16,7 +16,7 @@
 BACKOFF_SHARES = (0.25, 0.5)
 # A watch that gets no answer is opened again after this time.
 SILENT_POLL_TIMEOUT = 5 * SECOND
-# A failed poll may extend that time by this much.
+# A failed poll may delay the next poll by this much beyond the time at which an unanswered poll is repeated.
 FAILED_POLL_MARGIN = SECOND
 
 
@@ -37,7 +37,8 @@
     def record_poll_failure(self, now: int) -> None:
         """Schedule the next poll after a random backoff.
 
-        It is due at most `FAILED_POLL_MARGIN` later than the poll would be repeated without an answer.
+        The next poll is due at most `FAILED_POLL_MARGIN` after the time at which it would be due without any
+        answer.
         """
         self.failed_polls = min(self.failed_polls + 1, MAXIMUM_BACKOFF_EXPONENT)
         latest_retry = (self.retry_at or now) + FAILED_POLL_MARGIN
--- a/ravenshelf/policy/endpoints.py
+++ b/ravenshelf/policy/endpoints.py
@@ -19,7 +19,7 @@
 RECENT_TIME_CONSTANT = 2 * SECOND
 LATENCY_TIME_CONSTANT = 12 * SECOND
 HOST_LOAD_TIME_CONSTANT = 20 * SECOND
-# Smaller listed weights count as this.
+# A listed weight below this counts as this weight.
 MINIMUM_WEIGHT = 1e-3
 
 
@@ -32,7 +32,8 @@
         machine_kind: The kind of the endpoint's machine.
         state: The listed state; None before the first list.
         weight: The listed weight.
-        started_at: When the endpoint's process started, in microseconds; 0: long ago.
+        started_at: When the endpoint's process started, in microseconds; 0: so long ago that
+            the endpoint is warm.
         is_ejected: Whether the endpoint is ejected from every table.
         slot: A number among the endpoints of a zone, which determines the endpoint's partition. The slot of
             an endpoint that has gone is free for a new endpoint.
--- a/ravenshelf/policy/events.py
+++ b/ravenshelf/policy/events.py
@@ -63,10 +63,10 @@
         endpoint: The index of the endpoint.
         zone: The zone of the endpoint.
         machine_kind: The kind of the endpoint's machine.
-        cell: The group of endpoints that the registry assigns it to.
+        cell: The group of endpoints that the registry assigns the endpoint to.
         state: The listed state.
         weight: The listed weight.
-        started_at: When the endpoint's process started; 0: long ago.
+        started_at: When the endpoint's process started; 0: so long ago that the endpoint is warm.
     """
 
     endpoint: int
--- a/ravenshelf/policy/flow_control.py
+++ b/ravenshelf/policy/flow_control.py
@@ -23,8 +23,8 @@
 if TYPE_CHECKING:  # Imported for annotations only, so that a simulated server starts without loading it.
     from ravenshelf.policy.commands import CommandWriter
 
-# These limits apply where the settings state none: the first to lines and to lines per second, the second to
-# messages per proxy and counting window.
+# These limits apply where the settings state none. UNLIMITED_LINES is used for the queue limit in lines and
+# for the rate in lines per second; UNLIMITED_MESSAGES limits the messages per proxy and counting window.
 UNLIMITED_LINES = 1e9
 UNLIMITED_MESSAGES = 1e9
 # Each message is charged with this many lines of overhead where the settings state none.
@@ -46,13 +46,13 @@
 
 # The following limits are indexed by urgency.
 
-# A change is not written if the queue before it takes longer than this to drain at the nominal rate, because
-# the change would be outdated by then.
+# A change is not written if the queue before it takes more than this many seconds to drain at the nominal
+# rate, because the change would be outdated by then.
 MAXIMUM_QUEUE_SECONDS = (0.7, 1.5, 1.5, 4.0, 1e9)
 # The estimated queue may take up this share of the queue limit.
 QUEUE_SHARES = (0.45, 0.65, 0.65, 0.75, 0.88)
-# The lines that are not confirmed to have left the channel, and so may be queued whatever its rate is, may
-# take up this share of the queue limit.
+# Lines that are not confirmed to have left the channel may still be queued, whatever the rate of the channel
+# is. They may take up this share of the queue limit.
 UNCONFIRMED_SHARES = (0.85, 0.85, 0.85, 0.9, 0.95)
 # This share of a proxy's messages per counting window may be used.
 MESSAGE_SHARES = (0.6, 0.7, 0.8, 0.8, 1.0)
@@ -105,7 +105,8 @@
         self.start_position = start_position
         self.earliest_start = earliest_start
         self.total_lines = sum(lines.values())
-        # An acknowledgement of one proxy bounds the time that the lines behind it still take.
+        # When a proxy acknowledges the batch, at most the lines behind its own are still to be sent, which
+        # bounds the time until the channel has sent the batch.
         self.lines_behind = {
             proxy: self.total_lines - cumulative_lines
             for proxy, cumulative_lines in zip(lines, accumulate(lines.values()), strict=True)
--- a/ravenshelf/policy/latency_bounds.py
+++ b/ravenshelf/policy/latency_bounds.py
@@ -14,7 +14,8 @@
 MEDIAN_MULTIPLE = 3
 # The latency between two zones is the minimum over this time.
 GAP_WINDOW = SECOND
-# Smaller changes of the latency between zones are ignored, so that they do not move the miss curves.
+# Changes of the latency between zones by fewer microseconds are ignored, so that they do not move the miss
+# curves.
 MINIMUM_GAP_CHANGE = 1000
 # Whatever the latency between zones, at least this share of the miss bound counts as left for the request.
 MINIMUM_TIME_LEFT = 0.2
@@ -56,7 +57,8 @@
     def __init__(self, zone_count: int):
         # The gaps are in microseconds. The rows are sending zones, the columns receiving zones.
         self._gaps = [[0] * zone_count for _ in range(zone_count)]
-        # For each pair of a sending and a receiving zone, these are pairs of a time and a latency.
+        # The keys are pairs of a sending and a receiving zone. Each sample is a time and a latency, both in
+        # microseconds.
         self._recent_samples: dict[tuple[int, int], list[tuple[int, int]]] = {}
 
     def add(self, now: int, sender: int, receiver: int, latency: int) -> None:
@@ -84,8 +86,8 @@
     def load_factors(self, miss_bound: int | None) -> Sequence[Sequence[float]]:
         """Return, by sending and receiving zone, a factor on the load of the receiving zone.
 
-        Requests from another zone have less time left until the miss bound. For the sending zone, the
-        receiving zone is like one with a load that is higher by this factor.
+        Requests from another zone have less time left until the miss bound. Their expected miss share is
+        therefore read from the miss curve of the receiving zone at its load times this factor.
 
         Args:
             miss_bound: The miss bound; None: unknown.
--- a/ravenshelf/policy/proxies.py
+++ b/ravenshelf/policy/proxies.py
@@ -4,8 +4,8 @@
 from ravenshelf.policy.events import DemandReport
 from ravenshelf.settings import SECOND
 
-# Demand reports decay with this time constant. On average their age is then that of the reports in a window
-# of 5 s.
+# Demand reports decay with this time constant. The mean age of a report is then the same as in a window of
+# 5 s without decay.
 DEMAND_TIME_CONSTANT = 5 * SECOND // 2
 # The demand of a proxy is known only with more than this many reported seconds (decayed).
 MINIMUM_REPORTED_SECONDS = 0.05
--- a/ravenshelf/policy/slow_start.py
+++ b/ravenshelf/policy/slow_start.py
@@ -6,16 +6,16 @@
 from ravenshelf.policy.service_time import ServiceTimeEstimator
 from ravenshelf.settings import SECOND, WarmUpSettings
 
-# Slow start takes at most this time, and exactly this time if the settings state none.
+# Slow start takes at most this time, and exactly this time if the settings do not state its duration.
 MAXIMUM_WARM_UP = 30 * SECOND
 # The endpoints of a lost zone are expected to return within this time.
 RECOVERY_WINDOW = 10 * SECOND
-# The cold capacity share is multiplied with this while the service time, and so the traffic, is unknown.
+# The cold capacity share is multiplied by this while the service time, and so the traffic, is unknown.
 UNKNOWN_TRAFFIC_FACTOR = 0.25
-# The cold capacity share is reduced unless a cold endpoint survives an overload by this multiple of its
-# capacity. The overload that it survives is the overload multiple of the settings, less 1.
+# The overload that a cold endpoint survives, as a multiple of its capacity, is the overload multiple of the
+# settings, less 1. If it is less than this, the cold capacity share is divided by this over that overload.
 OVERLOAD_MARGIN = 3
-# A smaller overload in the settings counts as this one.
+# If the settings state that a cold endpoint survives a smaller overload, this overload is assumed.
 MINIMUM_OVERLOAD = 0.1
 # An endpoint is known to work if it has more than this many successful attempts (decayed).
 MINIMUM_SUCCESSES = 0.5
--- a/ravenshelf/policy/spill_solver.py
+++ b/ravenshelf/policy/spill_solver.py
@@ -115,7 +115,8 @@
     def _worst_miss_share_after(self, sender: int, receiver: int) -> float:
         """Return the higher of two miss shares at the receiver after one more move.
 
-        One is that of the sender's requests there, the other that of the receiver's own requests.
+        The two are the miss share of the sender's requests at the receiver, and that of the receiver's own
+        requests.
         """
         added_requests = self._quantum * self._demand[sender]
         return max(
@@ -177,7 +178,7 @@
         )
 
     def _miss_share(self, sender: int, zone: int, added_requests: float = 0.0) -> float:
-        """Return the miss share of a sender's requests at a zone, if that served more requests per second."""
+        """Return the miss share of a sender's requests at a zone if `added_requests` per second are added."""
         curve = self._curves[zone]
         if not curve:
             return 0.0
--- a/ravenshelf/policy/weight_tables.py
+++ b/ravenshelf/policy/weight_tables.py
@@ -161,7 +161,7 @@
             levels: The admission levels by traffic group, for a table that a rollout begins to use.
             writer: The receiver of the commands.
             urgency: The urgency of the change.
-            selected_tables: The only tables that may change in place, unless it is empty.
+            selected_tables: The tables that may change in place; empty: all tables.
         """
         table = self.current_tables.setdefault(
             partition_key, 2 * (partition_key[0] + self._zone_count * partition_key[1])
--- a/ravenshelf/settings.py
+++ b/ravenshelf/settings.py
@@ -108,7 +108,7 @@
 
     Attributes:
         source: Where the load comes from: "answers", "probe" or "none".
-        columns: The names of the reported values, in the order of their columns.
+        columns: The names of the reported values; `LoadReport.load` contains the values in this order.
     """
 
     source: str = "none"
@@ -138,7 +138,7 @@
         traffic_groups: The traffic groups.
         server_count: The number of control-plane servers.
         discovery: How endpoint lists arrive: "pushed" or "on_request".
-        weight_kind: What listed weights express; "none": nothing.
+        weight_kind: What listed weights express; "none" if they do not express the size of endpoints.
         tick_us: The interval between control cycles in microseconds; None: not stated.
         service: The proxies and the control channel.
         warm_up: The properties of endpoints that have just started.
--- a/ravenshelf/simulator/decode.py
+++ b/ravenshelf/simulator/decode.py
@@ -15,13 +15,13 @@
 from ravenshelf.policy import events
 
 MICROSECONDS_PER_MILLISECOND = 1000
-NO_VALUE = "-"  # read in place of a missing value
+NO_VALUE = "-"  # the word that stands for a missing value
 STATES = {state.value: state for state in events.EndpointState}
 LIST_KINDS = {kind.value: kind for kind in events.ListKind}
 LIST_UNAVAILABLE = "unavailable"
-SHOWN_LINE_LENGTH = 120  # characters of a line that an error message shows
+SHOWN_LINE_LENGTH = 120  # an error message shows at most this many characters of a line
 ENTRY_LENGTH = 8  # number of words of a list entry, including its first word
-LIST_COUNT_POSITION = 4  # position of the number of entries in the line, which may omit it
+LIST_COUNT_POSITION = 4  # position of the number of entries among the words of the line, which may omit it
 # The values of a list entry, by the names that the protocol has for them; error messages show this text.
 ENTRY_SYNTAX = "'endpoint' name rack-zone family-type unit-group availability share last-start-ms"
 
@@ -195,7 +195,7 @@
 
     Args:
         text: The line.
-        index_of: Function of an instance and the line that returns the instance's index function.
+        index_of: Function of an instance's number and the line; it returns the instance's index function.
         next_line: Function that returns the next line of the batch.
 
     Returns:
--- a/ravenshelf/simulator/encode.py
+++ b/ravenshelf/simulator/encode.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 
 ALL_PEERS = "*"
-NO_VALUE = "-"  # written in place of a missing value
+NO_VALUE = "-"  # the word that stands for a missing value
 MICROSECONDS_PER_MILLISECOND = 1000
 
 
--- a/ravenshelf/simulator/host.py
+++ b/ravenshelf/simulator/host.py
@@ -79,7 +79,7 @@
         writer = WireWriter(self._number, self._names)
         try:
             self._get_controller().run_cycle(now, cycle_events, writer)
-        except Exception as error:  # the protocol has a line for this, so each instance gets a reply
+        except Exception as error:  # the protocol has a line for a failure, so each instance gets a reply
             writer.replace_with_exception(f"{type(error).__name__}: {error}")
         return writer.lines
 
--- a/ravenshelf/state/buffers.py
+++ b/ravenshelf/state/buffers.py
@@ -1,8 +1,8 @@
 """Pool of reusable read buffers of one size."""
 
 BUFFER_BYTES = 16 * 1024
-# A connection uses a buffer only from the start of a read to its end, so that fewer than this are in use at a
-# time.
+# The pool keeps at most this many free buffers. A connection holds a buffer only during a read, so fewer are
+# in use at a time.
 POOL_LIMIT = 64
 
 
--- a/ravenshelf/state/deadlines.py
+++ b/ravenshelf/state/deadlines.py
@@ -63,7 +63,8 @@
         """Yield the keys whose deadline has expired, the earliest first, and remove each as it is yielded.
 
         A deadline that is set during the iteration is left for the next call, even if it is in the past. If
-        the handling of one key cancels or moves another deadline, that one is not yielded.
+        the handling of one key cancels or moves another deadline, that other deadline's key is not
+        yielded.
 
         Args:
             now: Time in microseconds; deadlines up to and including it have expired.
--- a/ravenshelf/state/endpoint_registry.py
+++ b/ravenshelf/state/endpoint_registry.py
@@ -48,8 +48,8 @@
 
     Attributes:
         version: Version of the copy; 0 before the first list.
-        updated_at: Time of the last list or change that was accepted, in microseconds; at first, that of the
-            creation.
+        updated_at: Time of the last list or change that was accepted, in microseconds; before the
+            first one, the time at which the copy was created.
         names: Names of endpoints, by index.
         index_by_name: Indices of endpoints, by name.
         entries: Listed endpoints as last reported to the controller, by index.
@@ -109,7 +109,7 @@
         self.on_index_reassigned(index)
 
     def _reusable_index(self) -> int | None:
-        """Return the earliest delisted of the indices that may be reassigned, or None if there is none."""
+        """Return the reassignable index that was delisted first, or None if there is none."""
         latest_delisting = self.clock() - INDEX_REUSE_DELAY_US
         for index, delisted_at in self.delisted_at.items():
             if delisted_at > latest_delisting:
@@ -128,8 +128,9 @@
     ) -> EndpointsListed | None:
         """Apply a complete list, or changes to the list.
 
-        A list older than the current version is ignored. So are changes that lead to the current version or
-        an earlier one, except that changes of version 0 are applied as long as the current version is 0.
+        A list older than the current version is ignored. Changes that lead to the current version or an
+        earlier one are ignored too, except that changes of version 0 are applied as long as the current
+        version is 0.
 
         Args:
             kind: Whether `entries` are changes (UPDATE) or complete.
--- a/ravenshelf/state/message_building.py
+++ b/ravenshelf/state/message_building.py
@@ -127,7 +127,10 @@
 
     @staticmethod
     def _needs_reconciliation(proxy: ProxyTableState, endpoint: int) -> bool:
-        """Return whether to send the state of an endpoint that the proxy may have ejected before."""
+        """Return whether to send an endpoint's state because the proxy may have ejected it earlier.
+
+        The proxy may have done so by commands that this server does not know.
+        """
         if not proxy.has_unknown_history or endpoint in proxy.reconciled_endpoints:
             return False
         return endpoint in proxy.changed_ejections
--- a/ravenshelf/state/proxy_tables.py
+++ b/ravenshelf/state/proxy_tables.py
@@ -42,8 +42,8 @@
     Attributes:
         groups: Indices of all traffic groups.
         proxies: State of each joined proxy, by proxy, in the order of joining.
-        past_ejections: Endpoints that this server has ever ejected at a proxy, by proxy. A proxy stays in it
-            after it has left.
+        past_ejections: Endpoints that this server has ever ejected at a proxy, by proxy. The entry of
+            a proxy is kept after the proxy has left.
         join_count: Number of joins so far.
         affected_proxies: Proxies that a command of this cycle names, or whose ejections it changes.
         contents: The tables as commanded so far.
@@ -145,8 +145,8 @@
             self.contents.ejected_endpoints.add(endpoint)
             proxies_to_update = self._possible_holders(endpoint)
         else:
-            # Proxies that only may have ejected the endpoint are reconciled later, when the control channel
-            # has capacity for it.
+            # Proxies that this server never told to eject the endpoint may still have ejected it. They are
+            # reconciled later, when the control channel has capacity for it.
             self.contents.ejected_endpoints.discard(endpoint)
             proxies_to_update = {
                 proxy for proxy, state in self.proxies.items() if state.has_ejected(endpoint)
--- a/ravenshelf/state/table_contents.py
+++ b/ravenshelf/state/table_contents.py
@@ -31,8 +31,8 @@
             group: Index of the traffic group.
 
         Returns:
-            The lower of the table's level and the level of all tables, with the table's retry mode; the other
-            one if only one of them is set, and None if neither is.
+            The lower of the table's level and the level of all tables, with the table's retry mode. If
+            only one of them is set, that level; None if neither is set.
         """
         table_level = self.admission_levels.get(table, {}).get(group) if table is not None else None
         common_level = self.admission_levels.get(ALL_TABLES, {}).get(group)
--- a/ravenshelf/state/table_update.py
+++ b/ravenshelf/state/table_update.py
@@ -9,7 +9,7 @@
 
     Attributes:
         level: A rate in requests per second or a share of the requests, depending on the settings.
-        retry_mode: 0 to 3.
+        retry_mode: Number of the retry mode, from 0 to 3.
     """
 
     level: float
