--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -27,7 +27,8 @@
 from ravenshelf.distribution.decisions.tree import plan_relay_levels
 
 PAGE = Path(__file__).resolve().parent.parent / "docs" / "CAPACITY.md"
-CORE_BUDGET, MEMORY_BUDGET_MB, BYTES_BUDGET = 0.035, 64.0, 7_000.0  # of each server; bytes per second
+# The budgets of each server: share of a core, memory in MB, and bytes per second.
+CORE_BUDGET, MEMORY_BUDGET_MB, BYTES_BUDGET = 0.035, 64.0, 7_000.0
 
 # From this exponent on, values are extrapolated by the power law instead of the line.
 POWER_LAW_EXPONENT = 1.15
@@ -38,14 +39,14 @@
 SECONDS_PER_DAY = 86_400.0
 CHANGES_PER_DAY, RESTARTS_PER_DAY, FAILURES_PER_DAY = 13_000, 2_800, 75
 PROXIES_PER_SERVER = 64
-SOLVE_INTERVAL_S = 2.5  # between two tables of a service
+SOLVE_INTERVAL_S = 2.5  # time between two tables of a service
 CORES_PER_MACHINE = 10.0
-IDLE_PROCESS_MB = 30.0  # of an idle process of the program, from docs/results.md
+IDLE_PROCESS_MB = 30.0  # memory of an idle process of the program, from docs/results.md
 
 
 @dataclass(frozen=True)
 class Assumption:
-    """Assumption of the page, and who stated it."""
+    """Statement that the page takes as given, and who made it."""
 
     text: str
     source: str
@@ -396,7 +397,7 @@
 
 @dataclass(frozen=True)
 class DayPart:
-    """Row of the worst minutes.
+    """Row of the page's table of the worst minutes of a day.
 
     `part` is the part of the day; `p99`, `last` and `sent` are its figures in `Fleet`, empty if it has none.
     """
--- a/benchmarks/graphite.py
+++ b/benchmarks/graphite.py
@@ -37,13 +37,14 @@
 PROXIES = 20
 ENDPOINTS = 40
 CHANGE_INTERVAL_S = 0.014
-MEMORY_SAMPLE_CHANGES = 25  # between two samples of the memory
-MAX_P99_RATIO = 1.05  # of the hanging receiver to the absent one
+MEMORY_SAMPLE_CHANGES = 25  # number of changes between two samples of the memory
+# Limit of the 99th percentile with the hanging receiver, relative to that with the absent one.
+MAX_P99_RATIO = 1.05
 MAX_LATE_MS = 20.0
 MAX_GROWTH_MB = 2.0
 MIN_CHANGES = 500
 START_S = 1_700_000_000  # Unix time of the first measurement, in seconds
-SECOND = 1_000_000  # microseconds
+SECOND = 1_000_000  # one second in microseconds
 HOSTS = 20
 MEASUREMENT_INTERVAL_S = 0.1
 Points = list[tuple[str, float]]
--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -20,10 +20,10 @@
 VOTERS = 3
 MODEL_DEFECTS = (None, Defect.DRIFT_IGNORED, Defect.NO_QUIET_PERIOD, Defect.QUORUM_OF_ONE)
 CLOCK_DRIFT = "1/20"
-EXTREME_DRIFT = 0.2  # enough for an ignored drift to violate a rule
+EXTREME_DRIFT = 0.2  # large enough that a rule is violated if the drift is ignored
 TAKEOVER_LIMIT_S = 6.0
-DEFECT_DAYS = 600  # On one of them the checker must detect a defect.
-SHORT_DAYS = ((3, 300), (5, 80), (7, 20))  # members, days
+DEFECT_DAYS = 600  # The checker must detect a deliberate defect on at least one of these days.
+SHORT_DAYS = ((3, 300), (5, 80), (7, 20))  # pairs of the number of members and the number of days
 FULL_DAYS = ((3, 7000), (5, 2400), (7, 600))
 
 
--- a/benchmarks/neighbour.py
+++ b/benchmarks/neighbour.py
@@ -29,14 +29,15 @@
 JOB_STARTS_S = 60
 DAY_ENDS_S = 120
 SLOWED_ENDPOINT = 0
-SLOWDOWN_GROWS_S = 12.0  # from the start of the job until the full slowdown
+SLOWDOWN_GROWS_S = 12.0  # time from the start of the job until the full slowdown
 SLOWDOWN = 2.0  # greatest latency as a multiple of the baseline
 BASELINE_LATENCY_US = 80_000
 REPORT_INTERVAL_S = 5
 REPORT_DELAY_S = 2
 HOST_LOAD_INTERVAL_S = 5
 HOST_LOAD_DELAY_S = 0.5
-AVOIDED_SHARE = 0.85  # of its weight before the job; at or below it an endpoint counts as avoided
+# An endpoint counts as avoided if its share is at most this multiple of its share before the job.
+AVOIDED_SHARE = 0.85
 STEPS_PER_S = 4
 MIN_GAIN_S = 3
 MIN_SHARE_WITH_FALSE_LOADS = 0.4
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,4 +1,4 @@
-"""Slopes of what each role costs, and simulated fleets: `python -m benchmarks.scale [--short] [--role NAME]`.
+"""Slopes of each role's cost, and simulated fleets: `python -m benchmarks.scale [--short] [--role NAME]`.
 
 Without `--short` the output is saved in `benchmarks/results/`, from which `python -m benchmarks.capacity`
 writes docs/CAPACITY.md.
@@ -32,22 +32,24 @@
 BASELINE_SIZES, BASELINE_SERVICES = (15, 30, 60, 120), 1_200
 SHORT_BASELINE_SIZES, SHORT_BASELINE_SERVICES = (8, 16, 32, 64), 60
 SCHEDULE_COUNT, SHORT_SCHEDULE_COUNT, BREAK_SCHEDULE_COUNT = 2_000, 60, 200
-SHORT_PROCESSES = 4  # of each kind of simulation with --short
+SHORT_PROCESSES = 4  # number of processes for each kind of simulation with --short
 
 # Without --short the processes of all three kinds run at the same time on ten cores.
 FLEET_PROCESSES, BASELINE_PROCESSES, SCHEDULE_PROCESSES = 5, 2, 3
 
-MAX_CHANGE_SECONDS, MAX_BYTES_PER_SECOND = 4.0, 7_000.0  # seconds; bytes a second for each server
+# Limits of the 99th percentile of the seconds from a change to its application, and of the mean number of
+# bytes per second that a server receives.
+MAX_CHANGE_SECONDS, MAX_BYTES_PER_SECOND = 4.0, 7_000.0
 
 
 class Schedules(msgspec.Struct):
     """Results of the seeded schedules of faults.
 
     Attributes:
-        played: Schedules without a deliberate break.
-        broken: First violated rule by seed, of those schedules.
-        breaks_played: Schedules with each deliberate break.
-        found: Schedules with a violation, by deliberate break.
+        played: Number of schedules without a deliberate break.
+        broken: First rule that a schedule without a deliberate break violated, by seed.
+        breaks_played: Number of schedules with each deliberate break.
+        found: Number of schedules with a violation, by deliberate break.
     """
 
     played: int
--- a/benchmarks/scale/agreement.py
+++ b/benchmarks/scale/agreement.py
@@ -18,8 +18,8 @@
 
 ZONE = "north"
 NOMINAL_RATE = 40.0
-TIMEOUT = 10.0  # seconds
-QUIET_SECONDS = 0.6  # After this time without a message no more are expected.
+TIMEOUT = 10.0  # in seconds
+QUIET_SECONDS = 0.6  # After this time without a message, no further message is expected.
 
 STATES = {
     "SERVING": EndpointState.READY,
@@ -32,9 +32,9 @@
     """Comparison at one size.
 
     Attributes:
-        endpoints: Endpoints in the list.
-        messages: Messages that the proxy received from the real process and from the simulated server.
-        bytes: Bytes of those messages.
+        endpoints: Number of endpoints in the list.
+        messages: Numbers of messages that the real process and the simulated server sent to the proxy.
+        bytes: Total sizes of those messages, in bytes.
         same: Whether both sent the same messages, byte by byte.
     """
 
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -51,7 +51,7 @@
     pilots: int
     relays: int
     seed: int
-    parts: list[str]  # of the day that were simulated, in order
+    parts: list[str]  # parts of the day that were simulated, in order
     calm_bytes: float = 0.0
     change_p50: float = 0.0
     change_p99: float = 0.0
@@ -71,8 +71,8 @@
     parted_last: float = 0.0
     parted_bytes: float = 0.0
     behind: int = 0  # subscriptions that lacked an update at the end of a part
-    relay_bytes_out: float = 0.0  # of the busiest relay in the worst part
-    owner_bytes_out: float = 0.0  # of the busiest controller in the worst part
+    relay_bytes_out: float = 0.0  # bytes per second of the busiest relay in the worst part
+    owner_bytes_out: float = 0.0  # bytes per second of the busiest controller in the worst part
     wall_seconds: float = 0.0
     resident_mb: float = 0.0
 
--- a/benchmarks/scale/isolated.py
+++ b/benchmarks/scale/isolated.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 PAGE_BYTES = resource.getpagesize()
-TIMEOUT = 300  # seconds
+TIMEOUT = 300  # in seconds
 _context = multiprocessing.get_context("spawn")
 
 
--- a/benchmarks/scale/servers.py
+++ b/benchmarks/scale/servers.py
@@ -26,7 +26,7 @@
 
 START = 1000 * SECOND
 CYCLES_PER_SECOND = 4
-REPORTED_SHARE = 0.5  # of the endpoints have a load report each second
+REPORTED_SHARE = 0.5  # share of the endpoints that have a load report each second
 
 
 def settings(zones: int, proxies: int, servers: int = 1) -> dict:
--- a/benchmarks/scale/sockets.py
+++ b/benchmarks/scale/sockets.py
@@ -35,8 +35,8 @@
 # Seconds between two changes, fewer than in any fleet, so that the processor time is many clock ticks.
 CHANGE_INTERVAL = 0.03
 
-IDLE_SECONDS = 5.0  # in which only heartbeats are sent
-START_TIMEOUT = 30.0  # seconds
+IDLE_SECONDS = 5.0  # length of the idle period, in which only heartbeats are sent
+START_TIMEOUT = 30.0  # in seconds
 SIZES = (8, 16, 32, 64, 128)
 SHORT_SIZES = (4, 8, 16, 32)
 
@@ -61,8 +61,9 @@
         self.loop = asyncio.get_running_loop()
         self.services = [f"service-{n}" for n in range(SERVICES)]
         self.tables = {zone_topic(service, 0): self._make_table(service, 100.0) for service in self.services}
-        self.changed_at: dict[str, int] = {}  # time of the last change by topic
-        self.delays: list[float] = []  # milliseconds from a change to a subscriber
+        self.changed_at: dict[str, int] = {}  # time of the last change in microseconds, by topic
+        # Milliseconds from each change to its arrival at a subscriber.
+        self.delays: list[float] = []
         limits = DistributorLimits(64)
         self.owner = OwnerService(
             Node(self.loop, clock, "bench", "owner-0", {}), 1, 8, self.content, random.Random(1), limits
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,7 +1,7 @@
 """Cost of a stored record: the journal compared with sqlite3 in WAL mode, both synced before they return.
 
-Measured are records per second, alone and in groups, the time to open a store with many entries, and
-bytes on disk.
+The figures are the records per second, alone and in groups, the time to open a store with many entries,
+and the bytes on disk.
 """
 
 import argparse
@@ -17,11 +17,11 @@
 
 RECORD_BODY = b"x" * 400
 KEYS = 20_000
-KEY_STRIDE = 7919  # a prime, so that the keys are in no order
+KEY_STRIDE = 7919  # a prime, so that the keys are not stored in ascending order
 GROUPS = (1, 64)  # numbers of records that are stored together
 RECORDS = 100_000
 SHORT_RECORDS = 4_000
-REPETITIONS = 2  # of each store, alternately; the best one is reported
+REPETITIONS = 2  # runs of each store, in alternation; the best run is reported
 
 
 class Store(Protocol):
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -22,8 +22,8 @@
 from ravenshelf.store.journal import Journal
 from standins.installation import Installation
 
-TAKEOVER_LIMIT_S = 15.0  # for each proxy
-KILL_OBJECTIVE_S = 3.0  # for the 99th percentile after a kill
+TAKEOVER_LIMIT_S = 15.0  # limit of the takeover time of every proxy
+KILL_OBJECTIVE_S = 3.0  # limit of the 99th percentile of takeover times after a kill
 LEASE_S = 1.5
 SETTLED_LIMIT_S = 40.0
 PAUSE_AFTER_TAKEOVER_S = 0.5
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -27,13 +27,14 @@
 from standins.server_process import start_server
 
 NAMES = [f"s-{n}" for n in range(4)]
-ANSWER_TIMES = {"s-0": 0.02, "s-1": 0.08, "s-2": 0.02, "s-3": 0.02}  # mean seconds
+# Mean response time of each endpoint in seconds.
+ANSWER_TIMES = {"s-0": 0.02, "s-1": 0.08, "s-2": 0.02, "s-3": 0.02}
 REQUESTS_PER_SECOND = 40
-SERVER_ADDRESS = "127.0.0.1:8080"  # the same as in examples/config.json
+SERVER_ADDRESS = "127.0.0.1:8080"  # the server's address in examples/config.json
 REGISTRY_PORT = 8500
 FIRST_ENDPOINT_PORT = 9001
-PRINTED_MESSAGE = 150  # characters
-PRINTED_LOG_LINE = 200  # characters
+PRINTED_MESSAGE = 150  # number of characters of a message that are printed
+PRINTED_LOG_LINE = 200  # number of characters of a log line that are printed
 ROOT = Path(__file__).resolve().parent.parent
 
 
--- a/standins/controllers/cluster.py
+++ b/standins/controllers/cluster.py
@@ -62,8 +62,9 @@
         self.configuration = self._create_configuration(shards, clock_drift)
         self.endpoint_list = EndpointListHistory(self.rng)
         self._requests = WaitingRequests(self.rng, shards)
-        self._highest_terms = dict.fromkeys(range(shards), 0)  # by proxy
-        # By member and shard: the time when the last command arrives.
+        # The highest term that each proxy has received, by proxy number.
+        self._highest_terms = dict.fromkeys(range(shards), 0)
+        # The time at which the last command arrives, in microseconds, by member and shard.
         self._last_arrivals: dict[tuple[int, int], int] = {}
         self.members = [SimulatedMember(self, number) for number in range(count)]
         self.network = Network(self.rng, self.scheduler, self.members.__getitem__, self._receive)
--- a/standins/controllers/endpoint_list.py
+++ b/standins/controllers/endpoint_list.py
@@ -13,7 +13,7 @@
 
 
 class ListVersion(NamedTuple):
-    """A version of the list: the time from which it is current, and the endpoints that it drains."""
+    """A version of the list: the time in microseconds from which it is current, and its drained endpoints."""
 
     at: int
     version: int
--- a/standins/controllers/member.py
+++ b/standins/controllers/member.py
@@ -26,18 +26,20 @@
 MIN_TICK_US = MILLISECOND
 MAX_TICK_US = 50 * MILLISECOND
 MIN_SYNC_US = MILLISECOND // 2
-MIN_LIST_LAG_US = 200 * MILLISECOND  # delay with which a member reads the endpoint list
+# Least delay with which a member reads the endpoint list, in microseconds.
+MIN_LIST_LAG_US = 200 * MILLISECOND
 MAX_LIST_LAG_US = 1500 * MILLISECOND
 # The probability that changes on their way to the disk are stored when the process is killed.
 PARTIAL_SYNC_PROBABILITY = 0.5
 # The probability that another member is paused when a member is killed at a write.
 SECOND_PAUSE_PROBABILITY = 0.7
 
-StoredVote = tuple[int, int, int, PackedRecord]  # promised term, term, sequence number, record
+# The promised term, the term, the sequence number and the record.
+StoredVote = tuple[int, int, int, PackedRecord]
 
 
 class PendingFault(NamedTuple):
-    """A fault that waits for a moment of the member, and its duration in microseconds."""
+    """A fault that begins at a given step of the member, and its duration in microseconds."""
 
     moment: FaultMoment
     duration: int
@@ -47,7 +49,7 @@
     """The data of a member that survives a kill of its process."""
 
     def __init__(self) -> None:
-        self.votes: dict[int, StoredVote] = {}  # by shard
+        self.votes: dict[int, StoredVote] = {}  # vote on disk, by shard
         self.is_voting = False
 
     def write(self, changes: StepChanges) -> None:
@@ -102,7 +104,7 @@
         self.cluster.scheduler.call_later(delay, callback, self)
 
     def start(self, has_empty_disk: bool = False) -> None:
-        """Start the process; with an empty disk it has lost its votes."""
+        """Start the process; if its disk is empty, the member has lost its votes."""
         self.incarnation += 1
         self.is_alive = True
         if has_empty_disk:
@@ -159,7 +161,7 @@
         self.paused_until = min(HEALED_AT_US, until)
 
     def reach_moment(self, moment: FaultMoment) -> bool:
-        """Begin the pending fault if it waits for this moment, and return whether it did."""
+        """Begin the pending fault if it is due at this step, and return whether it has begun."""
         now = self.cluster.scheduler.now
         fault = self.pending_fault
         if fault is None or fault.moment is not moment or now >= LAST_FAULT_US:
--- a/standins/controllers/network.py
+++ b/standins/controllers/network.py
@@ -14,7 +14,7 @@
 DUPLICATION_PROBABILITY = 0.02
 NOMINAL_DELAY_PROBABILITY = 0.98
 
-Pair = tuple[int, int]  # sender and receiver
+Pair = tuple[int, int]  # the numbers of the sender and the receiver
 
 
 class Network:
--- a/standins/distribution/leases.py
+++ b/standins/distribution/leases.py
@@ -19,8 +19,8 @@
 from standins.distribution.nodes import OwnerNode
 from standins.fleet.clock import SECOND, EventQueue
 
-LEASE_DURATION = 2 * SECOND  # microseconds
-RENEW_INTERVAL = SECOND // 2  # microseconds
+LEASE_DURATION = 2 * SECOND  # in microseconds
+RENEW_INTERVAL = SECOND // 2  # in microseconds
 QUORUM_REGION = 0
 
 
@@ -53,7 +53,8 @@
         self.world = world
         self.shards = shards
         self.grants: dict[int, _Grant] = {}
-        self.grants_suspended = False  # While True no lease is granted, as without a quorum.
+        # While this is True, no lease is granted, as if there were no quorum.
+        self.grants_suspended = False
         self.epochs = dict.fromkeys(range(shards), 0)
         self.shard_by_service = {service: shard_of_service(service, shards) for service in world.services}
         self.services_by_shard: dict[int, list[str]] = {}
--- a/standins/distribution/network.py
+++ b/standins/distribution/network.py
@@ -12,7 +12,7 @@
 from ravenshelf.distribution.messages import Message, encode
 from standins.fleet.clock import SECOND, EventQueue
 
-MILLISECOND = 1000  # microseconds
+MILLISECOND = 1000  # one millisecond in microseconds
 
 # A message that was lost once in transit arrives this much later, in microseconds.
 RETRANSMISSION_DELAY = 250 * MILLISECOND
@@ -211,7 +211,8 @@
             for other_region in range(region)
         }
         self._isolated_regions: set[int] = set()
-        self.dials: list[tuple[int, str, str]] = []  # (time, child, parent)
+        # The time in microseconds, the child and the parent of each dial.
+        self.dials: list[tuple[int, str, str]] = []
 
     def call_later(self, delay: int, callback: Callable[[], object]) -> None:
         """Schedule a callback `delay` microseconds from now."""
--- a/standins/distribution/node.py
+++ b/standins/distribution/node.py
@@ -9,8 +9,8 @@
 from standins.distribution.network import Connection
 from standins.fleet.clock import SECOND
 
-WRITE_BUFFER_BYTES = 65_536  # pulled for a subscriber at once
-MAX_TICK_INTERVAL = SECOND  # microseconds
+WRITE_BUFFER_BYTES = 65_536  # limit of the bytes that are pulled for a subscriber at once
+MAX_TICK_INTERVAL = SECOND  # in microseconds
 UNLIMITED = float("inf")
 
 
@@ -24,14 +24,15 @@
         self.world = world
         self.name = name
         self.region = region
-        self.bytes_per_second = UNLIMITED  # read from one connection
+        self.bytes_per_second = UNLIMITED  # rate at which the process reads from one connection
         self.alive = True
         self.generation = 0  # Incremented when the process ends, so that earlier callbacks are ignored.
         self.paused_until = 0
-        self.clients: Mapping[str, SubscriptionClient] = {}  # by upstream
+        self.clients: Mapping[str, SubscriptionClient] = {}  # clients by the name of their upstream
         self.distributor: Distributor | None = None
-        self.connections: dict[str, Connection] = {}  # by upstream
-        self.subscriber_connections: dict[str, Connection] = {}  # by subscriber
+        self.connections: dict[str, Connection] = {}  # connections to parents, by upstream
+        # Connections by the name of the subscriber.
+        self.subscriber_connections: dict[str, Connection] = {}
         self.bytes_in = 0
         self.bytes_out = 0
         self.messages_in = 0
--- a/standins/distribution/schedules.py
+++ b/standins/distribution/schedules.py
@@ -18,9 +18,9 @@
 from standins.distribution.world import DistributionSize, SimulatedDistribution, Violation
 from standins.fleet.clock import SECOND
 
-FAULT_SECONDS = 60  # time in which faults occur
+FAULT_SECONDS = 60  # length of the period in which faults occur
 
-# After the last fault there is time for a keepalive and several backoffs.
+# This time after the last fault is enough for a keepalive and several backoffs.
 SETTLE_SECONDS = 45
 
 # Dials of one parent within the window are a stampede if they are at least MIN_STAMPEDE_DIALS and at least
@@ -35,7 +35,7 @@
     """Seed of a schedule, and the deliberate break that is applied during it."""
 
     seed: int
-    break_name: str = ""  # a key of BREAKS; empty: no break
+    break_name: str = ""  # a key of BREAKS, or empty if there is no deliberate break
 
 
 def draw_size(random_source: random.Random) -> DistributionSize:
--- a/standins/distribution/world.py
+++ b/standins/distribution/world.py
@@ -27,7 +27,7 @@
 from standins.fleet.clock import SECOND, EventQueue
 
 OWNER_PREFIX = "owner-"
-TABLE_LINES = 10  # at most, in the table of a zone
+TABLE_LINES = 10  # greatest number of lines in the table of a zone
 
 AnyNode = TypeVar("AnyNode", bound=Node)
 
@@ -37,8 +37,8 @@
     """Counts of the processes and services of a simulated distribution, and its limits.
 
     Attributes:
-        endpoints: Endpoints of each service.
-        services_per_server: Services to which each server subscribes.
+        endpoints: Number of endpoints of each service.
+        services_per_server: Number of services to which each server subscribes.
         fan_out: Greatest number of children of a relay.
         limits: Limits of the snapshots that a distributor sends; its `max_subscribers` is not used.
         start_spread: Microseconds over which the starts of the servers are spread.
@@ -69,7 +69,7 @@
 class SimulatedDistribution:
     """All processes of a distribution, on one clock and one network.
 
-    With `checked`, each publication and each applied update is checked against the invariants.
+    If `checked` is set, each publication and each applied update is checked against the invariants.
     """
 
     def __init__(
@@ -89,9 +89,11 @@
         self.tables = {service: self._initial_table(service) for service in self.services}
         # fingerprint of each state that was ever published, by (topic, version)
         self.published_fingerprints: dict[tuple[str, Version], int] = {}
-        self.applied_versions: dict[tuple[str, str], Version] = {}  # by (server, topic)
+        # Version that a server has applied, by (server, topic).
+        self.applied_versions: dict[tuple[str, str], Version] = {}
         self.violations: list[Violation] = []
-        self.change_applied_at: dict[str, dict[str, int]] = {}  # time by marked service and server
+        # Time of application in microseconds, by marked service and server.
+        self.change_applied_at: dict[str, dict[str, int]] = {}
         self.marked_values: dict[str, str] = {}  # value of the change by marked service
         self.ended_snapshot_bytes = 0  # snapshot bytes sent by processes that have ended
         self._zone_topics: dict[str, list[str]] = {service: [] for service in self.services}
--- a/standins/fleet/budget.py
+++ b/standins/fleet/budget.py
@@ -10,8 +10,9 @@
 from dataclasses import dataclass
 from math import sqrt
 
-SECOND = 1_000_000  # in microseconds
-MIN_INFORMED_SHARE = 2 / 3  # the least share of a window's work by informed senders that makes a violation
+SECOND = 1_000_000  # one second in microseconds
+# An excess is a violation if informed senders sent at least this share of the work in its window.
+MIN_INFORMED_SHARE = 2 / 3
 
 
 @dataclass(frozen=True)
--- a/standins/fleet/channels.py
+++ b/standins/fleet/channels.py
@@ -101,7 +101,8 @@
         self.delay_range = delay_range
         self.random_source = random_source
         self.free_at = 0
-        self.latest_arrivals: dict[int, int] = {}  # by proxy number; the arrival time of its latest message
+        # The arrival time of the latest message, by proxy number.
+        self.latest_arrivals: dict[int, int] = {}
 
     def send(
         self, proxy: SimulatedProxy, message: str, marker: int | None, known_starts: Mapping[str, int]
--- a/standins/fleet/clock.py
+++ b/standins/fleet/clock.py
@@ -4,7 +4,7 @@
 import itertools
 from collections.abc import Callable
 
-SECOND = 1_000_000  # in microseconds
+SECOND = 1_000_000  # one second in microseconds
 TICK = SECOND // 20  # the interval of the servers' control loops, in microseconds
 START_TIME = 1000 * SECOND  # not 0, which means "never started" in the start time of an endpoint
 
--- a/standins/fleet/endpoints.py
+++ b/standins/fleet/endpoints.py
@@ -5,11 +5,11 @@
 
 from standins.fleet.clock import SECOND
 
-WARM_UP_TIME = 10 * SECOND  # in microseconds
+WARM_UP_TIME = 10 * SECOND  # the length of the slow start in microseconds
 COLD_CAPACITY_SHARE = 0.2
 BASE_LATENCY = 100_000  # latency of an idle endpoint in microseconds
-REJECTION_TIME = 2_000  # about one round trip, in microseconds
-CONNECT_TIMEOUT = 250_000  # in microseconds; an endpoint that is gone does not answer
+REJECTION_TIME = 2_000  # the time until a rejection, about one round trip, in microseconds
+CONNECT_TIMEOUT = 250_000  # in microseconds; applies to endpoints that are gone and do not answer
 
 
 class SimulatedEndpoint:
@@ -29,7 +29,8 @@
         self.cold_capacity_share = COLD_CAPACITY_SHARE
         self.warm_up_time = WARM_UP_TIME
         self.load = 0.0  # the requests a second that all tables together send to it
-        self.load_by_zone: dict[int, float] = {}  # by the zone of the proxies that send it
+        # The requests a second, by the zone of the proxies that send them.
+        self.load_by_zone: dict[int, float] = {}
 
     def capacity_share(self, now: int) -> float:
         """Return the share of the full capacity that the endpoint has reached since its start."""
--- a/standins/fleet/ledger.py
+++ b/standins/fleet/ledger.py
@@ -19,7 +19,8 @@
     def __init__(self, rule: BudgetRule):
         self.rule = rule
         self.sent_work: dict[ColdStart, list[SentWork]] = defaultdict(list)
-        self._latest_starts: dict[str, ColdStart] = {}  # by the name of the endpoint
+        # The latest start of each endpoint, by its name.
+        self._latest_starts: dict[str, ColdStart] = {}
 
     def record(self, endpoint: QueueingEndpoint, work: SentWork) -> None:
         """Record work sent to an endpoint in slow start."""
--- a/standins/fleet/parameters.py
+++ b/standins/fleet/parameters.py
@@ -7,9 +7,9 @@
 
 from ravenshelf.settings import Settings, decode_settings
 
-MILLISECOND = 1000  # in microseconds
-SECOND = 1_000_000  # in microseconds
-UniformRange = tuple[int, int]  # the minimum and the maximum of a uniform draw
+MILLISECOND = 1000  # one millisecond in microseconds
+SECOND = 1_000_000  # one second in microseconds
+UniformRange = tuple[int, int]  # the least and the greatest value of a uniform draw
 
 
 @dataclass(frozen=True)
--- a/standins/fleet/registry.py
+++ b/standins/fleet/registry.py
@@ -27,7 +27,8 @@
         self.queue: deque[tuple[int, Watcher]] = deque()
         self.free_at = 0
         self.is_down = False
-        self.polls: list[tuple[int, int, str]] = []  # the time, the number of the server, and the result
+        # The time in microseconds, the number of the server, and the result of each poll.
+        self.polls: list[tuple[int, int, str]] = []
 
     def poll(self, server: Watcher) -> None:
         """Queue a poll of a server, unless it already has one in the queue."""
--- a/standins/fleet/trace.py
+++ b/standins/fleet/trace.py
@@ -25,13 +25,16 @@
         table_shares: The most common shares of picks that proxies' tables give it, rounded, each with the
             number of proxies.
         proxies_using: The number of proxies that may pick it.
-        foreign_tables: The number of these that are connected and have a table from another server.
-        disconnected_proxies: The number of these that are not connected.
-        avoiding_proxies: The number of these that avoid another endpoint of their table.
-        mean_usable_lines: The mean number of their table lines that are neither ejected nor avoided.
-        unlimited_proxies: The number of these without an admission level.
-        median_level: The median of the others' admission levels for the first traffic group.
-        expected_rate: The requests a second that their tables send to it, before admission.
+        foreign_tables: The number of proxies in `proxies_using` that are connected and have a table from
+            another server.
+        disconnected_proxies: The number of proxies in `proxies_using` that are not connected.
+        avoiding_proxies: The number of proxies in `proxies_using` that avoid another endpoint of their table.
+        mean_usable_lines: The mean number of lines in the tables of these proxies whose endpoint is neither
+            ejected nor avoided.
+        unlimited_proxies: The number of proxies in `proxies_using` without an admission level.
+        median_level: The median admission level, for the first traffic group, of the proxies in
+            `proxies_using` that have one; 1 if none has.
+        expected_rate: The requests a second that the tables of these proxies send to it, before admission.
         first_attempt_rate: The first attempts a second that it received.
         retry_rate: The retries a second that it received.
         attempt_capacity: The attempts of mean work a second that it can serve.
--- a/standins/fleet/traffic.py
+++ b/standins/fleet/traffic.py
@@ -12,7 +12,7 @@
 from standins.fleet.proxies import RequestProxy
 from standins.fleet.streams import RandomStreams
 
-MAX_RETRIES = (0, 1, 1, 2)  # maximum number of retries of a request, by retry mode
+MAX_RETRIES = (0, 1, 1, 2)  # the greatest number of retries of a request, indexed by retry mode
 RETRY_MODE_IF_NOT_BEGUN = 1
 RETRY_MODE_AFTER_ANY_FAILURE = 2
 
@@ -39,7 +39,7 @@
 
 
 class Observer(Protocol):
-    """Is notified of every attempt and of the end of every request."""
+    """An object that is notified of every attempt and of the end of every request."""
 
     def attempt_sent(self, request: Request, endpoint: QueueingEndpoint, is_retry: bool) -> None:
         """Handle the sending of an attempt."""
--- a/standins/histories.py
+++ b/standins/histories.py
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberTerm:
-    """The highest term so far, and its member."""
+    """The highest term so far, and the member to which it belongs."""
 
     term: int
     member: int
@@ -128,14 +128,18 @@
     def __init__(self, admission_step_limit: float) -> None:
         self.admission_step_limit = admission_step_limit
         self.violations: list[Violation] = []
-        self._granted_terms: dict[int, MemberTerm] = {}  # by shard
-        self._applied_terms: dict[int, MemberTerm] = {}  # by proxy
-        self._retries: dict[str, tuple[float, int]] = {}  # time and member of the grant, by key
-        # By proxy and endpoint: the version of the list by which the endpoint was drained.
+        # The highest term that was granted, by shard.
+        self._granted_terms: dict[int, MemberTerm] = {}
+        # The highest term that was applied, by proxy.
+        self._applied_terms: dict[int, MemberTerm] = {}
+        # The time and the member of the grant, by request key.
+        self._retries: dict[str, tuple[float, int]] = {}
+        # The version of the endpoint list that drained the endpoint, by proxy and endpoint.
         self._drain_versions: dict[tuple[int, str], int] = {}
-        self._levels: dict[tuple[int, str], tuple[int, float]] = {}  # term and level, by proxy and group
-        self._holders: dict[int, int | None] = {}  # by shard
-        self._vacant_since: dict[int, float] = {}  # by shard
+        # The term and the admission level, by proxy and traffic group.
+        self._levels: dict[tuple[int, str], tuple[int, float]] = {}
+        self._holders: dict[int, int | None] = {}  # the lease holder or None, by shard
+        self._vacant_since: dict[int, float] = {}  # the time when the holder was lost, by shard
         self._faults_ended_at: float | None = None
         self._last_event_at = 0.0
         self._handlers: dict[type, Callable[[Any], None]] = {
@@ -253,7 +257,7 @@
 def takeover_times(events: Iterable[HistoryEvent]) -> list[float]:
     """Return the seconds from each stop of a member to the next lease holder, for each shard that it held."""
     holders: dict[int, int] = {}
-    stopped_at: dict[int, float] = {}  # by shard
+    stopped_at: dict[int, float] = {}  # the time when the holder was stopped, by shard
     times = []
     for event in events:
         if isinstance(event, LeaseAcquired):
--- a/standins/loopback.py
+++ b/standins/loopback.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from typing import Any
 
-KEEPALIVE_INTERVAL_S = 2  # time between empty lines of a watch
+KEEPALIVE_INTERVAL_S = 2  # time between the empty lines that keep a watch alive
 RECONNECT_DELAY_S = 0.2
-MAX_CHANGES = 1000  # the latest changes, which are kept for watches that fall behind
+MAX_CHANGES = 1000  # number of the latest changes that are kept for watches that fall behind
 
 
 class LoopbackRegistry:
@@ -25,7 +25,8 @@
     def __init__(self, entries: list[dict[str, Any]]):
         self.entries = {entry["uid"]: entry for entry in entries}
         self.revision = 1
-        self.changes: list[tuple[int, dict[str, Any]]] = []  # revision and changed entry
+        # The revision and the changed entry of each change.
+        self.changes: list[tuple[int, dict[str, Any]]] = []
         self.change_condition = asyncio.Condition()
         self.server: asyncio.Server | None = None
         self.watch_count = 0
--- a/tests/architecture/test_outer_names.py
+++ b/tests/architecture/test_outer_names.py
@@ -4,7 +4,7 @@
 
 from tools import outer_names
 
-LEAST_NAMES_BY_KIND = 2  # a kind without names means that the script has stopped finding them
+LEAST_NAMES_BY_KIND = 2  # If a kind has fewer names than this, the script no longer finds them.
 
 
 def listed() -> list[str]:
--- a/tests/graphite/test_exporting.py
+++ b/tests/graphite/test_exporting.py
@@ -231,7 +231,7 @@
             buffer_points=1000,
             every_s=1,
         )
-        # With route "hash", a longer absence would already have moved the share.
+        # With route "hash", a longer absence would already have moved the receiver's share of the points.
         for _ in range(30 if route == "all" else 4):
             harness.measure(100 if route == "all" else 700)
             await harness.advance(0.2, 0.2)
--- a/tests/leadership/test_cluster_processes.py
+++ b/tests/leadership/test_cluster_processes.py
@@ -121,7 +121,8 @@
             proxy = installation.proxies[min(shards)]
             proxy.table = {}
             term = proxy.term
-            proxy.streams[0].transport.abort()  # the proxy connects again, and gets the previous table
+            # The proxy connects again and gets the previous table.
+            proxy.streams[0].transport.abort()
             await installation.wait_until(lambda: proxy.table, 10)
             assert proxy.term == term
             assert '"leadership.quorum_lost"' in (tmp_path / "c0.log").read_text()
@@ -202,7 +203,8 @@
                 installation.signal(name, signal.SIGHUP)
             assert (await run_controllers_command(socket, "drain", "--undo"))[0] == 0
             await installation.wait_until(lambda: installation.is_settled(8), 20)
-            await installation.kill("c2")  # so that a new connection uses the new certificate
+            # The restart makes c2 open new connections, which use the new certificate.
+            await installation.kill("c2")
             await installation.start_process("c2")
             await installation.wait_until(lambda: installation.is_settled(8), SETTLING_LIMIT_S)
             await check_that_a_certificate_is_required(installation.members["c1"])
--- a/tests/leadership/test_command_gate.py
+++ b/tests/leadership/test_command_gate.py
@@ -34,7 +34,7 @@
     gate.record_written(new_record, 1)
     assert not gate.pop_permitted(0, always)
     assert payloads(gate.pop_permitted(1, always)) == ["level", "table2"]
-    # the record already permits a higher level
+    # The record already permits a higher level, so no new record is needed.
     assert not gate.submit(1, "again", RecordRequirements(levels=[("read", 40.0, 1)]))
     assert gate.pop_permitted(1, always) and not len(gate)
 
@@ -43,7 +43,7 @@
     gate.submit(1, "a", RecordRequirements())
     gate.submit(1, "b", RecordRequirements(drains=[("s", 4)]))
     assert gate.pop_permitted(0, never) == [] and len(gate) == 2
-    assert gate.begin_term(Record())  # the first record of the new term lacks the drain
+    assert gate.begin_term(Record())  # The first record of the new term lacks the drain.
     gate.record_written(gate.extended_record({}), 2)
     assert payloads(gate.pop_permitted(2, always)) == ["a", "b"] and gate.record.drained_at == {"s": 4}
     assert gate.end_drains(["s"]) and not gate.record.drained_at and not gate.end_drains(["s"])
--- a/tests/leadership/test_member.py
+++ b/tests/leadership/test_member.py
@@ -31,7 +31,8 @@
     cluster.isolate(holder)
     cluster.run(2)
     assert member.claims[0].state is LeaseState.EXPIRED
-    assert cluster.permission(holder) is None  # this may still be a pause of its own process
+    # The silence may still be due to a pause of the holder's own process.
+    assert cluster.permission(holder) is None
     cluster.run(4)
     assert cluster.permission(holder) is Permission.REPEAT_ONLY
     assert cluster.write_record(holder, b"x") is None
@@ -94,7 +95,7 @@
     restarted_member = cluster.restart_with_empty_disk(2, seed=9)
     cluster.partitioned_pairs |= {(0, 2), (2, 0)}
     cluster.run(3)
-    # one reachable member of the two others is not a quorum of three
+    # Only one of the two other members is reachable, and one member is not a quorum of three.
     assert restarted_member.is_recovering
     cluster.partitioned_pairs.clear()
     cluster.run(1)
--- a/tests/leadership/test_peer_connections.py
+++ b/tests/leadership/test_peer_connections.py
@@ -190,4 +190,4 @@
     with pytest.raises(OperatorConfigurationError) as error_info:
         decode(tables, "f")
     assert reason in str(error_info.value)
-    assert "f: " in str(error_info.value)  # the name of the file
+    assert "f: " in str(error_info.value)  # The message contains the name of the file.
--- a/tests/net/test_http.py
+++ b/tests/net/test_http.py
@@ -54,7 +54,8 @@
     assert call.end is ConnectionEnd.RESET and len(ended_calls) == 1
     call, ended_calls = open_call()
     call.close(ConnectionEnd.SILENT)
-    feed(call, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")  # arrives after the end
+    # This response arrives after the end of the call.
+    feed(call, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
     assert (
         call.end is ConnectionEnd.SILENT
         and len(ended_calls) == 1
--- a/tests/net/test_http_answers.py
+++ b/tests/net/test_http_answers.py
@@ -126,7 +126,8 @@
     call, _ = uvloop.run(respond([CHUNKED_HEAD] + [b"3e8\r\n" + b"x" * 1000 + b"\r\n"] * 200, True))
     assert call.end is ConnectionEnd.TOO_LONG
     call, lines = uvloop.run(respond([CHUNKED_HEAD] + [b"3e8\r\n" + b"x" * 999 + b"\n\r\n"] * 200, True))
-    assert call.end is ConnectionEnd.CUT_OFF and len(lines) == 200  # the limit applies to one line
+    # The length limit applies to a single line.
+    assert call.end is ConnectionEnd.CUT_OFF and len(lines) == 200
 
 
 @pytest.mark.parametrize("iterations", range(6))
@@ -151,7 +152,7 @@
                 await asyncio.sleep(0.001)
             for reader, writer in accepted_streams:
                 with contextlib.suppress(ConnectionError):
-                    await reader.read()  # returns when the call has closed its connection
+                    await reader.read()  # This returns once the call has closed its connection.
                 writer.close()
         server.close()
         assert ended_calls == [call] and call.end is ConnectionEnd.SUPERSEDED
--- a/tests/operations/test_help_texts.py
+++ b/tests/operations/test_help_texts.py
@@ -13,8 +13,8 @@
 
 from ravenshelf.commands.application import app
 
-SERVE = ("serve",)  # argparse prints the help of this command
-COLUMNS = "400"  # wide enough for every help text to be printed in one line
+SERVE = ("serve",)  # argparse itself prints the help of this command
+COLUMNS = "400"  # a terminal width at which every help text is printed in one line
 ESCAPED_BRACKET = r"\["
 TABLE_NAME = re.compile(r"\[[a-z_]+\]")
 # Two or more spaces within a sentence, or a space before a punctuation mark. A sentence that follows a column
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -84,7 +84,7 @@
 
 
 def test_a_returning_zone_is_entirely_cold_though_only_some_endpoints_are_listed_as_restarted(drive):
-    """As after a restart of the server, nothing was reported of the zone's own endpoints."""
+    """The server has no reports of the zone's own endpoints, as after its restart."""
     driver = drive("rrrr", proxies=2)
     driver.send(
         EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.READY, 4.0, driver.now),))
--- a/tests/process/test_acceptor.py
+++ b/tests/process/test_acceptor.py
@@ -208,7 +208,7 @@
         DemandReport,
     ] and stream.transport.sent_data == b"PONG\r\n" * 2
     feed(stream, JOIN[:9].encode())
-    stream.connection_lost(None)  # half a message is dropped
+    stream.connection_lost(None)  # The incomplete message is dropped.
     assert driver.published_events[-1] == ProxyLeft(1) and len(driver.slots) == 0
 
 
@@ -317,7 +317,7 @@
     first_unidentified = driver.connect()
     assert old_connection.end is ConnectionEnd.NO_CAPACITY and driver.acceptor.streams == {1: new_connection}
     second_unidentified = driver.connect()
-    assert first_unidentified.end is None  # it may be about to join
+    assert first_unidentified.end is None  # The unidentified connection may be about to join.
     driver.pass_time(1.1)
     third_unidentified = driver.connect()
     assert first_unidentified.end is ConnectionEnd.NO_CAPACITY and second_unidentified.end is None
--- a/tests/process/test_control_cycle.py
+++ b/tests/process/test_control_cycle.py
@@ -164,7 +164,8 @@
     driver.now += 5 * SECOND
     # The tables keep the endpoint's line, so its ejection has to be written.
     driver.control_cycle.controller.tables.write = lambda *_: None
-    names, driver.registry.names = driver.registry.names, []  # without names no message can be encoded
+    # Without the endpoints' names, no message can be encoded.
+    names, driver.registry.names = driver.registry.names, []
     assert (
         driver.run(
             EndpointsListed(ListKind.UPDATE, (ListedEndpoint(0, 0, 0, 0, EndpointState.DRAINING, 4.0, 0),))
--- a/tests/process/test_control_plane.py
+++ b/tests/process/test_control_plane.py
@@ -103,7 +103,8 @@
 
 def test_a_deadline_handler_that_raises_stops_no_other(started_server):
     server, loop = started_server
-    server.timers.set(ConnectionTimeout(None), loop.now + 10)  # its handler raises: there is no connection
+    # The handler raises because there is no connection.
+    server.timers.set(ConnectionTimeout(None), loop.now + 10)
     server.timers.set(ControllerTimer(0, "mine"), loop.now + 20)
     loop.run_for(1)
     assert server.counters["deadlines_failed"] == 1 and server.counters["control_cycles"] > 2
@@ -172,7 +173,7 @@
         and (new_watch.slot, new_watch.end) == (old_watch.slot, None)
     )
     loop.run_for(10)
-    assert new_watch.end is ConnectionEnd.SILENT  # its own deadline is in force
+    assert new_watch.end is ConnectionEnd.SILENT  # The new watch ends by its own deadline.
 
 
 @pytest.mark.parametrize(
@@ -221,7 +222,7 @@
     server.reloader.read_configuration = read_configuration_file
     server.reload()
     loop.run_for(0.3)
-    server.reload()  # a second SIGHUP, and a third that finds the complete file
+    server.reload()  # This is a second SIGHUP, and the next a third, which finds the complete file.
     server.reload()
     loop.run_for(3)
     assert (
@@ -258,7 +259,7 @@
     server.timers.loop_timer = None
     server.timers.deadlines.heap, server.timers.deadlines.deadlines = [], {}
     server.timers.set(CallTimeout(call), loop.now + SECOND)
-    if is_line_waiting:  # a line of the call arrived in the socket during the stall
+    if is_line_waiting:  # A line for the call arrived in the socket during the stall.
         loop.pending_callbacks.append(
             (loop.now + SECOND + 1, lambda: server.outgoing_calls.extend(call, 5 * SECOND))
         )
--- a/tests/process/test_endings.py
+++ b/tests/process/test_endings.py
@@ -356,7 +356,8 @@
         file.unlink()
         os.mkfifo(file)
         process.send_signal(signal.SIGHUP)
-        with open(file, "w") as pipe:  # opens once the server has opened it too, so it is reading
+        # This returns once the server has opened the pipe too and is reading it.
+        with open(file, "w") as pipe:
             process.send_signal(signal.SIGTERM)
             pipe.write(json.dumps(CONFIGURATION)[:100])
         assert process.wait(20) == 0 and proxy.receive() == ""
--- a/tests/process/test_registry_client.py
+++ b/tests/process/test_registry_client.py
@@ -117,7 +117,8 @@
     driver.open_answered_watch().close(ConnectionEnd.RESET)
     client.address_changed()
     driver.calls[-1].send_list(2, target("s-2"), is_complete=has_complete_list)
-    if not has_complete_list:  # changes to an unknown list: the next watch requests the complete list
+    # After changes to an unknown list, the next watch requests the complete list.
+    if not has_complete_list:
         client.watch_endpoints(True)
         assert driver.calls[-1].path.endswith("after=0")
         driver.calls[-1].send_list(2, target("s-2"), is_complete=True)
@@ -147,7 +148,7 @@
     old_watch.send_list(7, target("s-3"))
     assert old_watch.end is None and driver.events[-1] == (ListKind.UPDATE, [(2, EndpointState.READY)])
     new_watch = driver.calls[-1]
-    new_watch.on_line(new_watch, b"<html>")  # not a valid answer
+    new_watch.on_line(new_watch, b"<html>")  # This line is not valid.
     assert old_watch.end is None and new_watch.end is ConnectionEnd.UNREADABLE
     client.watch_endpoints(True)
     driver.calls[-1].on_line(driver.calls[-1], b"")
@@ -232,14 +233,14 @@
     driver.registry_client.fetch()
     watch, fetch = driver.calls
     watch.send_list(7, target("s-2"))
-    fetch.respond(6, target("s-1"))  # older than the watch's list
+    fetch.respond(6, target("s-1"))  # This list is older than that of the watch.
     assert driver.events[-1] == (ListKind.UPDATE, []) and sorted(driver.registry.entries) == [
         0,
         1,
     ]
     driver.registry_client.fetch()
-    driver.calls[-1].respond(9, target("s-2"))  # a newer list, which removes s-1
-    watch.send_list(8, target("s-1"))  # an older update, which is ignored
+    driver.calls[-1].respond(9, target("s-2"))  # This list is newer, and removes s-1.
+    watch.send_list(8, target("s-1"))  # This update is older, and is ignored.
     assert driver.events[-1] == (ListKind.REPLACE, [(1, EndpointState.READY)]) and list(
         driver.registry.entries
     ) == [1]
@@ -283,11 +284,11 @@
     client.watch_endpoints(True)
     driver.calls[-1].send_list(9, target("s-2"))
     driver.now += 6 * SECOND
-    driver.calls[-1].send_list(3, target("s-1"), is_complete=True)  # a list may arrive this late
+    driver.calls[-1].send_list(3, target("s-1"), is_complete=True)  # A list may arrive as late as this.
     assert driver.registry.version == 9 and sorted(driver.registry.entries) == [0, 1]
     driver.now += 25 * SECOND
     driver.calls[-1].send_list(4, target("s-1", state="DRAINING"), is_complete=has_complete_list)
-    if not has_complete_list:  # an update to a list that the server does not have
+    if not has_complete_list:  # The update refers to a list that the server does not have.
         assert driver.calls[-1].end is ConnectionEnd.UNREADABLE and driver.events[-1] == WatchFailed()
         client.watch_endpoints(True)
         assert driver.calls[-1].path.endswith("after=0")
--- a/tests/process/test_schedules.py
+++ b/tests/process/test_schedules.py
@@ -84,7 +84,8 @@
         self.server.registry_client.calls = SimpleNamespace(
             open=lambda *arguments: self.record_call(calls.open(*arguments)), extend=calls.extend
         )
-        # By call: the transport of a watch, and the time of its last data; and calls that get no more data.
+        # The transports of watches and the times of the last data, both by call, and the calls that get no
+        # more data.
         self.transports, self.last_data_at, self.silent_calls = {}, {}, set()
         self.proxies, self.tables = {}, {}
         self.server.reloader.read_configuration = lambda: self.server.configuration
@@ -149,7 +150,8 @@
     def join(self):
         number = self.random_source.randrange(4)
         if number in self.proxies and self.random_source.random() < 0.5:
-            self.leave(number)  # otherwise the new stream joins before the end of the old one is noticed
+            # Without this call, the new stream joins before the end of the old one is noticed.
+            self.leave(number)
         stream = AcceptedConnection(self.server.buffers, self.server.acceptor)
         stream.connection_made(RecordingTransport())
         table, ejected = self.tables.get(number, ({}, set()))
--- a/tests/state/test_deadlines.py
+++ b/tests/state/test_deadlines.py
@@ -28,7 +28,7 @@
         if key == 0:
             deadlines.cancel(1)
             deadlines.set(2, 30)
-            # It is in the past, but was set during the iteration, so it is left for the next call.
+            # This deadline is in the past, but was set during the iteration, so it is left for the next call.
             deadlines.set("new", 5)
     assert (
         expired_keys == [0, 3]
--- a/tests/state/test_endpoint_registry.py
+++ b/tests/state/test_endpoint_registry.py
@@ -104,9 +104,10 @@
     now[0] += INDEX_REUSE_DELAY_US
     assert registry.index_of("s-2") == 0
     registry.update(ListKind.UPDATE, 3, [entry(0)], {})
-    assert ejections_after_readmission(0) == [(1, [], []), (2, [], [])]  # s-2 was never ejected
+    # No proxy was sent an ejection of s-2.
+    assert ejections_after_readmission(0) == [(1, [], []), (2, [], [])]
     registry.update(ListKind.UPDATE, 4, [entry(registry.index_of("s-1"))], {})
     assert registry.index_by_name["s-1"] == 1 and ejections_after_readmission(1) == [
         (1, [], [1]),
         (2, [], [1]),
-    ]  # any proxy may still have s-1 ejected
+    ]  # Any proxy may still have s-1 ejected, so all are sent the readmission.
--- a/tests/state/test_proxy_tables.py
+++ b/tests/state/test_proxy_tables.py
@@ -87,7 +87,8 @@
         ]
     }
     tables.add_proxy(4, True)
-    tables.set_admission_level(ALL_TABLES, 0, 2.0, 0)  # is also sent to proxies without a table
+    # The level is also sent to proxies without a table.
+    tables.set_admission_level(ALL_TABLES, 0, 2.0, 0)
     assert updates_by_proxy(tables)[4] == [TableUpdate(admission_level=AdmissionLevel(2.0, 0))]
 
 
@@ -112,7 +113,7 @@
         1: [TableUpdate(ejected_endpoints=[0])],
         3: [TableUpdate(ejected_endpoints=[0])],
     }
-    tables.set_ejected(0, True)  # it was sent before
+    tables.set_ejected(0, True)  # The ejection was sent before.
     assert updates_by_proxy(tables) == {}
     tables.set_ejected(0, False)
     assert updates_by_proxy(tables) == {
@@ -134,7 +135,7 @@
     tables.set_weight(1, 2, 1.0)
     assert updates_by_proxy(tables) == {
         proxy: [TableUpdate(weights=[(2, 1.0)])] for proxy in (1, 2)
-    }  # both proxies have readmitted it already
+    }  # Both proxies have readmitted the endpoint already.
 
 
 def test_an_endpoint_removed_from_the_table_in_the_same_cycle_is_not_ejected(tables):
--- a/tools/check_words.py
+++ b/tools/check_words.py
@@ -48,7 +48,7 @@
     "tests/store/test_stored_data_of_earlier_versions.py": frozenset(["octets"]),
 }
 
-# reported as a part of an identifier, and as a word in a comment or string
+# Words that are reported as a part of an identifier and as a word in a comment or string.
 ANYWHERE = frozenset(
     [
         "octets",
@@ -69,7 +69,7 @@
         "unheard",
     ]
 )
-# reported as a part of an identifier only, because a sentence may use the word in its plain meaning
+# Words that are reported only as a part of an identifier: sentences may use them in their plain meaning.
 IN_NAMES = frozenset(
     [
         "adapter",
@@ -223,7 +223,7 @@
     return [
         word
         for word, following in zip_longest(words, words[1:])
-        if (word, following) != ("flow", "control")  # a term of the field
+        if (word, following) != ("flow", "control")  # "flow control" is a term of the field
     ]
 
 
--- a/tools/outer_forms/simulator_session.py
+++ b/tools/outer_forms/simulator_session.py
@@ -17,7 +17,7 @@
 BATCHES = 160
 TICK_MS = 250.0
 ENDPOINT_STATES = ("ready", "ready", "ready", "draining", "gone")
-REPORT_SHARE = 0.6  # of the endpoints have a report in a batch with reports
+REPORT_SHARE = 0.6  # share of the endpoints that have a report in a batch with reports
 
 
 class Transcript(NamedTuple):
@@ -93,7 +93,7 @@
         self.version = 1
         self.endpoints = {f"e{number}": "ready" for number in range(self.random_source.randint(4, 24))}
         self.started_ms = dict.fromkeys(self.endpoints, 0.0)
-        self.proxies: dict[int, int] = {}  # zone by proxy
+        self.proxies: dict[int, int] = {}  # zone of each proxy, by its number
         self.pending_lines: list[str] = []  # responses to the last reply, for the next batch
         self.timers: list[tuple[float, str]] = []
         self.digest = hashlib.sha256()
--- a/tools/outer_names.py
+++ b/tools/outer_names.py
@@ -81,8 +81,9 @@
 }
 # enumerations whose member names or values appear in counters, commands or status output
 ENUMERATIONS = (connection_end.ConnectionEnd, claims.LeaseState, RejectionReason)
-STRUCTURE_MODULES = (tables, services_file)  # their structures are decoded from files, by field name
-ENTRY_TYPES = (  # printed as JSON objects, by field name
+# Modules whose structures are decoded from files by field name.
+STRUCTURE_MODULES = (tables, services_file)
+ENTRY_TYPES = (  # types that are printed as JSON objects under their field names
     distribution_messages.EndpointEntry,
     distribution_messages.TableLine,
     distribution_messages.AdmissionLevel,
--- a/tools/readability.py
+++ b/tools/readability.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-LONG_FUNCTION = 40  # lines
+LONG_FUNCTION = 40  # a function with more lines counts as long
 Function = ast.FunctionDef | ast.AsyncFunctionDef
 
 
