--- a/ravenshelf/distribution/connection.py
+++ b/ravenshelf/distribution/connection.py
@@ -15,7 +15,7 @@
     """Receiver of the events of a connection."""
 
     def connection_opened(self, connection: "MessageConnection") -> None:
-        """Handle that the connection is open for writing."""
+        """Handle the opening of the connection; messages can be sent from now on."""
 
     def message_received(self, connection: "MessageConnection", message: Message) -> None:
         """Handle a message that has arrived."""
@@ -24,7 +24,7 @@
         """Handle the end of the connection, whichever side ended it."""
 
     def write_resumed(self, connection: "MessageConnection") -> None:
-        """Handle that the write buffer has capacity again."""
+        """Handle the event that the write buffer has capacity again."""
 
 
 class MessageConnection(BufferedConnection):
--- a/ravenshelf/distribution/decisions/aggregation.py
+++ b/ravenshelf/distribution/decisions/aggregation.py
@@ -11,7 +11,8 @@
 from ravenshelf.distribution.messages import EndpointLoad, GroupDemand, ZoneLoadReport
 
 REPORT_WINDOW_US = 1_000_000
-# Reporters that have sent no report for this number of windows are removed, at each multiple of the number.
+# Reporters that have sent no report for this number of windows are removed. The check takes place at each
+# window whose number is a multiple of it.
 REPORTER_EXPIRY_WINDOWS = 600
 
 
--- a/ravenshelf/distribution/decisions/allowance.py
+++ b/ravenshelf/distribution/decisions/allowance.py
@@ -29,7 +29,7 @@
 def received_shares(table: Mapping[str, TableLine], ejected: Collection[str] = ()) -> dict[str, float]:
     """Return the share of the requests that each endpoint of a table receives, by endpoint name.
 
-    The shares add up to less than 1 where only lines with an upper bound remain; the remaining requests are
+    The shares add up to less than 1 if only lines with an upper bound remain; the remaining requests are
     to be rejected.
 
     Args:
--- a/ravenshelf/distribution/decisions/backoff.py
+++ b/ravenshelf/distribution/decisions/backoff.py
@@ -3,7 +3,8 @@
 import random
 
 SECOND = 1_000_000  # microseconds
-INITIAL_CEILING_US = SECOND // 2  # The ceiling doubles with each failure.
+# The ceiling of the first delay, in microseconds; it doubles with each failure.
+INITIAL_CEILING_US = SECOND // 2
 # With this ceiling a node whose dials keep failing dials about once a second. A relay has a bounded number of
 # children, so it can handle a dial a second from each of them.
 MAX_CEILING_US = 2 * SECOND
--- a/ravenshelf/distribution/decisions/client.py
+++ b/ravenshelf/distribution/decisions/client.py
@@ -107,7 +107,7 @@
         self.random_source = random_source
         self.state = ConnectionState.WAITING
         self.parent_index = 0
-        self.held_versions = Digest()  # It contains only subscribed topics.
+        self.held_versions = Digest()  # The versions of the subscribed topics; other topics are not recorded.
         self.backoff = Backoff(random_source)
         self.outcome_counts: dict[UpdateOutcome, int] = dict.fromkeys(UpdateOutcome, 0)
         self.resyncs = 0
@@ -222,7 +222,10 @@
         return []
 
     def _check_digest(self, heartbeat: Heartbeat) -> list[Action]:
-        """Request a resync where the digests show lost messages that no later message revealed."""
+        """Request a resync after MAX_DIGEST_MISMATCHES heartbeats in a row with another digest.
+
+        Such heartbeats show that messages were lost, and that no later message revealed the loss.
+        """
         if heartbeat.digest == self.held_versions.value:
             self._digest_mismatches = 0
             return []
--- a/ravenshelf/distribution/decisions/digests.py
+++ b/ravenshelf/distribution/decisions/digests.py
@@ -25,7 +25,7 @@
         self._versions: dict[str, Version] = {}
 
     def set(self, topic: str, version: Version) -> None:
-        """Record the version of a topic, in place of an earlier one."""
+        """Record the version of a topic, and replace an earlier version."""
         self.remove(topic)
         self._versions[topic] = version
         self.value = (self.value + _hash(topic, version)) % _MODULUS
--- a/ravenshelf/distribution/decisions/distributed_controller.py
+++ b/ravenshelf/distribution/decisions/distributed_controller.py
@@ -14,7 +14,7 @@
 from ravenshelf.policy.flow_control import ChannelFlowControl
 from ravenshelf.settings import Settings
 
-TABLE_WEIGHT_SUM = 1000.0  # The tables that a server decides itself have the same sum.
+TABLE_WEIGHT_SUM = 1000.0  # The sum of a table's weights, as in the tables that a server decides itself.
 SMALLEST_WEIGHT = 0.01
 # Endpoints whose shares add up to less than this can't receive all requests. That happens only if all of them
 # have reached the upper bounds of their shares, or if there are no endpoints.
@@ -40,9 +40,9 @@
         """Create a controller.
 
         Args:
-            settings: As `Controller` uses it.
-            seed: As `Controller` uses it.
-            channel: As `Controller` uses it.
+            settings: Passed on to `Controller`.
+            seed: Passed on to `Controller`.
+            channel: Passed on to `Controller`.
             owner_table: Returns the origin of the table to use, and the owner's table.
             index_of: Returns the index of a listed endpoint by its name, or None.
         """
--- a/ravenshelf/distribution/decisions/fallback.py
+++ b/ravenshelf/distribution/decisions/fallback.py
@@ -26,7 +26,8 @@
     """
 
     def __init__(self) -> None:
-        self._lost_at: int | None = None  # Microseconds; None while the owner can be reached.
+        # The time in microseconds since which the owner is unreachable; None while it can be reached.
+        self._lost_at: int | None = None
 
     def table_source(self, now: int, is_reachable: bool) -> TableSource:
         """Return the origin of the table to use at the time `now` (microseconds).
--- a/ravenshelf/distribution/decisions/planner.py
+++ b/ravenshelf/distribution/decisions/planner.py
@@ -60,8 +60,10 @@
             groups: The number of traffic groups.
         """
         self.groups = groups
-        self.tables: dict[int, dict[int, float]] = {}  # Weight by table and endpoint.
-        self.levels: dict[int, dict[int, tuple[float, int]]] = {}  # Level and retry mode by table and group.
+        # The weight of each line, by table and then by endpoint.
+        self.tables: dict[int, dict[int, float]] = {}
+        # The admission level and the retry mode, by table and then by traffic group.
+        self.levels: dict[int, dict[int, tuple[float, int]]] = {}
         self.table_of_zone: dict[int, int] = {}
         self.ejected_endpoints: set[int] = set()
         self.markers: list[int] = []  # Markers of the acknowledgements requested in this cycle.
@@ -154,10 +156,10 @@
         self.service = service
         self.endpoints: dict[str, EndpointEntry] = {}
         self.settings: dict[str, str] = {}
-        self.zones: set[int] = set()  # Contains only proxy zones with subscribers.
+        self.zones: set[int] = set()  # The proxy zones that have subscribers.
         self._indices: dict[str, int] = {}
         self._names: list[str] = []
-        self._pending_events: list[events.Event] = []  # These are handled in the next control cycle.
+        self._pending_events: list[events.Event] = []  # The events for the next control cycle.
         self.tables = RecordedTables(len(deployment.traffic_groups))
         self.controller = Controller(deployment, seed)
 
--- a/ravenshelf/distribution/decisions/relay.py
+++ b/ravenshelf/distribution/decisions/relay.py
@@ -76,8 +76,10 @@
         self.distributor = Distributor(self.topics, limits)
         self.ownership = OwnershipView()
         self._upstreams_are_owners = upstreams_are_owners
-        self._routes: dict[str, str | None] = {}  # Upstream of each topic; None while it has no owner.
-        self._expiring_topics: dict[str, int] = {}  # End of the cache time of each topic without subscribers.
+        # The upstream of each topic; None while the topic's service has no owner.
+        self._routes: dict[str, str | None] = {}
+        # The end of the cache time in microseconds, by topic without subscribers.
+        self._expiring_topics: dict[str, int] = {}
         self._unreachable_topics: set[str] = set()  # Topics that their upstream has reported as not live.
         self._lost_upstreams: set[str] = set()
         self.aggregator = Aggregator(f"{name}#{random_source.getrandbits(INCARNATION_BITS):012x}")
--- a/ravenshelf/distribution/decisions/service_decisions.py
+++ b/ravenshelf/distribution/decisions/service_decisions.py
@@ -25,8 +25,10 @@
 from ravenshelf.settings import Settings
 
 CYCLE_INTERVAL_US = SECOND // 4
-WARM_UP_WITH_REPORTS_US = 5 * SECOND  # This is two solve intervals.
-WARM_UP_WITHOUT_REPORTS_US = 10 * SECOND  # This applies to a service without any load report.
+# The inherited tables stay in use for this time after the first load report; it is two solve intervals.
+WARM_UP_WITH_REPORTS_US = 5 * SECOND
+# Without any load report, the inherited tables stay in use for this time after the planner's creation.
+WARM_UP_WITHOUT_REPORTS_US = 10 * SECOND
 
 
 @dataclass(frozen=True)
@@ -42,7 +44,8 @@
     planner: ServicePlanner
     started_at: int
     first_report_at: int | None = None
-    inherited_tables: dict[int, dict[str, Entry]] = field(default_factory=dict)  # Keys are zones.
+    # The entries of the previous owner's tables, by proxy zone.
+    inherited_tables: dict[int, dict[str, Entry]] = field(default_factory=dict)
     configuration: ServiceConfiguration | None = None
 
     def is_warm(self, now: int) -> bool:
@@ -164,7 +167,7 @@
         return self._zone_content(planned_service, topic, int(topic[len(service) + 1 :]))
 
     def _last_content(self, topic: str) -> Mapping[str, Entry] | None:
-        """Return the topic's entries as this controller last published or replicated them; None if none."""
+        """Return the topic's entries as this controller last published or replicated them, or None."""
         state = self.owner.topics.get(topic)
         return dict(state.entries) if state is not None and state.entries else None
 
--- a/ravenshelf/distribution/decisions/service_owner.py
+++ b/ravenshelf/distribution/decisions/service_owner.py
@@ -57,13 +57,15 @@
         self.distributor = Distributor(self.topics, limits)
         self.publications: dict[str, Publication] = {}
         self.owned_services: dict[str, PublicationLease] = {}
-        self.followed_shards: dict[int, str] = {}  # The owner that each shard is replicated from.
+        # The name of the owner that each replicated shard is read from, by shard.
+        self.followed_shards: dict[int, str] = {}
         self.clients = {
             controller: SubscriptionClient([controller], self.topics, random_source, now)
             for controller in other_controllers
         }
-        self._flush_at: dict[str, int] = {}  # Contains only topics with pending changes.
-        self._shard_epochs: dict[int, int] = {}  # Contains only owned shards.
+        # The time of the next flush in microseconds, by topic; topics with nothing to flush are left out.
+        self._flush_at: dict[str, int] = {}
+        self._shard_epochs: dict[int, int] = {}  # The epoch of the shard's lease, by owned shard.
         self._begin_publication(claims_topic(name), incarnation)
         self._schedule_flush(claims_topic(name))
 
--- a/ravenshelf/distribution/decisions/topics.py
+++ b/ravenshelf/distribution/decisions/topics.py
@@ -9,14 +9,16 @@
 # Number of entries in one message of a snapshot. They take about 5 KB, so a subscriber that reads only 7 KB/s
 # still receives a message each second.
 SNAPSHOT_PART_ENTRIES = 128
-MIN_HISTORY_CHANGES = 16  # The history of a topic with few entries may be larger than its snapshot.
+# The history may contain this number of changes even if the topic has fewer entries. It may then be larger
+# than the topic's snapshot.
+MIN_HISTORY_CHANGES = 16
 
 
 class UpdateOutcome(Enum):
     """Result of receiving an update of a topic."""
 
     APPLIED = "applied"
-    INCOMPLETE = "incomplete"  # The snapshot lacks parts.
+    INCOMPLETE = "incomplete"  # Parts of the snapshot have not arrived yet.
     DUPLICATE = "duplicate"  # The update is not newer than what has been received.
     STALE_EPOCH = "stale epoch"  # The update comes from a previous owner.
     GAP = "gap"  # An earlier update was missed; the topic needs a resync.
@@ -26,7 +28,7 @@
 class _PartialSnapshot:
     version: Version
     part_count: int
-    entries: dict[int, dict[str, Entry]]  # Keys are indices of the received parts.
+    entries: dict[int, dict[str, Entry]]  # The entries of each received part, by the index of the part.
 
 
 class Topic:
--- a/ravenshelf/distribution/leased_services.py
+++ b/ravenshelf/distribution/leased_services.py
@@ -65,7 +65,8 @@
         self.connected_proxies: dict[int, int] = {}
         self.services: set[str] = set()
         self._attached_publisher: OwnerService | None = None
-        self._invalid_since: dict[int, int] = {}  # Contains only owned shards whose lease is not valid.
+        # The time in microseconds since which the lease is not valid, by owned shard without a valid lease.
+        self._invalid_since: dict[int, int] = {}
 
     def attach(self, publisher: OwnerService, services: Iterable[str]) -> None:
         """Set the publisher, and the names of the configured services."""
@@ -110,7 +111,7 @@
             self.publisher.release(service)
 
     def send_permitted(self) -> None:
-        """Publish what a lease that is valid again permits; called at each step of the leases."""
+        """Publish changes that had to wait for a valid lease; called at each step of the leases."""
         if self._attached_publisher is not None:
             self._attached_publisher.publish()
 
--- a/ravenshelf/distribution/messages.py
+++ b/ravenshelf/distribution/messages.py
@@ -60,7 +60,7 @@
 
 
 Entry = EndpointEntry | TableLine | AdmissionLevel | Setting
-Changes = dict[str, Entry | None]  # None removes the key.
+Changes = dict[str, Entry | None]  # The new entry of each changed key; None removes the key.
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag=15):
--- a/ravenshelf/distribution/node.py
+++ b/ravenshelf/distribution/node.py
@@ -4,7 +4,8 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-Clock = Callable[[], int]  # Returns microseconds, and must advance while the process is suspended.
+# Returns the time in microseconds; the clock must also advance while the process is suspended.
+Clock = Callable[[], int]
 
 
 class Node(NamedTuple):
--- a/ravenshelf/distribution/owner_service.py
+++ b/ravenshelf/distribution/owner_service.py
@@ -35,10 +35,10 @@
 
         Args:
             node: This process, with the other controllers as parents.
-            incarnation: As `ServiceOwner` uses it.
-            shards: As `ServiceOwner` uses it.
-            content: As `ServiceOwner` uses it.
-            random_source: As `ServiceOwner` uses it.
+            incarnation: Number that rises with each start of this controller.
+            shards: Number of shards.
+            content: Returns the state of a topic to publish.
+            random_source: Source of the jitter of dials.
             limits: Limits of the subscribers.
             report_received: Called with each load report.
         """
--- a/ravenshelf/distribution/relay_service.py
+++ b/ravenshelf/distribution/relay_service.py
@@ -25,10 +25,10 @@
 
         Args:
             node: This process.
-            upstreams: As `Relay` uses it.
-            random_source: As `Relay` uses it.
+            upstreams: The parents of each upstream, the preferred one first.
+            random_source: Source of jitter, and of the random part of the reporter's name.
             limits: Limits of the subscribers.
-            upstreams_are_owners: As `Relay` uses it.
+            upstreams_are_owners: Whether each upstream is a controller and has its name.
         """
         self.relay = Relay(node.name, upstreams, random_source, node.clock(), limits, upstreams_are_owners)
         super().__init__(node, self.relay.clients, self.relay.distributor)
--- a/ravenshelf/distribution/server_distribution.py
+++ b/ravenshelf/distribution/server_distribution.py
@@ -56,9 +56,9 @@
         )
         self.aggregator = Aggregator(f"{node.name}#{random_source.getrandbits(INCARNATION_BITS):012x}")
         self.zones: set[int] = set()
-        self.proxies: dict[int, int] = {}  # Zone of each joined proxy.
+        self.proxies: dict[int, int] = {}  # The zone of each joined proxy, by proxy number.
         self._unreachable_topics: set[str] = set()
-        # Keys are zones, as liveness is reported for the topic of each zone.
+        # The key is the proxy zone, because liveness is reported for each zone's topic.
         self._reachability: defaultdict[int, OwnerReachability] = defaultdict(OwnerReachability)
         self._controller: DistributedController | None = None
         self._timers: Timers[str] = Timers(node.loop, node.clock, self._report_due)
--- a/ravenshelf/distribution/serving.py
+++ b/ravenshelf/distribution/serving.py
@@ -29,7 +29,7 @@
         Args:
             node: This process.
             clients: Subscription clients, by name of the upstream.
-            distributor: The serving side.
+            distributor: Decides which messages each subscriber is sent.
         """
         self.node = node
         self.clock = node.clock
@@ -62,7 +62,7 @@
 
     @abstractmethod
     def tick(self) -> None:
-        """Do what is due, and schedule the next tick."""
+        """Perform the actions that are due, and schedule the next tick."""
 
     def _tick_due(self, _key: str) -> None:
         self.tick()
--- a/ravenshelf/distribution/subscribers.py
+++ b/ravenshelf/distribution/subscribers.py
@@ -114,7 +114,8 @@
             return
         assert isinstance(message, Hello)
         superseded_connection = self.connections.pop(message.name, None)
-        if superseded_connection is not None:  # The process has dialled again.
+        # The same process has dialled again, so its earlier connection is superseded.
+        if superseded_connection is not None:
             superseded_connection.close(ConnectionEnd.SUPERSEDED)
             self.listener.subscriber_lost(message.name)
         if not self.distributor.add_subscriber(self.node.clock(), message.name):
--- a/ravenshelf/distribution/subscription_service.py
+++ b/ravenshelf/distribution/subscription_service.py
@@ -18,7 +18,7 @@
 from ravenshelf.distribution.upstreams import Upstreams
 from ravenshelf.state.buffers import BufferPool
 
-TREE_UPSTREAM = "tree"  # A subscriber has no other upstream.
+TREE_UPSTREAM = "tree"  # The name of a subscriber's only upstream.
 TICK_TIMER = "tick"
 
 
--- a/ravenshelf/leadership/admin.py
+++ b/ravenshelf/leadership/admin.py
@@ -30,14 +30,18 @@
         """Return the state of the member."""
 
     def drain(self, is_enabled: bool = True) -> int:
-        """Begin or stop to hand all shards over to the others, and return how many are held now."""
+        """Begin or stop handing all shards over to other members, and return the number of held shards."""
 
     def hand_over(self, shards: list[int], successor: str | None) -> list[int]:
-        """Release shards to the member named `successor` (None: any), and return those that had a claim."""
+        """Release shards to the member named `successor`, or to any member if it is None.
+
+        Returns:
+            The released shards. Shards without a claim are left out.
+        """
 
 
 def handle_request(leadership: AdministeredMember, request: Json) -> Json:
-    """Return the reply to a request; its key `error` says why a request can't be carried out.
+    """Return the reply to a request; the reply's key `error` says why the request can't be carried out.
 
     No exception is raised, because an unusable request must not end a control-plane server.
     """
--- a/ravenshelf/leadership/cluster.py
+++ b/ravenshelf/leadership/cluster.py
@@ -9,7 +9,7 @@
 
 
 def clock() -> int:
-    """Return microseconds of a clock that also counts while the machine is suspended.
+    """Return the time in microseconds of a clock that also counts while the machine is suspended.
 
     With a clock that stops during a suspension, a member would still use a lease that expired meanwhile.
     """
@@ -72,7 +72,7 @@
         """The proxies with a connection to this member."""
 
     def lease_acquired(self, shard: int, term: int, packed_record: PackedRecord) -> None:
-        """Handle a lease that is held and whose record a quorum has accepted.
+        """Handle a lease that this member holds, after a quorum has accepted its record.
 
         Also called for a shard that is owned already, when its lease continues in a later term.
         """
@@ -88,7 +88,7 @@
 
 
 class AgreedSettings(NamedTuple):
-    """The settings that members compare when they connect, in the order of the wire."""
+    """The settings that members compare when they connect, in the order in which they are sent."""
 
     shards: int
     lease_us: int
--- a/ravenshelf/leadership/decisions/balancer.py
+++ b/ravenshelf/leadership/decisions/balancer.py
@@ -34,7 +34,7 @@
         self.local_member = local_member
         self.configuration = configuration
         self.successors: dict[int, Successor] = {}
-        # For each shard without a holder: since when this member has seen none, in microseconds.
+        # The time in microseconds since which this member has seen no holder, by shard without a holder.
         self.unheld_since: dict[int, int] = {}
         self._voter = voter
         self._leases = leases
@@ -47,7 +47,8 @@
         if self._leases.claims[shard].state in GRANTED_STATES:
             return self.local_member
         vote = self._voter.votes[shard]
-        # a grant to this member doesn't count, because the request may have failed at the other voters
+        # A grant to this member does not show that it holds the lease, because its request may have failed at
+        # the other voters.
         is_held_by_other = vote.holder not in (None, self.local_member) and now < vote.granted_until
         return vote.holder if is_held_by_other else None
 
--- a/ravenshelf/leadership/decisions/lease_holder.py
+++ b/ravenshelf/leadership/decisions/lease_holder.py
@@ -220,8 +220,8 @@
         lease can then be requested again, in a later term.
 
         Args:
-            now: Microseconds of this member's clock.
-            quorum_last_contact: The latest time by which a whole quorum had been in contact.
+            now: The present time, microseconds of this member's clock.
+            quorum_last_contact: The latest time since which messages of a whole quorum have arrived.
             output: Receives the changes of state.
         """
         # the states are looked up once, because this loop runs over every shard at every tick
@@ -247,7 +247,7 @@
             output: Receives the messages and the changes of state.
 
         Returns:
-            The released shards, without those that had no claim.
+            The released shards. Shards without a claim are left out.
         """
         released_leases: list[ReleasedLease] = []
         for shard in shards:
@@ -265,7 +265,7 @@
         """Abandon requests that were not granted in time, and resend records that are not committed.
 
         Returns:
-            The times at which claims need the next tick, microseconds; none for idle and expired claims.
+            The times in microseconds at which claims need the next tick. Idle and expired claims have none.
         """
         # the states are looked up once, because this loop runs over every shard at every tick
         idle_state = LeaseState.IDLE
--- a/ravenshelf/leadership/decisions/member.py
+++ b/ravenshelf/leadership/decisions/member.py
@@ -162,7 +162,7 @@
         """Release leases to the member `successor`, or to any member if it is None.
 
         Returns:
-            The released shards, without those that had no claim.
+            The released shards. Shards without a claim are left out.
         """
         return self.leases.release(now, shards, successor, output)
 
--- a/ravenshelf/leadership/decisions/messages.py
+++ b/ravenshelf/leadership/decisions/messages.py
@@ -1,6 +1,6 @@
 """Messages between members, one type per message; `leadership.message_codec` encodes them.
 
-The fields and their order are those of the wire. Shards, members and terms are numbers.
+The fields are sent in the order in which they are declared. Shards, members and terms are numbers.
 """
 
 from typing import NamedTuple, TypeAlias
--- a/ravenshelf/leadership/decisions/peers.py
+++ b/ravenshelf/leadership/decisions/peers.py
@@ -63,7 +63,7 @@
         )
 
     def quorum_last_contact(self, now: int, quorum: int) -> int:
-        """Return the latest time by which a whole quorum, this member included, had been in contact.
+        """Return the latest time since which messages of a whole quorum, this member included, have arrived.
 
         `NEVER` if a quorum has not been in contact yet; `now` if this member alone is a quorum.
         """
--- a/ravenshelf/leadership/decisions/recovery.py
+++ b/ravenshelf/leadership/decisions/recovery.py
@@ -44,8 +44,8 @@
         """Adopt the votes of a quorum of the other members, and end the recovery.
 
         Every quorum that accepted a promise or a record without this member has a voter in common with the
-        quorum that is read here, so none is missed. If all other members reply and none of them has any vote,
-        this is the first start of the cluster, and the recovery ends as well.
+        quorum that is read here, so no promise or record is missed. If all other members reply and
+        none of them has any vote, this is the first start of the cluster, and the recovery ends as well.
         """
         if not self.is_active or member == self.local_member:
             return
--- a/ravenshelf/leadership/decisions/token_bucket.py
+++ b/ravenshelf/leadership/decisions/token_bucket.py
@@ -12,7 +12,7 @@
         self.refilled_at = 0
 
     def consume(self, now: int, count: int) -> int:
-        """Remove up to `count` tokens at the time `now` in microseconds, and return how many there were."""
+        """Remove up to `count` tokens at the time `now` in microseconds, and return how many were removed."""
         refill = self.per_second * max(0, now - self.refilled_at) / SECOND
         self.tokens = min(self.per_second, self.tokens + refill)
         self.refilled_at = now
--- a/ravenshelf/leadership/decisions/voter.py
+++ b/ravenshelf/leadership/decisions/voter.py
@@ -22,7 +22,7 @@
 )
 from ravenshelf.leadership.decisions.output import LeaseOutput, PackedRecord
 
-# For each shard: the promised term, the term and the number of the accepted record, and the record itself.
+# The promised term, the term and the number of the accepted record, and that record, by shard.
 StoredVotes: TypeAlias = Mapping[int, tuple[int, int, int, PackedRecord]]
 
 
@@ -108,7 +108,7 @@
             vote.record = recorded_vote.record
 
     def on_probe(self, now: int, member: int, request: ProbeRequest, output: LeaseOutput) -> None:
-        """Reply which leases this voter would grant now; nothing is promised."""
+        """Reply with the leases that this voter would grant now, without promising a term."""
         available_shards = [
             shard
             for shard in request.shards
--- a/ravenshelf/leadership/gate.py
+++ b/ravenshelf/leadership/gate.py
@@ -1,4 +1,6 @@
-"""Queue of a shard's commands that wait for its record, and the order in which they are sent. Pure.
+"""Queue of a shard's commands that wait for its record, and the order in which they are sent.
+
+No I/O, no clock.
 
 A command that admits more requests or more retries than the shard's record permits is sent only after a
 quorum has accepted a record that contains it. The same holds for a command that ejects a draining endpoint,
@@ -17,7 +19,7 @@
 # The largest number of commands that wait for one proxy. Further commands are dropped, and the proxy is bound
 # again once that is permitted.
 WAITING_LIMIT = 64
-# these two stand in for the number of a record
+# NOT_RECORDED and NO_RECORD are used in place of the number of a record.
 NOT_RECORDED = -1  # the record that the command requires is not written yet
 NO_RECORD = 0  # the command requires no record
 
--- a/ravenshelf/leadership/inheritance.py
+++ b/ravenshelf/leadership/inheritance.py
@@ -1,4 +1,4 @@
-"""Limits of a successor as long as its own decisions have less information than the previous holder. Pure.
+"""Limits of a successor as long as it has less information than the previous holder had. No I/O, no clock.
 
 The record contains what the previous holder had commanded. The successor applies it as long as it has no
 information of its own: a drain stays until a newer endpoint list ends it, an endpoint that was warming up
@@ -12,8 +12,9 @@
 SECOND = 1_000_000
 ADMISSION_STEP = 1.25  # factor by which the admission level of a shed group rises at each step
 ADMISSION_STEP_INTERVAL_US = 2 * SECOND
-UNLIMITED_LEVEL = 1e5  # an admission level that sheds nothing
-LEARNING_PERIOD_US = 60 * SECOND  # afterwards the recorded admission levels are no limit any more
+UNLIMITED_LEVEL = 1e5  # an admission level at which no request is shed
+# the recorded admission levels limit a successor for this time after the takeover
+LEARNING_PERIOD_US = 60 * SECOND
 
 
 class InheritedState:
@@ -45,7 +46,7 @@
         return min(level, recorded_admission[0] * ADMISSION_STEP**steps)
 
     def has_ended(self, now: int) -> bool:
-        """Return whether this state limits nothing any more."""
+        """Return whether this state no longer limits anything."""
         return now - self.taken_over_at > LEARNING_PERIOD_US and not self.drained_at
 
     def endpoints_listed(self, version: int, ready: Iterable[str]) -> None:
@@ -63,9 +64,12 @@
         }
 
     def is_drained(self, endpoint: str) -> bool:
-        """Return whether an earlier holder drained the endpoint and no newer list has ended that."""
+        """Return whether an earlier holder drained the endpoint and no newer list has ended the drain."""
         return endpoint in self.drained_at
 
     def warming_since(self) -> Mapping[str, int]:
-        """Return the starts of the endpoints that were warming up, for an endpoint list that lacks them."""
+        """Return the recorded start of each endpoint that was warming up, microseconds, by endpoint.
+
+        A successor uses each start that is later than the one in its own endpoint list.
+        """
         return dict(self.record.warming_since)
--- a/ravenshelf/leadership/lease_filter.py
+++ b/ravenshelf/leadership/lease_filter.py
@@ -17,8 +17,8 @@
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.table_update import AdmissionLevel, TableUpdate
 
-# A complete table resets the admission levels. An inherited level is commanded again after it, with a retry
-# mode of at most this.
+# A complete table resets the admission levels. An inherited level is commanded again after it; its retry mode
+# is then the recorded one, but at most this one.
 INHERITED_RETRY_MODE_LIMIT = 1
 
 
@@ -44,7 +44,7 @@
     """Filters events on their way to the control cycle, and commands on their way to the proxies.
 
     Args:
-        member: The member whose leases count.
+        member: The member whose leases permit commands.
         clock: Returns the present time, microseconds.
         groups: The names of the traffic groups, by index.
         counters: The server's counters.
@@ -266,7 +266,7 @@
         now = self.clock()
 
         def is_permitted(command: WaitingCommand) -> bool:
-            """Return whether the member's lease permits a command now; some commands only as repeats."""
+            """Return whether the lease permits a command now; REPEAT_ONLY permits only some commands."""
             permission = self.member.permission(now, shard, command.seq)
             if permission is Permission.REPEAT_ONLY:
                 return command.requirements.is_met_by(held_shard.gate.record)
@@ -294,8 +294,8 @@
     def _bind_overflowed(self, shard: int, held_shard: HeldShard) -> None:
         """Bind proxies again for which commands were dropped.
 
-        The control cycle counts the dropped commands as sent. To the control cycle these proxies leave and
-        join again, so that it starts again with them.
+        The control cycle counts the dropped commands as sent. So it gets events that these proxies have left
+        and joined again, and starts over with them.
         """
         if not held_shard.gate.overflowed_proxies or self.member.permission(self.clock(), shard) is None:
             return
@@ -312,5 +312,5 @@
 
 
 def add_term(message: bytes, term: int) -> bytes:
-    """Return an encoded command with its term, by which a proxy rejects commands of an earlier term."""
+    """Return an encoded command with its term, so that a proxy can reject commands of earlier terms."""
     return b"CONFIG term=%d" % term + message.removeprefix(b"CONFIG")
--- a/ravenshelf/leadership/link.py
+++ b/ravenshelf/leadership/link.py
@@ -18,7 +18,7 @@
 from ravenshelf.net.connection_end import ConnectionEnd
 from ravenshelf.state.buffers import BufferPool
 
-# the versions of the protocol: the local one, and the oldest that the other side may have
+# The version of the protocol that this side uses, and the oldest version that the other side may use.
 VERSION = 1
 OLDEST_VERSION = 1
 # a connection with more unsent bytes is closed, because a member that reads so slowly counts as unreachable
@@ -55,7 +55,7 @@
         """Handle the first message, and return why the other side is rejected, or None."""
 
     def message_received(self, link: "Link", message: list) -> None:
-        """Handle a message after the first."""
+        """Handle a message that arrives after the hello."""
 
     def link_closed(self, link: "Link") -> None:
         """Handle the end of the connection, which `link.end` describes."""
--- a/ravenshelf/leadership/message_codec.py
+++ b/ravenshelf/leadership/message_codec.py
@@ -33,7 +33,7 @@
 
 
 class MalformedMessageError(RavenshelfError):
-    """A list that is not a message of the protocol; `message` has it."""
+    """A list that is not a message of the protocol; `message` is that list."""
 
     def __init__(self, message: list[Any], reason: str) -> None:
         super().__init__(reason)
--- a/ravenshelf/leadership/persistence.py
+++ b/ravenshelf/leadership/persistence.py
@@ -37,7 +37,7 @@
         self.committer = Committer(self.journal, call_in_loop)
 
     def has_failed(self) -> bool:
-        """Return whether a write to the journal has failed; nothing more is written then."""
+        """Return whether a write to the journal has failed; after a failure nothing more is written."""
         return self.journal.failure is not None
 
 
@@ -71,7 +71,7 @@
         self._messages.append(OutgoingMessage(member, message))
 
     def flush(self) -> None:
-        """End a step: commit what it stored, and send its messages after that.
+        """End a step: commit the values that it stored, and then send its messages.
 
         Messages are sent at once if the step stored nothing and no earlier commit is in flight.
         """
--- a/ravenshelf/leadership/record.py
+++ b/ravenshelf/leadership/record.py
@@ -1,4 +1,4 @@
-"""The record of a shard, from which the next holder of its lease continues. Pure.
+"""The record of a shard, from which the next holder of its lease continues. No I/O, no clock.
 
 A record is a map of named fields, each a map. A program of an earlier version that reads a record of a later
 one keeps the fields that it does not support and writes them back with its own, so that two versions can
@@ -21,7 +21,7 @@
 
 
 class UnreadableRecordError(RavenshelfError):
-    """Bytes that cannot be decoded as a record; `data` has them."""
+    """Bytes that cannot be decoded as a record; `data` contains the bytes."""
 
     def __init__(self, data: bytes) -> None:
         super().__init__(f"expected a shard's record, not {data[:SHOWN_BYTES]!r}")
--- a/ravenshelf/leadership/service.py
+++ b/ravenshelf/leadership/service.py
@@ -83,7 +83,7 @@
         self._loop_delay_us = 0.0
 
     def _new_member(self, rng: random.Random) -> Member:
-        """Return the member; one that is alone in its cluster has no others to recover from."""
+        """Return the member; the only member of a cluster has no other members to recover its votes from."""
         is_recovering = len(self.names) > 1 and not self.store.is_voting
         return Member(
             self.membership.local_member,
@@ -102,15 +102,15 @@
         return self.membership.incarnation
 
     def store_vote(self, shard: int, promised: int, term: int, seq: int, record: PackedRecord) -> None:
-        """Store a vote with this step."""
+        """Store a vote on disk as part of the present step."""
         self._outbox.store(shard, (promised, term, seq, record))
 
     def store_voting(self) -> None:
-        """Store with this step that the member votes."""
+        """Store on disk, as part of the present step, that the member votes."""
         self._outbox.store(VOTING_KEY, True)
 
     def send(self, member: int, message: Message) -> None:
-        """Send a message once this step is on disk."""
+        """Send a message once the changes of the present step are on disk."""
         self._outbox.send(member, message)
 
     def lease_changed(self, shard: int, state: LeaseState, term: int, record: PackedRecord) -> None:
@@ -198,7 +198,7 @@
         return self._run_step(lambda: self.member.write_record(clock(), shard, record, self))
 
     def _call_in_loop(self, callback: Callable[[], None]) -> None:
-        with suppress(RuntimeError):  # raised once the event loop is closed
+        with suppress(RuntimeError):  # the event loop raises this error once it is closed
             self.loop.call_soon_threadsafe(callback)
 
     def _tick(self) -> None:
@@ -283,7 +283,7 @@
         """Release shards to the member with the name `successor`, or to any if it is None.
 
         Returns:
-            The released shards, without those that had no claim.
+            The released shards. Shards without a claim are left out.
         """
         successor_number = self.names.index(successor) if successor else None
         return self._run_step(lambda: self.member.release(clock(), shards, successor_number, self))
--- a/ravenshelf/leadership/shard_placement.py
+++ b/ravenshelf/leadership/shard_placement.py
@@ -1,4 +1,4 @@
-"""Placement of shards on members in proportion to their weights, with few migrations. Pure.
+"""Placement of shards on members in proportion to their weights, with few migrations. No I/O, no clock.
 
 Reachable members keep the shards that they hold as long as they are within their limit. Shards without a
 holder are placed by weighted rendezvous hashing among the members with capacity. So after the loss of a
@@ -11,7 +11,8 @@
 
 import xxhash
 
-SHARD_LIMIT_FACTOR = 1.15  # a member hands shards over when it holds more than this multiple of its share
+# a member hands shards over when it holds more than its proportional share of shards times this
+SHARD_LIMIT_FACTOR = 1.15
 # An overloaded member's weight drops to at most this share of its capacity, so that it hands shards over
 # before its leases expire.
 OVERLOAD_WEIGHT_FACTOR = 0.5
@@ -120,7 +121,7 @@
 ) -> None:
     """Move shards to members far below their share, for example one that has just returned.
 
-    Each is taken from the member that is furthest above its share.
+    Each shard is taken from the member that is furthest above its share.
     """
     total_weight = sum(weights.values())
     if total_weight <= 0:
@@ -154,5 +155,5 @@
 
 
 def shard_of_proxy(proxy: int, shards: int) -> int:
-    """Return the shard of a proxy out of `shards`; it is the same at every member."""
+    """Return the shard of a proxy, 0 to `shards` - 1, which is the same at every member."""
     return xxhash.xxh64_intdigest(b"%d" % proxy) % shards
--- a/ravenshelf/leadership/status.py
+++ b/ravenshelf/leadership/status.py
@@ -22,13 +22,13 @@
     """Return a member's state, its connections to other members, and its shards.
 
     Args:
-        now: Microseconds of the member's clock.
+        now: The present time, microseconds of the member's clock.
         member: The member.
-        membership: Its name, its number and the names of all members.
-        lease_listener: Its held shards and connected proxies.
-        connected_members: The other members that it has a connection to.
+        membership: The member's name and number, and the names of all members.
+        lease_listener: Provides the member's held shards and connected proxies.
+        connected_members: The other members that the member has a connection to.
         incarnations: The latest incarnation of each other member that has connected.
-        loop_delay_us: The smoothed delay of its event loop.
+        loop_delay_us: The smoothed delay of the member's event loop, microseconds.
     """
     return {
         "name": membership.name,
--- a/ravenshelf/store/committer.py
+++ b/ravenshelf/store/committer.py
@@ -1,4 +1,4 @@
-"""Group commit: a thread writes all changes that arrive during one disk write with the next write."""
+"""Group commit: changes that arrive while a thread writes to disk are stored together by its next write."""
 
 import threading
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 
 from ravenshelf.store.journal import Entry, Journal
 
-MAX_COMMITS_PER_BATCH = 1024  # a batch is one write and one sync
+MAX_COMMITS_PER_BATCH = 1024  # a batch of commits is stored by one write and one sync
 CLOSE_TIMEOUT_S = 2.0
 
 CommitCallback: TypeAlias = Callable[[Exception | None], None]
@@ -38,7 +38,7 @@
         self.commit_count = 0
         self.batch_count = 0
         self._call_in_loop = call_in_loop
-        self._queue: SimpleQueue[Commit | None] = SimpleQueue()  # None ends the thread
+        self._queue: SimpleQueue[Commit | None] = SimpleQueue()  # a None in the queue ends the thread
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
 
--- a/ravenshelf/store/errors.py
+++ b/ravenshelf/store/errors.py
@@ -8,7 +8,7 @@
 class DamagedSegmentError(RavenshelfError):
     """Error of a folder of segments that cannot be used.
 
-    The text names the file or folder and says what was expected.
+    The error message names the file or folder and says what was expected.
 
     Attributes:
         file: The file or folder.
--- a/ravenshelf/store/file_system.py
+++ b/ravenshelf/store/file_system.py
@@ -1,4 +1,4 @@
-"""The file system as the store uses it. Tests replace it by one that fails."""
+"""The file system as the store uses it. Tests replace it by a file system that fails."""
 
 import os
 from pathlib import Path
@@ -33,7 +33,7 @@
     def sync_folder(self, folder: Path) -> None:
         """Return once the directory entries of a folder are on disk.
 
-        The name of a new file survives a loss of power only after that.
+        The name of a new file survives a loss of power only after this call.
         """
         handle = os.open(folder, os.O_RDONLY)
         try:
--- a/ravenshelf/store/journal.py
+++ b/ravenshelf/store/journal.py
@@ -23,14 +23,15 @@
 
 VERSION = 1
 SEGMENT_BYTES = 4 * 1024 * 1024
-# The limit beyond which `Segments` drops old segments. Compaction bounds a journal, so none may be dropped.
+# The size limit that a journal passes to `Segments`, which drops old segments beyond it. Compaction bounds
+# the size of a journal, so no segment may be dropped, and this limit is too high to be reached.
 UNBOUNDED_BYTES = 10**15
-# The journal is compacted when the changes since the last snapshot exceed both this size and this multiple
-# of the snapshot's size.
+# The journal is compacted when the changes since the last snapshot exceed both MIN_COMPACTION_BYTES and
+# COMPACTION_RATIO times the size of the snapshot.
 MIN_COMPACTION_BYTES = 1024 * 1024
 COMPACTION_RATIO = 4
 
-Entry: TypeAlias = tuple[Any, Any]  # key and value
+Entry: TypeAlias = tuple[Any, Any]  # a key of the map and its value
 Migration: TypeAlias = Callable[[Any, Any], Entry | None]
 
 
@@ -85,8 +86,9 @@
                 any owner is opened.
             file_system: The system calls; those of the operating system by default.
             version: The version of the records that are written. Records of later versions are errors.
-            migrations: By version v, a function that returns the entry (key, value) of version v as one of
-                version v + 1, or None to remove it. Without one the entry is kept as it is.
+            migrations: The functions that convert entries, by version. The function of version v converts an
+                entry (key, value) to version v + 1, or returns None to remove it. Without such a function the
+                entry is kept as it is.
             is_readonly: Whether the folder is neither locked nor changed.
 
         Raises:
@@ -208,8 +210,8 @@
             changes: (key, value) pairs; a value of None removes the key.
 
         Raises:
-            JournalFailedError: This write, an earlier one or the compaction after this write has failed. The
-                entries have the changes only in the last case.
+            JournalFailedError: This write, an earlier one or the compaction after this write has failed.
+                `entries` contains the changes only if it was the compaction that failed.
             OSError: The changes are stored, but an old segment could not be removed after the compaction.
         """
         changes = list(changes)
--- a/ravenshelf/store/segments.py
+++ b/ravenshelf/store/segments.py
@@ -48,8 +48,8 @@
     Attributes:
         skipped_ranges: The invalid byte ranges that were found when the folder was opened.
         dropped_record_count: Number of records that were dropped unread to stay within the size limit.
-        record_counts: Number of records by segment.
-        segment_sizes: Size in bytes by segment.
+        record_counts: Number of records in each segment, by segment number.
+        segment_sizes: Size of each segment in bytes, by segment number.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         self.record_counts: dict[int, int] = {}
         self.segment_sizes: dict[int, int] = {}
         self._handle: int | None = None
-        self._open_segment: int | None = None  # the segment of `_handle`
+        self._open_segment: int | None = None  # the number of the segment behind `_handle`
         self._next_number = 1
         folder.mkdir(parents=True, exist_ok=True)
         self._recover()
@@ -215,7 +215,7 @@
             self.close()
 
     def read_oldest(self) -> tuple[int, list[bytes]] | None:
-        """Return the number and the record bodies of the oldest segment with records, or None without one.
+        """Return the number and the record bodies of the oldest segment with records; None if there is none.
 
         The segment is closed for writing. The caller passes the number to `drop` when it has processed the
         records.
