--- a/ravenshelf/background/decisions.py
+++ b/ravenshelf/background/decisions.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-SECOND = 1_000_000  # microseconds
-ESTIMATE_GAIN = 0.2  # weight of the latest slice in the estimated slice duration of a job
+SECOND = 1_000_000  # One second, in microseconds.
+ESTIMATE_GAIN = 0.2  # Weight, from 0 to 1, of the latest slice in the estimated slice duration of a job.
 # A turn starts only when the budget has this share of the turn duration. Otherwise the same work would run in
 # many short turns, which cost more time than a few long ones.
 MIN_TURN_SHARE = 0.5
-MAX_SAVED_SECONDS = 0.25  # unused budget that can be saved, as a share of the budget of one second
+MAX_SAVED_SECONDS = 0.25  # Unused budget can be saved up to the budget of this many seconds.
 
 
 class Priority(enum.IntEnum):
@@ -46,8 +46,9 @@
     steps: Iterator[None]
     on_dropped: Callable[[], None] | None = None
     is_perishable: bool = False
-    waiting_since: int = 0  # time at which the job was queued, or its latest slice ended
-    arrival_number: int = 0  # position in the order of arrival
+    # Time at which the job was queued or, after its first slice, at which its latest slice ended.
+    waiting_since: int = 0
+    arrival_number: int = 0  # Position of the job in the order of arrival.
 
 
 class TimeBudget:
@@ -59,7 +60,8 @@
     def __init__(self, turn_duration: int, time_per_second: int) -> None:
         self.turn_duration = turn_duration
         self.time_per_second = time_per_second
-        self.balance = float(turn_duration)  # below 0 after a slice that exceeded the budget
+        # Unused time in microseconds; below 0 after a slice that exceeded the budget.
+        self.balance = float(turn_duration)
         self.refilled_at: int | None = None
 
     def _refill(self, now: int) -> None:
@@ -105,7 +107,8 @@
         self.budget = TimeBudget(turn_duration, time_per_second)
         self.ageing_interval = ageing_interval
         self.jobs: list[Job] = []
-        self.slice_estimates: dict[str, float] = {}  # estimated slice duration by the job's name
+        # Estimated slice duration in microseconds, by the job's name.
+        self.slice_estimates: dict[str, float] = {}
         self.last_arrival_number = 0
 
     def __len__(self) -> int:
@@ -125,7 +128,7 @@
             self.jobs.remove(job)
 
     def _run_rank(self, job: Job, now: int) -> tuple[int, int, int]:
-        """Return the sort key of the order of running: priority after ageing, deadline, arrival."""
+        """Return the sort key for running, lowest first: priority after ageing, deadline, arrival."""
         priority_gain = max(0, now - job.waiting_since) // self.ageing_interval
         return max(Priority.SIGNAL, job.priority - priority_gain), job.deadline, job.arrival_number
 
@@ -147,11 +150,11 @@
 
     @staticmethod
     def _drop_rank(job: Job, now: int) -> tuple[bool, int, int, int]:
-        """Return the sort key of dropping, highest first: expired, least urgent, latest deadline, newest."""
+        """Return the sort key for dropping, highest first: expired, least urgent, latest deadline, newest."""
         return job.is_perishable and job.deadline < now, job.priority, job.deadline, job.arrival_number
 
     def offer(self, job: Job, now: int) -> list[Job]:
-        """Add a job; return the jobs that were dropped, which are no longer queued and may include it.
+        """Add a job; return the jobs that were dropped from the queue, which may include the new job.
 
         Expired jobs are dropped in any case, and one more if the queue is still over `max_jobs`.
         """
--- a/ravenshelf/collectd/decisions/host_clock.py
+++ b/ravenshelf/collectd/decisions/host_clock.py
@@ -22,10 +22,11 @@
 
     def __init__(self) -> None:
         self.offset: int | None = None
-        self.window_minimum: int | None = None  # becomes the offset at the end of the window
+        # Smallest difference in the current window, which becomes the offset when the window ends.
+        self.window_minimum: int | None = None
         self.window_ends_at = 0
         self.consecutive_late_values = 0
-        self.reported_offset = 0  # last offset that `pop_new_offset` returned
+        self.reported_offset = 0  # Last offset that `pop_new_offset` returned, in microseconds.
 
     def estimate_age(self, received_at: int, timestamp: int) -> int:
         """Update the estimate with a value and return the value's estimated age on arrival.
--- a/ravenshelf/collectd/decisions/host_loads.py
+++ b/ravenshelf/collectd/decisions/host_loads.py
@@ -24,15 +24,15 @@
 from ravenshelf.collectd.protocol import ABSOLUTE, GAUGE, SECOND, ValueList
 from ravenshelf.collectd.types import DataSource, Types
 
-DEFAULT_INTERVAL = 10 * SECOND  # interval of a sender that states none
-FRESH_INTERVALS = 2.5  # intervals for which a reading counts as current
-# An authenticated packet whose time differs by more is a recorded one that was sent again: such a difference
-# does not come from the host's clock.
+DEFAULT_INTERVAL = 10 * SECOND  # Interval that is assumed for a sender that states none.
+FRESH_INTERVALS = 2.5  # Number of intervals for which a reading counts as current.
+# Values of an authenticated packet are ignored if their time differs from the server's by more than this. The
+# packet is then a recorded one that was sent again: such a difference does not come from the host's clock.
 MAX_AUTHENTICATED_SKEW = 600 * SECOND
-MAX_SERIES = 4096  # per host
+MAX_SERIES = 4096  # Maximum number of series stored for each host.
 IDLE_STATES = ("idle", "wait")
 
-ProcessorState = tuple[str, str]  # (processor, state)
+ProcessorState = tuple[str, str]  # Name of a processor and one of its states, as (processor, state).
 SeriesKey = tuple[str, str, str, str, str]  # (plugin, plugin instance, type, type instance, source)
 
 
@@ -47,7 +47,7 @@
     """Load of an endpoint's host and the age of this load."""
 
     endpoint: int
-    busy_share: float  # from 0 to 1
+    busy_share: float  # Share of the processors' time that is not idle, from 0 to 1.
     age: int
 
 
@@ -59,10 +59,10 @@
     series: dict[SeriesKey, Series] = field(default_factory=dict)
     state_rates: dict[ProcessorState, Reading] = field(default_factory=dict)
     state_percents: dict[ProcessorState, Reading] = field(default_factory=dict)
-    run_queue: Reading | None = None  # runnable processes
-    newest_time: int = 0  # time of the newest value, by the host's clock
-    newest_measured_at: int = 0  # the same time by the server's clock
-    reported_time: int = 0  # `newest_time` when the host's load was last computed
+    run_queue: Reading | None = None  # Number of runnable processes.
+    newest_time: int = 0  # Time of the newest value, by the host's clock.
+    newest_measured_at: int = 0  # Estimated time of the newest value, by the server's clock.
+    reported_time: int = 0  # Value of `newest_time` when the host's load was last computed.
     interval: int = DEFAULT_INTERVAL
 
     def estimate_busy_share(self) -> float | None:
@@ -256,7 +256,7 @@
         return loads
 
     def pop_skewed_clocks(self) -> list[tuple[str, float]]:
-        """Return the hosts whose clock offset has changed by more than JUMP_THRESHOLD since it was returned.
+        """Return the hosts whose clock offset differs by more than JUMP_THRESHOLD from the last one returned.
 
         Returns:
             Pairs (host, seconds by which its clock is ahead); the seconds are negative if it is behind.
--- a/ravenshelf/collectd/decisions/replays.py
+++ b/ravenshelf/collectd/decisions/replays.py
@@ -2,7 +2,7 @@
 
 from collections import OrderedDict
 
-REPLAY_WINDOW = 600_000_000  # microseconds for which a digest is kept
+REPLAY_WINDOW = 600_000_000  # Time for which a digest is kept, in microseconds.
 MAX_DIGESTS = 65536
 
 
@@ -15,7 +15,8 @@
 
     def __init__(self, max_digests: int = MAX_DIGESTS) -> None:
         self.max_digests = max_digests
-        self.arrival_times: OrderedDict[int, int] = OrderedDict()  # by digest, oldest first
+        # Arrival time of each accepted packet, by the packet's digest, oldest first.
+        self.arrival_times: OrderedDict[int, int] = OrderedDict()
 
     def is_replay(self, digest: int, now: int) -> bool:
         """Return whether the digest was recorded before; record it if it was not.
--- a/ravenshelf/collectd/decisions/series.py
+++ b/ravenshelf/collectd/decisions/series.py
@@ -10,7 +10,7 @@
 
 from ravenshelf.collectd.protocol import ABSOLUTE, DERIVE, GAUGE, SECOND
 
-MAX_GAP_INTERVALS = 3  # intervals between two values up to which a rate is computed
+MAX_GAP_INTERVALS = 3  # A rate is computed only if the two values are at most this many intervals apart.
 MAX_WRAP_SHARE_BITS = 2  # The difference over a wrap is under 1 / 2^2 of the range.
 
 
@@ -32,7 +32,7 @@
 
         Returns:
             The rate per second, or the value itself if it is a gauge. None if there is no rate; a value that
-            is not newer than the stored one is ignored and has none.
+            is not newer than the stored one is ignored and has no rate.
         """
         if time <= self.time:
             return None
--- a/ravenshelf/collectd/listener.py
+++ b/ravenshelf/collectd/listener.py
@@ -25,8 +25,9 @@
 # and arrived only slightly earlier.
 MAX_QUEUED_PACKETS = 1024
 PACKETS_PER_SLICE = 8
-DECODE_TIME_LIMIT = 500_000  # deadline of the decode job, in microseconds after it is queued
-REJECTION_LOG_INTERVAL = 10_000_000  # microseconds between two log events with the same reason
+DECODE_TIME_LIMIT = 500_000  # Deadline of the decode job, in microseconds after the job is queued.
+# Minimum time, in microseconds, between two log events with the same reason.
+REJECTION_LOG_INTERVAL = 10_000_000
 DECODE_JOB = "collectd.decode"
 
 
--- a/ravenshelf/collectd/protocol.py
+++ b/ravenshelf/collectd/protocol.py
@@ -27,18 +27,18 @@
 KINDS = ("COUNTER", "GAUGE", "DERIVE", "ABSOLUTE")
 
 MAX_PACKET_BYTES = 65535
-MAX_TEXT_BYTES = 128  # including the terminating zero byte
+MAX_TEXT_BYTES = 128  # Maximum length of a text in bytes, including the terminating zero byte.
 MAX_VALUES = 64  # A list with more values is malformed.
 NUMBER_BYTES = 8
-VALUE_BYTES = 9  # one byte for the kind, eight for the number
+VALUE_BYTES = 9  # A value takes one byte for its kind and eight for its number.
 COUNT_BYTES = 2
-SECOND = 1_000_000  # microseconds
+SECOND = 1_000_000  # One second, in microseconds.
 
 PART_HEADER = struct.Struct("!HH")
 _U64 = struct.Struct("!Q")
 _I64 = struct.Struct("!q")
 _DOUBLE = struct.Struct("<d")
-# By kind of value. Only gauges are little-endian.
+# The format of each kind of value. Only gauges are little-endian.
 _VALUE_FORMATS = (_U64, _DOUBLE, _I64, _U64)
 # Positions of the texts of a context, by type of part
 _TEXT_FIELDS = {HOST: 0, PLUGIN: 1, PLUGIN_INSTANCE: 2, TYPE: 3, TYPE_INSTANCE: 4}
@@ -88,7 +88,7 @@
     type_instance: str
     time: int
     interval: int
-    values: tuple[tuple[int, float], ...]  # (kind, value)
+    values: tuple[tuple[int, float], ...]  # Kind and value of each data source.
 
 
 def ticks_to_microseconds(ticks: int) -> int:
@@ -163,7 +163,7 @@
     Raises:
         RejectedPacketError: The packet is malformed.
     """
-    texts = ["", "", "", "", ""]  # host, plugin, plugin instance, type, type instance
+    texts = ["", "", "", "", ""]  # The texts are host, plugin, plugin instance, type and type instance.
     time = 0
     interval = 0
     value_lists = []
--- a/ravenshelf/collectd/security.py
+++ b/ravenshelf/collectd/security.py
@@ -19,12 +19,12 @@
     malformed_packet_error,
 )
 
-SECURITY_LEVELS = ("none", "sign", "encrypt")  # in ascending order
+SECURITY_LEVELS = ("none", "sign", "encrypt")  # The security levels in ascending order.
 SIGNATURE_BYTES = 32
 NAME_LENGTH_BYTES = 2
 IV_BYTES = 16
 CHECKSUM_BYTES = 20
-MAX_SHOWN_NAME = 40  # bytes of a user name in an error message
+MAX_SHOWN_NAME = 40  # Maximum number of bytes of a user name in an error message.
 
 PasswordLookup = Callable[[str], Sequence[bytes]]
 """Returns the passwords that are valid for a user, an empty sequence for an unknown user."""
--- a/ravenshelf/collectd/types.py
+++ b/ravenshelf/collectd/types.py
@@ -16,7 +16,7 @@
 percent  value:GAUGE:0:100.1
 """
 UNBOUNDED = "U"
-MAX_SHOWN_SOURCE = 60  # characters of a malformed data source in an error message
+MAX_SHOWN_SOURCE = 60  # Maximum number of characters of a malformed data source in an error message.
 
 
 class TypesFileError(RavenshelfError):
--- a/ravenshelf/collectd/users.py
+++ b/ravenshelf/collectd/users.py
@@ -70,7 +70,8 @@
 
     def __init__(self, current_passwords: dict[str, bytes]) -> None:
         self.current_passwords = current_passwords
-        self.previous_passwords: dict[str, tuple[bytes, int]] = {}  # (password, end of its validity) by user
+        # Previous password of each user, and the time at which its validity ends.
+        self.previous_passwords: dict[str, tuple[bytes, int]] = {}
 
     def update(self, current_passwords: dict[str, bytes], now: int) -> None:
         """Replace the passwords; users that are not among the new ones are rejected at once."""
--- a/ravenshelf/commands/general.py
+++ b/ravenshelf/commands/general.py
@@ -35,7 +35,7 @@
     """Check a configuration file, and an operator file if one is given, and print a summary of both."""
     server_configuration = tables = None
     is_valid = True
-    # a problem in the first file does not end the command, so that the problems of both files are printed
+    # A problem in the first file does not end the command, so the problems of both files are printed.
     try:
         server_configuration = read_configuration(config)
     except typer.Exit:
--- a/ravenshelf/graphite/collector.py
+++ b/ravenshelf/graphite/collector.py
@@ -28,7 +28,7 @@
 from ravenshelf.settings import Settings
 from ravenshelf.state.table_update import TableUpdate
 
-DEFAULT_LATENCY_OBJECTIVE = 10 * SECOND  # for traffic groups that have no latency objective
+DEFAULT_LATENCY_OBJECTIVE = 10 * SECOND  # Latency objective of traffic groups that have none configured.
 
 AdmissionLevel = Callable[[int, int], float | None]
 """Returns the admission level that a proxy was last sent for a traffic group, or None.
@@ -63,9 +63,11 @@
             endpoint_name,
         )
         self.admission_level = admission_level
-        self.endpoints: dict[int, tuple[int, EndpointState]] = {}  # (zone, state) by endpoint
+        # Zone and state of each endpoint, by the endpoint's index.
+        self.endpoints: dict[int, tuple[int, EndpointState]] = {}
         self.proxy_zones: dict[int, int] = {}
-        self.last_report_at: dict[int, int] = {}  # by zone
+        # Time of the last load or demand report from each zone, by the zone's index.
+        self.last_report_at: dict[int, int] = {}
         self.drains = DrainTracker()
         self.spare_histograms: Histograms = {}
         self.interval = Interval(now, self._empty_histograms())
@@ -185,7 +187,7 @@
         Args:
             now: The time at which the interval ends, in microseconds.
             controller: The controller whose estimates are exported, or None if there is none.
-            samples: Values that were measured elsewhere.
+            samples: Values that were measured outside the collector, such as those of the process.
             on_points: Called as `on_points(importance, points)` in the last step, once per importance.
         """
         closed_interval = self.interval
--- a/ravenshelf/graphite/decisions/connection.py
+++ b/ravenshelf/graphite/decisions/connection.py
@@ -7,7 +7,7 @@
 import random
 from collections import deque
 
-SECOND = 1_000_000  # microseconds
+SECOND = 1_000_000  # One second, in microseconds.
 CONNECT_TIMEOUT = 3 * SECOND
 # Age of the oldest unflushed batch at which a connection counts as stalled.
 STALLED_AFTER = 5 * SECOND
@@ -15,13 +15,13 @@
 STALL_TIMEOUT = 15 * SECOND
 BACKOFF_MIN = SECOND // 2
 BACKOFF_MAX = 60 * SECOND
-MAX_CONNECTS = 10  # connection attempts per CONNECTS_WINDOW
+MAX_CONNECTS = 10  # Maximum number of connection attempts per CONNECTS_WINDOW.
 CONNECTS_WINDOW = 60 * SECOND
-FAIL_OVER_AFTER = 10 * SECOND  # time without a connection after which the share fails over
+FAIL_OVER_AFTER = 10 * SECOND  # Time without a connection after which the receiver's share fails over.
 # Duration of a connection after which the receiver gets its share back. The backoff starts over only after a
 # connection that lasted this long.
 RECOVERED_AFTER = 20 * SECOND
-MAX_DOUBLINGS = 20  # limit on the exponent of the backoff
+MAX_DOUBLINGS = 20  # Maximum number of times that the backoff doubles.
 
 
 class ReceiverState(enum.Enum):
@@ -52,10 +52,12 @@
         self.random_source = random_source
         self.state = ReceiverState.BACKING_OFF
         self.state_since = now
-        self.state_until = now  # unused in the state CONNECTED
+        self.state_until = now  # Time at which the state ends; unused in the state CONNECTED.
         self.consecutive_failures = 0
-        self.connect_times: deque[int] = deque(maxlen=MAX_CONNECTS)  # times of the latest attempts
-        self.unflushed_since: int | None = None  # write time of the oldest unflushed batch
+        # Times of the latest connection attempts.
+        self.connect_times: deque[int] = deque(maxlen=MAX_CONNECTS)
+        # Time at which the oldest unflushed batch was written; None if there is none.
+        self.unflushed_since: int | None = None
         self.last_connected_at = now
         self.is_failed_over = False
 
--- a/ravenshelf/graphite/decisions/queue.py
+++ b/ravenshelf/graphite/decisions/queue.py
@@ -12,25 +12,27 @@
 
 from ravenshelf.graphite.metrics import IMPORTANCES
 
-SECOND = 1_000_000  # microseconds
+SECOND = 1_000_000  # One second, in microseconds.
 # A batch counts as received this long after the kernel's socket buffer has accepted it.
 CONFIRMED_AFTER = 10 * SECOND
-BURST_S = 2.0  # seconds of the backfill rate that can accumulate as tokens
+# Tokens can accumulate up to the number of points that the backfill rate allows in this many seconds.
+BURST_S = 2.0
 
 
 @dataclass(slots=True, eq=False)
 class Batch:
     """Points of one measurement that have the same importance."""
 
-    time: int  # seconds, a multiple of the interval
-    importance: int  # index in metrics.IMPORTANCES
+    time: int  # Time of the measurement in seconds, a multiple of the interval.
+    importance: int  # Importance of the points, as an index in metrics.IMPORTANCES.
     points: list[tuple[str, float]]
     # Encoded chunks, empty until the batch is first encoded. Receivers of the same batch share the list.
     encoded_chunks: list[bytes] = field(default_factory=list)
     # Whether sending was started. The receiver may have part of the batch. With route "hash", the batch may
     # therefore be sent again only to this receiver.
     is_attempted: bool = False
-    flushed_at: int | None = None  # time at which the kernel had accepted all of its bytes
+    # Time at which the kernel had accepted all bytes of the batch; None before that.
+    flushed_at: int | None = None
 
     def __len__(self) -> int:
         return len(self.points)
@@ -52,17 +54,19 @@
     """
 
     max_points: int
-    backfill_rate: int  # points per second
+    backfill_rate: int  # Maximum rate at which old points are sent, in points per second.
     # Batches to send, by importance.
     queued_batches: list[deque[Batch]] = field(default_factory=lambda: [deque() for _ in IMPORTANCES])
-    unconfirmed_batches: deque[Batch] = field(default_factory=deque)  # in the order of sending
-    point_count: int = 0  # queued and unconfirmed points
-    backfill_tokens: float = 0.0  # points; below 0 after a batch that was larger than the balance
+    # Batches that were sent but are not confirmed yet, in the order of sending.
+    unconfirmed_batches: deque[Batch] = field(default_factory=deque)
+    point_count: int = 0  # Number of queued and unconfirmed points.
+    # Number of old points that may be sent now; below 0 after a batch that was larger than the balance.
+    backfill_tokens: float = 0.0
     refilled_at: int | None = None
-    dropped_points: int = 0  # since the start
+    dropped_points: int = 0  # Number of points dropped since the start.
 
     def add(self, batch: Batch) -> list[Batch]:
-        """Add a batch; return the batches that were dropped to make room, which may include it."""
+        """Add a batch; return the batches that were dropped to make room, which may include the new one."""
         self.queued_batches[batch.importance].append(batch)
         self.point_count += len(batch)
         return self._drop_excess()
@@ -174,7 +178,7 @@
         Args:
             current_time: Batches of this time (seconds) or later stay.
             max_batches: The largest number of batches to remove.
-            may_remove: Returns False for a batch that must stay; None if none must.
+            may_remove: Function that returns False for a batch that must stay; None if no batch must stay.
         """
         old_batches = (
             batch
--- a/ravenshelf/graphite/decisions/routing.py
+++ b/ravenshelf/graphite/decisions/routing.py
@@ -5,7 +5,7 @@
 import xxhash
 
 Point = tuple[str, float]
-MAX_CACHED_RANKINGS = 100_000  # paths
+MAX_CACHED_RANKINGS = 100_000  # Maximum number of paths whose ranking is cached.
 
 
 class RendezvousRouter:
--- a/ravenshelf/graphite/dialing.py
+++ b/ravenshelf/graphite/dialing.py
@@ -69,7 +69,10 @@
     timeout_s: float,
     loop: asyncio.AbstractEventLoop,
 ) -> bool:
-    """Return whether no further address is to be tried: the connection is open or was closed meanwhile."""
+    """Try one address and return whether the connection is open or was closed meanwhile.
+
+    In both cases no further address is to be tried.
+    """
     try:
         connect_call = loop.create_connection(lambda: connection, socket_address[0], socket_address[1])
         await asyncio.wait_for(connect_call, timeout_s)
--- a/ravenshelf/graphite/drains.py
+++ b/ravenshelf/graphite/drains.py
@@ -11,13 +11,13 @@
     """Drain of one endpoint that not all proxies have acknowledged; `started_at` is in microseconds."""
 
     started_at: int
-    # (proxy, marker) of each message with the endpoint's removal that is not acknowledged yet
+    # Proxy and marker of each message that removes the endpoint and is not acknowledged yet.
     unacknowledged_messages: set[tuple[int, int]] = field(default_factory=set)
     has_sent_removal: bool = False
 
 
 class DrainTracker:
-    """Record of the pending drains, by endpoint: those that not all proxies have acknowledged yet."""
+    """Record, by endpoint, of the pending drains: drains that not all proxies have acknowledged yet."""
 
     def __init__(self) -> None:
         self.pending_drains: dict[int, Drain] = {}
--- a/ravenshelf/graphite/exporter.py
+++ b/ravenshelf/graphite/exporter.py
@@ -24,7 +24,7 @@
 
 # Shortest delay, in microseconds, before `run_due` checks a queue again whose next batch was not sent.
 MIN_SEND_DELAY = 1000
-CONFIRM_INTERVAL = SECOND  # interval at which flushed batches are checked for confirmation
+CONFIRM_INTERVAL = SECOND  # Interval at which flushed batches are checked for confirmation.
 # Deadlines of the jobs that write batches, in microseconds after they are queued.
 JOB_DEADLINES = {Priority.PRESENT: 5 * SECOND, Priority.BACKFILL: 60 * SECOND}
 
@@ -65,8 +65,8 @@
         self.buffers = BufferPool()
         self.connection: ReceiverConnection | None = None
         self.dial_task: asyncio.Task[None] | None = None
-        self.current_time = 0  # time of the newest measurement, in seconds
-        self.has_send_job = False  # whether a job that writes a batch is queued or running
+        self.current_time = 0  # Time of the newest measurement, in seconds.
+        self.has_send_job = False  # Whether a job that writes a batch is queued or running.
         self.is_closed = False
 
     def run_due(self) -> None:
--- a/ravenshelf/graphite/formats.py
+++ b/ravenshelf/graphite/formats.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterator, Sequence
 
 POINTS_PER_FRAME = 500  # Carbon rejects frames over 1 MiB.
-POINTS_PER_SLICE = 200  # plaintext points that are encoded in one slice of a background job
-MAX_COMPONENT_LENGTH = 64  # characters
+POINTS_PER_SLICE = 200  # Number of plaintext points that are encoded in one slice of a background job.
+MAX_COMPONENT_LENGTH = 64  # Maximum length of a path component, in characters.
 PICKLE_PROTOCOL = 2
 PROTOCOLS = ("plaintext", "pickle")
 _FORBIDDEN_CHARACTERS = re.compile(r"[^A-Za-z0-9_\-]+")
--- a/ravenshelf/graphite/interval.py
+++ b/ravenshelf/graphite/interval.py
@@ -13,9 +13,9 @@
 from ravenshelf.graphite.metrics import Metric
 from ravenshelf.policy.events import LoadReport
 
-SECOND = 1_000_000  # microseconds
+SECOND = 1_000_000  # One second, in microseconds.
 HISTOGRAM_MAX = 600 * SECOND
-HISTOGRAM_DIGITS = 2  # significant digits: an error of 1%, with a few KB of memory per histogram
+HISTOGRAM_DIGITS = 2  # Two significant digits: the error is 1%, and a histogram uses a few KB of memory.
 DISTRIBUTIONS = (
     metrics.DRAIN_DURATION,
     metrics.REPORT_AGE,
@@ -49,7 +49,7 @@
 
     attempts: float = 0.0
     failed_attempts: float = 0.0
-    latency_sum: float = 0.0  # sum of the latencies of the attempts that succeeded, in microseconds
+    latency_sum: float = 0.0  # Sum of the latencies of the attempts that succeeded, in microseconds.
 
 
 @dataclass(slots=True)
@@ -57,7 +57,9 @@
     """Successful attempts of one zone's proxies, and how many of them met each latency objective."""
 
     successful_attempts: float
-    attempts_within_objective: list[float]  # by traffic group
+    # Estimated number of successful attempts that met the latency objective of each traffic group, by the
+    # group's index.
+    attempts_within_objective: list[float]
 
     def share_within_objective(self, group: int) -> float:
         """Return the share of the successful attempts that met the group's latency objective.
@@ -77,10 +79,13 @@
     def __init__(self, started_at: int, histograms: Histograms) -> None:
         self.started_at = started_at
         self.histograms = histograms
-        self.demand: dict[tuple[int, int], DemandTotals] = {}  # by (zone of the proxies, traffic group)
-        self.attempts: dict[int, AttemptTotals] = {}  # by zone of the endpoints
-        self.objectives: dict[int, ObjectiveTotals] = {}  # by zone of the proxies
-        self.endpoint_attempts: dict[int, float] = {}  # by endpoint
+        # Totals of the requests, by the zone of the proxies and the traffic group.
+        self.demand: dict[tuple[int, int], DemandTotals] = {}
+        self.attempts: dict[int, AttemptTotals] = {}  # Totals of the attempts, by the zone of the endpoints.
+        # Totals of the latency objectives, by the zone of the proxies.
+        self.objectives: dict[int, ObjectiveTotals] = {}
+        # Number of attempts at each endpoint, by the endpoint's index.
+        self.endpoint_attempts: dict[int, float] = {}
         self.reports = 0
         self.started_drains = 0
 
--- a/ravenshelf/graphite/metrics.py
+++ b/ravenshelf/graphite/metrics.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-ESSENTIAL, USEFUL, DETAIL = range(3)  # indices in IMPORTANCES
+ESSENTIAL, USEFUL, DETAIL = range(3)  # The importances, as indices in IMPORTANCES.
 # Names of the importances. A full queue drops points of the last one first.
 IMPORTANCES = ("essential", "useful", "detail")
 QUANTILES = (("p50", 50.0), ("p90", 90.0), ("p99", 99.0), ("p999", 99.9), ("max", 100.0))
--- a/ravenshelf/graphite/points.py
+++ b/ravenshelf/graphite/points.py
@@ -21,13 +21,13 @@
 ENDPOINTS_PER_SLICE = 64
 # Rates are counts divided by the length of the interval; a shorter interval counts as this long.
 SHORTEST_INTERVAL_S = 1e-3
-MILLISECOND = 1000  # microseconds
+MILLISECOND = 1000  # One millisecond, in microseconds.
 
 Point = tuple[str, float]
 
 
 class Sample(NamedTuple):
-    """Value that was measured elsewhere; `receiver` fills the placeholder of metrics that have one."""
+    """Value measured outside the collector; `receiver` fills the placeholder of paths that have one."""
 
     metric: Metric
     value: float
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class PathNames:
-    """Names that paths are made of.
+    """Names from which the paths of metrics are built.
 
     `zones` and `groups` are path components by index; `endpoint_name` returns an endpoint's name by its
     index.
@@ -71,7 +71,7 @@
             self.points[metric.importance].append((path, value))
 
     def add_samples(self, samples: Iterable[Sample]) -> None:
-        """Add the points of values that were measured elsewhere."""
+        """Add the points of values that were measured outside the metrics collector."""
         for sample in samples:
             self.add(sample.metric, sample.value, receiver=sample.receiver)
 
--- a/ravenshelf/graphite/spool.py
+++ b/ravenshelf/graphite/spool.py
@@ -27,7 +27,7 @@
 # A spool whose limit is below 8 MiB is divided into this many segments.
 SEGMENTS_PER_SPOOL = 8
 FORMAT_VERSION = 1
-FOLDER_NAME_LENGTH = 16  # hexadecimal digits
+FOLDER_NAME_LENGTH = 16  # Length of a spool folder's name, in hexadecimal digits.
 
 Outcome = TypeVar("Outcome")
 
@@ -35,7 +35,7 @@
 class SpooledSegment(NamedTuple):
     """Batches of one segment, and the byte ranges that were skipped before them as unreadable.
 
-    The number is 0 if there are skipped ranges but no segment to read.
+    The segment's number is 0 if there are skipped ranges but no segment to read.
     """
 
     number: int
--- a/ravenshelf/graphite/spool_transfer.py
+++ b/ravenshelf/graphite/spool_transfer.py
@@ -42,7 +42,8 @@
         self.paused_until = 0
         # Number of batches, by segment, that were read back and were not received, dropped or moved since.
         self.unfinished_batches: dict[int, int] = {}
-        self.segment_numbers: dict[Batch, int] = {}  # segment of each batch that was read back
+        # Number of the segment from which each batch was read back.
+        self.segment_numbers: dict[Batch, int] = {}
 
     def _is_available(self) -> bool:
         return self.spool is not None and not self.is_busy and self.clock() >= self.paused_until
--- a/ravenshelf/operator_config/decoding.py
+++ b/ravenshelf/operator_config/decoding.py
@@ -11,11 +11,11 @@
 from ravenshelf.operator_config.keys import expected_value, key_types, table_types
 from ravenshelf.operator_config.tables import OperatorConfiguration
 
-MIN_SIMILARITY = 0.5  # least similarity, from 0 to 1, of a name that an error message suggests
+MIN_SIMILARITY = 0.5  # Lowest similarity, from 0 to 1, of a name that an error message suggests.
 
 
 def decode(document: Mapping[str, Any], file: str) -> OperatorConfiguration:
-    """Return the tables of a document; a key that it lacks has its default.
+    """Return the tables of a document; a key missing from the document has its default value.
 
     Args:
         document: The parsed TOML document.
--- a/ravenshelf/operator_config/errors.py
+++ b/ravenshelf/operator_config/errors.py
@@ -5,7 +5,7 @@
 
 from ravenshelf.errors import RavenshelfError
 
-MAX_VALUE_LENGTH = 60  # characters
+MAX_VALUE_LENGTH = 60  # Maximum length of a quoted value, in characters.
 
 
 def shortened_repr(value: object) -> str:
@@ -20,7 +20,7 @@
     Attributes:
         file: The path of the operator file.
         path: "[TABLE] KEY", "[TABLE]", the name of an unknown table or key, or empty for the file itself.
-        actual_value: What was found there.
+        actual_value: The value that was found there.
         expectation: What was expected there; empty for an unknown name.
         detail: An error message that is shown in place of `actual_value` and `expectation`, for a file that
             can't be read or is malformed.
--- a/ravenshelf/output.py
+++ b/ravenshelf/output.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 OUTPUT_FORMATS = ("table", "markdown", "json")
-WIDTH_WITHOUT_TERMINAL = 200  # characters
+WIDTH_WITHOUT_TERMINAL = 200  # Width of the output, in characters, if it is not a terminal.
 
 
 def print_table(
--- a/ravenshelf/process/acceptor.py
+++ b/ravenshelf/process/acceptor.py
@@ -77,17 +77,20 @@
         self.clock = clock
         self.publish = publish
         self.call_soon = call_soon
-        self.streams: dict[int, AcceptedConnection] = {}  # by proxy; the newest stream of each proxy
-        self.collectors: dict[int, AcceptedConnection] = {}  # by zone; the newest collector of each zone
-        self.unidentified_connections: dict[AcceptedConnection, None] = {}  # ordered by connection time
-        # Ordered by the time of the last message.
+        # The newest stream of each proxy, by the proxy's index.
+        self.streams: dict[int, AcceptedConnection] = {}
+        # The newest collector connection of each zone, by the zone's index.
+        self.collectors: dict[int, AcceptedConnection] = {}
+        # Connections that have not identified themselves, oldest first.
+        self.unidentified_connections: dict[AcceptedConnection, None] = {}
+        # Connections replaced by a newer one, ordered by the time of their last message.
         self.superseded_connections: dict[AcceptedConnection, None] = {}
         # Streams that sent nothing between the last two sweeps; the one most likely to be dead is last.
         self.idle_streams: list[AcceptedConnection] = []
         self.last_idle_sweep_at = 0
         # Connections whose sockets are still open after `stop`, so that written data can be delivered.
         self.lingering_connections: set[AcceptedConnection] = set()
-        # Set by `stop`; called when the last lingering socket has closed.
+        # Callback that `stop` sets; called when the last lingering socket has closed.
         self.on_all_closed: Callable[[], None] | None = None
         self.handlers: dict[str, Callable[[AcceptedConnection, dict[str, str]], None]] = {
             stream_codec.SUBSCRIBE: self._subscribe,
@@ -146,7 +149,10 @@
         return None
 
     def _sweep_idle(self, now: int) -> None:
-        """Collect the streams that sent nothing since the last sweep, if that is IDLE_TIMEOUT_US ago."""
+        """Collect the streams that sent nothing since the last sweep.
+
+        It does nothing if the last sweep was less than IDLE_TIMEOUT_US ago.
+        """
         if now - self.last_idle_sweep_at < IDLE_TIMEOUT_US:
             return
         self.last_idle_sweep_at = now
@@ -282,7 +288,7 @@
             )
         previous_stream = self.streams.get(proxy)
         if connection.proxy is not None and previous_stream is not connection:
-            self.counters["stale"] += 1  # this stream is superseded
+            self.counters["stale"] += 1  # A newer stream of the proxy has superseded this one.
             return
         if previous_stream is connection:
             # The stream is intact, so the proxy will still acknowledge the markers in flight on it.
@@ -292,7 +298,7 @@
         connection.has_term_check = stream_codec.has_term_check(fields)
         self._set_purpose(connection, STREAM)
         if previous_stream is not None and previous_stream is not connection:
-            self._supersede(previous_stream)  # when it ends later, no event is published
+            self._supersede(previous_stream)  # No event is published when the superseded stream ends.
         self.publish(join_event)
 
     def _identify_collector(self, connection: AcceptedConnection, fields: dict[str, str]) -> None:
--- a/ravenshelf/process/configuration.py
+++ b/ravenshelf/process/configuration.py
@@ -9,13 +9,13 @@
 from ravenshelf.net.datagrams import parse_address
 from ravenshelf.net.endpoint_codec import EndpointListDecoder, UnreadableListError
 
-FILE_VARIABLE = "RELAY_CONFIG"  # environment variable that holds the path of the configuration file
+FILE_VARIABLE = "RELAY_CONFIG"  # Environment variable that holds the path of the configuration file.
 # Environment variables that supply a field missing from the file.
 VARIABLE_BY_FIELD = {"name": "RELAY_NAME", "listen": "RELAY_LISTEN", "discovery": "RELAY_DISCOVERY"}
 MINIMUM_SOCKETS = 64
 DEFAULT_SOCKETS = 1024
-PORT_LIMIT = 65536  # ports are lower than this
-QUOTED_LENGTH = 60  # characters of an invalid value quoted in an error
+PORT_LIMIT = 65536  # All port numbers are lower than this limit.
+QUOTED_LENGTH = 60  # Maximum number of characters of an invalid value that an error quotes.
 # A reload need not report a change of these fields. A new `discovery` takes effect at once; `known` is older
 # than the list the server already has; `seed` is used only when a server starts.
 FIELDS_WITHOUT_RESTART = frozenset(["discovery", "known", "seed"])
--- a/ravenshelf/process/control_cycle.py
+++ b/ravenshelf/process/control_cycle.py
@@ -15,7 +15,7 @@
 from ravenshelf.state.table_update import TableUpdate
 
 LOGGED_EVENTS_LIMIT = 20
-LINES_TOLERANCE = 1e-6  # lines; charges are sums of floats and may differ by rounding
+LINES_TOLERANCE = 1e-6  # Tolerance in lines: charges are sums of floats and may differ by rounding errors.
 
 
 class ControlCycle:
@@ -45,8 +45,9 @@
         self.counters = counters
         self.group_names = [group.name for group in settings.traffic_groups]
         self.message_overhead_lines = settings.service.message_overhead_lines or 0
-        self.join_events: dict[int, events.ProxyJoined] = {}  # latest join of each connected proxy
-        self.events: list[events.Event] = []  # events for the next cycle
+        # Latest join event of each connected proxy, by the proxy's index.
+        self.join_events: dict[int, events.ProxyJoined] = {}
+        self.events: list[events.Event] = []  # Events queued for the next cycle.
         self.failures = 0
         self.cycle_observer: CycleObserver | None = None
         self.admission_gate: AdmissionGate | None = None
@@ -160,7 +161,7 @@
     def _reconcile(self, channel: ChannelFlowControl) -> None:
         """Readmit endpoints that proxies may have ejected on commands unknown to this server.
 
-        It is done as far as the channel has capacity, and not in the message that brings a proxy its table:
+        Endpoints are readmitted as far as the channel has capacity, not in the message with a proxy's table:
         when all proxies join at once, twice the lines would overfill the channel.
         """
         if not channel.has_capacity(1, (), False):
--- a/ravenshelf/process/control_plane.py
+++ b/ravenshelf/process/control_plane.py
@@ -35,12 +35,12 @@
     from ravenshelf.process.logs import Sink
 
 DEFAULT_SOCKETS = 1024
-RESERVED_DESCRIPTORS = 24  # descriptors reserved for the process itself, which was seen to use 12
-CALL_LIMIT = 64  # open calls to the endpoint registry and to endpoints
-SOCKETS_PER_CALL = 16  # calls may use one socket in this many
-COLLECTOR_RESERVE = 16  # slots that unidentified connections leave free for collectors
+RESERVED_DESCRIPTORS = 24  # File descriptors reserved for the process itself, which was seen to use 12.
+CALL_LIMIT = 64  # Maximum number of open calls to the endpoint registry and to endpoints.
+SOCKETS_PER_CALL = 16  # One in this many sockets may be used for outgoing calls.
+COLLECTOR_RESERVE = 16  # Number of slots that unidentified connections leave free for collectors.
 DEFAULT_TICK_US = 1000
-BACKLOG = 1024  # connections that the kernel queues until they are accepted
+BACKLOG = 1024  # Maximum number of connections that the kernel queues until they are accepted.
 # At a stop, connections have this many seconds to deliver what was written to them. SIGKILL follows SIGTERM
 # after 0.7 s, and the rest of the log has to be written before that too.
 LINGER_TIMEOUT_S = 0.25
@@ -78,7 +78,8 @@
         self.peers: datagrams.PeerDatagrams | None = None
         self.may_message_peers = settings.limits.peer_messages_allowed
         self.listener: asyncio.Server | None = None
-        self.counters_every_us = 0  # interval between log lines with the counters; 0 for none
+        # Interval between log lines with the counters, in microseconds; 0 for none.
+        self.counters_every_us = 0
         self.optional_features: OptionalFeatures | None = None
         self.observers: list[EventObserver] = []
         self.admission_gate: AdmissionGate | None = None
@@ -228,7 +229,8 @@
             self.registry_client.open_watch()
         if self.configuration.get("peer_listen"):
             await self._open_peer_socket()
-            if self.is_stopping:  # `stop` was called while the socket opened, so nothing more may start
+            # `stop` was called while the socket was being opened, so nothing more may be started.
+            if self.is_stopping:
                 return
         host, port = datagrams.parse_address(self.configuration["listen"])
         self.listener = await self.loop.create_server(
@@ -291,7 +293,7 @@
                 self.optional_features.close()
             if self.peers is not None and self.peers.transport is not None:
                 self.peers.transport.close()
-        finally:  # even if the last cycle fails, the streams receive what was written to them
+        finally:  # Even if the last cycle fails, the streams deliver what was written to them.
             self.acceptor.stop(self._finish_stop)
 
     def _finish_stop(self) -> None:
--- a/ravenshelf/process/controller.py
+++ b/ravenshelf/process/controller.py
@@ -23,11 +23,12 @@
 from ravenshelf.settings import decode_settings
 from ravenshelf.state.counters import Counters
 
-SECOND = 1_000_000  # microseconds
+SECOND = 1_000_000  # One second, in microseconds.
 # Time, in microseconds, between two checks of the leases and of the shards to follow.
 FOLLOW_INTERVAL = SECOND
 SEED_BITS = 32
-LEASE_RELEASE_TIME = 0.1  # seconds in which the messages that release the leases can be sent before the exit
+# Time, in seconds, to send the messages that release the leases before the process exits.
+LEASE_RELEASE_TIME = 0.1
 EXIT_FAILED = 1
 
 
--- a/ravenshelf/process/cycle_scheduling.py
+++ b/ravenshelf/process/cycle_scheduling.py
@@ -46,10 +46,10 @@
         self.write = write
         self.execute = execute
         self.is_started = False
-        self.is_stopping = False  # if set, cycles write messages but carry out no other commands
+        self.is_stopping = False  # While this is true, cycles write messages but carry out no other commands.
         self.last_cycle_at = 0
         self.due_at = 0
-        self.connections_accepted = 0  # total at the end of the last cycle
+        self.connections_accepted = 0  # Total number of accepted connections at the end of the last cycle.
 
     def start(self) -> None:
         """Pass the restored endpoint list to the controller and run the first cycle."""
--- a/ravenshelf/process/deadline_keys.py
+++ b/ravenshelf/process/deadline_keys.py
@@ -13,10 +13,10 @@
     The comments say what the server does when the deadline expires.
     """
 
-    CONTROL_CYCLE = "control cycle"  # run the next control cycle
-    WATCH = "watch"  # open a watch of the endpoint registry if one is required
-    RELOAD = "reload"  # read the configuration file again after it was not valid
-    COUNTERS = "counters"  # log the counters
+    CONTROL_CYCLE = "control cycle"  # The server runs the next control cycle.
+    WATCH = "watch"  # The server opens a watch of the endpoint registry if one is required.
+    RELOAD = "reload"  # The server reads the configuration file again, because it was not valid.
+    COUNTERS = "counters"  # The server logs the counters.
 
 
 class ControllerTimer(NamedTuple):
--- a/ravenshelf/process/health_checks.py
+++ b/ravenshelf/process/health_checks.py
@@ -12,7 +12,7 @@
 from ravenshelf.state.endpoint_registry import EndpointRegistry
 
 DEFAULT_DIAL_TIMEOUT_US = 250_000
-RESPONSE_TIMEOUT_US = 1_000_000  # added to the dial timeout
+RESPONSE_TIMEOUT_US = 1_000_000  # Time for the response, in microseconds, which is added to the dial timeout.
 
 
 class HealthChecks:
--- a/ravenshelf/process/logs.py
+++ b/ravenshelf/process/logs.py
@@ -16,9 +16,10 @@
 
 __all__ = ["LEVELS", "Sink", "start"]
 LINES_PER_SECOND = 20
-BURST_LINES = 200  # lines that may be written at once
+BURST_LINES = 200  # Maximum number of lines that may be written at once.
 QUEUE_LINES = 1000
-ERROR_LEVEL = 40  # loguru's number of the level ERROR; such lines are written even if they exceed the rate
+# Loguru's number of the level ERROR. Lines of this level or above are written even if they exceed the rate.
+ERROR_LEVEL = 40
 # At the end of the process, the queued lines have this many seconds to be written. Together with the 0.25 s
 # that streams have at a stop, it is well below the 0.7 s between SIGTERM and SIGKILL.
 FLUSH_TIMEOUT = 0.15
@@ -41,7 +42,7 @@
         self.lines: queue.Queue[str | None] = queue.Queue(QUEUE_LINES)
         self.dropped_lines = 0
         self.tokens = float(BURST_LINES)
-        self.refilled_at = 0.0  # time of the last message, in seconds; 0 before the first
+        self.refilled_at = 0.0  # Time of the last message, in seconds; 0 before the first message.
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
@@ -73,7 +74,8 @@
 
     def _run(self) -> None:
         while (text := self.lines.get()) is not None:
-            with suppress(OSError, ValueError):  # the output may be closed; the server runs on without a log
+            # If the output is closed, the server continues without a log.
+            with suppress(OSError, ValueError):
                 self.out(text)
 
     def finish(self, seconds: float) -> None:
--- a/ravenshelf/process/operations/collectd_signals.py
+++ b/ravenshelf/process/operations/collectd_signals.py
@@ -21,7 +21,7 @@
 
 USERS_TIMER = "users"
 USERS_CHECK_INTERVAL = 10 * SECOND
-NO_LIST_VERSION = -1  # lower than any version of the endpoint list
+NO_LIST_VERSION = -1  # Placeholder that is lower than any version of the endpoint list.
 
 
 class CollectdSignals:
--- a/ravenshelf/process/operations/composer.py
+++ b/ravenshelf/process/operations/composer.py
@@ -21,8 +21,9 @@
     from ravenshelf.process.operations.subscription import Subscription
 
 BACKGROUND_TIMER = "background"
-MILLISECOND = 1000  # microseconds
-RESTART_TABLES = ("distribution", "leadership", "store")  # changes take effect only after a restart
+MILLISECOND = 1000  # One millisecond, in microseconds.
+# Changes of these tables take effect only after a restart.
+RESTART_TABLES = ("distribution", "leadership", "store")
 
 
 def job_queue(table: Background) -> JobQueue:
@@ -104,7 +105,7 @@
                 await feature.start()
 
     def run_due(self, key: TimerKey, now: int) -> None:
-        """Handle a timer whose key starts with one of TIMERS; `now` is in microseconds."""
+        """Handle a timer whose key's first item is one of TIMERS; `now` is in microseconds."""
         if key[0] == BACKGROUND_TIMER:
             self.background.run_turn()
         elif key[0] == USERS_TIMER:
--- a/ravenshelf/process/operations/leases.py
+++ b/ravenshelf/process/operations/leases.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from ravenshelf.process.control_plane import ControlPlaneServer
 
-WARM_UP_MEMORY = 60 * SECOND  # an endpoint that started longer ago than this is not warming up any more
+WARM_UP_MEMORY = 60 * SECOND  # An endpoint that was started longer ago than this has finished warming up.
 
 
 class Leases:
@@ -89,7 +89,7 @@
         }
 
     def _restore_warm_up(self, starts: Mapping[str, int]) -> None:
-        """Deliver start times that the previous lease holder recorded and that are later than the list's."""
+        """Deliver the previous lease holder's start times that are later than those of the endpoint list."""
         registry = self.server.registry
         restarted_entries = []
         for name, started_at in starts.items():
--- a/ravenshelf/process/operations/metrics_export.py
+++ b/ravenshelf/process/operations/metrics_export.py
@@ -21,9 +21,10 @@
     from ravenshelf.process.control_plane import ControlPlaneServer
 
 INTERVAL_TIMER = "metrics"
-RECEIVER_TIMER = "graphite"  # first item of the timer key of each receiver
-MEASUREMENT_DEADLINE = 2 * SECOND  # deadline of the background job that calculates an interval's points
-SHORTEST_INTERVAL_S = 1e-3  # rates are not calculated over a shorter interval
+RECEIVER_TIMER = "graphite"  # First item of the timer key of each receiver.
+# Time limit, in microseconds, of the background job that calculates an interval's points.
+MEASUREMENT_DEADLINE = 2 * SECOND
+SHORTEST_INTERVAL_S = 1e-3  # Rates are calculated over an interval of at least this many seconds.
 
 
 class MetricsExport:
--- a/ravenshelf/process/operations/process_metrics.py
+++ b/ravenshelf/process/operations/process_metrics.py
@@ -30,7 +30,7 @@
 
 
 def process_measurements(server: ControlPlaneServer, background: BackgroundScheduler) -> Measurements:
-    """Return the process's memory, descriptors and CPU time, and the counters of cycles and jobs."""
+    """Return the process's memory, file descriptors and CPU time, and the counters of cycles and jobs."""
     from ravenshelf.graphite import metrics
 
     usage = resource.getrusage(resource.RUSAGE_SELF)
--- a/ravenshelf/process/optional_features.py
+++ b/ravenshelf/process/optional_features.py
@@ -57,7 +57,7 @@
         """Apply a new operator file; `on_done` is called with a text that lists the changed tables."""
 
     def run_due(self, key: tuple[Any, ...], now: int) -> None:
-        """Handle a deadline whose key starts with one of TIMERS; `now` is in microseconds."""
+        """Handle a deadline whose key's first item is one of TIMERS; `now` is in microseconds."""
 
     def close(self) -> None:
         """Close all connections; called when the server stops."""
--- a/ravenshelf/process/registry_client.py
+++ b/ravenshelf/process/registry_client.py
@@ -13,8 +13,9 @@
 from ravenshelf.state.endpoint_registry import EndpointRegistry, VersionGapError
 
 LIST_PATH = "/catalog/members"
-CALL_TIMEOUT_US = 5_000_000  # a call without a response after this time has failed
-IDLE_TIMEOUT_US = 5_000_000  # the registry sends a line on an open watch every 2 s at least
+CALL_TIMEOUT_US = 5_000_000  # A call that has no response after this time has failed.
+# A watch that receives nothing for this long has failed: the registry sends a line at least every 2 s.
+IDLE_TIMEOUT_US = 5_000_000
 # A change arrives within 6 s. If the list has not been updated for this long and a lower version arrives, the
 # registry has been restored from a backup.
 RESTORED_REGISTRY_IDLE_US = 30_000_000
@@ -84,7 +85,7 @@
         # by the first list that can be applied.
         self.is_new_address = False
         self.has_watch_answered = False
-        self.watch_version = 0  # version of the list to which the watch's next changes apply
+        self.watch_version = 0  # Version of the endpoint list to which the next changes from the watch apply.
 
     # Requests of the controller
 
@@ -121,7 +122,8 @@
         self.is_new_address = True
         self.address_changes += 1
         if self.watch is not None and self.former_watch is not None and not self.has_watch_answered:
-            self._close_watch()  # it never answered before the address changed again; the former watch stays
+            # The watch did not answer before the address changed again. The former watch is kept.
+            self._close_watch()
         elif self.watch is not None:
             self._close_former_watch()
             self.former_watch = self.watch
@@ -157,7 +159,7 @@
             closing_watch.close(ConnectionEnd.SUPERSEDED)
 
     def _schedule_watch(self) -> None:
-        """Schedule a watch, if one is required and none is open, where the controller may not request one.
+        """Schedule a watch if one is required and none is open, because the controller might not request one.
 
         The controller requests no watch if lists are pushed, or once it has received any list, even from a
         previous address or a fetch. Without this, the server might then never receive another change.
@@ -198,10 +200,10 @@
     def _needs_complete_list(self, call: HttpCall, is_update: bool, version: int) -> bool:
         """Reset the list's version if the registry's versions are numbered anew.
 
-        This is so at a new address, and after the registry was restored from a backup and continues from a
-        lower version. Without the reset, its lists would never be accepted again. The drawback is that a list
-        which arrives more than half a minute late is mistaken for one of a restored registry, until the next
-        changes arrive.
+        The versions are numbered anew at a new address, and after the registry was restored from a backup
+        and continues from a lower version. Without the reset, its lists would never be accepted again. The
+        drawback is that a list which arrives more than half a minute late is mistaken for one of a restored
+        registry, until the next changes arrive.
 
         Returns:
             Whether the line can't be applied because it is an update to a list that the server does not have.
@@ -213,7 +215,8 @@
         if call is not self.watch or not (self.is_new_address or is_restored):
             return False
         self.is_new_address = is_update and is_lower_version
-        self.registry.version = 0  # old and new versions can't be compared, even if they happen to be equal
+        # The old and new versions can't be compared, even if they happen to be equal.
+        self.registry.version = 0
         self.watch_version = 0
         return self.is_new_address
 
@@ -248,7 +251,8 @@
         if call.end is not ConnectionEnd.ANSWERED:
             self._report_failure(FETCH, call.end, call)
             return
-        if address_changes != self.address_changes:  # the list's version is that of a previous address
+        # The list's version is that of a previous address of the registry.
+        if address_changes != self.address_changes:
             self._report_failure(FETCH, ConnectionEnd.DECLINED, call)
             return
         try:
--- a/ravenshelf/process/relay.py
+++ b/ravenshelf/process/relay.py
@@ -21,8 +21,8 @@
 from ravenshelf.operator_config.tables import Distribution, OperatorConfiguration
 from ravenshelf.process import logs
 
-TREE = "tree"  # name of the only upstream of a relay whose parents are relays, not service owners
-SNAPSHOT_BURST = 0.25  # the snapshots sent at once may use up the budget of this many seconds
+TREE = "tree"  # Name of the only upstream of a relay whose parents are relays, not service owners.
+SNAPSHOT_BURST = 0.25  # Snapshots sent at once may use the rate limit's budget for this many seconds.
 BYTES_PER_MEGABYTE = 1e6
 WATCHER_NAME_BITS = 32
 EXIT_FAILED = 1
@@ -65,7 +65,7 @@
     if table.admin:
         admin = await serve_requests(lambda request: admin_response(service, request), table.admin)
     metrics_export = None
-    if operator.graphite.receivers:  # imported only if it is used, to save memory
+    if operator.graphite.receivers:  # The module is imported only if it is used, to save memory.
         from ravenshelf.process.relay_metrics_export import RelayMetricsExport
 
         metrics_export = RelayMetricsExport(operator, service, loop)
--- a/ravenshelf/process/relay_metrics_export.py
+++ b/ravenshelf/process/relay_metrics_export.py
@@ -16,9 +16,9 @@
 from ravenshelf.process.clock import Clock
 from ravenshelf.state.counters import Counters
 
-SECOND = 1_000_000  # microseconds
+SECOND = 1_000_000  # One second, in microseconds.
 MICROSECONDS_PER_MILLISECOND = 1000
-SHORTEST_INTERVAL = 1e-3  # seconds; rates are not calculated over a shorter interval
+SHORTEST_INTERVAL = 1e-3  # Rates are calculated over an interval of at least this many seconds.
 
 # Keys of the timers. The key of a receiver's timer is the receiver's address.
 MEASUREMENT = "figures"
--- a/ravenshelf/process/run.py
+++ b/ravenshelf/process/run.py
@@ -38,7 +38,8 @@
         The exit code.
     """
     sink = logs.start(level, operator.log.format if operator is not None else "text")
-    gc.freeze()  # objects created at the start stay until the end, so garbage collections can skip them
+    # Objects created at the start are kept until the process ends, so garbage collections can skip them.
+    gc.freeze()
     exit_code = 0
     try:
         uvloop.run(
--- a/ravenshelf/process/serving.py
+++ b/ravenshelf/process/serving.py
@@ -49,7 +49,8 @@
     options = parse_options(arguments)
     operator = None
     read_operator = None
-    if options.operator is not None:  # without an operator file its modules are not loaded
+    # The modules that read an operator file are loaded only if there is one.
+    if options.operator is not None:
         from pathlib import Path
 
         from ravenshelf.operator_config import reading
--- a/ravenshelf/process/timers.py
+++ b/ravenshelf/process/timers.py
@@ -7,12 +7,13 @@
 from ravenshelf.state.counters import Counters
 from ravenshelf.state.deadlines import DeadlineQueue
 
-STALL_THRESHOLD_US = 500_000  # a timer that fires this late means that the process was stalled
-READ_TIME_AFTER_STALL_S = 0.02  # after a stall, sockets are read for this long before deadlines are handled
+STALL_THRESHOLD_US = 500_000  # If the timer fires this late, the process was stalled.
+# Time, in seconds, for which sockets are read after a stall before deadlines are handled.
+READ_TIME_AFTER_STALL_S = 0.02
 
 
 class Timers:
-    """Queue of deadlines that calls a handler for each one that has expired.
+    """Queue of deadlines that calls a handler for each expired deadline.
 
     If the handler raises, the exception is logged and counted, and the other deadlines are still handled.
 
@@ -40,7 +41,9 @@
         self.deadlines = DeadlineQueue()
         self.is_stopped = False
         self.loop_timer: asyncio.Handle | None = None
-        self.fires_at: int | None = None  # None if the loop's timer is not set or was set after a stall
+        # Time at which the loop's timer fires, in microseconds.
+        # None if the timer is not set or was set after a stall.
+        self.fires_at: int | None = None
 
     def set(self, key: Hashable, at: int) -> None:
         """Set the key's deadline to `at`, in microseconds, in place of an earlier setting."""
@@ -91,7 +94,7 @@
     def _handle(self, key: Hashable, now: int) -> None:
         try:
             self.handle(key, now)
-        except Exception:  # a handler that fails must not prevent other deadlines from being handled
+        except Exception:  # A handler that fails must not prevent other deadlines from being handled.
             self.counters["deadlines_failed"] += 1
             log_events.TIMER_FAILED.with_traceback(key=str(key))
 
